--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -62,6 +62,7 @@
 	settings     core.Settings
 	trace        bool // print what the leaders log
 	without      guard
+	decisions    *decisionDigest // of all leaders; nil: not taken
 
 	slowLinks time.Duration // up to which links take longer
 	writes    float64       // changes a second that the state service takes; 0: any number
@@ -686,6 +687,9 @@
 		return wire.CheckinReply{}, false
 	}
 	reply, ok := n.leader.Checkin(n.w.coreNow(), r)
+	if n.w.decisions != nil {
+		n.w.decisions.addReply(n.w.now, n.name, r.Machine, reply, ok)
+	}
 	n.drain()
 	return reply, ok
 }
@@ -703,6 +707,9 @@
 		}
 	}
 	e := l.Take()
+	if w.decisions != nil {
+		w.decisions.addEffects(w.now, n.name, e)
+	}
 	if w.trace {
 		for _, line := range e.Log {
 			fmt.Println(w.now, n.name, line.Msg, line.Args)
