--- /dev/null
+++ b/internal/core/golden_test.go
@@ -0,0 +1,25 @@
+package core
+
+import (
+	"testing"
+
+	"github.com/yarrowgap/yarrowgap/internal/golden"
+)
+
+// TestOperatorAnswersMatchGoldenFiles covers what operators are shown of the leader's
+// state.
+func TestOperatorAnswersMatchGoldenFiles(t *testing.T) {
+	answers := map[string]any{
+		"machine": &MachineView{},
+		"job":     &JobDetail{},
+		"attempt": &TaskView{},
+		"failure": &Failure{},
+	}
+	var all []any
+	for name, answer := range answers {
+		golden.CheckEncoding(t, name, golden.JSON, answer)
+		golden.CheckEncoding(t, name, golden.CBOR, answer)
+		all = append(all, answer)
+	}
+	golden.CheckCoverage(t, all...)
+}
--- /dev/null
+++ b/internal/node/golden_test.go
@@ -0,0 +1,22 @@
+package node
+
+import (
+	"testing"
+
+	"github.com/yarrowgap/yarrowgap/internal/golden"
+)
+
+// TestOperatorAnswersMatchGoldenFiles covers what operators are shown of the process.
+func TestOperatorAnswersMatchGoldenFiles(t *testing.T) {
+	answers := map[string]any{
+		"leader":  &LeaderView{},
+		"latency": &Latency{},
+		"metrics": &Metrics{},
+	}
+	var all []any
+	for name, answer := range answers {
+		golden.CheckEncoding(t, name, golden.JSON, answer)
+		all = append(all, answer)
+	}
+	golden.CheckCoverage(t, all...)
+}
--- /dev/null
+++ b/wire/golden_test.go
@@ -0,0 +1,94 @@
+package wire_test
+
+import (
+	"reflect"
+	"testing"
+
+	"github.com/yarrowgap/yarrowgap/internal/golden"
+	"github.com/yarrowgap/yarrowgap/wire"
+)
+
+// goldenMessages has every message with its CBOR form, and with its JSON form where
+// the message has one.
+var goldenMessages = []struct {
+	name    string
+	message any
+	json    bool
+}{
+	{"job", &wire.Job{}, true},
+	{"job-view", &wire.JobView{}, true},
+	{"job-state", &wire.JobState{}, true},
+	{"error", &wire.Error{}, true},
+	{"heartbeat", &wire.Report{}, true},
+	{"heartbeat-task", &wire.TaskReport{}, true},
+	{"heartbeat-reply", &wire.CheckinReply{}, true},
+	{"command", &wire.Command{}, true},
+	{"direct-commands", &wire.DirectCommands{}, true},
+	{"redirect", &wire.Redirect{}, true},
+	{"machine-type", &wire.MachineType{}, true},
+	{"machine-type-list", &wire.TypeList{}, true},
+	{"provision-request", &wire.RentRequest{}, true},
+	{"machine-names", &wire.MachineNames{}, true},
+	{"listed-machine", &wire.ListedMachine{}, true},
+	{"machine-list", &wire.MachineList{}, true},
+	{"kv-item", &wire.Item{}, false},
+	{"kv-page", &wire.Page{}, false},
+	{"kv-condition", &wire.Condition{}, false},
+	{"kv-change", &wire.Change{}, false},
+	{"kv-transaction", &wire.Txn{}, false},
+	{"kv-transaction-reply", &wire.TxnReply{}, false},
+	{"kv-lease-request", &wire.LeaseRequest{}, false},
+	{"kv-lease", &wire.Lease{}, false},
+	{"kv-log-entry", &wire.LogEntry{}, false},
+	{"kv-changes", &wire.Changes{}, false},
+}
+
+func TestMessageEncodingsMatchGoldenFiles(t *testing.T) {
+	var messages []any
+	for _, m := range goldenMessages {
+		golden.CheckEncoding(t, m.name, golden.CBOR, m.message)
+		if m.json {
+			golden.CheckEncoding(t, m.name, golden.JSON, m.message)
+		}
+		messages = append(messages, m.message)
+	}
+	golden.CheckCoverage(t, messages...)
+}
+
+// TestSubmissionMatchesGoldenFile covers the decoder of submissions, whose field tags
+// stand apart from those of Job.
+func TestSubmissionMatchesGoldenFile(t *testing.T) {
+	deadline := 900.5
+	job := &wire.Job{
+		ID: "run-000412", Class: "train", Team: "vision", Shape: wire.ShapeGang, Rank: wire.RankUrgent, Tasks: 16,
+		CPUs: 8.5, GPUs: 1.5, MemoryGB: 64.5, Image: "img-07", ImageGB: 6.5, Types: []string{"g8", "g16"},
+		Zone: "zone-a", Together: true, Scatter: true, Spot: true,
+		EstimateS: 240.5, CheckpointS: 30.5, SaveS: 4.5, DueS: &deadline,
+	}
+	submission := golden.CheckBytes(t, "submission.cbor", encode(t, job))
+	parsed, err := wire.ParseJob(submission)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(parsed, job) {
+		t.Errorf("parsed as %+v, want %+v", parsed, job)
+	}
+	if id := wire.IDOf(submission); id != job.ID {
+		t.Errorf("the id in the submission is read as %q, want %q", id, job.ID)
+	}
+}
+
+// TestWordsOfTheProtocolMatchGoldenFile covers the values of constants.
+func TestWordsOfTheProtocolMatchGoldenFile(t *testing.T) {
+	golden.CheckLines(t, "words.txt",
+		wire.ContentType, wire.MaxBody, wire.MaxTasks,
+		wire.ShapeArray, wire.ShapeService, wire.ShapeGang,
+		wire.RankProduction, wire.RankUrgent, wire.RankNormal, wire.RankIdle,
+		wire.JobPending, wire.JobRunning, wire.JobDone, wire.JobCancelled,
+		wire.MachineStarting, wire.MachineRunning, wire.MachineFailed,
+		wire.TaskFetching, wire.TaskRunning, wire.TaskSaving, wire.TaskExited,
+		wire.CauseDone, wire.CauseHalted, wire.CauseError, wire.CauseFull, wire.CauseInUse, wire.CauseUnknown,
+		wire.VerbRun, wire.VerbHalt, wire.VerbForget,
+		wire.TaskName("run-000412", 3),
+	)
+}
