--- a/cmd/yarrowgap/listen.go
+++ b/cmd/yarrowgap/listen.go
@@ -37,6 +37,7 @@
 		if err != nil {
 			return nil, err
 		}
+		//mutation:connection-bound
 		if l.open.Add(1) <= l.most {
 			return &limitedConn{Conn: c, leave: sync.OnceFunc(func() { l.open.Add(-1) })}, nil
 		}
--- a/internal/config/capacity.go
+++ b/internal/config/capacity.go
@@ -24,6 +24,7 @@
 func (s *Settings) Connections() int {
 	taken, _ := s.Sockets()
 	if mem := s.Deployment.Quota.MemMB; mem > 0 {
+		//mutation:connections-by-memory
 		taken = min(taken, int(mem*(1<<20)*tuning.ConnMemoryShare/(tuning.ConnBytes*(1+tuning.GCPercent/100.0))))
 	}
 	return max(tuning.ConnsLeast, taken)
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -147,6 +147,7 @@
 	}
 	a.halt, a.haltSave, a.haltedAt = true, save, 0
 	a.m.taskSummary = nil
+	//mutation:stop-detaches-unsent-only
 	if !a.sent {
 		l.detach(a)
 		return
@@ -154,9 +155,11 @@
 	if !a.seen {
 		// The start may still be on its way: only a report under a higher token
 		// will show that it is not.
+		//mutation:stop-raises-fencing-token
 		l.raise(a.m)
 		a.needFence = a.m.fence
 	}
+	//mutation:stop-is-sent-at-once
 	l.pushDue[a.m.name] = true // with all other stops of this input
 }
 
--- a/internal/core/batch.go
+++ b/internal/core/batch.go
@@ -308,6 +308,7 @@
 		l.recovery.Unexpect(m.name)
 		l.detach(have)
 	}
+	//mutation:recovered-attempt-counts-as-sent
 	a := &attempt{ref: ref, job: j, m: m, number: number, recorded: true, sent: true, placedAt: l.now.Mono, batches: []*batch{b}}
 	b.live[a] = true
 	l.attach(a)
--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -14,6 +14,7 @@
 		switch {
 		case j == nil:
 			l.ahead[id] = now.Mono
+		//mutation:peer-cancellations
 		case !j.cancelled && !j.archived:
 			l.cancelJob(j)
 		}
@@ -40,7 +41,9 @@
 // alive for us counts from it, since what we could not stop may be there.
 func (l *Leader) SettledAsOf(at time.Duration) time.Duration {
 	for _, j := range l.jobs {
+		//mutation:watermark-waits-for-unreadable-records
 		if j.cancelled && (j.nActive > 0 || l.inUnreadableRecord(j)) {
+			//mutation:watermark-of-unconfirmed-stops
 			at = min(at, j.knewAsOf)
 		}
 	}
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -11,6 +11,7 @@
 
 // commandsFor gathers what the answer to a report carries.
 func (l *Leader) commandsFor(m *machine, r *wire.Report) []wire.Command {
+	//mutation:stops-before-confirmation
 	cmds := l.halts(m, true)
 	if Term(r.Token) != l.term && len(m.tasks) > 0 && !m.confirmed {
 		return cmds
@@ -23,6 +24,7 @@
 		cmds = append(cmds, runCommand(a))
 	}
 	forgets := l.forgets(m)
+	//mutation:forget-raises-fencing-token
 	if len(forgets) > 0 && m.directUsed {
 		// A copy of a start that was carried out may turn up again, and after
 		// the forget the worker would take it for a new one. A higher token,
@@ -43,6 +45,7 @@
 		if a := m.tasks[ref]; a != nil && a.number == e.attempt {
 			continue
 		}
+		//mutation:forget-after-durable-end
 		if j := l.jobs[ref.job]; e.done && j != nil && ref.index < j.spec.Tasks && !j.saved.Has(ref.index) && !j.service && !j.cancelled {
 			continue // done, but not yet durably so
 		}
@@ -70,6 +73,7 @@
 func (l *Leader) halts(m *machine, renewal bool) []wire.Command {
 	var due []*attempt
 	for _, a := range m.tasks {
+		//mutation:renewal-repeats-stops
 		if a.halt && a.sent && (a.haltedAt == 0 || l.now.Mono-a.haltedAt >= tuning.HaltRepeat || renewal && a.job != nil && a.job.cancelled) {
 			due = append(due, a)
 		}
@@ -98,12 +102,14 @@
 	}
 	var out []*attempt
 	for _, a := range m.tasks {
+		//mutation:start-after-record
 		if !a.recorded || a.halt || a.seen || a.calling || a.nextProbe > l.now.Mono || a.job == nil || a.job.cancelled {
 			continue
 		}
 		if a.sent && a.firstSent == 0 {
 			continue // an earlier leader's: its fate has to be proven first
 		}
+		//mutation:start-after-forget
 		if e, ok := m.exited[a.ref]; ok && e.attempt != a.number {
 			// An ended attempt of the same task has to be forgotten first, under
 			// a higher token: else a late copy of its start could be taken for a
@@ -125,6 +131,7 @@
 		l.noteOrder(recovery.OrderStart, a)
 	} else {
 		if a.m.heardAt > a.firstSent+tuning.UnreachableAfter {
+			//mutation:unacknowledged-start-marks-unreachable
 			l.markUnreachable(a.m, "a start is not acknowledged") // its reports arrive, what we send does not
 		}
 		l.count.ProbeRetry++
@@ -156,6 +163,7 @@
 	wait := time.Duration(first * math.Pow(2, float64(min(a.probes, 30))))
 	// A budget of hours would put the second probe off by minutes: the task would wait
 	// on a machine that only lost one message.
+	//mutation:dispatch-retry-bound
 	return min(wait, max(l.cfg.Policy.AckWait, tuning.ProbeWaitMax))
 }
 
@@ -192,6 +200,7 @@
 	m.calling = true
 	l.out.Direct = append(l.out.Direct, DirectCall{
 		ID: l.nextID, Machine: m.name, Addr: m.addr,
+		//mutation:direct-call-incarnation
 		Body: wire.DirectCommands{Token: l.token(m), Session: max(1, m.session), Commands: cmds},
 	})
 }
@@ -225,6 +234,7 @@
 	if r != nil && l.overtaken(r) {
 		res, r = CallLost, nil
 	}
+	//mutation:direct-reply-of-another-machine
 	if r != nil && r.Machine != m.name {
 		res, r = CallLost, nil // another machine has this address now
 	}
@@ -260,10 +270,12 @@
 		m.callAgain = true
 	}
 	if r != nil && m.phase == up {
+		//mutation:direct-reply-counts-as-heartbeat
 		l.heardAny = now.Mono
 		m.heardAt = now.Mono
 		delete(l.zoneHeard, m.zone)
 		m.unreachableSince = 0 // it answered what we sent just now
+		//mutation:direct-reply-sequence
 		if r.Newer(m.session, m.tick) {
 			l.takeReport(m, r, false)
 		}
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -39,6 +39,7 @@
 // raise takes a higher token for a machine, so that commands sent to it under
 // the present one are refused once it has seen the new one.
 func (l *Leader) raise(m *machine) {
+	//mutation:fencing-counter-raised
 	m.fence = min(m.fence+1, counterMost) // watchCounters has ended the term long before
 	m.directUsed = false
 }
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -36,6 +36,7 @@
 	if look {
 		l.lookedAt = now.Mono
 		l.watchMachines()
+		//mutation:counter-check
 		l.watchCounters()
 	}
 	l.watchSilence()
@@ -81,6 +82,7 @@
 	if n == 0 {
 		// Nobody can be silent. Else the first machine that the cloud lists, after a
 		// restart without records, would find that none was heard for long.
+		//mutation:isolation-clock-reset
 		l.alone = 0
 		return
 	}
@@ -192,6 +194,7 @@
 	first, _ := slices.BinarySearchFunc(list, l.questions.next, func(m *machine, name string) int { return strings.Compare(m.name, name) })
 	l.questions.next = ""
 	for i := range list {
+		//mutation:status-probe-rotation
 		l.watchMachine(list[(first+i)%len(list)])
 	}
 }
@@ -232,6 +235,7 @@
 		l.push(m)
 	}
 	quiet := l.now.Mono - m.heardAt
+	//mutation:status-probe-when-overdue
 	if quiet > l.overdueReport() || !m.confirmed || m.unreachableSince > 0 || waiting && m.seenToken < l.token(m) {
 		l.askForReport(m)
 	}
--- a/internal/core/flush.go
+++ b/internal/core/flush.go
@@ -24,11 +24,13 @@
 }
 
 func (l *Leader) newTxn(leaderStamp uint64) *txn {
+	//mutation:transaction-needs-leadership
 	return &txn{t: wire.Txn{If: []wire.Condition{{Key: store.LeaderKey, Stamp: leaderStamp}}}}
 }
 
 // room reports whether the transaction can take n more changes.
 func (l *Leader) room(t *txn, n int) bool {
+	//mutation:write-budget
 	return len(t.t.Apply)+n <= l.cfg.TxnOps && t.bytes < tuning.TxnBytes &&
 		float64(len(t.t.Apply)+n) <= l.budget
 }
@@ -81,11 +83,13 @@
 // nothing of it may be about: of what no live job has, a later leader would not know
 // whose limit it counts for.
 func (j *job) over() bool {
+	//mutation:cancelled-job-outlives-attempts
 	return j.nDone == j.spec.Tasks || j.cancelled && j.nActive == 0
 }
 
 func (l *Leader) gatherEnded(t *txn) {
 	for _, j := range l.dueJobs(0) {
+		//mutation:end-waits-for-unreadable-records
 		if !j.over() || j.cancelled && l.inUnreadableRecord(j) {
 			continue
 		}
@@ -96,6 +100,7 @@
 		if j.cancelled {
 			state = wire.JobCancelled
 		}
+		//mutation:job-end-conditions
 		t.t.If = append(t.t.If, wire.Condition{Key: store.JobKey(j.id), Stamp: j.stamp})
 		t.t.Apply = append(t.t.Apply,
 			wire.Change{Delete: store.JobKey(j.id)},
@@ -136,6 +141,7 @@
 			}
 			if k == 0 {
 				rec := store.JobRecord{Job: j.spec, Cancelled: j.cancelled, Done: text}
+				//mutation:progress-conditions
 				t.t.If = append(t.t.If, wire.Condition{Key: store.JobKey(j.id), Stamp: j.stamp})
 				t.t.Apply = append(t.t.Apply, wire.Change{Set: store.JobKey(j.id), Value: rec})
 				w.touched = true
@@ -248,6 +254,7 @@
 		_ = j.saved.Merge(k, w.saved.Encode(k))
 	}
 	j.nSaved = j.saved.Count()
+	//mutation:release-saved-attempt
 	l.releaseSaved(j)
 	l.clean(j)
 	if j.nSaved != j.nDone || j.over() {
--- a/internal/core/gangs.go
+++ b/internal/core/gangs.go
@@ -15,6 +15,7 @@
 // together, each zone is tried: the best machine for the first of them may be in one
 // that has no room for the others.
 func (l *Leader) placeGang(r *round, j *job, n int) bool {
+	//mutation:gang-zone-choice
 	if !j.spec.Together || j.nActive > 0 {
 		return l.placeGangIn(r, j, n, "")
 	}
@@ -109,6 +110,7 @@
 			fits += min(k, j.spec.ZoneCap())
 		}
 	}
+	//mutation:reserve-only-if-gang-fits
 	if fits < n {
 		return // it fits only once there are more machines: keeping these empties them in vain
 	}
@@ -133,6 +135,7 @@
 // there are if all but production made way there. Of those that need machines yet, no
 // room is kept. What is on its way is waited for, for a while.
 func (l *Leader) hostable(j *job, n int) int {
+	//mutation:reservation-wait-bound
 	if l.now.Mono-j.waitSince < tuning.PromiseFor {
 		return n
 	}
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -107,6 +107,7 @@
 	j := &job{
 		id: rec.Job.ID, spec: rec.Job, stamp: lj.Stamp,
 		service: rec.Job.Service(), rank: wire.RankOrder(rec.Job.Rank),
+		//mutation:recover-cancelled-flag
 		cancelled: rec.Cancelled,
 		done:      store.NewBitmap(rec.Job.Tasks), saved: store.NewBitmap(rec.Job.Tasks),
 		active: map[int][]*attempt{}, chunks: map[int]uint64{}, failedOn: map[string]bool{},
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -193,9 +193,12 @@
 	for _, it := range bits {
 		l.addBits(it)
 	}
+	//mutation:recovery-reads-assignments
 	for _, it := range records {
+		//mutation:recovery-reads-each-assignment
 		l.addRecord(it)
 	}
+	//mutation:stop-obsolete-attempts
 	l.stopObsolete()
 	for _, id := range slices.Sorted(maps.Keys(l.jobs)) {
 		l.finish(l.jobs[id])
@@ -226,6 +229,7 @@
 			// An answer of the watch may be older than a peer's list, which is told
 			// once: a job that it has as new may have been cancelled since.
 			_, cancelled := l.ahead[c.ID]
+			//mutation:pending-cancellations
 			j.cancelled = j.cancelled || cancelled
 			l.finish(j)
 			l.dirtyPlace = true
--- a/internal/core/outcomes.go
+++ b/internal/core/outcomes.go
@@ -13,6 +13,7 @@
 	l.foundPending(a)
 	if t.Cause == wire.CauseDone {
 		l.judgeRecorded(a, recovery.Completed)
+		//mutation:keep-attempt-until-saved
 		l.keepUntilSaved(a)
 	} else {
 		l.judgeRecorded(a, recovery.Ended)
@@ -142,6 +143,7 @@
 }
 
 func (l *Leader) taskDone(j *job, index int) {
+	//mutation:done-counted-once
 	if index >= j.spec.Tasks || j.done.Has(index) || j.service {
 		return
 	}
--- a/internal/core/picker.go
+++ b/internal/core/picker.go
@@ -69,6 +69,7 @@
 	// Fetches side by side share the machine's rate: one after the other, the
 	// first is there sooner and the last no later. But a job of which nothing is on any
 	// machine does not wait for other jobs' turns for ever.
+	//mutation:fetch-wait-bound
 	if patient := j.nActive > 0 || j.turnSince == 0 || l.now.Mono-j.turnSince < tuning.FetchTurn; patient &&
 		!j.service && !m.has(j.spec.Image) && m.fetchingOther(j.spec.Image) {
 		p.held = true
@@ -159,6 +160,7 @@
 	z := map[string]int{}
 	for _, list := range j.active {
 		for _, a := range list {
+			//mutation:zone-counts-unconfirmed-attempts
 			z[a.m.zone]++
 		}
 	}
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -104,6 +104,7 @@
 		// Not what no machine could take: its team's other work would wait with it,
 		// beside room, for as long as there is no such machine.
 		r.promise(j, max(0, t.could-placed))
+		//mutation:aged-share-is-no-bound
 		if t.bounded && rest == 0 {
 			// The share of old jobs is what they get ahead of others, and no bound:
 			// what these leave is theirs too. Else a task larger than the share
@@ -114,6 +115,7 @@
 		switch {
 		case rest > 0:
 			j.why = "no machine has room"
+			//mutation:preempt-only-if-some-fit
 			if t.first && t.could > 0 {
 				l.preempt(r, j, rest, math.Inf(1))
 			}
@@ -140,6 +142,7 @@
 		j.why = "a record that may be about it cannot be read"
 		return t, false
 	}
+	//mutation:reconciliation-holds-recovered-work
 	if j.recovered && l.recovery.HoldsRecoveredWork() {
 		j.why = "machines that may run it without a record have yet to report"
 		return t, false
@@ -227,6 +230,7 @@
 	p := l.newPicker(r, j)
 	for placed := 0; placed < n; placed++ {
 		m := p.next()
+		//mutation:counter-check-in-round
 		if m == nil || l.numbersLeft() == 0 || l.holdForWarm(r, j, m, p) {
 			return placed
 		}
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -135,6 +135,7 @@
 // loses least. With a finite below, only machines that have the image and score
 // better than that are considered.
 func (l *Leader) preempt(r *round, j *job, n int, below float64) int {
+	//mutation:preemption-counts-unconfirmed-capacity
 	if !l.cfg.Policy.Preempt || l.mayFitUnheard(r, j) {
 		return 0
 	}
@@ -219,6 +220,7 @@
 func (p *preemption) claim(m *machine) {
 	l, j := p.l, p.j
 	p.r.claimed[m] += j.spec.CPUs
+	//mutation:reservation-is-kept
 	if m.keptFor == j.id || m.keptTo <= l.now.Mono || j.rank == 0 {
 		// Whom it is kept for already goes first. Two jobs that took it from each
 		// other, each found it kept for the other once the room was there.
--- a/internal/core/questions.go
+++ b/internal/core/questions.go
@@ -57,11 +57,13 @@
 // answersSoon reports whether the machine will report by itself before a question would
 // help: it has just been answered, and with a token that it had not seen.
 func (l *Leader) answersSoon(m *machine) bool {
+	//mutation:no-status-probe-before-heartbeat
 	return l.smallShare() && m.answeredAt > 0 && m.seenToken < l.token(m) && l.now.Mono-m.answeredAt < tuning.AnswersSoon
 }
 
 // takeQuestion takes one question from the budget that a small share leaves for them.
 func (l *Leader) takeQuestion() bool {
+	//mutation:status-probe-budget
 	if !l.smallShare() {
 		return true
 	}
--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -23,6 +23,7 @@
 		// after it: the order by deadlines alone gives up the largest first, and
 		// under lasting overload again and again.
 		j.unbegun = !j.service && l.now.Mono-j.created > tuning.BeginBy && !l.hasBegun(j) && !l.likelyFaulty(j)
+		//mutation:starved-jobs-first
 		j.overdue = j.unbegun && l.beginWith(j, total) > 0
 		teams[j.spec.Team] = append(teams[j.spec.Team], j)
 		if j.pending() > 0 && l.now.Mono >= j.retryAt {
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -12,6 +12,7 @@
 // recovery is what the term's recovery depends on.
 func (s Settings) recovery() recovery.Config {
 	return recovery.Config{
+		//mutation:reconciliation-enabled
 		Enabled: s.Policy.Recovery, Cold: s.ColdRestart, Report: s.Report, Lease: s.Lease,
 		Wait: s.Policy.RecoveryWait, CloudRate: s.CloudRate, Trace: s.TraceOrders,
 	}
@@ -62,13 +63,18 @@
 	if j == nil {
 		return e
 	}
+	//mutation:recovered-attempt-of-cancelled-job
 	e.JobLive = !j.cancelled && !j.archived
+	//mutation:recovered-attempt-of-done-task
 	e.TaskDone = j.done.Has(a.ref.index)
 	// Of two recorded attempts of a task, the first to be reported is the one that
 	// stays. A third, without a record, is stopped whatever became of these.
+	//mutation:recovered-attempt-duplicate
 	e.Duplicate = l.hasDuplicate(a, e.Recorded && sighting == recovery.Active)
 	if !e.Recorded && sighting == recovery.Active {
+		//mutation:unrecorded-attempt-placement
 		e.Allowed = l.mayHold(j, a.m)
+		//mutation:unrecorded-attempt-over-limit
 		e.OverLimit = l.teamRoom(j, Team{}) < 1
 	}
 	return e
@@ -78,6 +84,7 @@
 // reported, whether one is for certain.
 func (l *Leader) hasDuplicate(a *attempt, reported bool) bool {
 	for _, other := range a.job.active[a.ref.index] {
+		//mutation:first-reported-duplicate-stays
 		if other != a && (!reported || other.seen && !other.halt) {
 			return true
 		}
--- a/internal/core/renting.go
+++ b/internal/core/renting.go
@@ -87,6 +87,7 @@
 			p.coming = append(p.coming, newSlot(m.mt, m.zone, m.spot))
 		}
 	}
+	//mutation:provisioning-counts-unconfirmed-capacity
 	p.coming = append(p.coming, l.unheardRoom(leastOf(left))...)
 	for _, name := range slices.Sorted(maps.Keys(l.rentals)) {
 		p.expect(l.rentals[name])
--- a/internal/core/replica.go
+++ b/internal/core/replica.go
@@ -41,6 +41,7 @@
 // Reset replaces the live jobs by a full read made at epoch. Ended jobs stay:
 // their state never changes.
 func (r *Replica) Reset(items []wire.Item, epoch uint64) (bad []string) {
+	//mutation:reset-clears-absences
 	clear(r.absent) // changes were passed over
 	r.Resets++
 	r.Live = make(map[string]*LiveJob, len(items))
@@ -66,6 +67,7 @@
 // applied before, by another answer that overtook this one.
 func (r *Replica) Apply(c wire.Changes) (touched []Changed, bad []string) {
 	for _, e := range c.Log {
+		//mutation:change-order
 		if e.Stamp <= r.Epoch {
 			continue
 		}
--- a/internal/core/report.go
+++ b/internal/core/report.go
@@ -15,6 +15,7 @@
 	if l.overtaken(r) {
 		return reply, false
 	}
+	//mutation:heartbeat-of-released-machine
 	if l.gone[r.Machine] {
 		// A late report of a machine that was given back.
 		return wire.CheckinReply{Token: l.term << tuning.FenceBits}, true
@@ -29,12 +30,14 @@
 			m.heardAt, m.unansweredSinceHeard, l.heardAny = now.Mono, 0, now.Mono
 			// A lease that is kept has to bring stops with it: where releases get no
 			// answer for long, cancelled tasks would run on here past their time.
+			//mutation:stops-while-releasing
 			reply.Commands = l.halts(m, true)
 		}
 		return reply, true
 	}
 	// A copy of an earlier report, however late it comes, is no sign of life and
 	// changes nothing.
+	//mutation:heartbeat-sequence
 	fresh := r.Newer(m.session, m.tick)
 	if fresh {
 		l.watchDelivery(m, r)
@@ -64,9 +67,11 @@
 	switch {
 	case term <= l.term:
 		return false
+	//mutation:ignore-absurd-fencing-token
 	case term > l.term+tuning.TermAhead:
 		l.line(false, "report with a token that nobody can have given", "machine", r.Machine, "token", r.Token)
 	default:
+		//mutation:resign-on-higher-fencing-token
 		l.out.Resign = "a worker has seen a higher token"
 	}
 	return true
@@ -78,6 +83,7 @@
 func (l *Leader) watchDelivery(m *machine, r *wire.Report) {
 	switch {
 	case m.session > 0 && r.Session > m.session && m.answeredAt > 0 && l.now.Mono-m.answeredAt < l.cfg.Lease*3/4 && l.now.Mono-l.startedAt > l.cfg.Lease:
+		//mutation:lost-incarnation-marks-unreachable
 		l.markUnreachable(m, "its lease ran out although it was answered")
 	case Term(r.Token) == l.term && r.Token > m.seenToken:
 		m.unreachableSince = 0 // it has heard a token that is new since its last report
@@ -129,15 +135,18 @@
 	if a.seen || !a.sent {
 		return a.seen
 	}
+	//mutation:absence-needs-fencing-token
 	if r.Token < l.term<<tuning.FenceBits|a.needFence {
 		return false // a start under a lower token may still be executed
 	}
 	if a.session != 0 && r.Session > a.session {
 		return true // starts for an earlier session are dropped
 	}
+	//mutation:absence-needs-finished-call
 	if a.calling {
 		return false // its direct call may be executed after this report
 	}
+	//mutation:absence-needs-next-heartbeat
 	if a.replyTick != 0 && !(checkin && r.Tick > a.replyTick) {
 		// Only the next report shows that the answer to the last one was
 		// executed or dropped; a direct answer may overtake it.
@@ -173,6 +182,7 @@
 	l.takeAbsences(m, r, checkin, listed)
 	// A worker that has seen no token is new, if we rented its machine ourselves:
 	// of another it may be a late copy of its first report.
+	//mutation:confirm-only-own-new-machines
 	if !m.confirmed && (m.underTerm || len(m.tasks) == 0 && r.Token == 0 && m.ours) {
 		m.confirmed = true
 		l.dirtyPlace = true
@@ -263,6 +273,7 @@
 	verdict := recovery.Classify(l.evidence(a, recovery.Active))
 	l.suspend(a, verdict)
 	l.attach(a)
+	//mutation:record-unexpected-attempt
 	l.record(a)
 	if verdict.Action == recovery.Adopt {
 		l.line(false, "task adopted", "task", t.Task, "machine", m.name)
--- a/internal/core/returns.go
+++ b/internal/core/returns.go
@@ -37,6 +37,7 @@
 		}
 		m.phase, m.loggedReason = releasing, why // repeated while the cloud refuses
 		for _, a := range m.list() {
+			//mutation:release-detaches-unsent-only
 			if !a.sent {
 				l.detach(a)
 			}
@@ -69,6 +70,7 @@
 			// The grace is for those that came up before our term, or while we
 			// stood still: they report within seconds, and were given back by
 			// mistake without it.
+			//mutation:release-machine-that-never-came-up
 			return "never came up"
 		}
 		return ""
@@ -84,6 +86,7 @@
 	}
 	// Of a zone that was silent and is back, machines are heard one by one.
 	quiet = min(quiet, now-l.zoneBack[m.zone])
+	//mutation:reconciliation-holds-release
 	if m.unansweredSinceHeard >= tuning.AskedInVain && !l.recovery.HoldsReturn(now, m.name) && quiet > l.overdueReport()+tuning.CommandTimeout*tuning.AskedInVain && len(m.tasks) > 0 {
 		// It is dead, hangs or is cut off. Until its lease ends its tasks could
 		// start nowhere else; the answer to the release lets them at once.
@@ -256,6 +259,7 @@
 // tasks that were there be placed again.
 func (l *Leader) Released(now Now, names []string, res ReleaseResult) {
 	l.now = now
+	//mutation:release-needs-proof
 	if res != ReleaseDone {
 		l.releaseRetryAt = now.Mono + tuning.CloudRetry
 		for _, n := range names {
--- /dev/null
+++ b/internal/guards/controller_test.go
@@ -0,0 +1,48 @@
+package mutation_test
+
+// controllerMutations are those of the controllers: what they know, and what they confirm to whom.
+var controllerMutations = []mutation{
+	{
+		scenario: "the leader may have missed cancellations for longer than leaves time for one",
+		marker:   "heartbeat-needs-cancellation-watermark",
+		operator: dropOperands(2, 1),
+		test:     "internal/node:^TestLeaderAnswersAsLongAsItKnows$",
+	},
+	{
+		scenario: "a restarted peer has lost the cancellations it confirmed",
+		marker:   "peer-restart-bounds-watermark",
+		operator: setCondition(false),
+		test:     "internal/node:^TestKnowledge$",
+	},
+	{
+		scenario: "a release call goes unanswered while jobs on the machine are cancelled",
+		marker:   "stops-while-releasing",
+		operator: remove(),
+		test:     "internal/core:^TestCancelledOnAMachineBeingReleased$",
+	},
+	{
+		scenario: "a stop is lost, and then commands no longer reach the machine",
+		marker:   "renewal-repeats-stops",
+		operator: dropOperands(7, 4, 5, 6),
+		test:     "internal/core:^TestEachRenewalStopsWhatIsCancelled$",
+	},
+	{
+		scenario: "a new leader renews a lease before the machine has reported under its fencing token",
+		marker:   "stops-before-confirmation",
+		// No constant has this type; nil would be null on the wire.
+		operator: replaceExpr("[]wire.Command{}"),
+		test:     "internal/core:^TestEachRenewalStopsWhatIsCancelled$",
+	},
+	{
+		scenario: "a job is cancelled while a record that may concern it is unreadable",
+		marker:   "end-waits-for-unreadable-records",
+		operator: dropOperands(3, 1, 2),
+		test:     "internal/core:^TestCancelledWithAnUnreadableRecord$",
+	},
+	{
+		scenario: "a job is cancelled while a record that may concern it is unreadable, and followers keep workers alive",
+		marker:   "watermark-waits-for-unreadable-records",
+		operator: dropOperands(3, 2),
+		test:     "internal/core:^TestCancelledWithAnUnreadableRecord$",
+	},
+}
--- /dev/null
+++ b/internal/guards/heartbeat_test.go
@@ -0,0 +1,212 @@
+package mutation_test
+
+// Tests that several rows name.
+const (
+	heartbeatFaults = "internal/core:^TestReportMeetings$/"
+	absenceTest     = "internal/core:^TestProofOfAbsence$"
+	unexpectedTest  = "internal/core:^TestUnexpectedMachine$"
+)
+
+// heartbeatMutations are those of what heartbeats prove, of commands in flight, and of
+// what a leader that fails leaves to the next.
+var heartbeatMutations = []mutation{
+	{
+		scenario: "a delayed heartbeat arrives after newer ones",
+		marker:   "heartbeat-sequence",
+		operator: replace("true"),
+		test:     heartbeatFaults + "after_newer_ones",
+	},
+	{
+		scenario: "a delayed heartbeat reaches every controller just as a new leader takes over",
+		marker:   "absence-needs-fencing-token",
+		operator: setCondition(false),
+		test:     heartbeatFaults + "just_as_a_new_leader_begins",
+	},
+	{
+		scenario: "a heartbeat is delayed until a new leader has acted",
+		marker:   "absence-needs-fencing-token",
+		operator: setCondition(false),
+		test:     heartbeatFaults + "held_back",
+	},
+	{
+		scenario: "a duplicate heartbeat is the first that a new leader receives from a machine",
+		marker:   "confirm-only-own-new-machines",
+		operator: dropOperands(5, 4),
+		test:     "internal/core:^TestLateCopiesOfReports$",
+	},
+	{
+		scenario: "a duplicate heartbeat comes from a machine that was released",
+		marker:   "heartbeat-of-released-machine",
+		operator: setCondition(false),
+		test:     "internal/core:^TestLateCopiesOfReports$",
+	},
+	{
+		scenario: "a direct reply is delayed and newer heartbeats overtake it",
+		marker:   "direct-reply-sequence",
+		operator: setCondition(true),
+		test:     heartbeatFaults + "a_command_or_its_answer",
+	},
+	{
+		scenario: "a duplicate start arrives after its attempt was forgotten",
+		marker:   "forget-raises-fencing-token",
+		operator: setCondition(false),
+		test:     heartbeatFaults + "a_command_or_its_answer",
+	},
+	{
+		scenario: "a start is delayed past its stop, and no fencing token is ever raised",
+		marker:   "fencing-counter-raised",
+		operator: remove(),
+		test:     heartbeatFaults + "a_command_or_its_answer",
+	},
+	{
+		scenario: "a start that is still in flight is stopped",
+		marker:   "stop-raises-fencing-token",
+		operator: remove(),
+		test:     "internal/core:^TestHeldStartIsRefusedAfterItsStop$",
+	},
+	{
+		scenario: "a heartbeat carries a fencing token below the one the start needs",
+		marker:   "absence-needs-fencing-token",
+		operator: replace("0", term(3, 4)),
+		test:     absenceTest,
+	},
+	{
+		scenario: "a heartbeat arrives while the call with the start is in flight",
+		marker:   "absence-needs-finished-call",
+		operator: setCondition(false),
+		test:     absenceTest,
+	},
+	{
+		scenario: "a direct reply overtakes the heartbeat reply that carried the start",
+		marker:   "absence-needs-next-heartbeat",
+		operator: dropOperands(3, 1),
+		test:     absenceTest,
+	},
+	{
+		scenario: "the heartbeat whose reply carried the start does not list it",
+		marker:   "absence-needs-next-heartbeat",
+		operator: dropOperands(3, 2),
+		test:     absenceTest,
+	},
+	{
+		scenario: "a new attempt meets an ended one of its task",
+		marker:   "start-after-forget",
+		operator: setCondition(false),
+		test:     "internal/core:^TestNoStartBesideAnEndedAttempt$",
+	},
+	{
+		scenario: "machines get work at once while writes lag, and the leader fails",
+		marker:   "start-after-record",
+		operator: dropOperands(7, 0),
+		test:     heartbeatFaults + "writes_lag",
+	},
+	{
+		scenario: "a leader fails while machines with long tasks are unreachable",
+		marker:   "recovered-attempt-counts-as-sent",
+		operator: replace("false", element(5, 8)),
+		test:     heartbeatFaults + "long_tasks",
+	},
+	{
+		scenario: "a leader fails before a cancellation has reached unreachable machines",
+		marker:   "recovered-attempt-of-cancelled-job",
+		operator: dropOperands(2, 0),
+		test:     heartbeatFaults + "long_tasks",
+	},
+	{
+		scenario: "a one-way partition: a machine's heartbeats arrive, and no command reaches it",
+		marker:   "unacknowledged-start-marks-unreachable",
+		operator: remove(),
+		test:     "internal/core:^TestDeafMachine$",
+	},
+	{
+		scenario: "an incarnation ends by lease expiry although its heartbeats were answered",
+		marker:   "lost-incarnation-marks-unreachable",
+		operator: remove(),
+		test:     "internal/core:^TestSessionLostThoughAnswered$",
+	},
+	{
+		scenario: "workers open no connections, and the leader fails",
+		marker:   "recovered-attempt-counts-as-sent",
+		operator: replace("false", element(5, 8)),
+		test:     heartbeatFaults + "workers_open_no_connections",
+	},
+	{
+		scenario: "workers open no connections, and their incarnations end",
+		marker:   "direct-call-incarnation",
+		operator: keepArgument(0, 2, element(1, 3)),
+		test:     heartbeatFaults + "workers_open_no_connections",
+	},
+	{
+		scenario: "unexpected machines come up, and the leader fails",
+		marker:   "recovered-attempt-counts-as-sent",
+		operator: replace("false", element(5, 8)),
+		test:     heartbeatFaults + "nobody_expected",
+	},
+	{
+		scenario: "machines open no connections, and only status probes tell of them",
+		marker:   "status-probe-when-overdue",
+		operator: setCondition(false),
+		test:     "internal/core:^TestMuteMachineUnderANewLeader$",
+	},
+	{
+		scenario: "machines open no connections, and answer direct calls",
+		marker:   "direct-reply-counts-as-heartbeat",
+		operator: removeStatements(2),
+		test:     "internal/core:^TestMuteMachineUnderANewLeader$",
+	},
+	{
+		scenario: "a done task is listed again and again while its job's other tasks run",
+		marker:   "done-counted-once",
+		operator: dropOperands(3, 1),
+		test:     "internal/core:^TestEndsFarApartAcrossLeaders$",
+	},
+	{
+		scenario: "a leader fails between a task's end and the write of it",
+		marker:   "forget-after-durable-end",
+		// The mutation confuses two sets of the same type, what is durable and what is done.
+		operator: replaceName("saved", "done"),
+		test:     "internal/core:^TestEndsFarApartAcrossLeaders$",
+	},
+	{
+		scenario: "an unexpected machine runs a task of a cancelled job",
+		marker:   "recovered-attempt-of-cancelled-job",
+		operator: dropOperands(2, 0),
+		test:     unexpectedTest,
+	},
+	{
+		scenario: "an unexpected machine runs a task that is done",
+		marker:   "recovered-attempt-of-done-task",
+		operator: remove(),
+		test:     unexpectedTest,
+	},
+	{
+		scenario: "an unexpected machine runs a task that runs elsewhere too",
+		marker:   "recovered-attempt-duplicate",
+		operator: remove(),
+		test:     unexpectedTest,
+	},
+	{
+		scenario: "an unexpected machine's task is not recorded",
+		marker:   "record-unexpected-attempt",
+		operator: remove(),
+		test:     unexpectedTest,
+	},
+	{
+		scenario: "another machine answers at a machine's address",
+		marker:   "direct-reply-of-another-machine",
+		operator: setCondition(false),
+		test:     "internal/core:^TestAnswerOfAnotherMachine$",
+	},
+	{
+		scenario: "a heartbeat under a later leader's fencing token reaches an earlier leader",
+		marker:   "resign-on-higher-fencing-token",
+		operator: remove(),
+		test:     "internal/core:^TestOvertaken$",
+	},
+	{
+		scenario: "a worker sends an absurd fencing token",
+		marker:   "ignore-absurd-fencing-token",
+		operator: setCondition(false),
+		test:     "internal/core:^TestOvertaken$",
+	},
+}
--- /dev/null
+++ b/internal/guards/leadership_test.go
@@ -0,0 +1,115 @@
+package mutation_test
+
+import "go/token"
+
+// leadershipMutations are those of failovers and of cancellations.
+var leadershipMutations = []mutation{
+	{
+		scenario: "all controllers are down for longer than a lease, and jobs were cancelled right before",
+		marker:   "recover-cancelled-flag",
+		operator: replace("false"),
+		test:     "internal/core:^TestLeadershipMeetings$/^controllers_away$",
+	},
+	{
+		scenario: "the key-value store is slow, and a peer's cancellation list arrives before the watch shows the job",
+		marker:   "pending-cancellations",
+		operator: remove(),
+		test:     "internal/core:^TestCancelledBeforeItIsKnown$",
+	},
+	{
+		scenario: "a peer's cancellation list arrives before the watch shows the job, then the key-value store refuses the leader alone and then everybody",
+		marker:   "pending-cancellations",
+		operator: remove(),
+		test:     "internal/core:^TestLeadershipMeetings$/^slow_then_refused$",
+	},
+	{
+		scenario: "the key-value store refuses the leader alone and then everybody, and the confirming controller fails or a reply is lost",
+		marker:   "peer-cancellations",
+		operator: setCondition(false),
+		test:     "internal/core:^TestLeadershipMeetings$/^refused_then_out_and_confirmer_fails$",
+	},
+	{
+		scenario: "jobs are cancelled as the key-value store refuses the leader alone, and everybody a second later",
+		marker:   "peer-cancellations",
+		operator: setCondition(false),
+		test:     "internal/core:^TestLeadershipMeetings$/^refused_then_out$",
+	},
+	{
+		scenario: "jobs are cancelled during a failover",
+		marker:   "recovered-attempt-of-cancelled-job",
+		operator: dropOperands(2, 0),
+		test:     "internal/core:^TestLeadershipMeetings$/^handover$",
+	},
+	{
+		scenario: "jobs are cancelled at a controller that recovers as the next leader",
+		marker:   "recovery-applies-own-cancellations",
+		operator: remove(),
+		test:     "internal/node:^TestCancelledWhileRecovering$",
+	},
+	{
+		scenario: "leadership moves back and forth, all controllers fail and one restarts within a second",
+		marker:   "recovery-reads-each-assignment",
+		operator: remove(),
+		test:     "internal/core:^TestLeadershipMeetings$/^back_and_forth$",
+	},
+	{
+		scenario: "ten leaders in two minutes",
+		marker:   "absence-needs-fencing-token",
+		operator: setCondition(false),
+		test:     "internal/core:^TestLeadershipMeetings$/^ten_leaders$",
+	},
+	{
+		scenario: "a zone is partitioned for longer than a lease, and release calls go unanswered",
+		marker:   "release-detaches-unsent-only",
+		operator: setCondition(true),
+		test:     "internal/core:^TestLeadershipMeetings$/^zone_cut$",
+	},
+	{
+		scenario: "a zone is partitioned, and a follower in it keeps its workers alive",
+		marker:   "keepalive-bound",
+		operator: dropOperands(3, 2),
+		test:     "internal/node:^TestFollowerInACut$",
+	},
+	{
+		scenario: "a zone is partitioned, and its workers' clocks are slow",
+		marker:   "keepalive-drift-margin",
+		operator: replace("0", argument(1, 2), term(2, 3)),
+		test:     "internal/node:^TestKeepaliveBoundLeavesTimeForDrift$",
+	},
+	{
+		scenario: "a zone is partitioned, and its workers have a fencing token of an earlier term than the follower in it",
+		marker:   "keepalive-bound",
+		operator: compare(token.LEQ, operand(1, 3)),
+		test:     "internal/node:^TestFollowerInACut$",
+	},
+	{
+		scenario: "a leader's process pauses while another one leads, and resumes as a zone is partitioned",
+		marker:   "lost-leadership-ends-keepalive",
+		operator: remove(),
+		test:     "internal/node:^TestKeptAliveByTheWordOfTheirLeader$",
+	},
+	{
+		scenario: "a leader with unconfirmed stops is partitioned from the follower that keeps workers alive",
+		marker:   "watermark-of-unconfirmed-stops",
+		operator: remove(),
+		test:     "internal/core:^TestMeetings$/^a_leader_that_no_worker_reaches",
+	},
+	{
+		scenario: "a leader is partitioned from the key-value store and its peers, and its successor learns of cancellations during recovery",
+		marker:   "recovered-attempt-of-cancelled-job",
+		operator: dropOperands(2, 0),
+		test:     "internal/core:^TestLeadershipMeetings$/^leader_cut$",
+	},
+	{
+		scenario: "a job is cancelled while its machine is scaled in, and the cloud does not answer",
+		marker:   "stops-while-releasing",
+		operator: remove(),
+		test:     "internal/core:^TestCancelledOnAMachineThatIsGivenBack$",
+	},
+	{
+		scenario: "a job is cancelled while its machine is scaled in, and the key-value store refuses the leader alone and then everybody",
+		marker:   "stops-while-releasing",
+		operator: remove(),
+		test:     "internal/core:^TestLeadershipMeetings$/^given_back_without_an_answer$",
+	},
+}
--- a/internal/guards/load_test.go
+++ b/internal/guards/load_test.go
@@ -1,83 +1,71 @@
-package guards_test
+package mutation_test
 
-// Thousands of workers that come to one node at once, on a small machine.
+// Tests that several rows name.
 const (
-	questionsFile = "internal/core/questions.go"
-	spacedTest    = "internal/core:^TestQuestionsAreSpacedByTheShare$"
-	httpConnFile  = "internal/httpd/conn.go"
+	probeBudgetTest = "internal/core:^TestQuestionsAreSpacedByTheShare$"
 )
 
-// loadGuards are those of a failover's load: the lease that outlasts it, and what bounds
-// connections, requests and questions meanwhile.
-var loadGuards = []guard{
+// loadMutations are those of a failover's load: the leader's lease that outlasts it, and what
+// bounds connections, requests and status probes meanwhile.
+var loadMutations = []mutation{
 	{
-		meeting: "all workers come to a new leader whose share of the processor is small",
-		file:    "internal/node/election.go",
-		cut:     "return max(tuning.LeaseTTL, min(time.Duration(float64(tuning.LeaseTTL)*tuning.UsualShare/share), longest))",
-		put:     "_ = longest\n\treturn tuning.LeaseTTL",
-		test:    "internal/node:^TestLeaseGrowsAsTheShareShrinks$",
+		scenario: "all workers come to a new leader whose processor share is small",
+		marker:   "leader-lease-by-share",
+		operator: keepArgument(0, 2),
+		test:     "internal/node:^TestLeaseGrowsAsTheShareShrinks$",
 	},
 	{
-		meeting: "two leaders end soon after each other, and the workers' leases are short",
-		file:    "internal/node/election.go",
-		cut:     "longest := min(tuning.LeaseTTLMost, config.Seconds(n.cfg.Deployment.Workers.LeaseS)/tuning.LeaseTTLPart)",
-		put:     "longest := max(tuning.LeaseTTLMost, config.Seconds(0))",
-		test:    "internal/node:^TestLeaseGrowsAsTheShareShrinks$",
+		scenario: "two leaders fail soon after each other, and the workers' leases are short",
+		marker:   "leader-lease-bound",
+		operator: keepArgument(0, 2),
+		test:     "internal/node:^TestLeaseGrowsAsTheShareShrinks$",
 	},
 	{
-		meeting: "a new leader with a small share asks thousands of machines",
-		file:    questionsFile,
-		cut:     "if !l.smallShare() {",
-		put:     "if true {",
-		test:    spacedTest,
+		scenario: "a new leader with a small processor share probes thousands of machines",
+		marker:   "status-probe-budget",
+		operator: setCondition(true),
+		test:     probeBudgetTest,
 	},
 	{
-		meeting: "machines wait for their turn to be asked while others stay silent",
-		file:    "internal/core/fleet.go",
-		cut:     "l.watchMachine(list[(first+i)%len(list)])",
-		put:     "_ = first\n\t\tl.watchMachine(list[i])",
-		test:    spacedTest,
+		scenario: "machines wait for their turn to be probed while others miss heartbeats",
+		marker:   "status-probe-rotation",
+		operator: replace("0", argument(0, 1), index(), term(0, 3)),
+		test:     probeBudgetTest,
 	},
 	{
-		meeting: "a worker that is about to report by itself is asked as well",
-		file:    questionsFile,
-		cut:     "return l.smallShare() && m.answeredAt > 0",
-		put:     "return false && m.answeredAt > 0",
-		test:    "internal/core:^TestNoQuestionWhereAReportIsDue$",
+		scenario: "a worker that is about to send a heartbeat is probed as well",
+		marker:   "no-status-probe-before-heartbeat",
+		operator: replace("false"),
+		test:     "internal/core:^TestNoQuestionWhereAReportIsDue$",
 	},
 	{
-		meeting: "more connections come than sockets or memory hold",
-		file:    "cmd/yarrowgap/listen.go",
-		cut:     "if l.open.Add(1) <= l.most {",
-		put:     "if l.open.Add(1) > 0 {",
-		test:    "cmd/yarrowgap:^TestConnectionsOverTheBound$",
+		scenario: "more connections come than sockets or memory hold",
+		marker:   "connection-bound",
+		operator: alwaysTrue(),
+		test:     "cmd/yarrowgap:^TestConnectionsOverTheBound$",
 	},
 	{
-		meeting: "sockets are many and memory is small",
-		file:    "internal/config/capacity.go",
-		cut:     "		taken = min(taken, int(mem",
-		put:     "		_ = min(taken, int(mem",
-		test:    "internal/config:^TestCapacity$",
+		scenario: "sockets are many and memory is small",
+		marker:   "connections-by-memory",
+		operator: remove(),
+		test:     "internal/config:^TestCapacity$",
 	},
 	{
-		meeting: "hundreds of reports arrive at once, and the lease is to be renewed",
-		file:    httpConnFile,
-		cut:     "if !c.server.brief(req) {",
-		put:     "if true {",
-		test:    "internal/httpd:^TestPlaces$",
+		scenario: "hundreds of heartbeats arrive at once, and the leader's lease is to be renewed",
+		marker:   "request-slots",
+		operator: setCondition(true),
+		test:     "internal/httpd:^TestPlaces$",
 	},
 	{
-		meeting: "a request's head does not end",
-		file:    httpConnFile,
-		cut:     "c.limit.N = tuning.HeadBytes",
-		put:     "c.limit.N = 1 << 30",
-		test:    "internal/httpd:^TestWhatKeepsAndEndsAConnection$/a_head_without_end",
+		scenario: "a request's header does not end",
+		marker:   "header-size-limit",
+		operator: replace("1 << 30"),
+		test:     "internal/httpd:^TestWhatKeepsAndEndsAConnection$/a_head_without_end",
 	},
 	{
-		meeting: "a refused client still sends its body, and a reset overtakes the answer",
-		file:    httpConnFile,
-		cut:     "if c.unread {",
-		put:     "if false {",
-		test:    "internal/httpd:^TestRefusalOfALargeBodyArrives$",
+		scenario: "a refused client still sends its body, and a reset overtakes the reply",
+		marker:   "linger-after-refusal",
+		operator: setCondition(false),
+		test:     "internal/httpd:^TestRefusalOfALargeBodyArrives$",
 	},
 }
--- /dev/null
+++ b/internal/guards/placement_test.go
@@ -0,0 +1,104 @@
+package mutation_test
+
+import "go/token"
+
+// placementMutations are those of quota limits, free capacity and placement.
+var placementMutations = []mutation{
+	{
+		scenario: "a job that missed all its deadlines is alone with large tasks",
+		marker:   "aged-share-is-no-bound",
+		operator: compare(token.LSS, operand(1, 2)),
+		test:     "internal/core:^TestShareOfOldJobsIsNoBound$",
+	},
+	{
+		scenario: "two jobs wait for the same machine while preemptions there are slow",
+		marker:   "reservation-is-kept",
+		operator: setCondition(true),
+		test:     "internal/core:^TestRoomThatWasMadeIsUsed$",
+	},
+	{
+		scenario: "a start is lost repeatedly, and its deadline is far off",
+		marker:   "dispatch-retry-bound",
+		operator: keepArgument(0, 2),
+		test:     "internal/core:^TestLostStartIsSentAgainInTime$",
+	},
+	{
+		scenario: "machines with free capacity fetch other jobs' images for minutes",
+		marker:   "fetch-wait-bound",
+		operator: replace("true", initializer(), operand(2, 3)),
+		test:     "internal/core:^TestFetchesOfOthersAreNotWaitedForLong$",
+	},
+	{
+		scenario: "production waits for a zone without machines while its team has other work",
+		marker:   "reservation-wait-bound",
+		operator: setCondition(true),
+		test:     "internal/core:^TestProductionWithoutMachinesHoldsUpNobody$",
+	},
+	{
+		scenario: "a gang fits on no set of machines, and reserves them",
+		marker:   "reserve-only-if-gang-fits",
+		operator: setCondition(false),
+		test:     "internal/core:^TestGangThatCannotFitKeepsNothing$",
+	},
+	{
+		scenario: "a gang fits on no set of machines, and preempts there",
+		marker:   "preempt-only-if-some-fit",
+		operator: dropOperands(2, 1),
+		test:     "internal/core:^TestGangThatCannotFitKeepsNothing$",
+	},
+	{
+		scenario: "a single-zone gang meets one zone with little free capacity and one with enough",
+		marker:   "gang-zone-choice",
+		operator: setCondition(true),
+		test:     "internal/core:^TestGangGoesWhereAllOfItFits$",
+	},
+	{
+		scenario: "one-task jobs arrive four a second, and the key-value store takes few writes",
+		marker:   "write-budget",
+		operator: dropOperands(3, 2),
+		test:     "internal/core:^TestManySmallJobs$",
+	},
+	{
+		scenario: "there is more work than capacity, and the largest jobs are starved",
+		marker:   "starved-jobs-first",
+		operator: replace("false"),
+		test:     "internal/core:^TestMoreWorkThanRoom$",
+	},
+	{
+		scenario: "teams are at their quota limits at a failover",
+		marker:   "recovery-reads-assignments",
+		operator: remove(),
+		test:     "internal/core:^TestLimitsAcrossLeaders$",
+	},
+	{
+		scenario: "a team is at its quota limit, and stops are lost or delayed",
+		marker:   "stop-detaches-unsent-only",
+		operator: setCondition(true),
+		test:     "internal/core:^TestLimitsAcrossLeaders$",
+	},
+	{
+		scenario: "a job is cancelled whose machines cannot be probed, at a failover",
+		marker:   "cancelled-job-outlives-attempts",
+		operator: dropOperands(3, 2),
+		test:     "internal/core:^TestLimitsAcrossLeaders$",
+	},
+	{
+		scenario: "jobs that are bound to a zone lose machines there",
+		marker:   "zone-counts-unconfirmed-attempts",
+		// Only a condition on the attempt tells confirmed attempts from unconfirmed ones.
+		operator: onlyIf("a.seen"),
+		test:     "internal/core:^TestZonesLoseMachines$",
+	},
+	{
+		scenario: "a failover while a cancellation is not complete",
+		marker:   "recovered-attempt-of-cancelled-job",
+		operator: dropOperands(2, 0),
+		test:     "internal/core:^TestLimitsAcrossLeaders$",
+	},
+	{
+		scenario: "jobs that missed all their deadlines remain after an overload",
+		marker:   "aged-share-is-no-bound",
+		operator: compare(token.LSS, operand(1, 2)),
+		test:     "internal/core:^TestMoreWorkThanRoom$",
+	},
+}
--- /dev/null
+++ b/internal/guards/reconcile_test.go
@@ -0,0 +1,114 @@
+package mutation_test
+
+// reconcileMutations are those of restarts of all controllers.
+var reconcileMutations = []mutation{
+	{
+		scenario: "all controllers restart while fifty machines work: the reconciler",
+		marker:   "reconciliation-enabled",
+		operator: replace("false"),
+		test:     "internal/api:^TestOrdersAfterAColdRestart$",
+	},
+	{
+		scenario: "all controllers restart, and peers have been up for long when machines are late",
+		marker:   "survived-from-election",
+		// The age is taken now instead of at the election; names the standard library alone.
+		operator: replaceExpr("time.Now()", operand(1, 2), term(0, 3), receiver()),
+		test:     "internal/api:^TestOrdersAfterAColdRestart$",
+	},
+	{
+		scenario: "a task completes and the controllers fail before it is recorded as done",
+		marker:   "keep-attempt-until-saved",
+		operator: remove(),
+		test:     "internal/core:^TestCompletedTaskKeepsItsRecordUntilItIsSaved$",
+	},
+	{
+		scenario: "a task completes, the controllers fail, and it is recorded as done then",
+		marker:   "release-saved-attempt",
+		operator: remove(),
+		test:     "internal/core:^TestCompletedTaskKeepsItsRecordUntilItIsSaved$",
+	},
+	{
+		scenario: "a recorded task of a job that has ended runs on",
+		marker:   "stop-obsolete-attempts",
+		operator: remove(),
+		test:     "internal/core:^TestRecordOfAJobThatIsOver$",
+	},
+	{
+		scenario: "no machine is up for long, then the cloud lists the first one",
+		marker:   "isolation-clock-reset",
+		operator: remove(),
+		test:     "internal/core:^TestNoSilenceBeforeTheFirstMachine$",
+	},
+	{
+		scenario: "work waits while machines with free capacity are unconfirmed: provisioning",
+		marker:   "provisioning-counts-unconfirmed-capacity",
+		operator: remove(),
+		test:     "internal/core:^TestNothingIsRentedOrStoppedForUnheardRoom$",
+	},
+	{
+		scenario: "work waits while machines with free capacity are unconfirmed: preemption",
+		marker:   "preemption-counts-unconfirmed-capacity",
+		operator: dropOperands(2, 1),
+		test:     "internal/core:^TestNothingIsRentedOrStoppedForUnheardRoom$",
+	},
+	{
+		scenario: "a machine is late after a cold restart",
+		marker:   "reconciliation-holds-release",
+		operator: dropOperands(4, 1),
+		test:     "internal/core:^TestLateMachine$",
+	},
+	{
+		scenario: "a task without a record runs, and others may",
+		marker:   "reconciliation-holds-recovered-work",
+		operator: setCondition(false),
+		test:     "internal/core:^TestUnrecordedTaskHoldsWorkFromBefore$",
+	},
+	{
+		scenario: "half of a fleet is gone",
+		marker:   "replacement-pace",
+		operator: replace("false"),
+		test:     "internal/core:^TestReplacementIsPaced$",
+	},
+	{
+		scenario: "two machines report the same recorded task",
+		marker:   "first-reported-duplicate-stays",
+		operator: dropOperands(4, 2, 3),
+		test:     "internal/core:^TestTwoMachinesReportTheSameTask$",
+	},
+	{
+		scenario: "a machine reports a task without a record while its team is at its quota limit",
+		marker:   "unrecorded-attempt-over-limit",
+		operator: remove(),
+		test:     "internal/core:^TestUnrecordedTask$",
+	},
+	{
+		scenario: "a machine reports a task without a record where its job does not allow it",
+		marker:   "unrecorded-attempt-placement",
+		operator: replace("true"),
+		test:     "internal/core:^TestUnrecordedTask$",
+	},
+	{
+		scenario: "thousands of machines use up a term's counters",
+		marker:   "counter-check",
+		operator: remove(),
+		test:     "internal/core:^TestCountersStayWithinTheTerm$",
+	},
+	{
+		scenario: "thousands of machines use up a term's counters within one round",
+		marker:   "counter-check-in-round",
+		operator: dropOperands(3, 1),
+		test:     "internal/core:^TestCountersStayWithinTheTerm$",
+	},
+	{
+		scenario: "a machine's fencing token reaches the next term's",
+		marker:   "fencing-counter-raised",
+		operator: keepArgument(0, 2),
+		test:     "internal/core:^TestCountersStayWithinTheTerm$",
+	},
+	{
+		scenario: "a duplicate heartbeat: each attempt is counted once",
+		marker:   "duplicate-inventory",
+		operator: remove(),
+		test:     "internal/recovery:^TestInventories$",
+	},
+}
--- /dev/null
+++ b/internal/guards/userapi_test.go
@@ -0,0 +1,152 @@
+package mutation_test
+
+// userAPIMutations are those of what users are told, at all controllers, whatever becomes of
+// the transactions.
+var userAPIMutations = []mutation{
+	{
+		scenario: "users query all controllers right after a job was accepted",
+		marker:   "query-reads-fresh",
+		// An unread copy counts as read now; names the standard library alone.
+		operator: replaceExpr("time.Now(), nil", initializer()),
+		test:     "internal/api:^TestNoNodeTellsAnOlderAnswer$",
+	},
+	{
+		scenario: "a query comes while an earlier one's read is in flight",
+		marker:   "query-joins-no-earlier-read",
+		// The next call is taken after the read instead of before it, under the same lock.
+		operator: moveBehind(3, -2, 2),
+		test:     "internal/api:^TestQuestionsShareNoEarlierRead$",
+	},
+	{
+		scenario: "a submission commits late, after the job was cancelled",
+		marker:   "submission-conditions",
+		operator: dropElement(0, 2),
+		test:     "internal/api:^TestLateWritesChangeNothing$/^submission_after_a_cancellation$",
+	},
+	{
+		scenario: "a submission commits late, after the job has ended as cancelled",
+		marker:   "submission-conditions",
+		operator: dropElement(1, 2),
+		test:     "internal/api:^TestLateWritesChangeNothing$/^submission_after_the_end_of_a_cancelled_job$",
+	},
+	{
+		scenario: "a submission commits late, after the job is done",
+		marker:   "submission-conditions",
+		operator: dropElement(1, 2),
+		test:     "internal/api:^TestLateWritesChangeNothing$/^submission_after_the_end_of_a_done_job$",
+	},
+	{
+		scenario: "a cancellation commits late, after the job is done",
+		marker:   "cancellation-conditions",
+		operator: remove(),
+		test:     "internal/api:^TestLateWritesChangeNothing$/^cancellation_after_the_end$",
+	},
+	{
+		scenario: "a cancellation races with the end of a job's last task",
+		marker:   "cancellation-conditions",
+		operator: remove(),
+		test:     "internal/api:^TestCancellationMeetsTheEnd$",
+	},
+	{
+		scenario: "the end of a done job commits late, after its cancellation",
+		marker:   "job-end-conditions",
+		operator: remove(),
+		test:     "internal/api:^TestLateWritesChangeNothing$/^end_of_a_done_job_after_a_cancellation$",
+	},
+	{
+		scenario: "the end of a job's last task races with its cancellation",
+		marker:   "job-end-conditions",
+		operator: remove(),
+		test:     "internal/api:^TestCancellationMeetsTheEnd$",
+	},
+	{
+		scenario: "done bits commit late, after a cancellation",
+		marker:   "progress-conditions",
+		operator: remove(),
+		test:     "internal/api:^TestLateWritesChangeNothing$/^done_bits_after_a_cancellation$",
+	},
+	{
+		scenario: "a submission whose reply was lost is retried after a cancellation",
+		marker:   "submission-conditions",
+		operator: remove(),
+		test:     "internal/api:^TestNoOlderAnswerWhereAnswersAreLost$",
+	},
+	{
+		scenario: "a known job's submission is retried with a malformed body while the key-value store is down",
+		marker:   "refusal-needs-read",
+		operator: remove(),
+		test:     "internal/api:^TestOddSubmissions$",
+	},
+	{
+		scenario: "a known job's submission is retried with another body, that can never run",
+		marker:   "unfit-submission-of-known-job",
+		operator: keepArgument(2, 5),
+		test:     "internal/api:^TestOddSubmissions$",
+	},
+	{
+		scenario: "a known job's submission is retried with a body that is too long",
+		marker:   "long-submission-of-known-job",
+		operator: keepArgument(2, 5),
+		test:     "internal/api:^TestOddSubmissions$",
+	},
+	{
+		scenario: "a submission has an amount that is not a number",
+		marker:   "amount-is-finite",
+		operator: dropOperands(3, 0),
+		test:     "internal/api:^TestOddSubmissions$",
+	},
+	{
+		scenario: "a submission lacks a required flag",
+		marker:   "required-flag",
+		operator: remove(),
+		test:     "internal/api:^TestOddSubmissions$",
+	},
+	{
+		scenario: "a job is created and ends while a read of its absence is in flight, and the replica is reset",
+		marker:   "absence-across-reset",
+		operator: setCondition(true),
+		test:     "internal/node:^TestAbsenceIsNotNotedAcrossAReset$",
+	},
+	{
+		scenario: "a full read of the live jobs is overtaken by changes",
+		marker:   "full-read-order",
+		operator: remove(),
+		test:     "internal/node:^TestFullReadThatIsOvertaken$",
+	},
+	{
+		scenario: "a process pause between a read and its reply",
+		marker:   "reply-staleness",
+		operator: replace("true", operand(1, 2)),
+		test:     "internal/node:^TestKnownReadsAgainAfterAStandstill$",
+	},
+	{
+		scenario: "replies to reads of changes overtake each other",
+		marker:   "change-order",
+		operator: setCondition(false),
+		test:     "internal/node:^TestReplicaKeepsTheLatest$",
+	},
+	{
+		scenario: "a job known as absent is created in changes that a reset skips",
+		marker:   "reset-clears-absences",
+		operator: remove(),
+		test:     "internal/node:^TestReplicaKnowsWhatIsMissing$",
+	},
+	{
+		scenario: "a peer commits a forwarded submission late, after the job has ended",
+		marker:   "submission-conditions",
+		operator: dropElement(1, 2),
+		test:     "internal/api:^TestLateWritesChangeNothing$/^a_peer's_copy_of_a_submission_after_the_end$",
+	},
+	{
+		scenario: "a leader's transaction commits late, after its leadership term",
+		marker:   "transaction-needs-leadership",
+		operator: dropElement(0, 1),
+		test:     "internal/api:^TestLateWritesChangeNothing$/^a_batch_after_its_leader's_term$",
+	},
+	{
+		scenario: "a peer refuses a forwarded submission for good that was accepted meanwhile",
+		marker:   "peer-refusal",
+		operator: dropOperands(2, 1),
+		test:     "internal/node:^TestPeersRefusalDoesNotUndoAcceptance$",
+	},
+}
--- a/internal/httpd/conn.go
+++ b/internal/httpd/conn.go
@@ -48,6 +48,7 @@
 	defer c.recover()
 	for c.await() && c.request() {
 	}
+	//mutation:linger-after-refusal
 	if c.unread {
 		c.linger()
 	}
@@ -78,6 +79,7 @@
 	if err := c.net.SetReadDeadline(time.Now().Add(tuning.IdleConn)); err != nil {
 		return false
 	}
+	//mutation:header-size-limit
 	c.limit.N = tuning.HeadBytes
 	_, err := c.in.Peek(1)
 	return err == nil
@@ -99,6 +101,7 @@
 		c.refuse(err)
 		return false
 	}
+	//mutation:request-slots
 	if !c.server.brief(req) {
 		leave()
 	}
--- a/internal/node/confirmations.go
+++ b/internal/node/confirmations.go
@@ -79,6 +79,7 @@
 func (n *Node) asOf() time.Time {
 	confirmedAsOf := time.Now()
 	for _, p := range n.peers {
+		//mutation:peer-restart-bounds-watermark
 		if !p.begun.Before(n.knownAt) {
 			return n.knownAt
 		}
--- a/internal/node/election.go
+++ b/internal/node/election.go
@@ -105,7 +105,9 @@
 	if share <= 0 || share >= tuning.UsualShare {
 		return tuning.LeaseTTL
 	}
+	//mutation:leader-lease-bound
 	longest := min(tuning.LeaseTTLMost, config.Seconds(n.cfg.Deployment.Workers.LeaseS)/tuning.LeaseTTLPart)
+	//mutation:leader-lease-by-share
 	return max(tuning.LeaseTTL, min(time.Duration(float64(tuning.LeaseTTL)*tuning.UsualShare/share), longest))
 }
 
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -107,6 +107,7 @@
 		// that stood still, and does not know yet of the next, reads all cancellations
 		// when it goes on, and nothing of that one's tasks: workers that have a later
 		// token are kept alive by its leader's word alone.
+		//mutation:lost-leadership-ends-keepalive
 		n.led = time.Time{}
 	}
 	n.lead = leadInfo{name: name, term: term, permit: permit}
--- a/internal/node/queries.go
+++ b/internal/node/queries.go
@@ -27,6 +27,7 @@
 // readFresh looks until what was read is as fresh as an answer has to be.
 func readFresh(look func() (at time.Time, err error)) error {
 	for {
+		//mutation:reply-staleness
 		if at, err := look(); err != nil || time.Since(at) < tuning.AnswerWithin {
 			return err
 		}
@@ -41,6 +42,7 @@
 	if ok {
 		return endedView(id, rec), true, time.Now(), nil // for good
 	}
+	//mutation:query-reads-fresh
 	if at, err = n.fresh(ctx); err != nil {
 		return v, false, at, err
 	}
@@ -69,6 +71,7 @@
 		n.mu.Lock()
 		// While the read was out, the job may have come and ended in changes that a
 		// reset passed over: it would be unknown here for good.
+		//mutation:absence-across-reset
 		if n.replica.Resets == resets {
 			n.replica.Missing(id)
 		}
--- a/internal/node/recover.go
+++ b/internal/node/recover.go
@@ -64,6 +64,7 @@
 			}
 			// Our own list is told to no one who asks: what users were told here between
 			// the read above and now, no answer of the watch may bring for long.
+			//mutation:recovery-applies-own-cancellations
 			leader.Cancelled(n.now(), n.confirmed.list)
 			leader.AckLatency = func(d time.Duration) { _ = n.ack.RecordValue(min(max(1, d.Milliseconds()), 600_000)) }
 			leader.Held(n.heldTo.Sub(n.start))
@@ -117,6 +118,7 @@
 // since says nothing. Called with the lock held.
 func (n *Node) outlived(born time.Time) bool {
 	lease := config.Seconds(n.cfg.Deployment.Workers.LeaseS)
+	//mutation:survived-from-election
 	return !born.IsZero() && n.electedAt.Sub(born) > lease/tuning.ColdPart
 }
 
--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -48,6 +48,7 @@
 	for {
 		n.syncMu.Lock()
 		c := n.next
+		//mutation:query-joins-no-earlier-read
 		n.next = nil
 		if c == nil {
 			n.active = false
@@ -147,6 +148,7 @@
 		return err
 	}
 	n.do(func() {
+		//mutation:full-read-order
 		if epoch < n.replica.Epoch {
 			return
 		}
--- a/internal/node/submissions.go
+++ b/internal/node/submissions.go
@@ -41,14 +41,17 @@
 	types := n.types
 	n.mu.Unlock()
 	if verdict := n.judge(job, types); verdict.Status != 0 {
+		//mutation:unfit-submission-of-known-job
 		return n.unlessKnown(ctx, job.ID, verdict, fwd, forwarded)
 	}
 	job.CreatedMilli = time.Now().UnixMilli()
 	rec := store.JobRecord{Job: *job}
 	if float64(wire.JSONSize(rec)) > n.cfg.Deployment.State.ValueKB*1024*(1-tuning.ValueSlack)-float64(tuning.BitmapTasks)/6 {
+		//mutation:long-submission-of-known-job
 		return n.unlessKnown(ctx, job.ID, refuse(http.StatusBadRequest, "the job's description is too long"), fwd, forwarded)
 	}
 	t := wire.Txn{
+		//mutation:submission-conditions
 		If:    []wire.Condition{{Key: store.JobKey(job.ID)}, {Key: store.EndedKey(job.ID)}},
 		Apply: []wire.Change{{Set: store.JobKey(job.ID), Value: rec}},
 	}
@@ -73,6 +76,7 @@
 			// A peer that refuses the job for good knows other machine types, or came
 			// too early to know it. Our own try may have been carried out: a user who
 			// is told 422 gives up a job that runs.
+			//mutation:peer-refusal
 			if a, ok := n.passOn(fwd); ok && a.State != nil {
 				passed <- a
 			}
@@ -124,7 +128,9 @@
 func (n *Node) unlessKnown(ctx context.Context, id string, refusal Answer, fwd mesh.Forward, forwarded bool) Answer {
 	v, found, err := n.known(ctx, id)
 	switch {
+	//mutation:refusal-needs-read
 	case err != nil:
+		//mutation:refusal-after-failed-read
 		return n.pass(forwarded, fwd, err)
 	case found:
 		return Answer{Status: http.StatusOK, State: &wire.JobState{ID: id, State: v.State}}
--- a/internal/node/users.go
+++ b/internal/node/users.go
@@ -74,6 +74,7 @@
 		rec := *live.Record
 		rec.Cancelled = true
 		_, _, err = n.state.Commit(ctx, store.Second, wire.Txn{
+			//mutation:cancellation-conditions
 			If:    []wire.Condition{{Key: store.JobKey(id), Stamp: live.Stamp}},
 			Apply: []wire.Change{{Set: store.JobKey(id), Value: rec}},
 		})
--- a/internal/node/workers.go
+++ b/internal/node/workers.go
@@ -22,6 +22,7 @@
 func (n *Node) Checkin(r *wire.Report) WorkerAnswer {
 	var out WorkerAnswer
 	n.do(func() {
+		//mutation:heartbeat-needs-cancellation-watermark
 		if n.leader != nil && n.mayRenewLeases() {
 			reply, ok := n.leader.Checkin(n.now(), r)
 			if ok {
@@ -53,6 +54,7 @@
 	if reachable {
 		return WorkerAnswer{Status: http.StatusMisdirectedRequest, Redirect: wire.Redirect{Leader: n.lead.name}}
 	}
+	//mutation:keepalive-bound
 	if n.lead.term != 0 && core.Term(r.Token) == n.lead.term && time.Since(n.led) < n.KeepaliveBound() {
 		return WorkerAnswer{Status: http.StatusOK, Reply: wire.CheckinReply{Token: r.Token, Commands: []wire.Command{}}}
 	}
@@ -70,5 +72,6 @@
 // it has tried other nodes in vain, and where reports are rare much later.
 func (n *Node) KeepaliveBound() time.Duration {
 	w := &n.cfg.Deployment.Workers
+	//mutation:keepalive-drift-margin
 	return max(0, config.Seconds(w.CancelS)-config.Seconds(w.LeaseS)-tuning.KeepaliveMargin)
 }
--- a/internal/recovery/reconciler.go
+++ b/internal/recovery/reconciler.go
@@ -161,6 +161,7 @@
 	case d.Recorded:
 		r.close(d.Machine)
 		r.counts[MissingUnproven]--
+	//mutation:duplicate-inventory
 	case r.unrecorded[d.Attempt]:
 		return false
 	default:
@@ -293,6 +294,7 @@
 }
 
 func (r *Reconciler) paced() bool {
+	//mutation:replacement-pace
 	return r.config.Enabled && r.phase != Settled && r.cloud != nil
 }
 
--- a/wire/job.go
+++ b/wire/job.go
@@ -145,6 +145,7 @@
 			}
 			return 0
 		}
+		//mutation:amount-is-finite
 		if !finite(*p) || *p < 0 || *p > maxAmount {
 			fail(field, "out of range")
 			return 0
@@ -153,6 +154,7 @@
 	}
 	flag := func(field string, p *bool) bool {
 		if p == nil {
+			//mutation:required-flag
 			fail(field, "missing")
 			return false
 		}
