--- a/cmd/restartbench/main.go
+++ b/cmd/restartbench/main.go
@@ -14,7 +14,7 @@
 	"github.com/yarrowgap/yarrowgap/internal/restartsim"
 )
 
-// options are the command line.
+// collectOptions are the command line.
 type options struct {
 	Machines []int     `default:"50,500,4000" help:"Sizes of the fleet."`
 	Changed  []float64 `default:"0,0.01,0.1,0.5" help:"Shares of machines that are not as they were."`
@@ -25,10 +25,10 @@
 
 // scenario is what is played with several seeds, without and with the recovery.
 type scenario struct {
-	machines int
-	changed  float64
-	before   []restartsim.Result
-	after    []restartsim.Result
+	machines        int
+	changed         float64
+	withoutRecovery []restartsim.Result
+	withRecovery    []restartsim.Result
 }
 
 func main() {
@@ -42,7 +42,7 @@
 
 func (o options) run() error {
 	scenarios := o.scenarios()
-	o.play(scenarios)
+	o.runAll(scenarios)
 	if err := printTable(os.Stdout, scenarios); err != nil {
 		return err
 	}
@@ -54,14 +54,14 @@
 	for _, machines := range o.Machines {
 		for _, changed := range o.Changed {
 			all = append(all, &scenario{machines: machines, changed: changed,
-				before: make([]restartsim.Result, o.Seeds), after: make([]restartsim.Result, o.Seeds)})
+				withoutRecovery: make([]restartsim.Result, o.Seeds), withRecovery: make([]restartsim.Result, o.Seeds)})
 		}
 	}
 	return all
 }
 
-// play plays all scenarios, some at once. Each result has a place of its own.
-func (o options) play(scenarios []*scenario) {
+// runAll plays all scenarios, some at once. Each result has a place of its own.
+func (o options) runAll(scenarios []*scenario) {
 	jobs := o.Jobs
 	if jobs <= 0 {
 		jobs = runtime.NumCPU()
@@ -74,11 +74,11 @@
 				places <- struct{}{}
 				all.Go(func() {
 					defer func() { <-places }()
-					result := restartsim.Play(restartsim.Plan{Machines: s.machines, Changed: s.changed, Seed: uint64(seed + 1), Recovery: recovery})
+					result := restartsim.Run(restartsim.Plan{Machines: s.machines, Changed: s.changed, Seed: uint64(seed + 1), Recovery: recovery})
 					if recovery {
-						s.after[seed] = result
+						s.withRecovery[seed] = result
 					} else {
-						s.before[seed] = result
+						s.withoutRecovery[seed] = result
 					}
 				})
 			}
--- a/cmd/restartbench/report.go
+++ b/cmd/restartbench/report.go
@@ -19,63 +19,63 @@
 	"github.com/yarrowgap/yarrowgap/internal/restartsim"
 )
 
-// measure is one figure of a result.
-type measure struct {
-	name string
-	of   func(restartsim.Result) float64
+// metric is one figure of a result.
+type metric struct {
+	name  string
+	value func(restartsim.Result) float64
 }
 
-func seconds(d time.Duration) float64 { return d.Seconds() }
+func inSeconds(d time.Duration) float64 { return d.Seconds() }
 
-// measures are what the table and the plots show.
-var measures = []measure{
-	{"starts over need", func(r restartsim.Result) float64 { return float64(r.Given.Starts - r.Needed.Starts) }},
-	{"stops over need", func(r restartsim.Result) float64 { return float64(r.Given.Stops - r.Needed.Stops) }},
-	{"machines rented over need", func(r restartsim.Result) float64 { return float64(r.Given.Rented - r.Needed.Rented) }},
-	{"machines given back over need", func(r restartsim.Result) float64 { return float64(r.Given.Released - r.Needed.Released) }},
-	{"calls to the state service", func(r restartsim.Result) float64 { return float64(r.StateCalls) }},
+// metrics are what the table and the plots show.
+var metrics = []metric{
+	{"starts over need", func(r restartsim.Result) float64 { return float64(r.Issued.Starts - r.Needed.Starts) }},
+	{"stops over need", func(r restartsim.Result) float64 { return float64(r.Issued.Stops - r.Needed.Stops) }},
+	{"machines rented over need", func(r restartsim.Result) float64 { return float64(r.Issued.Provisioned - r.Needed.Provisioned) }},
+	{"machines given back over need", func(r restartsim.Result) float64 { return float64(r.Issued.Released - r.Needed.Released) }},
+	{"calls to the state service", func(r restartsim.Result) float64 { return float64(r.KVStoreCalls) }},
 	{"calls to the cloud", func(r restartsim.Result) float64 { return float64(r.CloudCalls) }},
 	{"direct calls", func(r restartsim.Result) float64 { return float64(r.DirectCalls) }},
-	{"first new start, s", func(r restartsim.Result) float64 { return seconds(r.FirstStart) }},
-	{"settled, s", func(r restartsim.Result) float64 { return seconds(r.Settled) }},
-	{"worst team whole, s", func(r restartsim.Result) float64 { return seconds(r.WorstTeam) }},
-	{"worst machine heard, s", func(r restartsim.Result) float64 { return seconds(r.WorstMachine) }},
-	{"broken rules", func(r restartsim.Result) float64 { return float64(len(r.Broken)) }},
+	{"first new start, s", func(r restartsim.Result) float64 { return inSeconds(r.FirstStartAfter) }},
+	{"settled, s", func(r restartsim.Result) float64 { return inSeconds(r.SettledAfter) }},
+	{"worst team whole, s", func(r restartsim.Result) float64 { return inSeconds(r.LastTeamAfter) }},
+	{"worst machine heard, s", func(r restartsim.Result) float64 { return inSeconds(r.LastMachineAfter) }},
+	{"broken rules", func(r restartsim.Result) float64 { return float64(len(r.Violations)) }},
 }
 
 // spread is the least, the mean and the most of a measure over seeds.
-type spread struct{ least, mean, most float64 }
+type summary struct{ lowest, mean, highest float64 }
 
-func (m measure) spread(results []restartsim.Result) spread {
-	s := spread{least: m.of(results[0]), most: m.of(results[0])}
+func (m metric) summarize(results []restartsim.Result) summary {
+	s := summary{lowest: m.value(results[0]), highest: m.value(results[0])}
 	for _, r := range results {
-		v := m.of(r)
-		s.least, s.most = min(s.least, v), max(s.most, v)
+		v := m.value(r)
+		s.lowest, s.highest = min(s.lowest, v), max(s.highest, v)
 		s.mean += v / float64(len(results))
 	}
 	return s
 }
 
-func (s spread) String() string {
-	if s.least == s.most {
+func (s summary) String() string {
+	if s.lowest == s.highest {
 		return fmt.Sprintf("%.4g", s.mean)
 	}
-	return fmt.Sprintf("%.4g (%.4g to %.4g)", s.mean, s.least, s.most)
+	return fmt.Sprintf("%.4g (%.4g to %.4g)", s.mean, s.lowest, s.highest)
 }
 
 // printTable writes a Markdown table: means over the seeds, in brackets their range.
 func printTable(w io.Writer, scenarios []*scenario) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
 	fmt.Fprint(tw, "| machines, changed\t| recovery\t|")
-	for _, m := range measures {
+	for _, m := range metrics {
 		fmt.Fprintf(tw, " %s\t|", m.name)
 	}
 	fmt.Fprintln(tw)
 	for _, s := range scenarios {
-		for i, results := range [][]restartsim.Result{s.before, s.after} {
+		for i, results := range [][]restartsim.Result{s.withoutRecovery, s.withRecovery} {
 			fmt.Fprintf(tw, "| %d, %g%%\t| %s\t|", s.machines, 100*s.changed, []string{"off", "on"}[i])
-			for _, m := range measures {
-				fmt.Fprintf(tw, " %v\t|", m.spread(results))
+			for _, m := range metrics {
+				fmt.Fprintf(tw, " %v\t|", m.summarize(results))
 			}
 			fmt.Fprintln(tw)
 		}
@@ -96,8 +96,8 @@
 	Image template.URL
 }
 
-// draw plots a measure of one size of fleet over the shares that changed.
-func draw(m measure, machines int, scenarios []*scenario) (figure, error) {
+// drawPlot plots a measure of one size of fleet over the shares that changed.
+func drawPlot(m metric, machines int, scenarios []*scenario) (figure, error) {
 	p := plot.New()
 	title := fmt.Sprintf("%s, %d machines (simulated)", m.name, machines)
 	p.Title.Text = title
@@ -110,11 +110,11 @@
 		if s.machines != machines {
 			continue
 		}
-		for i, results := range [][]restartsim.Result{s.before, s.after} {
+		for i, results := range [][]restartsim.Result{s.withoutRecovery, s.withRecovery} {
 			kind := []string{"off", "on"}[i]
-			v := m.spread(results)
+			v := m.summarize(results)
 			lines[kind] = append(lines[kind], plotter.XY{X: 100 * s.changed, Y: v.mean})
-			lines[kind+", most"] = append(lines[kind+", most"], plotter.XY{X: 100 * s.changed, Y: v.most})
+			lines[kind+", most"] = append(lines[kind+", most"], plotter.XY{X: 100 * s.changed, Y: v.highest})
 		}
 	}
 	if err := plotutil.AddLinePoints(p, "off", lines["off"], "off, most", lines["off, most"], "on", lines["on"], "on, most", lines["on, most"]); err != nil {
@@ -132,7 +132,7 @@
 	return figure{title, template.URL(data)}, nil
 }
 
-var page = template.Must(template.New("page").Parse(`<!DOCTYPE html>
+var pageTemplate = template.Must(template.New("page").Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>Restarts of all controllers</title>
 <style>body{font-family:sans-serif;margin:2em} pre{overflow-x:auto} img{margin:0.5em}</style></head>
 <body><h1>Restarts of all controllers</h1>
@@ -159,8 +159,8 @@
 			continue
 		}
 		sizes[s.machines] = true
-		for _, m := range measures {
-			f, err := draw(m, s.machines, scenarios)
+		for _, m := range metrics {
+			f, err := drawPlot(m, s.machines, scenarios)
 			if err != nil {
 				return err
 			}
@@ -171,7 +171,7 @@
 		return err
 	}
 	var out bytes.Buffer
-	if err := page.Execute(&out, content); err != nil {
+	if err := pageTemplate.Execute(&out, content); err != nil {
 		return err
 	}
 	return os.WriteFile(path, out.Bytes(), 0o644)
--- a/cmd/standins/main.go
+++ b/cmd/standins/main.go
@@ -20,7 +20,7 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-type serveCmd struct {
+type serveCommand struct {
 	Listen string            `default:"127.0.0.1:7000" help:"Address of the state service; the cloud is on the next port."`
 	Node   map[string]string `default:"drover-0=127.0.0.1:8080" help:"Controllers' addresses by name."`
 	Team   string            `default:"crew" help:"The team that may submit."`
@@ -28,7 +28,7 @@
 }
 
 // Run serves until interrupted.
-func (c serveCmd) Run() error {
+func (c serveCommand) Run() error {
 	host, port, err := net.SplitHostPort(c.Listen)
 	if err != nil {
 		return err
@@ -42,12 +42,12 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	types := []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 32, CacheGB: 40, FetchGBs: 1, Price: 1, SpotCost: 0.4, BootS: 2, Zones: []string{"a", "b"}}}
-	site := standin.NewSite(types, map[string]float64{c.Team: c.Limit}, c.Node, 2*time.Second, time.Second, 12*time.Second)
+	types := []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 32, CacheGB: 40, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 2, Zones: []string{"a", "b"}}}
+	site := standin.NewDeployment(types, map[string]float64{c.Team: c.Limit}, c.Node, 2*time.Second, time.Second, 12*time.Second)
 	failed := make(chan error, 2)
 	for addr, h := range map[string]http.Handler{
-		c.Listen:                                withUploads(site, site.State()),
-		net.JoinHostPort(host, fmt.Sprint(p+1)): site.Cloud(ctx),
+		c.Listen:                                withUploadHandler(site, site.KVStoreHandler()),
+		net.JoinHostPort(host, fmt.Sprint(p+1)): site.CloudHandler(ctx),
 	} {
 		go func() { failed <- http.ListenAndServe(addr, h) }()
 	}
@@ -60,8 +60,8 @@
 	}
 }
 
-// withUploads adds the way on which users hand job descriptions to workers.
-func withUploads(s *standin.Site, h http.Handler) http.Handler {
+// withUploadHandler adds the way on which users hand job descriptions to workers.
+func withUploadHandler(s *standin.Deployment, h http.Handler) http.Handler {
 	m := http.NewServeMux()
 	m.Handle("/", h)
 	m.HandleFunc("POST /upload", func(w http.ResponseWriter, r *http.Request) {
@@ -71,12 +71,12 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		s.Upload(j, time.Duration(j.EstimateS*float64(time.Second)))
+		s.UploadJob(j, time.Duration(j.EstimatedRunS*float64(time.Second)))
 	})
 	return m
 }
 
-type submitCmd struct {
+type submitCommand struct {
 	ID      string  `arg:"" help:"The job's id, such as run-000001."`
 	To      string  `default:"127.0.0.1:8080" help:"A controller's address."`
 	Site    string  `default:"127.0.0.1:7000" help:"The stand-ins' address."`
@@ -88,13 +88,13 @@
 }
 
 // Run uploads and submits one job.
-func (c submitCmd) Run() error {
-	j := wire.Job{ID: c.ID, Class: "trial", Team: c.Team, Shape: wire.ShapeArray, Rank: wire.RankNormal, Tasks: c.Tasks,
-		CPUs: c.CPUs, MemoryGB: 1, Image: "img-1", ImageGB: 1, EstimateS: c.Seconds}
+func (c submitCommand) Run() error {
+	j := wire.Job{ID: c.ID, Class: "trial", Team: c.Team, Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: c.Tasks,
+		CPUs: c.CPUs, MemoryGB: 1, Image: "img-1", ImageGB: 1, EstimatedRunS: c.Seconds}
 	if c.Service {
-		j.Shape, j.Rank, j.EstimateS = wire.ShapeService, wire.RankProduction, 0
+		j.Shape, j.Priority, j.EstimatedRunS = wire.ShapeService, wire.PriorityProduction, 0
 	}
-	raw, err := standin.Submission(&j)
+	raw, err := standin.EncodeSubmission(&j)
 	if err != nil {
 		return err
 	}
@@ -106,11 +106,11 @@
 		b, _ := io.ReadAll(io.LimitReader(resp.Body, wire.MaxBody))
 		resp.Body.Close()
 		if resp.StatusCode >= 300 {
-			var e wire.Error
+			var e wire.ErrorReply
 			_ = wire.Unmarshal(b, &e)
-			return fmt.Errorf("%s: %s %s", url, resp.Status, strings.TrimSpace(e.Error))
+			return fmt.Errorf("%s: %s %s", url, resp.Status, strings.TrimSpace(e.Message))
 		}
-		var s wire.JobState
+		var s wire.JobStateReply
 		if wire.Unmarshal(b, &s) == nil {
 			fmt.Println(s.ID, s.State)
 		}
@@ -120,8 +120,8 @@
 
 func main() {
 	var c struct {
-		Serve  serveCmd  `cmd:"" default:"withargs" help:"Serve the stand-ins."`
-		Submit submitCmd `cmd:"" help:"Submit a job to a controller."`
+		Serve  serveCommand  `cmd:"" default:"withargs" help:"Serve the stand-ins."`
+		Submit submitCommand `cmd:"" help:"Submit a job to a controller."`
 	}
 	k := kong.Parse(&c, kong.Name("standins"), kong.Description("Stand-ins of yarrowgap's outside systems."))
 	if err := k.Run(); err != nil {
--- a/cmd/yarrowgap/listen.go
+++ b/cmd/yarrowgap/listen.go
@@ -10,7 +10,7 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// listen listens on an address. Connections are not kept alive by TCP's own probes:
+// listenLoopback listens on an address. Connections are not kept alive by TCP's own probes:
 // both sides send within seconds or close, and setting the probes' times costs four
 // system calls for each connection.
 func listen(addr string) (net.Listener, error) {
@@ -18,30 +18,34 @@
 	return config.Listen(context.Background(), "tcp", addr)
 }
 
-// limited accepts at most a number of connections at once. One over it is
+// limitedListener accepts at most a number of connections at once. One over it is
 // closed at once, so that its sender can turn to another node.
-type limited struct {
+type limitedListener struct {
 	net.Listener
-	most int64
-	open atomic.Int64
+	maxConns  int64
+	openConns atomic.Int64
 }
 
-func limit(l net.Listener, n int) *limited { return &limited{Listener: l, most: int64(n)} }
+func newLimitedListener(l net.Listener, n int) *limitedListener {
+	return &limitedListener{Listener: l, maxConns: int64(n)}
+}
 
 // crowded reports whether few more connections will be accepted.
-func (l *limited) crowded() bool { return float64(l.open.Load()) > tuning.Crowded*float64(l.most) }
+func (l *limitedListener) crowded() bool {
+	return float64(l.openConns.Load()) > tuning.CrowdedListenerShare*float64(l.maxConns)
+}
 
-func (l *limited) Accept() (net.Conn, error) {
+func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
 		//mutation:connection-bound
-		if l.open.Add(1) <= l.most {
-			return &limitedConn{Conn: c, leave: sync.OnceFunc(func() { l.open.Add(-1) })}, nil
+		if l.openConns.Add(1) <= l.maxConns {
+			return &limitedConn{Conn: c, release: sync.OnceFunc(func() { l.openConns.Add(-1) })}, nil
 		}
-		l.open.Add(-1)
+		l.openConns.Add(-1)
 		_ = c.SetDeadline(time.Now())
 		_ = c.Close()
 	}
@@ -49,10 +53,10 @@
 
 type limitedConn struct {
 	net.Conn
-	leave func()
+	release func()
 }
 
 func (c *limitedConn) Close() error {
-	defer c.leave()
+	defer c.release()
 	return c.Conn.Close()
 }
--- a/cmd/yarrowgap/listen_test.go
+++ b/cmd/yarrowgap/listen_test.go
@@ -7,13 +7,13 @@
 
 // Connections over the bound are closed at once; when one under it ends, the next is
 // taken, so that a worker that was sent away gets in at a later try.
-func TestConnectionsOverTheBound(t *testing.T) {
+func TestConnectionsOverLimitAreClosed(t *testing.T) {
 	inner, err := listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	const most = 5
-	l := limit(inner, most)
+	l := newLimitedListener(inner, most)
 	defer l.Close()
 	taken := make(chan net.Conn, 3*most)
 	go func() {
--- a/cmd/yarrowgap/main.go
+++ b/cmd/yarrowgap/main.go
@@ -34,8 +34,8 @@
 	Leader  leaderCmd   `cmd:"" help:"Show who leads."`
 	Job     jobCmd      `cmd:"" help:"Show a live job and why it waits."`
 	Waiting waitingCmd  `cmd:"" help:"List jobs that wait, with the reason."`
-	Machine machineCmd  `cmd:"" name:"machines" help:"List the machines."`
-	Failure failureCmd  `cmd:"" name:"failures" help:"List failed attempts, the newest first."`
+	Machine machinesCmd `cmd:"" name:"machines" help:"List the machines."`
+	Failure failuresCmd `cmd:"" name:"failures" help:"List failed attempts, the newest first."`
 	Recover recoveryCmd `cmd:"" name:"recovery" help:"Show how far the leader has squared machines and records, and what differed."`
 	Metrics metricsCmd  `cmd:"" help:"Show a controller's counters and latencies."`
 }
@@ -48,7 +48,7 @@
 func run(args []string, stdout, stderr io.Writer) (code int) {
 	var c cli
 	exited := -1
-	p, err := kong.New(&c, kong.Name("yarrowgap"),
+	parser, err := kong.New(&c, kong.Name("yarrowgap"),
 		kong.Description("A scheduler for clusters of rented machines."),
 		kong.Writers(stdout, stderr), kong.UsageOnError(),
 		kong.Exit(func(n int) { exited = n; panic(exitPanic{}) }),
@@ -65,7 +65,7 @@
 			code = exited
 		}
 	}()
-	ctx, err := p.Parse(args)
+	ctx, err := parser.Parse(args)
 	if err != nil {
 		fmt.Fprintln(stderr, "yarrowgap:", err)
 		return exitUsage
@@ -94,8 +94,8 @@
 	return err
 }
 
-// inputs are what serving and checking share.
-type inputs struct {
+// configFlags are what serving and checking share.
+type configFlags struct {
 	Config string `required:"" placeholder:"FILE" help:"The platform's settings file (TOML)."`
 	// Scripts are read in their order, and the one that the environment names after them,
 	// so that it wins over what the deploy file's command line has.
@@ -104,19 +104,19 @@
 }
 
 // scripts lists the scripts, the one that wins last.
-func (in inputs) scripts() []string {
+func (in configFlags) scripts() []string {
 	if in.EnvScript == "" {
 		return in.Script
 	}
 	return append(slices.Clone(in.Script), in.EnvScript)
 }
 
-func (in inputs) load() (*config.Settings, policy.Settings, error) {
+func (in configFlags) load() (*config.Settings, policy.Settings, error) {
 	cfg, err := config.Load(in.Config)
 	if err != nil {
 		return nil, policy.Settings{}, usageError{err}
 	}
-	pol := policy.Defaults(cfg.Thrifty())
+	pol := policy.Defaults(cfg.CostSensitive())
 	for _, script := range in.scripts() {
 		if pol, err = policy.Load(script, pol); err != nil {
 			return nil, pol, usageError{err}
@@ -125,7 +125,7 @@
 	return cfg, pol, nil
 }
 
-type checkCmd struct{ inputs }
+type checkCmd struct{ configFlags }
 
 func (c checkCmd) Run(w io.Writer) error {
 	cfg, _, err := c.load()
@@ -141,7 +141,7 @@
 	for _, limit := range []struct {
 		name     string
 		machines int
-	}{{"sockets and memory", capacity.ByConnections}, {"processor", capacity.ByProcessor}} {
+	}{{"sockets and memory", capacity.ByConnections}, {"processor", capacity.ByCPU}} {
 		if limit.machines == 0 {
 			continue
 		}
@@ -153,8 +153,8 @@
 	return err
 }
 
-// logger makes the log at the level that LOG_LEVEL names.
-func logger(w io.Writer, level string) (*slog.Logger, error) {
+// newLogger makes the log at the level that LOG_LEVEL names.
+func newLogger(w io.Writer, level string) (*slog.Logger, error) {
 	var l slog.Level
 	switch strings.ToLower(level) {
 	case "error":
--- a/cmd/yarrowgap/main_test.go
+++ b/cmd/yarrowgap/main_test.go
@@ -48,7 +48,7 @@
 
 // Scripts are read in their order, and the environment's wins over all: a command line
 // that switches something on does not undo the operators' own settings.
-func TestScriptsInOrder(t *testing.T) {
+func TestScriptPrecedence(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, text string) string {
 		path := filepath.Join(dir, name)
@@ -57,10 +57,10 @@
 		}
 		return path
 	}
-	in := inputs{Config: "../../examples/local.toml", EnvScript: file("env.star", "max_machines = 3\n"),
+	in := configFlags{Config: "../../examples/local.toml", EnvScript: file("env.star", "max_machines = 3\n"),
 		Script: []string{file("a.star", "recovery = True\nprobe_count = 2\n"), file("b.star", "probe_count = 4\nmax_machines = 9\n")}}
 	_, got, err := in.load()
-	if err != nil || !got.Recovery || got.ProbeCount != 4 || got.MaxMachines != 3 {
+	if err != nil || !got.ReconcileRestarts || got.DispatchRetryCount != 4 || got.MaxMachines != 3 {
 		t.Errorf("read as %+v, %v", got, err)
 	}
 	in.EnvScript = file("bad.star", "speed = 3\n")
@@ -72,11 +72,11 @@
 func TestLogLevel(t *testing.T) {
 	var b bytes.Buffer
 	for _, level := range []string{"error", "info", "debug", ""} {
-		if _, err := logger(&b, level); err != nil {
+		if _, err := newLogger(&b, level); err != nil {
 			t.Errorf("%q: %v", level, err)
 		}
 	}
-	if _, err := logger(&b, "loud"); err == nil || !strings.Contains(err.Error(), "loud") {
+	if _, err := newLogger(&b, "loud"); err == nil || !strings.Contains(err.Error(), "loud") {
 		t.Errorf("an unknown level: %v", err)
 	}
 }
--- a/cmd/yarrowgap/query.go
+++ b/cmd/yarrowgap/query.go
@@ -18,23 +18,23 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// target is the controller that is asked.
-type target struct {
+// controllerFlags is the controller that is asked.
+type controllerFlags struct {
 	Addr string `required:"" placeholder:"HOST:PORT" env:"YARROWGAP_ADDR" help:"A controller's address for users (bind)."`
 	JSON bool   `help:"Print JSON."`
 }
 
-type page struct {
+type pageFlags struct {
 	From string `placeholder:"NAME" help:"List what comes after this name."`
 	Most int    `default:"100" help:"How many at the most."`
 }
 
-func (p page) query() string {
+func (p pageFlags) query() string {
 	return "?" + url.Values{"from": {p.From}, "most": {fmt.Sprint(p.Most)}}.Encode()
 }
 
-// ask reads path and either copies the JSON or hands the value to print.
-func ask[T any](t target, path string, w io.Writer, print func(*tabwriter.Writer, T)) error {
+// query reads path and either copies the JSON or hands the value to print.
+func query[T any](t controllerFlags, path string, w io.Writer, print func(*tabwriter.Writer, T)) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*tuning.ForwardTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+t.Addr+api.OperatorPath+path, nil)
@@ -71,10 +71,10 @@
 	return tw.Flush()
 }
 
-type leaderCmd struct{ target }
+type leaderCmd struct{ controllerFlags }
 
 func (c leaderCmd) Run(w io.Writer) error {
-	return ask(c.target, "/leader", w, func(t *tabwriter.Writer, v node.LeaderView) {
+	return query(c.controllerFlags, "/leader", w, func(t *tabwriter.Writer, v node.LeaderView) {
 		name := v.Leader
 		if name == "" {
 			name = "(nobody)"
@@ -84,18 +84,18 @@
 }
 
 type jobCmd struct {
-	target
+	controllerFlags
 	ID string `arg:"" help:"The job's id."`
 }
 
 func (c jobCmd) Run(w io.Writer) error {
-	return ask(c.target, "/jobs/"+url.PathEscape(c.ID), w, func(t *tabwriter.Writer, v core.JobDetail) {
+	return query(c.controllerFlags, "/jobs/"+url.PathEscape(c.ID), w, func(t *tabwriter.Writer, v core.JobDetail) {
 		printJob(t, v)
 		if len(v.Attempts) > 0 {
 			fmt.Fprintf(t, "\nTASK\tMACHINE\tSTATE\tPROBES\n")
 		}
 		for _, a := range v.Attempts {
-			fmt.Fprintf(t, "%s\t%s\t%s\t%d\n", a.Task, a.Machine, a.State, a.Probes)
+			fmt.Fprintf(t, "%s\t%s\t%s\t%d\n", a.Task, a.Machine, a.State, a.DispatchRetries)
 		}
 	})
 }
@@ -107,58 +107,58 @@
 	} else {
 		fmt.Fprintf(t, "\t%d done", v.Done)
 	}
-	if v.Why != "" {
-		fmt.Fprintf(t, "\t(%s)", v.Why)
+	if v.Reason != "" {
+		fmt.Fprintf(t, "\t(%s)", v.Reason)
 	}
 	fmt.Fprintln(t)
 }
 
 type waitingCmd struct {
-	target
-	page
+	controllerFlags
+	pageFlags
 }
 
 func (c waitingCmd) Run(w io.Writer) error {
-	return ask(c.target, "/waiting"+c.query(), w, func(t *tabwriter.Writer, v []core.JobDetail) {
+	return query(c.controllerFlags, "/waiting"+c.query(), w, func(t *tabwriter.Writer, v []core.JobDetail) {
 		for _, j := range v {
 			printJob(t, j)
 		}
 	})
 }
 
-type machineCmd struct {
-	target
-	page
+type machinesCmd struct {
+	controllerFlags
+	pageFlags
 }
 
-func (c machineCmd) Run(w io.Writer) error {
-	return ask(c.target, "/machines"+c.query(), w, func(t *tabwriter.Writer, v []core.MachineView) {
+func (c machinesCmd) Run(w io.Writer) error {
+	return query(c.controllerFlags, "/machines"+c.query(), w, func(t *tabwriter.Writer, v []core.MachineView) {
 		fmt.Fprintf(t, "MACHINE\tTYPE\tZONE\tSPOT\tSTATE\tTASKS\tCPUS\tQUIET\n")
 		for _, m := range v {
-			fmt.Fprintf(t, "%s\t%s\t%s\t%t\t%s\t%d\t%g\t%.1fs\n", m.Name, m.Type, m.Zone, m.Spot, m.State, m.Tasks, m.CPUs, m.QuietS)
+			fmt.Fprintf(t, "%s\t%s\t%s\t%t\t%s\t%d\t%g\t%.1fs\n", m.Name, m.Type, m.Zone, m.Spot, m.State, m.Tasks, m.CPUs, m.HeartbeatAgeS)
 		}
 	})
 }
 
-type failureCmd struct {
-	target
+type failuresCmd struct {
+	controllerFlags
 	Skip int `help:"Skip this many of the newest."`
 	Most int `default:"100" help:"How many at the most."`
 }
 
-func (c failureCmd) Run(w io.Writer) error {
+func (c failuresCmd) Run(w io.Writer) error {
 	q := "?" + url.Values{"skip": {fmt.Sprint(c.Skip)}, "most": {fmt.Sprint(c.Most)}}.Encode()
-	return ask(c.target, "/failures"+q, w, func(t *tabwriter.Writer, v []core.Failure) {
+	return query(c.controllerFlags, "/failures"+q, w, func(t *tabwriter.Writer, v []core.Failure) {
 		for _, f := range v {
 			fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", time.UnixMilli(f.At).UTC().Format(time.RFC3339), f.Task, f.Machine, f.Cause)
 		}
 	})
 }
 
-type metricsCmd struct{ target }
+type metricsCmd struct{ controllerFlags }
 
 func (c metricsCmd) Run(w io.Writer) error {
-	return ask(c.target, "/metrics", w, func(t *tabwriter.Writer, v map[string]any) {
+	return query(c.controllerFlags, "/metrics", w, func(t *tabwriter.Writer, v map[string]any) {
 		for _, k := range slices.Sorted(maps.Keys(v)) {
 			if l, ok := v[k].(map[string]any); ok {
 				fmt.Fprintf(t, "%s\tp50 %v ms, p99 %v ms, max %v ms (of %v)\n", k, l["p50_ms"], l["p99_ms"], l["max_ms"], l["count"])
--- a/cmd/yarrowgap/recovery.go
+++ b/cmd/yarrowgap/recovery.go
@@ -14,7 +14,7 @@
 
 // recoveryCmd shows the recovery of the present term, or a page of its differences.
 type recoveryCmd struct {
-	target
+	controllerFlags
 	Differences bool   `help:"List what differed instead."`
 	Class       string `help:"With --differences: those of one class, such as missing-proven."`
 	Skip        int    `help:"With --differences: skip so many."`
@@ -24,13 +24,13 @@
 // Run asks a controller.
 func (c recoveryCmd) Run(w io.Writer) error {
 	if !c.Differences {
-		return ask(c.target, "/recovery", w, printRecovery)
+		return query(c.controllerFlags, "/recovery", w, printRecovery)
 	}
 	q := url.Values{"skip": {fmt.Sprint(c.Skip)}, "most": {fmt.Sprint(c.Most)}}
 	if c.Class != "" {
 		q.Set("class", c.Class)
 	}
-	return ask(c.target, "/recovery/differences?"+q.Encode(), w, printDifferences)
+	return query(c.controllerFlags, "/recovery/differences?"+q.Encode(), w, printDifferences)
 }
 
 func printRecovery(t *tabwriter.Writer, s recovery.Status) {
@@ -48,19 +48,19 @@
 	if s.WaitsUntilS > 0 {
 		fmt.Fprintf(t, "waits\tuntil %.1f s at the most\n", s.WaitsUntilS)
 	}
-	fmt.Fprintf(t, "machines\t%d, not heard %d\n", s.Machines, s.Unheard)
-	if len(s.Waiting) > 0 {
-		fmt.Fprintf(t, "\t%s\n", strings.Join(s.Waiting, " "))
+	fmt.Fprintf(t, "machines\t%d, not heard %d\n", s.Machines, s.Unconfirmed)
+	if len(s.UnconfirmedMachines) > 0 {
+		fmt.Fprintf(t, "\t%s\n", strings.Join(s.UnconfirmedMachines, " "))
 	}
-	fmt.Fprintf(t, "attempts\twithout proof %d, stops to be confirmed %d\n", s.Unproven, s.OpenStops)
+	fmt.Fprintf(t, "attempts\twithout proof %d, stops to be confirmed %d\n", s.Unproven, s.PendingStops)
 	for _, class := range slices.Sorted(maps.Keys(s.Classes)) {
 		fmt.Fprintf(t, "\t%s %d\n", class, s.Classes[class])
 	}
 	fmt.Fprintf(t, "orders\tuntil it was settled, in brackets what differences asked for\n")
-	for _, kind := range slices.Sorted(maps.Keys(s.Orders)) {
-		fmt.Fprintf(t, "\t%s %d (%d)\n", kind, s.Orders[kind].Total, s.Orders[kind].Traced)
+	for _, kind := range slices.Sorted(maps.Keys(s.Operations)) {
+		fmt.Fprintf(t, "\t%s %d (%d)\n", kind, s.Operations[kind].Total, s.Operations[kind].Attributed)
 	}
-	fmt.Fprintf(t, "differences\t%d, not kept %d\n", s.Differences, s.NotKept)
+	fmt.Fprintf(t, "differences\t%d, not kept %d\n", s.Differences, s.DifferencesDropped)
 }
 
 func printDifferences(t *tabwriter.Writer, list []recovery.DifferenceView) {
--- a/cmd/yarrowgap/serve.go
+++ b/cmd/yarrowgap/serve.go
@@ -18,10 +18,10 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-type serveCmd struct{ inputs }
+type serveCmd struct{ configFlags }
 
 func (c serveCmd) Run() error {
-	log, err := logger(os.Stderr, os.Getenv("LOG_LEVEL"))
+	log, err := newLogger(os.Stderr, os.Getenv("LOG_LEVEL"))
 	if err != nil {
 		return err
 	}
@@ -32,17 +32,17 @@
 	quota := cfg.Deployment.Quota
 	debug.SetGCPercent(tuning.GCPercent)
 	if quota.MemMB > 0 {
-		debug.SetMemoryLimit(int64(quota.MemMB * tuning.MemoryShare * (1 << 20)))
+		debug.SetMemoryLimit(int64(quota.MemMB * tuning.MemoryLimitShare * (1 << 20)))
 	}
 	users, err := listen(cfg.Bind)
 	if err != nil {
 		return err
 	}
-	peers, err := listen(cfg.MeshAddr)
+	peers, err := listen(cfg.PeerAddr)
 	if err != nil {
 		return err
 	}
-	listener := limit(users, cfg.Connections())
+	listener := newLimitedListener(users, cfg.MaxConnections())
 	log = log.With("node", cfg.Node)
 	for _, s := range cfg.Shortfalls() {
 		log.Error("settings fall short", "what", s)
@@ -52,19 +52,19 @@
 		return usageError{err}
 	}
 	n := node.New(cfg, pol, log)
-	n.Trace(tracer)
+	n.SetTracer(tracer)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	log.Info("serving", "bind", cfg.Bind, "mesh", cfg.MeshAddr, "zone", cfg.Zone, "version", version)
+	log.Info("serving", "bind", cfg.Bind, "mesh", cfg.PeerAddr, "zone", cfg.Zone, "version", version)
 
 	for _, o := range cfg.Deployment.Objectives {
 		log.Debug("objective", "kind", o.Kind, "class", o.Class, "within_s", o.WithinS, "share", o.Share)
 	}
 
 	failed := make(chan error, 2)
-	front := httpd.New(api.New(n, log, listener.crowded), api.Brief, log)
-	n.WatchBacklog(front.Backlog)
-	mesh := meshServer(api.NewMesh(n, log), log)
+	front := httpd.New(api.NewHandler(n, log, listener.crowded), api.NonBlocking, log)
+	n.SetRequestBacklog(front.QueueDelay)
+	mesh := newPeerServer(api.NewPeerHandler(n, log), log)
 	go serve(front, listener, failed)
 	go serve(mesh, peers, failed)
 	done := make(chan struct{})
@@ -75,7 +75,7 @@
 	case <-ctx.Done():
 		log.Info("stopping")
 	}
-	down, cancel := context.WithTimeout(context.Background(), tuning.StateTimeout)
+	down, cancel := context.WithTimeout(context.Background(), tuning.StoreTimeout)
 	defer cancel()
 	_ = front.Shutdown(down)
 	_ = mesh.Shutdown(down)
@@ -89,13 +89,13 @@
 	return err
 }
 
-// meshServer serves the few connections of the other controllers.
-func meshServer(h http.Handler, log *slog.Logger) *http.Server {
+// newPeerServer serves the few connections of the other controllers.
+func newPeerServer(h http.Handler, log *slog.Logger) *http.Server {
 	return &http.Server{
 		Handler:           h,
 		ReadHeaderTimeout: tuning.HeaderTimeout,
 		ReadTimeout:       tuning.HeaderTimeout + tuning.BodyTimeout,
-		IdleTimeout:       tuning.IdleConn,
+		IdleTimeout:       tuning.IdleConnTimeout,
 		MaxHeaderBytes:    8 << 10,
 		ErrorLog:          slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
--- a/internal/api/answers_test.go
+++ b/internal/api/answers_test.go
@@ -15,54 +15,54 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// witness is a job's user, who asks at all nodes and notes every answer that is older
+// historyChecker is a job's user, who asks at all nodes and notes every answer that is older
 // than one that was told before the question.
-type witness struct {
-	c  *cluster
-	id string
-	b  []byte
+type historyChecker struct {
+	cluster    *cluster
+	jobID      string
+	submission []byte
 
-	mu       sync.Mutex
-	accepted bool
-	final    string // done or cancelled, once told
-	wrong    []string
+	mu         sync.Mutex
+	accepted   bool
+	finalState string // done or cancelled, once told
+	violations []string
 }
 
-func newWitness(c *cluster, j *wire.Job) *witness {
-	return &witness{c: c, id: j.ID, b: body(c.t, j)}
+func newHistoryChecker(c *cluster, j *wire.Job) *historyChecker {
+	return &historyChecker{cluster: c, jobID: j.ID, submission: encodeSubmission(c.t, j)}
 }
 
 // The requests of a user.
 const (
-	submit = "POST /v2/runs"
-	query  = "GET /v2/runs/"
-	cancel = "withdraw"
+	submitRequest = "POST /v2/runs"
+	queryRequest  = "GET /v2/runs/"
+	cancelRequest = "withdraw"
 )
 
-// ask makes a request of node i and checks its answer. It returns the state, or "".
-func (w *witness) ask(i int, what string) string {
+// send makes a request of node i and checks its answer. It returns the state, or "".
+func (w *historyChecker) send(i int, what string) string {
 	w.mu.Lock()
-	accepted, final := w.accepted, w.final
+	accepted, final := w.accepted, w.finalState
 	w.mu.Unlock()
 	var status int
 	var v wire.JobView
 	switch what {
-	case submit:
-		status, v, _ = w.c.do(i, "POST", "/v2/runs", w.b)
-	case query:
-		status, v, _ = w.c.do(i, "GET", "/v2/runs/"+w.id, nil)
-	case cancel:
-		status, v, _ = w.c.do(i, "POST", "/v2/runs/"+w.id+"/withdraw", nil)
+	case submitRequest:
+		status, v, _ = w.cluster.request(i, "POST", "/v2/runs", w.submission)
+	case queryRequest:
+		status, v, _ = w.cluster.request(i, "GET", "/v2/runs/"+w.jobID, nil)
+	case cancelRequest:
+		status, v, _ = w.cluster.request(i, "POST", "/v2/runs/"+w.jobID+"/withdraw", nil)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	note := func(rule string) {
-		w.wrong = append(w.wrong, fmt.Sprintf("%s: %s at node %d: %d %q, accepted %v, told %q", rule, what, i, status, v.State, accepted, final))
+		w.violations = append(w.violations, fmt.Sprintf("%s: %s at node %d: %d %q, accepted %v, told %q", rule, what, i, status, v.State, accepted, final))
 	}
 	switch status {
 	case 200, 201:
 	case 404, 400, 422:
-		if accepted || what == submit {
+		if accepted || what == submitRequest {
 			note("forgotten")
 		}
 		return ""
@@ -72,55 +72,58 @@
 	w.accepted = true
 	over := v.State == wire.JobDone || v.State == wire.JobCancelled
 	switch {
-	case final != "" && v.State != final, over && w.final != "" && v.State != w.final:
+	case final != "" && v.State != final, over && w.finalState != "" && v.State != w.finalState:
 		note("went_back")
-	case what == cancel && !over:
+	case what == cancelRequest && !over:
 		note("cancellation not told")
 	}
-	if over && w.final == "" {
-		w.final = v.State
+	if over && w.finalState == "" {
+		w.finalState = v.State
 	}
 	return v.State
 }
 
-// everywhere asks what is meant at all nodes at once, again and again, and submits anew.
-func (w *witness) everywhere(times int) {
+// sendToAll asks what is meant at all nodes at once, again and again, and submits anew.
+func (w *historyChecker) sendToAll(times int) {
 	var wg sync.WaitGroup
-	for i := range w.c.addrs {
+	for i := range w.cluster.userAddrs {
 		wg.Go(func() {
 			for n := range times {
-				w.ask(i, []string{query, submit}[(n+i)%2])
+				w.send(i, []string{queryRequest, submitRequest}[(n+i)%2])
 			}
 		})
 	}
 	wg.Wait()
 }
 
-// fails tells what the user saw that was wrong.
-func (w *witness) fails(t *testing.T) {
+// reportViolations tells what the user saw that was wrong.
+func (w *historyChecker) reportViolations(t *testing.T) {
 	t.Helper()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.wrong) > 0 {
-		t.Errorf("%s: %d wrong answers, first: %s", w.id, len(w.wrong), w.wrong[0])
+	if len(w.violations) > 0 {
+		t.Errorf("%s: %d wrong answers, first: %s", w.jobID, len(w.violations), w.violations[0])
 	}
 }
 
-// whole starts three nodes and waits until they accept jobs.
-func whole(t *testing.T) *cluster {
-	c := start(t, 3)
-	j := job(999000, 1)
-	c.site.Upload(j, 0)
-	for i := range c.addrs {
-		c.until("acceptance", func() bool { s, _, _ := c.do(i, "POST", "/v2/runs", body(t, j)); return s == 201 || s == 200 })
-	}
-	c.until("completion", func() bool { _, v, _ := c.do(0, "GET", "/v2/runs/"+j.ID, nil); return v.State == wire.JobDone })
+// startAcceptingCluster starts three nodes and waits until they accept jobs.
+func startAcceptingCluster(t *testing.T) *cluster {
+	c := startCluster(t, 3)
+	j := newJob(999000, 1)
+	c.simulation.UploadJob(j, 0)
+	for i := range c.userAddrs {
+		c.eventually("acceptance", func() bool {
+			s, _, _ := c.request(i, "POST", "/v2/runs", encodeSubmission(t, j))
+			return s == 201 || s == 200
+		})
+	}
+	c.eventually("completion", func() bool { _, v, _ := c.request(0, "GET", "/v2/runs/"+j.ID, nil); return v.State == wire.JobDone })
 	return c
 }
 
-// sets and deletes report whether a transaction sets or deletes a key with the prefix.
-func sets(t wire.Txn, prefix string) bool {
-	for _, a := range t.Apply {
+// writesPrefix and deletes report whether a transaction sets or deletes a key with the prefix.
+func writesPrefix(t wire.Txn, prefix string) bool {
+	for _, a := range t.Then {
 		if strings.HasPrefix(a.Set, prefix) {
 			return true
 		}
@@ -128,23 +131,23 @@
 	return false
 }
 
-// byLeader reports whether a transaction is the leader's own.
-func byLeader(t wire.Txn) bool {
-	return len(t.If) > 0 && t.If[0].Key == store.LeaderKey && t.If[0].Stamp != 0
+// isLeaderTxn reports whether a transaction is the leader's own.
+func isLeaderTxn(t wire.Txn) bool {
+	return len(t.If) > 0 && t.If[0].Key == store.LeaderKey && t.If[0].ModRevision != 0
 }
 
-// cancels reports whether a transaction is a cancellation, which names the live job's
+// isCancellation reports whether a transaction is a cancellation, which names the live job's
 // stamp and comes from no leader.
-func cancels(t wire.Txn, id string) bool {
-	return sets(t, store.JobKey(id)) && !byLeader(t) && !submits(t, id)
+func isCancellation(t wire.Txn, id string) bool {
+	return writesPrefix(t, store.JobKey(id)) && !isLeaderTxn(t) && !isSubmission(t, id)
 }
 
-// submits reports whether a transaction is a submission, with or without conditions.
-func submits(t wire.Txn, id string) bool {
-	for _, a := range t.Apply {
-		var rec store.JobRecord
+// isSubmission reports whether a transaction is a submission, with or without conditions.
+func isSubmission(t wire.Txn, id string) bool {
+	for _, a := range t.Then {
+		var rec store.Job
 		if raw, ok := a.Value.(wire.Raw); ok && a.Set == store.JobKey(id) && wire.Unmarshal(raw, &rec) == nil {
-			return !byLeader(t) && !rec.Cancelled
+			return !isLeaderTxn(t) && !rec.Cancelled
 		}
 	}
 	return false
@@ -153,83 +156,83 @@
 // Users ask at all nodes, and repeat the submission, right after a job was accepted,
 // ended or confirmed as cancelled, while writes come up to 25 ms late, and answers to
 // reads up to 40 ms after they were read.
-func TestNoNodeTellsAnOlderAnswer(t *testing.T) {
-	c := whole(t)
+func TestAnswersNeverGoBackAcrossControllers(t *testing.T) {
+	c := startAcceptingCluster(t)
 	rnd := rand.New(rand.NewPCG(11, 1))
 	var mu sync.Mutex
-	c.site.Fates(func(wire.Txn) standin.Fate {
+	c.simulation.InjectTransactionFaults(func(wire.Txn) standin.TransactionFault {
 		mu.Lock()
 		defer mu.Unlock()
-		return standin.Fate{Delay: time.Duration(rnd.IntN(25)) * time.Millisecond}
+		return standin.TransactionFault{Delay: time.Duration(rnd.IntN(25)) * time.Millisecond}
 	})
-	c.site.SlowReads(func() time.Duration {
+	c.simulation.DelayWatchReplies(func() time.Duration {
 		mu.Lock()
 		defer mu.Unlock()
 		return time.Duration(rnd.IntN(40)) * time.Millisecond
 	})
-	lives(t, c, 24, rnd.Uint64())
-	if b := c.site.Broken(); len(b) > 0 {
+	runJobLifecycles(t, c, 24, rnd.Uint64())
+	if b := c.simulation.Violations(); len(b) > 0 {
 		t.Error(b)
 	}
 }
 
 // The same while a part of all transactions is carried out at once and only the answer
 // is lost: submissions, cancellations and the leader's writes.
-func TestNoOlderAnswerWhereAnswersAreLost(t *testing.T) {
-	c := whole(t)
+func TestAnswersNeverGoBackWhenStoreResponsesAreLost(t *testing.T) {
+	c := startAcceptingCluster(t)
 	rnd := rand.New(rand.NewPCG(12, 1))
 	var mu sync.Mutex
 	lost := map[string]int{}
-	c.site.Fates(func(x wire.Txn) standin.Fate {
+	c.simulation.InjectTransactionFaults(func(x wire.Txn) standin.TransactionFault {
 		mu.Lock()
 		defer mu.Unlock()
-		f := standin.Fate{Lost: rnd.IntN(3) == 0, Delay: time.Duration(rnd.IntN(25)) * time.Millisecond}
-		if f.Lost {
-			lost[map[bool]string{true: "the leader", false: "a user"}[byLeader(x)]]++
+		f := standin.TransactionFault{ReplyLost: rnd.IntN(3) == 0, Delay: time.Duration(rnd.IntN(25)) * time.Millisecond}
+		if f.ReplyLost {
+			lost[map[bool]string{true: "the leader", false: "a user"}[isLeaderTxn(x)]]++
 		}
 		return f
 	})
-	lives(t, c, 16, rnd.Uint64())
-	c.site.Fates(nil)
+	runJobLifecycles(t, c, 16, rnd.Uint64())
+	c.simulation.InjectTransactionFaults(nil)
 	if lost["the leader"] == 0 || lost["a user"] == 0 {
 		t.Errorf("answers lost: %v", lost)
 	}
-	if b := c.site.Broken(); len(b) > 0 {
+	if b := c.simulation.Violations(); len(b) > 0 {
 		t.Error(b)
 	}
 }
 
-// lives lets jobs of one short task be submitted, asked for, cancelled near their end and
+// runJobLifecycles lets jobs of one short task be submitted, asked for, cancelled near their end and
 // submitted again, until all of them are over for all nodes.
-func lives(t *testing.T, c *cluster, jobs int, seed uint64) {
+func runJobLifecycles(t *testing.T, c *cluster, jobs int, seed uint64) {
 	t.Helper()
 	var wg sync.WaitGroup
-	var all []*witness
+	var all []*historyChecker
 	for k := range jobs {
 		rnd := rand.New(rand.NewPCG(seed, uint64(k)))
-		j := job(1000+k, 1)
+		j := newJob(1000+k, 1)
 		runs := time.Duration(rnd.IntN(150)) * time.Millisecond
 		if k%3 == 1 {
 			runs = time.Hour
 		}
-		c.site.Upload(j, runs)
-		w := newWitness(c, j)
+		c.simulation.UploadJob(j, runs)
+		w := newHistoryChecker(c, j)
 		all = append(all, w)
 		wg.Go(func() {
 			at := rnd.IntN(3)
 			for i := range k % 4 { // nobody submitted it yet
-				w.ask(i%3, query)
+				w.send(i%3, queryRequest)
 			}
-			for n := 0; w.ask((at+n)%3, submit) == ""; n++ {
+			for n := 0; w.send((at+n)%3, submitRequest) == ""; n++ {
 				time.Sleep(20 * time.Millisecond)
 			}
-			w.everywhere(3)
+			w.sendToAll(3)
 			if k%3 != 0 {
 				time.Sleep(time.Duration(rnd.IntN(400)) * time.Millisecond)
 				var both sync.WaitGroup
 				for n := range 2 { // twice at once, at two nodes
 					both.Go(func() {
-						for i := at + n; w.ask(i%3, cancel) == ""; i++ {
+						for i := at + n; w.send(i%3, cancelRequest) == ""; i++ {
 							time.Sleep(20 * time.Millisecond)
 						}
 					})
@@ -237,47 +240,47 @@
 				both.Wait()
 			}
 			for end := time.Now().Add(60 * time.Second); ; {
-				w.everywhere(2)
+				w.sendToAll(2)
 				w.mu.Lock()
-				final := w.final
+				final := w.finalState
 				w.mu.Unlock()
 				if final != "" {
 					break
 				}
 				if time.Now().After(end) {
-					t.Errorf("%s: never over", w.id)
+					t.Errorf("%s: never over", w.jobID)
 					return
 				}
 			}
-			w.everywhere(4)
+			w.sendToAll(4)
 		})
 	}
 	wg.Wait()
 	ends := map[string]int{}
 	for _, w := range all {
-		w.fails(t)
-		ends[w.final]++
+		w.reportViolations(t)
+		ends[w.finalState]++
 	}
 	if ends[wire.JobDone] == 0 || ends[wire.JobCancelled] == 0 {
 		t.Errorf("one-sided: %v", ends)
 	}
 	// What the state service has is told by a node that remembers nothing, too.
-	c.restart(2)
+	c.restartController(2)
 	for _, w := range all {
-		c.until("an answer of a new process", func() bool { return w.ask(2, query) != "" })
-		w.fails(t)
+		c.eventually("an answer of a new process", func() bool { return w.send(2, queryRequest) != "" })
+		w.reportViolations(t)
 	}
 }
 
 // A question comes while the read for an earlier one is out, which was made before the
 // job was accepted: it is answered from a later read.
-func TestQuestionsShareNoEarlierRead(t *testing.T) {
-	c := whole(t)
+func TestQueriesDoNotShareAnEarlierRead(t *testing.T) {
+	c := startAcceptingCluster(t)
 	sent := make(chan struct{}, 1000)
 	for k := range 4 {
-		w := newWitness(c, job(4000+k, 1))
-		c.site.Upload(job(4000+k, 1), time.Hour)
-		c.site.SlowReads(func() time.Duration {
+		w := newHistoryChecker(c, newJob(4000+k, 1))
+		c.simulation.UploadJob(newJob(4000+k, 1), time.Hour)
+		c.simulation.DelayWatchReplies(func() time.Duration {
 			sent <- struct{}{}
 			return 150 * time.Millisecond
 		})
@@ -285,20 +288,20 @@
 		for len(sent) > 0 {
 			<-sent
 		}
-		for i := range c.addrs {
-			early.Go(func() { c.do(i, "GET", fmt.Sprintf("/v2/runs/run-%06d", 5000+k), nil) })
+		for i := range c.userAddrs {
+			early.Go(func() { c.request(i, "GET", fmt.Sprintf("/v2/runs/run-%06d", 5000+k), nil) })
 		}
-		for range c.addrs {
+		for range c.userAddrs {
 			<-sent
 		}
-		w.ask(0, submit)
-		for i := range c.addrs {
-			early.Go(func() { w.ask(i, query) })
+		w.send(0, submitRequest)
+		for i := range c.userAddrs {
+			early.Go(func() { w.send(i, queryRequest) })
 		}
 		early.Wait()
-		c.site.SlowReads(nil)
-		if w.fails(t); !w.accepted {
-			t.Errorf("%s was not accepted at once", w.id)
+		c.simulation.DelayWatchReplies(nil)
+		if w.reportViolations(t); !w.accepted {
+			t.Errorf("%s was not accepted at once", w.jobID)
 		}
 	}
 }
@@ -306,8 +309,8 @@
 // A cancellation meets the end of a job's last task, with no other trouble: both writes
 // are out at once, and either is carried out first. Whichever it is stays, and who cancels
 // a done job is told so; questions and repeated submissions come in between.
-func TestCancellationMeetsTheEnd(t *testing.T) {
-	c := whole(t)
+func TestCancellationConcurrentWithCompletion(t *testing.T) {
+	c := startAcceptingCluster(t)
 	type meeting struct {
 		endSent, cancelSent   chan struct{}
 		endComes, cancelComes chan struct{}
@@ -315,92 +318,92 @@
 	}
 	const jobs = 8
 	var all [jobs]*meeting
-	var users [jobs]*witness
+	var users [jobs]*historyChecker
 	for k := range all {
 		all[k] = &meeting{endSent: make(chan struct{}), cancelSent: make(chan struct{}), endComes: make(chan struct{}), cancelComes: make(chan struct{})}
-		j := job(3000+k, 1)
-		c.site.Upload(j, time.Duration(10*k)*time.Millisecond)
-		users[k] = newWitness(c, j)
+		j := newJob(3000+k, 1)
+		c.simulation.UploadJob(j, time.Duration(10*k)*time.Millisecond)
+		users[k] = newHistoryChecker(c, j)
 	}
-	c.site.Fates(func(x wire.Txn) standin.Fate {
+	c.simulation.InjectTransactionFaults(func(x wire.Txn) standin.TransactionFault {
 		for k, w := range users {
 			switch m := all[k]; {
-			case byLeader(x) && sets(x, store.EndedKey(w.id)):
+			case isLeaderTxn(x) && writesPrefix(x, store.EndedJobKey(w.jobID)):
 				m.end.Do(func() { close(m.endSent) })
-				return standin.Fate{Until: m.endComes}
-			case cancels(x, w.id):
+				return standin.TransactionFault{DelayUntil: m.endComes}
+			case isCancellation(x, w.jobID):
 				m.cancel.Do(func() { close(m.cancelSent) })
-				return standin.Fate{Until: m.cancelComes}
+				return standin.TransactionFault{DelayUntil: m.cancelComes}
 			}
 		}
-		return standin.Fate{}
+		return standin.TransactionFault{}
 	})
 	// One after the other, since jobs that end together share a transaction.
 	for k, m := range all {
 		w, rnd := users[k], rand.New(rand.NewPCG(13, uint64(k)))
-		c.until("acceptance", func() bool { return w.ask(rnd.IntN(3), submit) != "" })
+		c.eventually("acceptance", func() bool { return w.send(rnd.IntN(3), submitRequest) != "" })
 		<-m.endSent
 		told, by := make(chan struct{}), rnd.IntN(3)
 		go func() {
 			defer close(told)
-			c.until("cancellation", func() bool { return w.ask(by, cancel) != "" })
+			c.eventually("cancellation", func() bool { return w.send(by, cancelRequest) != "" })
 		}()
 		<-m.cancelSent
 		want := wire.JobDone
 		if k%2 == 0 {
 			close(m.endComes)
-			c.until("the end", func() bool { return c.site.Has(store.EndedKey(w.id)) })
-			w.everywhere(2)
+			c.eventually("the end", func() bool { return c.simulation.HasKey(store.EndedJobKey(w.jobID)) })
+			w.sendToAll(2)
 			close(m.cancelComes)
 			<-told
 		} else {
 			want = wire.JobCancelled
 			close(m.cancelComes)
 			<-told
-			w.everywhere(2)
+			w.sendToAll(2)
 			close(m.endComes)
-			c.until("the end", func() bool { return c.site.Has(store.EndedKey(w.id)) })
+			c.eventually("the end", func() bool { return c.simulation.HasKey(store.EndedJobKey(w.jobID)) })
 		}
-		w.everywhere(2)
-		w.fails(t)
-		if w.final != want {
-			t.Errorf("%s is %q, not %q, which came first", w.id, w.final, want)
+		w.sendToAll(2)
+		w.reportViolations(t)
+		if w.finalState != want {
+			t.Errorf("%s is %q, not %q, which came first", w.jobID, w.finalState, want)
 		}
-		for i := range c.addrs {
-			if got := w.ask(i, cancel); got != want {
-				t.Errorf("%s cancelled again at node %d: %q", w.id, i, got)
+		for i := range c.userAddrs {
+			if got := w.send(i, cancelRequest); got != want {
+				t.Errorf("%s cancelled again at node %d: %q", w.jobID, i, got)
 			}
 		}
 	}
-	if b := c.site.Broken(); len(b) > 0 {
+	if b := c.simulation.Violations(); len(b) > 0 {
 		t.Error(b)
 	}
 }
 
-// giveUp makes a request whose answer nobody waits for, until so many writes are held.
-func (w *witness) giveUp(i int, what string, held int) {
+// sendAbandoned makes a request whose answer nobody waits for, until so many writes are held.
+func (w *historyChecker) sendAbandoned(i int, what string, held int) {
 	done := make(chan struct{})
-	go func() { w.ask(i, what); close(done) }()
-	w.c.until("a held transaction", func() bool { return w.c.site.Held() >= held })
+	go func() { w.send(i, what); close(done) }()
+	w.cluster.eventually("a held transaction", func() bool { return w.cluster.simulation.HeldTransactions() >= held })
 	go func() { <-done }()
 }
 
 // Transactions without an answer are carried out after newer ones: each row of the
 // table "Writes that are carried out late" that users or the leader write.
-func TestLateWritesChangeNothing(t *testing.T) {
+func TestDelayedWritesAreRejected(t *testing.T) {
 	hold := func(c *cluster, want func(wire.Txn) bool, most int) {
 		n := 0
-		c.site.Fates(func(x wire.Txn) standin.Fate {
+		c.simulation.InjectTransactionFaults(func(x wire.Txn) standin.TransactionFault {
 			if want(x) && n < most {
 				n++
-				return standin.Fate{Held: true}
+				return standin.TransactionFault{Held: true}
 			}
-			return standin.Fate{}
+			return standin.TransactionFault{}
 		})
 	}
 	refused := func(t *testing.T, c *cluster) {
 		t.Helper()
-		got := c.site.ReleaseHeld()
+		got := c.simulation.CommitHeldTransactions()
 		if len(got) == 0 {
 			t.Error("nothing was held")
 		}
@@ -410,157 +413,157 @@
 			}
 		}
 	}
-	over := func(c *cluster, w *witness, state string) {
+	over := func(c *cluster, w *historyChecker, state string) {
 		c.t.Helper()
-		c.until(state, func() bool { return w.ask(0, query) == state && !c.site.Has(store.JobKey(w.id)) })
+		c.eventually(state, func() bool { return w.send(0, queryRequest) == state && !c.simulation.HasKey(store.JobKey(w.jobID)) })
 	}
 	const long, short = time.Hour, 0
 	for n, tc := range []struct {
 		name  string
 		runs  time.Duration
 		tasks int
-		play  func(t *testing.T, c *cluster, w *witness)
+		play  func(t *testing.T, c *cluster, w *historyChecker)
 	}{
-		{"submission after another try's", long, 1, func(t *testing.T, c *cluster, w *witness) {
-			hold(c, func(x wire.Txn) bool { return submits(x, w.id) }, 1)
-			c.until("acceptance", func() bool { return w.ask(0, submit) != "" })
+		{"submission after another try's", long, 1, func(t *testing.T, c *cluster, w *historyChecker) {
+			hold(c, func(x wire.Txn) bool { return isSubmission(x, w.jobID) }, 1)
+			c.eventually("acceptance", func() bool { return w.send(0, submitRequest) != "" })
 			refused(t, c)
 		}},
-		{"submission after a cancellation", long, 1, func(t *testing.T, c *cluster, w *witness) {
+		{"submission after a cancellation", long, 1, func(t *testing.T, c *cluster, w *historyChecker) {
 			first := true
-			c.site.Fates(func(x wire.Txn) standin.Fate {
-				f := standin.Fate{Held: first && submits(x, w.id) || byLeader(x) && sets(x, store.EndedKey(w.id))}
-				first = first && !submits(x, w.id)
+			c.simulation.InjectTransactionFaults(func(x wire.Txn) standin.TransactionFault {
+				f := standin.TransactionFault{Held: first && isSubmission(x, w.jobID) || isLeaderTxn(x) && writesPrefix(x, store.EndedJobKey(w.jobID))}
+				first = first && !isSubmission(x, w.jobID)
 				return f
 			})
-			c.until("acceptance", func() bool { return w.ask(0, submit) != "" })
-			c.until("cancellation", func() bool { return w.ask(1, cancel) != "" })
-			c.site.Fates(nil)
-			refusedFirst(t, c)
+			c.eventually("acceptance", func() bool { return w.send(0, submitRequest) != "" })
+			c.eventually("cancellation", func() bool { return w.send(1, cancelRequest) != "" })
+			c.simulation.InjectTransactionFaults(nil)
+			expectFirstRejected(t, c)
 		}},
-		{"submission after the end of a cancelled job", long, 1, func(t *testing.T, c *cluster, w *witness) {
-			hold(c, func(x wire.Txn) bool { return submits(x, w.id) }, 1)
-			c.until("acceptance", func() bool { return w.ask(0, submit) != "" })
-			c.until("cancellation", func() bool { return w.ask(1, cancel) != "" })
+		{"submission after the end of a cancelled job", long, 1, func(t *testing.T, c *cluster, w *historyChecker) {
+			hold(c, func(x wire.Txn) bool { return isSubmission(x, w.jobID) }, 1)
+			c.eventually("acceptance", func() bool { return w.send(0, submitRequest) != "" })
+			c.eventually("cancellation", func() bool { return w.send(1, cancelRequest) != "" })
 			over(c, w, wire.JobCancelled)
 			refused(t, c)
 		}},
-		{"submission after the end of a done job", short, 1, func(t *testing.T, c *cluster, w *witness) {
-			hold(c, func(x wire.Txn) bool { return submits(x, w.id) }, 1)
-			c.until("acceptance", func() bool { return w.ask(0, submit) != "" })
+		{"submission after the end of a done job", short, 1, func(t *testing.T, c *cluster, w *historyChecker) {
+			hold(c, func(x wire.Txn) bool { return isSubmission(x, w.jobID) }, 1)
+			c.eventually("acceptance", func() bool { return w.send(0, submitRequest) != "" })
 			over(c, w, wire.JobDone)
 			refused(t, c)
 		}},
-		{"a peer's copy of a submission after the end", long, 1, func(t *testing.T, c *cluster, w *witness) {
+		{"a peer's copy of a submission after the end", long, 1, func(t *testing.T, c *cluster, w *historyChecker) {
 			// The first try takes so long that a peer is asked, and is carried out first.
 			// Nodes that have just started may know no peer that is able: then again.
 			x := w
-			for k := 1; c.site.Held() == 0; k++ {
-				j := job(2500+k, 1)
-				c.site.Upload(j, long)
-				x = newWitness(c, j)
+			for k := 1; c.simulation.HeldTransactions() == 0; k++ {
+				j := newJob(2500+k, 1)
+				c.simulation.UploadJob(j, long)
+				x = newHistoryChecker(c, j)
 				n := 0
-				c.site.Fates(func(t wire.Txn) standin.Fate {
-					if !submits(t, x.id) {
-						return standin.Fate{}
+				c.simulation.InjectTransactionFaults(func(t wire.Txn) standin.TransactionFault {
+					if !isSubmission(t, x.jobID) {
+						return standin.TransactionFault{}
 					}
 					if n++; n == 1 {
-						return standin.Fate{Delay: 3 * tuning.HedgeAfter}
+						return standin.TransactionFault{Delay: 3 * tuning.HedgeDelay}
 					}
-					return standin.Fate{Held: n == 2}
+					return standin.TransactionFault{Held: n == 2}
 				})
-				c.until("acceptance", func() bool { return x.ask(0, submit) != "" })
-				c.until("cancellation", func() bool { return x.ask(1, cancel) != "" })
+				c.eventually("acceptance", func() bool { return x.send(0, submitRequest) != "" })
+				c.eventually("cancellation", func() bool { return x.send(1, cancelRequest) != "" })
 			}
 			over(c, x, wire.JobCancelled)
 			refused(t, c)
-			x.everywhere(4)
-			x.fails(t)
-			c.until("acceptance", func() bool { return w.ask(0, submit) != "" })
+			x.sendToAll(4)
+			x.reportViolations(t)
+			c.eventually("acceptance", func() bool { return w.send(0, submitRequest) != "" })
 		}},
-		{"cancellation after another try's", long, 1, func(t *testing.T, c *cluster, w *witness) {
-			c.until("acceptance", func() bool { return w.ask(0, submit) != "" })
-			hold(c, func(x wire.Txn) bool { return cancels(x, w.id) }, 1)
-			c.until("cancellation", func() bool { return w.ask(1, cancel) != "" })
+		{"cancellation after another try's", long, 1, func(t *testing.T, c *cluster, w *historyChecker) {
+			c.eventually("acceptance", func() bool { return w.send(0, submitRequest) != "" })
+			hold(c, func(x wire.Txn) bool { return isCancellation(x, w.jobID) }, 1)
+			c.eventually("cancellation", func() bool { return w.send(1, cancelRequest) != "" })
 			refused(t, c)
 		}},
-		{"cancellation after the end", 700 * time.Millisecond, 1, func(t *testing.T, c *cluster, w *witness) {
-			c.until("acceptance", func() bool { return w.ask(0, submit) != "" })
-			hold(c, func(x wire.Txn) bool { return cancels(x, w.id) }, math.MaxInt)
-			w.giveUp(1, cancel, 1)
+		{"cancellation after the end", 700 * time.Millisecond, 1, func(t *testing.T, c *cluster, w *historyChecker) {
+			c.eventually("acceptance", func() bool { return w.send(0, submitRequest) != "" })
+			hold(c, func(x wire.Txn) bool { return isCancellation(x, w.jobID) }, math.MaxInt)
+			w.sendAbandoned(1, cancelRequest, 1)
 			over(c, w, wire.JobDone)
 			refused(t, c)
 		}},
-		{"end of a done job after a cancellation", short, 1, func(t *testing.T, c *cluster, w *witness) {
-			hold(c, func(x wire.Txn) bool { return byLeader(x) && sets(x, store.EndedKey(w.id)) }, math.MaxInt)
-			c.until("acceptance", func() bool { return w.ask(0, submit) != "" })
-			c.until("the job's end", func() bool { return c.site.Held() > 0 })
-			c.until("cancellation", func() bool { return w.ask(1, cancel) != "" })
-			refusedFirst(t, c)
+		{"end of a done job after a cancellation", short, 1, func(t *testing.T, c *cluster, w *historyChecker) {
+			hold(c, func(x wire.Txn) bool { return isLeaderTxn(x) && writesPrefix(x, store.EndedJobKey(w.jobID)) }, math.MaxInt)
+			c.eventually("acceptance", func() bool { return w.send(0, submitRequest) != "" })
+			c.eventually("the job's end", func() bool { return c.simulation.HeldTransactions() > 0 })
+			c.eventually("cancellation", func() bool { return w.send(1, cancelRequest) != "" })
+			expectFirstRejected(t, c)
 		}},
-		{"done bits after a cancellation", 1500 * time.Millisecond, 12, func(t *testing.T, c *cluster, w *witness) {
-			hold(c, func(x wire.Txn) bool { return byLeader(x) && sets(x, store.JobKey(w.id)) }, math.MaxInt)
-			c.until("acceptance", func() bool { return w.ask(0, submit) != "" })
-			c.until("done bits", func() bool { return c.site.Held() > 0 })
-			c.until("cancellation", func() bool { return w.ask(1, cancel) != "" })
-			refusedFirst(t, c)
+		{"done bits after a cancellation", 1500 * time.Millisecond, 12, func(t *testing.T, c *cluster, w *historyChecker) {
+			hold(c, func(x wire.Txn) bool { return isLeaderTxn(x) && writesPrefix(x, store.JobKey(w.jobID)) }, math.MaxInt)
+			c.eventually("acceptance", func() bool { return w.send(0, submitRequest) != "" })
+			c.eventually("done bits", func() bool { return c.simulation.HeldTransactions() > 0 })
+			c.eventually("cancellation", func() bool { return w.send(1, cancelRequest) != "" })
+			expectFirstRejected(t, c)
 		}},
-		{"a batch after its leader's term", short, 1, func(t *testing.T, c *cluster, w *witness) {
+		{"a batch after its leader's term", short, 1, func(t *testing.T, c *cluster, w *historyChecker) {
 			leader := 0
-			c.until("a leader", func() bool {
-				for i := range c.addrs {
-					if s, _, _ := c.do(i, "GET", "/yarrowgap/v1/machines", nil); s == 200 {
+			c.eventually("a leader", func() bool {
+				for i := range c.userAddrs {
+					if s, _, _ := c.request(i, "GET", "/yarrowgap/v1/machines", nil); s == 200 {
 						leader = i
 						return true
 					}
 				}
 				return false
 			})
-			hold(c, func(x wire.Txn) bool { return sets(x, store.BatchPrefix) }, math.MaxInt)
-			c.until("acceptance", func() bool { return w.ask(0, submit) != "" })
-			c.until("a batch", func() bool { return c.site.Held() > 0 })
-			c.stops[leader]()
-			c.stops[leader] = func() {}
-			c.site.Fates(nil)
+			hold(c, func(x wire.Txn) bool { return writesPrefix(x, store.BatchPrefix) }, math.MaxInt)
+			c.eventually("acceptance", func() bool { return w.send(0, submitRequest) != "" })
+			c.eventually("a batch", func() bool { return c.simulation.HeldTransactions() > 0 })
+			c.stopFuncs[leader]()
+			c.stopFuncs[leader] = func() {}
+			c.simulation.InjectTransactionFaults(nil)
 			other := (leader + 1) % 3
-			c.until("the end", func() bool { return w.ask(other, query) == wire.JobDone })
+			c.eventually("the end", func() bool { return w.send(other, queryRequest) == wire.JobDone })
 			refused(t, c)
-			c.restart(leader)
+			c.restartController(leader)
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			c := whole(t)
-			j := job(2000+n, tc.tasks)
-			c.site.Upload(j, tc.runs)
-			w := newWitness(c, j)
+			c := startAcceptingCluster(t)
+			j := newJob(2000+n, tc.tasks)
+			c.simulation.UploadJob(j, tc.runs)
+			w := newHistoryChecker(c, j)
 			tc.play(t, c, w)
-			w.everywhere(4)
-			c.site.Fates(nil)
-			c.site.ReleaseHeld()
-			w.everywhere(2)
+			w.sendToAll(4)
+			c.simulation.InjectTransactionFaults(nil)
+			c.simulation.CommitHeldTransactions()
+			w.sendToAll(2)
 			// A process that remembers nothing reads what there is.
-			c.restart(2)
-			c.until("an answer of a new process", func() bool { return w.ask(2, query) != "" })
-			w.everywhere(2)
-			w.fails(t)
-			if b := c.site.Broken(); len(b) > 0 {
+			c.restartController(2)
+			c.eventually("an answer of a new process", func() bool { return w.send(2, queryRequest) != "" })
+			w.sendToAll(2)
+			w.reportViolations(t)
+			if b := c.simulation.Violations(); len(b) > 0 {
 				t.Error(b)
 			}
 		})
 	}
 }
 
-// refusedFirst carries out what is held; the first of it has to be refused.
-func refusedFirst(t *testing.T, c *cluster) {
+// expectFirstRejected carries out what is held; the first of it has to be refused.
+func expectFirstRejected(t *testing.T, c *cluster) {
 	t.Helper()
-	if got := c.site.ReleaseHeld(); len(got) == 0 || got[0] != 409 {
+	if got := c.simulation.CommitHeldTransactions(); len(got) == 0 || got[0] != 409 {
 		t.Errorf("a late write was carried out: %v", got)
 	}
 }
 
-// fields are a submission's, as its user sends it.
-func fields(id string) map[string]any {
+// submissionFields are a submission's, as its user sends it.
+func submissionFields(id string) map[string]any {
 	return map[string]any{
 		"uid": id, "docket": "c", "crew": "crew", "shape": "batch", "rank": "normal", "shifts": 1,
 		"cpus": 1.0, "gpus": 0.0, "memory_gb": 1.0, "kit": "img", "pull_gb": 0.1,
@@ -569,27 +572,27 @@
 	}
 }
 
-// odd is a submission that is wrong in one way. A name starts with its field.
-type odd struct {
+// invalidSubmission is a submission that is wrong in one way. A name starts with its field.
+type invalidSubmission struct {
 	name   string
 	status int
 	fields func(id string) map[string]any
 }
 
-// oddities makes a submission wrong in every way that the protocol tells, field by field.
-func oddities() []odd {
-	var out []odd
+// invalidSubmissions makes a submission wrong in every way that the protocol tells, field by field.
+func invalidSubmissions() []invalidSubmission {
+	var out []invalidSubmission
 	add := func(status int, field, what string, v any) {
-		out = append(out, odd{field + " " + what, status, func(id string) map[string]any {
-			m := fields(id)
+		out = append(out, invalidSubmission{field + " " + what, status, func(id string) map[string]any {
+			m := submissionFields(id)
 			m[field] = v
 			return m
 		}})
 	}
 	nullable := map[string]bool{"breeds": true, "pasture": true, "due_s": true}
-	for field, v := range fields("") {
+	for field, v := range submissionFields("") {
 		if field == "uid" {
-			continue // without a readable id, it is nobody's: see TestNobodysSubmission
+			continue // without a readable id, it is nobody's: see TestSubmissionWithInvalidIDIsRejected
 		}
 		var wrong []any
 		switch v.(type) {
@@ -612,8 +615,8 @@
 		}
 		if !nullable[field] {
 			add(400, field, "null", nil)
-			out = append(out, odd{field + " missing", 400, func(id string) map[string]any {
-				m := fields(id)
+			out = append(out, invalidSubmission{field + " missing", 400, func(id string) map[string]any {
+				m := submissionFields(id)
 				delete(m, field)
 				return m
 			}})
@@ -636,8 +639,8 @@
 	add(422, "breeds", "empty", []string{})
 	add(422, "pasture", "unknown", "z")
 	with := func(status int, name string, kv ...any) {
-		out = append(out, odd{name, status, func(id string) map[string]any {
-			m := fields(id)
+		out = append(out, invalidSubmission{name, status, func(id string) map[string]any {
+			m := submissionFields(id)
 			for i := 0; i < len(kv); i += 2 {
 				m[kv[i].(string)] = kv[i+1]
 			}
@@ -650,27 +653,30 @@
 
 // Whatever is wrong with a submission is said at once; nothing is made of it. A known job's
 // repeated submission gets the job's state, however its body has changed.
-func TestOddSubmissions(t *testing.T) {
-	c := start(t, 2)
+func TestInvalidSubmissionsAreRejected(t *testing.T) {
+	c := startCluster(t, 2)
 	send := func(i int, m map[string]any) (int, wire.JobView, bool) {
 		b, err := wire.Marshal(m)
 		if err != nil {
 			t.Error(err)
 		}
-		s, v, h := c.do(i, "POST", "/v2/runs", b)
+		s, v, h := c.request(i, "POST", "/v2/runs", b)
 		return s, v, s != 503 || h.Get("Retry-After") != "" && h.Get("Connection") == "close"
 	}
-	known, ended := job(7001, 1), job(7002, 1)
-	c.site.Upload(known, time.Hour)
-	c.site.Upload(ended, 0)
-	for i := range c.addrs {
+	known, ended := newJob(7001, 1), newJob(7002, 1)
+	c.simulation.UploadJob(known, time.Hour)
+	c.simulation.UploadJob(ended, 0)
+	for i := range c.userAddrs {
 		for _, j := range []*wire.Job{known, ended} {
-			c.until("acceptance", func() bool { s, _, _ := c.do(i, "POST", "/v2/runs", body(t, j)); return s == 201 || s == 200 })
+			c.eventually("acceptance", func() bool {
+				s, _, _ := c.request(i, "POST", "/v2/runs", encodeSubmission(t, j))
+				return s == 201 || s == 200
+			})
 		}
 	}
-	c.until("completion", func() bool { _, v, _ := c.do(0, "GET", "/v2/runs/"+ended.ID, nil); return v.State == wire.JobDone })
-	all := oddities()
-	each := func(f func(k int, o odd)) {
+	c.eventually("completion", func() bool { _, v, _ := c.request(0, "GET", "/v2/runs/"+ended.ID, nil); return v.State == wire.JobDone })
+	all := invalidSubmissions()
+	each := func(f func(k int, o invalidSubmission)) {
 		var wg sync.WaitGroup
 		for part := range 16 {
 			wg.Go(func() {
@@ -681,12 +687,12 @@
 		}
 		wg.Wait()
 	}
-	each(func(k int, o odd) {
+	each(func(k int, o invalidSubmission) {
 		fresh := fmt.Sprintf("run-%06d", 8000+k)
 		if s, _, _ := send(k%2, o.fields(fresh)); s != o.status {
 			t.Errorf("%s: %d, want %d", o.name, s, o.status)
 		}
-		if s, _, _ := c.do(1-k%2, "GET", "/v2/runs/"+fresh, nil); s != 404 {
+		if s, _, _ := c.request(1-k%2, "GET", "/v2/runs/"+fresh, nil); s != 404 {
 			t.Errorf("%s: then the job is known: %d", o.name, s)
 		}
 		if s, v, _ := send(k%2, o.fields(known.ID)); s != 200 || v.State != wire.JobPending && v.State != wire.JobRunning {
@@ -697,8 +703,8 @@
 		}
 	})
 	// What cannot be told now is refused for now: it may be a known job's.
-	c.site.Refuse(true)
-	each(func(k int, o odd) {
+	c.simulation.SetKVStoreDown(true)
+	each(func(k int, o invalidSubmission) {
 		if s, v, ok := send(k%2, o.fields(known.ID)); s != 503 || !ok {
 			t.Errorf("%s, for a known job in an outage: %d %q, said when to come back: %v", o.name, s, v.State, ok)
 		}
@@ -706,23 +712,26 @@
 }
 
 // A submission that names no job in a form that jobs have is malformed whoever sends it.
-func TestNobodysSubmission(t *testing.T) {
-	c := start(t, 1)
-	c.until("types", func() bool { s, _, _ := c.do(0, "POST", "/v2/runs", body(t, job(7101, 1))); return s == 201 })
+func TestSubmissionWithInvalidIDIsRejected(t *testing.T) {
+	c := startCluster(t, 1)
+	c.eventually("types", func() bool {
+		s, _, _ := c.request(0, "POST", "/v2/runs", encodeSubmission(t, newJob(7101, 1)))
+		return s == 201
+	})
 	for _, id := range []any{nil, "", 7101, true, []string{"run-007101"}, "run-", "run-1", "run-00710", "run-00710x", "run-007101 ", " run-007101",
 		"RUN-007101", "run_007101", "run-007101/0", "run-٠٠٧١٠١", "run-0071010071010071010", "run--07101", "run-+07101", "job-007101"} {
-		m := fields("")
+		m := submissionFields("")
 		m["uid"] = id
 		b, err := wire.Marshal(m)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if s, _, _ := c.do(0, "POST", "/v2/runs", b); s != 400 {
+		if s, _, _ := c.request(0, "POST", "/v2/runs", b); s != 400 {
 			t.Errorf("uid %v: %d", id, s)
 		}
 		if text, ok := id.(string); ok && text != "" && !strings.ContainsAny(text, " /") {
 			for _, q := range []struct{ method, path string }{{"GET", ""}, {"POST", "/withdraw"}} {
-				if s, _, _ := c.do(0, q.method, "/v2/runs/"+text+q.path, nil); s != 404 {
+				if s, _, _ := c.request(0, q.method, "/v2/runs/"+text+q.path, nil); s != 404 {
 					t.Errorf("%s %s%s: %d", q.method, text, q.path, s)
 				}
 			}
@@ -732,9 +741,12 @@
 
 // What can run is accepted: each field at its bounds, what may be null left out, fields
 // that nobody knows, and jobs of which half may run at a time.
-func TestBoundsAreAccepted(t *testing.T) {
-	c := start(t, 1)
-	c.until("types", func() bool { s, _, _ := c.do(0, "POST", "/v2/runs", body(t, job(7201, 1))); return s == 201 })
+func TestSubmissionsAtLimitsAreAccepted(t *testing.T) {
+	c := startCluster(t, 1)
+	c.eventually("types", func() bool {
+		s, _, _ := c.request(0, "POST", "/v2/runs", encodeSubmission(t, newJob(7201, 1)))
+		return s == 201
+	})
 	for k, change := range []map[string]any{
 		{"shifts": 100_000}, {"cpus": 4}, {"cpus": 4.0, "memory_gb": 16.0}, {"breeds": []string{"barge", "box"}}, {"pasture": "a"}, {"due_s": 0.5},
 		{"shape": "daemon", "shifts": 8}, {"shape": "daemon", "scatter": true, "together": true, "pasture": "a"},
@@ -742,7 +754,7 @@
 		{"shape": "daemon", "shifts": 2, "together": true}, {"shape": "daemon", "shifts": 2, "scatter": true, "together": true},
 		{"shape": "daemon", "shifts": 3, "scatter": true, "pasture": "a"}, {"loaners": true}, {"colour": "blue", "size": []int{1}},
 	} {
-		m := fields(fmt.Sprintf("run-%06d", 7300+k))
+		m := submissionFields(fmt.Sprintf("run-%06d", 7300+k))
 		for _, f := range []string{"breeds", "pasture", "due_s"} {
 			if k%2 == 0 {
 				delete(m, f)
@@ -755,7 +767,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if s, _, _ := c.do(0, "POST", "/v2/runs", b); s != 201 {
+		if s, _, _ := c.request(0, "POST", "/v2/runs", b); s != 201 {
 			t.Errorf("%v: %d", change, s)
 		}
 	}
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -19,11 +19,11 @@
 
 // Paths of requests that are answered at once.
 const (
-	checkinPath = "/checkin"
-	healthPath  = "/healthz"
+	heartbeatPath = "/checkin"
+	healthPath    = "/healthz"
 )
 
-func newEcho(log *slog.Logger) *echo.Echo {
+func newRouter(log *slog.Logger) *echo.Echo {
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
 	e.HTTPErrorHandler = func(err error, c echo.Context) {
@@ -35,30 +35,30 @@
 			log.Error("request", "path", c.Path(), "err", err)
 		}
 		if !c.Response().Committed {
-			_ = send(c, status, wire.Error{Error: http.StatusText(status)})
+			_ = writeMessage(c, status, wire.ErrorReply{Message: http.StatusText(status)})
 		}
 	}
 	return e
 }
 
-// Brief reports whether a request's handler answers without waiting for anybody.
-func Brief(r *http.Request) bool {
-	return r.URL.Path == checkinPath || r.URL.Path == healthPath
+// NonBlocking reports whether a request's handler answers without waiting for anybody.
+func NonBlocking(r *http.Request) bool {
+	return r.URL.Path == heartbeatPath || r.URL.Path == healthPath
 }
 
-// New makes the handler for users, workers, health checks and operators. Where the
+// NewHandler makes the handler for users, workers, health checks and operators. Where the
 // listener is crowded, users' connections are closed after their answer: workers
 // rank first, and find none free otherwise.
-func New(n *node.Node, log *slog.Logger, crowded func() bool) http.Handler {
-	e := newEcho(log)
+func NewHandler(n *node.Controller, log *slog.Logger, crowded func() bool) http.Handler {
+	e := newRouter(log)
 	answer := func(c echo.Context, a node.Answer) error {
 		if crowded() {
 			c.Response().Header().Set("Connection", "close")
 		}
-		return answer(c, a)
+		return writeAnswer(c, a)
 	}
 	e.POST("/v2/runs", func(c echo.Context) error {
-		body, err := read(c)
+		body, err := readBody(c)
 		if err != nil {
 			return err
 		}
@@ -76,68 +76,68 @@
 		}
 		return c.NoContent(http.StatusOK)
 	})
-	e.POST(checkinPath, func(c echo.Context) error {
-		body, err := read(c)
+	e.POST(heartbeatPath, func(c echo.Context) error {
+		body, err := readBody(c)
 		if err != nil {
 			return err
 		}
-		var r wire.Report
+		var r wire.Heartbeat
 		err = wire.Unmarshal(body, &r)
 		if err == nil {
-			err = r.Check()
+			err = r.Validate()
 		}
 		if err != nil {
 			log.Error("malformed report", "from", c.Request().RemoteAddr, "err", err)
-			return send(c, http.StatusBadRequest, wire.Error{Error: err.Error()})
+			return writeMessage(c, http.StatusBadRequest, wire.ErrorReply{Message: err.Error()})
 		}
-		a := n.Checkin(&r)
+		a := n.Heartbeat(&r)
 		switch a.Status {
 		case http.StatusOK:
-			return send(c, a.Status, a.Reply)
+			return writeMessage(c, a.Status, a.Reply)
 		case http.StatusMisdirectedRequest:
-			return send(c, a.Status, a.Redirect)
+			return writeMessage(c, a.Status, a.Redirect)
 		}
-		return send(c, a.Status, wire.Error{Error: "no leader known"})
+		return writeMessage(c, a.Status, wire.ErrorReply{Message: "no leader known"})
 	})
-	operators(e, n)
+	registerOperatorRoutes(e, n)
 	return e
 }
 
-// NewMesh makes the handler for peers.
-func NewMesh(n *node.Node, log *slog.Logger) http.Handler {
-	e := newEcho(log)
+// NewPeerHandler makes the handler for peers.
+func NewPeerHandler(n *node.Controller, log *slog.Logger) http.Handler {
+	e := newRouter(log)
 	e.POST(mesh.PingPath, func(c echo.Context) error {
 		var p mesh.Ping
-		if err := decode(c, 2*wire.MaxBody, &p); err != nil {
+		if err := decodeBody(c, 2*wire.MaxBody, &p); err != nil {
 			log.Error("malformed ping", "from", c.Request().RemoteAddr)
 			return err
 		}
-		return send(c, http.StatusOK, n.Ping(p))
+		return writeMessage(c, http.StatusOK, n.HandlePing(p))
 	})
-	e.POST(mesh.HoldPath, func(c echo.Context) error {
+	e.POST(mesh.WatchProcessPath, func(c echo.Context) error {
 		// Nothing is kept from anybody here: peers ask for this answer only to
 		// notice at once when this process ends.
-		t := time.NewTimer(tuning.HoldFor)
+		t := time.NewTimer(tuning.PeerWatchTimeout)
 		defer t.Stop()
 		select {
 		case <-t.C:
 		case <-c.Request().Context().Done():
 		}
-		return send(c, http.StatusOK, struct{}{})
+		return writeMessage(c, http.StatusOK, struct{}{})
 	})
 	e.POST(mesh.ForwardPath, func(c echo.Context) error {
-		var f mesh.Forward
+		var f mesh.ForwardRequest
 		// A submission's bytes above 0x7f take two bytes each as text.
-		if err := decode(c, 2*wire.MaxBody+1024, &f); err != nil {
+		if err := decodeBody(c, 2*wire.MaxBody+1024, &f); err != nil {
 			log.Error("malformed forward", "from", c.Request().RemoteAddr)
 			return err
 		}
-		return send(c, http.StatusOK, n.Forwarded(c.Request().Context(), f))
+		return writeMessage(c, http.StatusOK, n.HandleForward(c.Request().Context(), f))
 	})
 	return e
 }
 
-func decode(c echo.Context, limit int64, v any) error {
+func decodeBody(c echo.Context, limit int64, v any) error {
 	b, err := io.ReadAll(io.LimitReader(c.Request().Body, limit+1))
 	if err != nil || int64(len(b)) > limit || wire.Unmarshal(b, v) != nil {
 		return echo.NewHTTPError(http.StatusBadRequest)
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// read reads a body of at most the protocol's limit.
-func read(c echo.Context) ([]byte, error) {
+// readBody reads a body of at most the protocol's limit.
+func readBody(c echo.Context) ([]byte, error) {
 	r := c.Request()
 	if r.ContentLength > wire.MaxBody {
 		return nil, echo.NewHTTPError(http.StatusRequestEntityTooLarge)
@@ -161,7 +161,7 @@
 	return b, nil
 }
 
-func send(c echo.Context, status int, v any) error {
+func writeMessage(c echo.Context, status int, v any) error {
 	b, err := wire.Marshal(v)
 	if err != nil {
 		return err
@@ -169,18 +169,18 @@
 	return c.Blob(status, wire.ContentType, b)
 }
 
-func answer(c echo.Context, a node.Answer) error {
+func writeAnswer(c echo.Context, a node.Answer) error {
 	switch {
 	case a.View != nil:
-		return send(c, a.Status, a.View)
+		return writeMessage(c, a.Status, a.View)
 	case a.State != nil:
-		return send(c, a.Status, a.State)
+		return writeMessage(c, a.Status, a.State)
 	}
 	if a.Status == http.StatusServiceUnavailable || a.Status == http.StatusTooManyRequests {
-		c.Response().Header().Set("Retry-After", strconv.Itoa(tuning.RetryAfter))
+		c.Response().Header().Set("Retry-After", strconv.Itoa(tuning.RetryAfterS))
 		// The load balancer works on connections: on a new one the user may
 		// come to a node that is better placed.
 		c.Response().Header().Set("Connection", "close")
 	}
-	return send(c, a.Status, wire.Error{Error: a.Error})
+	return writeMessage(c, a.Status, wire.ErrorReply{Message: a.Error})
 }
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -25,10 +25,10 @@
 
 // cluster is a few real controllers against the stand-ins, all on loopback.
 type cluster struct {
-	t     testing.TB
-	site  *standin.Site
-	addrs []string
-	stops []func()
+	t          testing.TB
+	simulation *standin.Deployment
+	userAddrs  []string
+	stopFuncs  []func()
 
 	peerAddrs []string
 	handlers  []http.Handler // of users and workers, in the order in which they began
@@ -38,8 +38,8 @@
 	ctx      context.Context
 }
 
-// run starts controller i on its listeners.
-func (c *cluster) run(ctx context.Context, i int, user, peer net.Listener) {
+// startController starts controller i on its listeners.
+func (c *cluster) startController(ctx context.Context, i int, user, peer net.Listener) {
 	cfg, err := config.Parse([]byte(c.settings[i]))
 	if err != nil {
 		c.t.Fatal(err)
@@ -47,29 +47,29 @@
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	n := node.New(cfg, c.policy, log)
 	nctx, stop := context.WithCancel(ctx)
-	handler := api.New(n, log, func() bool { return false })
+	handler := api.NewHandler(n, log, func() bool { return false })
 	c.handlers = append(c.handlers, handler)
-	us := httpd.New(handler, api.Brief, log)
-	ps := &http.Server{Handler: api.NewMesh(n, log)}
+	us := httpd.New(handler, api.NonBlocking, log)
+	ps := &http.Server{Handler: api.NewPeerHandler(n, log)}
 	go func() { _ = us.Serve(user) }()
 	go func() { _ = ps.Serve(peer) }()
 	done := make(chan struct{})
 	go func() { n.Run(nctx); close(done) }()
 	c.ctx = ctx
-	c.stops = append(c.stops, func() { us.Close(); ps.Close(); stop(); <-done })
+	c.stopFuncs = append(c.stopFuncs, func() { us.Close(); ps.Close(); stop(); <-done })
 }
 
-// restart ends controller i and starts it anew, on new ports for users.
-func (c *cluster) restart(i int) int {
-	c.stops[i]()
-	c.stops[i] = func() {}
-	user, peer := listen(c.t), listen(c.t)
-	c.addrs[i] = user.Addr().String()
-	c.run(c.ctx, i, user, peer)
+// restartController ends controller i and starts it anew, on new ports for users.
+func (c *cluster) restartController(i int) int {
+	c.stopFuncs[i]()
+	c.stopFuncs[i] = func() {}
+	user, peer := listenLoopback(c.t), listenLoopback(c.t)
+	c.userAddrs[i] = user.Addr().String()
+	c.startController(c.ctx, i, user, peer)
 	return i
 }
 
-func listen(t testing.TB) net.Listener {
+func listenLoopback(t testing.TB) net.Listener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -77,30 +77,30 @@
 	return l
 }
 
-func start(t testing.TB, size int) *cluster {
-	return startWith(t, size, policy.Defaults(false), teamLimit)
+func startCluster(t testing.TB, size int) *cluster {
+	return startClusterWith(t, size, policy.Defaults(false), defaultTeamLimit)
 }
 
-// teamLimit is the limit of the team in CPUs, where a test sets no other.
-const teamLimit = 8.0
+// defaultTeamLimit is the limit of the team in CPUs, where a test sets no other.
+const defaultTeamLimit = 8.0
 
-func startWith(t testing.TB, size int, operators policy.Settings, limit float64) *cluster {
+func startClusterWith(t testing.TB, size int, operators policy.Settings, limit float64) *cluster {
 	c := &cluster{t: t, policy: operators}
 	ctx, cancel := context.WithCancel(context.Background())
 	var users, peers []net.Listener
 	nodes := map[string]string{}
 	for i := range size {
-		users, peers = append(users, listen(t)), append(peers, listen(t))
+		users, peers = append(users, listenLoopback(t)), append(peers, listenLoopback(t))
 		c.peerAddrs = append(c.peerAddrs, peers[i].Addr().String())
-		c.addrs = append(c.addrs, users[i].Addr().String())
-		nodes[fmt.Sprintf("drover-%d", i)] = c.addrs[i]
+		c.userAddrs = append(c.userAddrs, users[i].Addr().String())
+		nodes[fmt.Sprintf("drover-%d", i)] = c.userAddrs[i]
 	}
-	types := []wire.MachineType{{Name: "box", CPUs: 4, MemoryGB: 16, CacheGB: 40, FetchGBs: 50, Price: 1, SpotCost: 0.4, BootS: 0.2, Zones: []string{"a"}}}
-	c.site = standin.NewSite(types, map[string]float64{"crew": limit}, nodes, 200*time.Millisecond, 200*time.Millisecond, 12*time.Second)
-	state, cloud := httptest.NewServer(c.site.State()), httptest.NewServer(c.site.Cloud(ctx))
+	types := []wire.MachineType{{Name: "box", CPUs: 4, MemoryGB: 16, CacheGB: 40, FetchGBPerS: 50, Price: 1, SpotPrice: 0.4, BootS: 0.2, Zones: []string{"a"}}}
+	c.simulation = standin.NewDeployment(types, map[string]float64{"crew": limit}, nodes, 200*time.Millisecond, 200*time.Millisecond, 12*time.Second)
+	state, cloud := httptest.NewServer(c.simulation.KVStoreHandler()), httptest.NewServer(c.simulation.CloudHandler(ctx))
 	for i := range size {
 		var b strings.Builder
-		fmt.Fprintf(&b, "node = \"drover-%d\"\ndomain = \"a\"\nbind = %q\nmesh_addr = %q\n", i, c.addrs[i], peers[i].Addr())
+		fmt.Fprintf(&b, "node = \"drover-%d\"\ndomain = \"a\"\nbind = %q\nmesh_addr = %q\n", i, c.userAddrs[i], peers[i].Addr())
 		for k := range size {
 			if k != i {
 				fmt.Fprintf(&b, "[[seeds]]\nnode = \"drover-%d\"\ndomain = \"a\"\naddr = %q\n", k, peers[k].Addr())
@@ -129,10 +129,10 @@
 list_lag_s = 1.0
 `, limit)
 		c.settings = append(c.settings, b.String())
-		c.run(ctx, i, users[i], peers[i])
+		c.startController(ctx, i, users[i], peers[i])
 	}
 	t.Cleanup(func() {
-		for _, s := range c.stops {
+		for _, s := range c.stopFuncs {
 			s()
 		}
 		cancel()
@@ -143,9 +143,9 @@
 	return c
 }
 
-// do makes a request of node i; status 0 means no answer.
-func (c *cluster) do(i int, method, path string, body []byte) (int, wire.JobView, http.Header) {
-	req, err := http.NewRequest(method, "http://"+c.addrs[i]+path, bytes.NewReader(body))
+// request makes a request of node i; status 0 means no answer.
+func (c *cluster) request(i int, method, path string, body []byte) (int, wire.JobView, http.Header) {
+	req, err := http.NewRequest(method, "http://"+c.userAddrs[i]+path, bytes.NewReader(body))
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -163,8 +163,8 @@
 	return resp.StatusCode, v, resp.Header
 }
 
-// until repeats f until it holds. The bound only ends a test that has failed.
-func (c *cluster) until(what string, f func() bool) {
+// eventually repeats f until it holds. The bound only ends a test that has failed.
+func (c *cluster) eventually(what string, f func() bool) {
 	c.t.Helper()
 	for end := time.Now().Add(60 * time.Second); !f(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -173,13 +173,13 @@
 	}
 }
 
-func job(n, tasks int) *wire.Job {
-	return &wire.Job{ID: fmt.Sprintf("run-%06d", n), Class: "c", Team: "crew", Shape: wire.ShapeArray, Rank: wire.RankNormal,
+func newJob(n, tasks int) *wire.Job {
+	return &wire.Job{ID: fmt.Sprintf("run-%06d", n), Class: "c", Team: "crew", Shape: wire.ShapeArray, Priority: wire.PriorityNormal,
 		Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 0.1}
 }
 
-func body(t testing.TB, j *wire.Job) []byte {
-	b, err := standin.Submission(j)
+func encodeSubmission(t testing.TB, j *wire.Job) []byte {
+	b, err := standin.EncodeSubmission(j)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -188,69 +188,75 @@
 
 // A job's whole life, through two nodes, across the end of the leader; and what
 // users were told stays true.
-func TestJobLifeAcrossFailover(t *testing.T) {
-	c := start(t, 2)
-	first := job(1, 6)
-	c.site.Upload(first, 50*time.Millisecond)
-	c.until("acceptance", func() bool { s, _, _ := c.do(0, "POST", "/v2/runs", body(t, first)); return s == 201 })
-	c.until("completion", func() bool { _, v, _ := c.do(1, "GET", "/v2/runs/run-000001", nil); return v.State == wire.JobDone })
+func TestJobLifecycleAcrossFailover(t *testing.T) {
+	c := startCluster(t, 2)
+	first := newJob(1, 6)
+	c.simulation.UploadJob(first, 50*time.Millisecond)
+	c.eventually("acceptance", func() bool { s, _, _ := c.request(0, "POST", "/v2/runs", encodeSubmission(t, first)); return s == 201 })
+	c.eventually("completion", func() bool {
+		_, v, _ := c.request(1, "GET", "/v2/runs/run-000001", nil)
+		return v.State == wire.JobDone
+	})
 
-	service := job(2, 2)
-	service.Shape, service.Rank = wire.ShapeService, wire.RankProduction
-	c.site.Upload(service, 0)
-	c.until("service accepted", func() bool { s, _, _ := c.do(1, "POST", "/v2/runs", body(t, service)); return s == 201 })
-	c.until("replicas", func() bool { _, v, _ := c.do(0, "GET", "/v2/runs/run-000002", nil); return v.Running == 2 })
+	service := newJob(2, 2)
+	service.Shape, service.Priority = wire.ShapeService, wire.PriorityProduction
+	c.simulation.UploadJob(service, 0)
+	c.eventually("service accepted", func() bool {
+		s, _, _ := c.request(1, "POST", "/v2/runs", encodeSubmission(t, service))
+		return s == 201
+	})
+	c.eventually("replicas", func() bool { _, v, _ := c.request(0, "GET", "/v2/runs/run-000002", nil); return v.Running == 2 })
 
 	leader := 0
-	c.until("a leader", func() bool {
-		for i := range c.addrs {
-			if s, _, _ := c.do(i, "GET", "/yarrowgap/v1/machines", nil); s == 200 {
+	c.eventually("a leader", func() bool {
+		for i := range c.userAddrs {
+			if s, _, _ := c.request(i, "GET", "/yarrowgap/v1/machines", nil); s == 200 {
 				leader = i
 				return true
 			}
 		}
 		return false
 	})
-	c.stops[leader]()
-	c.stops[leader] = func() {}
+	c.stopFuncs[leader]()
+	c.stopFuncs[leader] = func() {}
 	other := 1 - leader
-	long := job(3, 3)
-	c.site.Upload(long, 50*time.Millisecond)
-	c.until("work under the new leader", func() bool {
-		c.do(other, "POST", "/v2/runs", body(t, long))
-		_, v, _ := c.do(other, "GET", "/v2/runs/run-000003", nil)
+	long := newJob(3, 3)
+	c.simulation.UploadJob(long, 50*time.Millisecond)
+	c.eventually("work under the new leader", func() bool {
+		c.request(other, "POST", "/v2/runs", encodeSubmission(t, long))
+		_, v, _ := c.request(other, "GET", "/v2/runs/run-000003", nil)
 		return v.State == wire.JobDone
 	})
-	if s, v, _ := c.do(other, "GET", "/v2/runs/run-000001", nil); s != 200 || v.State != wire.JobDone {
+	if s, v, _ := c.request(other, "GET", "/v2/runs/run-000001", nil); s != 200 || v.State != wire.JobDone {
 		t.Errorf("a done job is now %d %q", s, v.State)
 	}
-	if s, v, _ := c.do(other, "POST", "/v2/runs", body(t, first)); s != 200 || v.State != wire.JobDone {
+	if s, v, _ := c.request(other, "POST", "/v2/runs", encodeSubmission(t, first)); s != 200 || v.State != wire.JobDone {
 		t.Errorf("its repeated submission gets %d %q", s, v.State)
 	}
-	c.until("cancellation", func() bool {
-		s, v, _ := c.do(other, "POST", "/v2/runs/run-000002/withdraw", nil)
+	c.eventually("cancellation", func() bool {
+		s, v, _ := c.request(other, "POST", "/v2/runs/run-000002/withdraw", nil)
 		return s == 200 && v.State == wire.JobCancelled
 	})
-	if _, v, _ := c.do(other, "GET", "/v2/runs/run-000002", nil); v.State != wire.JobCancelled {
+	if _, v, _ := c.request(other, "GET", "/v2/runs/run-000002", nil); v.State != wire.JobCancelled {
 		t.Errorf("a cancelled job is now %q", v.State)
 	}
-	if b := c.site.Broken(); len(b) > 0 {
+	if b := c.simulation.Violations(); len(b) > 0 {
 		t.Error(b)
 	}
 }
 
 // What is wrong with a request is said at once, in the protocol's statuses.
-func TestStatuses(t *testing.T) {
-	c := start(t, 1)
-	good := job(10, 2)
-	c.site.Upload(good, time.Hour)
-	c.until("acceptance", func() bool { s, _, _ := c.do(0, "POST", "/v2/runs", body(t, good)); return s == 201 })
-	changed := job(10, 2)
+func TestRequestStatusCodes(t *testing.T) {
+	c := startCluster(t, 1)
+	good := newJob(10, 2)
+	c.simulation.UploadJob(good, time.Hour)
+	c.eventually("acceptance", func() bool { s, _, _ := c.request(0, "POST", "/v2/runs", encodeSubmission(t, good)); return s == 201 })
+	changed := newJob(10, 2)
 	changed.Team = "nobody"
 	bad := func(mutate func(*wire.Job)) []byte {
-		j := job(11, 1)
+		j := newJob(11, 1)
 		mutate(j)
-		return body(t, j)
+		return encodeSubmission(t, j)
 	}
 	deep := append(bytes.Repeat([]byte{0xa1, 0x61, 'a'}, 2000), 0xf6)
 	due := 5.0
@@ -259,30 +265,30 @@
 		body               []byte
 		want               []int
 	}{
-		{"repeated", "POST", "/v2/runs", body(t, good), []int{200}},
-		{"repeated with another body", "POST", "/v2/runs", body(t, changed), []int{200}},
+		{"repeated", "POST", "/v2/runs", encodeSubmission(t, good), []int{200}},
+		{"repeated with another body", "POST", "/v2/runs", encodeSubmission(t, changed), []int{200}},
 		{"empty", "POST", "/v2/runs", nil, []int{400}},
 		{"not a map", "POST", "/v2/runs", []byte{0x83, 1, 2, 3}, []int{400}},
-		{"cut off", "POST", "/v2/runs", body(t, job(11, 1))[:40], []int{400}},
+		{"cut off", "POST", "/v2/runs", encodeSubmission(t, newJob(11, 1))[:40], []int{400}},
 		{"too deep", "POST", "/v2/runs", deep, []int{400}},
-		{"too large", "POST", "/v2/runs", append(body(t, job(11, 1)), make([]byte, 70<<10)...), []int{400, 413}},
+		{"too large", "POST", "/v2/runs", append(encodeSubmission(t, newJob(11, 1)), make([]byte, 70<<10)...), []int{400, 413}},
 		{"no tasks", "POST", "/v2/runs", bad(func(j *wire.Job) { j.Tasks = 0 }), []int{400}},
 		{"too many tasks", "POST", "/v2/runs", bad(func(j *wire.Job) { j.Tasks = 100001 }), []int{400}},
 		{"negative", "POST", "/v2/runs", bad(func(j *wire.Job) { j.CPUs = -1 }), []int{400}},
 		{"malformed id", "POST", "/v2/runs", bad(func(j *wire.Job) { j.ID = "walk-000001" }), []int{400}},
-		{"unknown rank", "POST", "/v2/runs", bad(func(j *wire.Job) { j.Rank = "high" }), []int{400}},
+		{"unknown rank", "POST", "/v2/runs", bad(func(j *wire.Job) { j.Priority = "high" }), []int{400}},
 		{"unknown team", "POST", "/v2/runs", bad(func(j *wire.Job) { j.Team = "nobody" }), []int{422}},
 		{"fits no machine", "POST", "/v2/runs", bad(func(j *wire.Job) { j.MemoryGB = 99 }), []int{422}},
-		{"no such type", "POST", "/v2/runs", bad(func(j *wire.Job) { j.Types = []string{"barge"} }), []int{422}},
+		{"no such type", "POST", "/v2/runs", bad(func(j *wire.Job) { j.MachineTypes = []string{"barge"} }), []int{422}},
 		{"service over the limit", "POST", "/v2/runs", bad(func(j *wire.Job) { j.Shape, j.Tasks = wire.ShapeService, 9 }), []int{422}},
-		{"array over the limit", "POST", "/v2/runs", bad(func(j *wire.Job) { j.Tasks, j.DueS = 9, &due }), []int{201}},
+		{"array over the limit", "POST", "/v2/runs", bad(func(j *wire.Job) { j.Tasks, j.DeadlineS = 9, &due }), []int{201}},
 		{"unknown job", "GET", "/v2/runs/run-999999", nil, []int{404}},
 		{"unknown job withdrawn", "POST", "/v2/runs/run-999999/withdraw", nil, []int{404}},
 		{"no job's id", "GET", "/v2/runs/walk", nil, []int{404}},
 		{"malformed report", "POST", "/checkin", []byte{0xa0}, []int{400}},
 		{"health", "GET", "/healthz", nil, []int{200}},
 	} {
-		got, _, _ := c.do(0, tc.method, tc.path, tc.body)
+		got, _, _ := c.request(0, tc.method, tc.path, tc.body)
 		ok := false
 		for _, w := range tc.want {
 			ok = ok || got == w
@@ -295,18 +301,21 @@
 
 // While the state service refuses everybody, nothing is promised: new work and
 // open questions get 503 with Retry-After, and what has ended is still known.
-func TestOutageIsSaidAtOnce(t *testing.T) {
-	c := start(t, 1)
-	j := job(20, 1)
-	c.site.Upload(j, 0)
-	c.until("acceptance", func() bool { s, _, _ := c.do(0, "POST", "/v2/runs", body(t, j)); return s == 201 })
-	c.until("completion", func() bool { _, v, _ := c.do(0, "GET", "/v2/runs/run-000020", nil); return v.State == wire.JobDone })
-	c.site.Refuse(true)
-	if s, v, _ := c.do(0, "GET", "/v2/runs/run-000020", nil); s != 200 || v.State != wire.JobDone {
+func TestStoreOutageIsReportedImmediately(t *testing.T) {
+	c := startCluster(t, 1)
+	j := newJob(20, 1)
+	c.simulation.UploadJob(j, 0)
+	c.eventually("acceptance", func() bool { s, _, _ := c.request(0, "POST", "/v2/runs", encodeSubmission(t, j)); return s == 201 })
+	c.eventually("completion", func() bool {
+		_, v, _ := c.request(0, "GET", "/v2/runs/run-000020", nil)
+		return v.State == wire.JobDone
+	})
+	c.simulation.SetKVStoreDown(true)
+	if s, v, _ := c.request(0, "GET", "/v2/runs/run-000020", nil); s != 200 || v.State != wire.JobDone {
 		t.Errorf("ended job: %d %q", s, v.State)
 	}
 	for _, q := range []struct{ method, path string }{{"POST", "/v2/runs"}, {"GET", "/v2/runs/run-000021"}, {"POST", "/v2/runs/run-000021/withdraw"}} {
-		s, _, h := c.do(0, q.method, q.path, body(t, job(21, 1)))
+		s, _, h := c.request(0, q.method, q.path, encodeSubmission(t, newJob(21, 1)))
 		if s != 503 || h.Get("Retry-After") == "" {
 			t.Errorf("%s %s: %d, Retry-After %q", q.method, q.path, s, h.Get("Retry-After"))
 		}
@@ -314,47 +323,53 @@
 			t.Errorf("%s %s: the connection is kept", q.method, q.path)
 		}
 	}
-	c.site.Refuse(false)
-	c.until("a poll answered again", func() bool { s, _, _ := c.do(0, "GET", "/v2/runs/run-000021", nil); return s == 404 })
-	c.until("service again", func() bool { s, _, _ := c.do(0, "POST", "/v2/runs", body(t, job(21, 1))); return s == 201 || s == 200 })
+	c.simulation.SetKVStoreDown(false)
+	c.eventually("a poll answered again", func() bool { s, _, _ := c.request(0, "GET", "/v2/runs/run-000021", nil); return s == 404 })
+	c.eventually("service again", func() bool {
+		s, _, _ := c.request(0, "POST", "/v2/runs", encodeSubmission(t, newJob(21, 1)))
+		return s == 201 || s == 200
+	})
 }
 
 // A controller that starts while the cloud is down takes the machine types from
 // the state service, and goes on accepting.
-func TestTypesOutliveTheCloud(t *testing.T) {
-	c := start(t, 2)
-	j := job(30, 1)
-	c.site.Upload(j, 0)
-	c.until("acceptance", func() bool { s, _, _ := c.do(0, "POST", "/v2/runs", body(t, j)); return s == 201 })
-	c.until("types in the state service", func() bool { return c.site.Has("type/box") })
-	c.site.CloudDown(true)
-	again := c.restart(1)
-	c.until("acceptance while the cloud is down", func() bool {
-		s, _, _ := c.do(again, "POST", "/v2/runs", body(t, job(31, 1)))
+func TestMachineTypesSurviveCloudOutage(t *testing.T) {
+	c := startCluster(t, 2)
+	j := newJob(30, 1)
+	c.simulation.UploadJob(j, 0)
+	c.eventually("acceptance", func() bool { s, _, _ := c.request(0, "POST", "/v2/runs", encodeSubmission(t, j)); return s == 201 })
+	c.eventually("types in the state service", func() bool { return c.simulation.HasKey("type/box") })
+	c.simulation.SetCloudDown(true)
+	again := c.restartController(1)
+	c.eventually("acceptance while the cloud is down", func() bool {
+		s, _, _ := c.request(again, "POST", "/v2/runs", encodeSubmission(t, newJob(31, 1)))
 		return s == 201
 	})
 }
 
 // A node that the state service alone does not serve passes requests to a peer.
-func TestWorkPassesThroughAPeer(t *testing.T) {
-	c := start(t, 2)
-	j := job(40, 1)
-	c.site.Upload(j, time.Hour)
-	c.until("a cluster that accepts", func() bool { s, _, _ := c.do(0, "POST", "/v2/runs", body(t, j)); return s == 201 })
-	closed := listen(t)
+func TestIsolatedControllerForwardsRequestsToPeer(t *testing.T) {
+	c := startCluster(t, 2)
+	j := newJob(40, 1)
+	c.simulation.UploadJob(j, time.Hour)
+	c.eventually("a cluster that accepts", func() bool { s, _, _ := c.request(0, "POST", "/v2/runs", encodeSubmission(t, j)); return s == 201 })
+	closed := listenLoopback(t)
 	closed.Close()
 	c.settings[1] = regexp.MustCompile(`state = "[^"]*"`).ReplaceAllString(c.settings[1], fmt.Sprintf("state = %q", closed.Addr()))
-	cut := c.restart(1)
-	other := job(41, 1)
-	c.site.Upload(other, time.Hour)
-	c.until("acceptance through the peer", func() bool { s, _, _ := c.do(cut, "POST", "/v2/runs", body(t, other)); return s == 201 || s == 200 })
-	if s, v, _ := c.do(cut, "GET", "/v2/runs/run-000040", nil); s != 200 || v.ID != "run-000040" {
+	cut := c.restartController(1)
+	other := newJob(41, 1)
+	c.simulation.UploadJob(other, time.Hour)
+	c.eventually("acceptance through the peer", func() bool {
+		s, _, _ := c.request(cut, "POST", "/v2/runs", encodeSubmission(t, other))
+		return s == 201 || s == 200
+	})
+	if s, v, _ := c.request(cut, "GET", "/v2/runs/run-000040", nil); s != 200 || v.ID != "run-000040" {
 		t.Errorf("poll through the peer: %d %+v", s, v)
 	}
-	if s, v, _ := c.do(cut, "POST", "/v2/runs/run-000041/withdraw", nil); s != 200 || v.State != wire.JobCancelled {
+	if s, v, _ := c.request(cut, "POST", "/v2/runs/run-000041/withdraw", nil); s != 200 || v.State != wire.JobCancelled {
 		t.Errorf("cancellation through the peer: %d %+v", s, v)
 	}
-	if s, _, _ := c.do(cut, "GET", "/v2/runs/run-999999", nil); s != 404 {
+	if s, _, _ := c.request(cut, "GET", "/v2/runs/run-999999", nil); s != 404 {
 		t.Errorf("unknown job through the peer: %d", s)
 	}
 }
--- a/internal/api/cost_test.go
+++ b/internal/api/cost_test.go
@@ -18,11 +18,11 @@
 // What requests cost, through the real handlers of a node that leads. The benchmarks go
 // over loopback and count both ends; the test counts the allocations of the handler alone.
 
-// reportBody is a report of a machine with some running tasks.
-func reportBody(tb testing.TB, machine int, tick uint64, tasks int) []byte {
-	r := wire.Report{Machine: fmt.Sprintf("n-%06d", machine), Address: "127.0.0.1:9", Type: "box", Zone: "a", Session: 1, Tick: tick}
+// heartbeatBody is a report of a machine with some running tasks.
+func heartbeatBody(tb testing.TB, machine int, tick uint64, tasks int) []byte {
+	r := wire.Heartbeat{Machine: fmt.Sprintf("n-%06d", machine), Address: "127.0.0.1:9", Type: "box", Zone: "a", Incarnation: 1, Sequence: tick}
 	for i := range tasks {
-		r.Tasks = append(r.Tasks, wire.TaskReport{Task: wire.TaskName(fmt.Sprintf("run-%06d", machine), i), Attempt: 77, State: wire.TaskRunning})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskName(fmt.Sprintf("run-%06d", machine), i), Attempt: 77, State: wire.TaskRunning})
 	}
 	body, err := wire.Marshal(r)
 	if err != nil {
@@ -31,10 +31,10 @@
 	return body
 }
 
-// leading is one node that leads.
-func leading(tb testing.TB) *cluster {
-	c := start(tb, 1)
-	c.until("a leader", func() bool { status, _, _ := c.do(0, "GET", "/yarrowgap/v1/machines", nil); return status == 200 })
+// startLeader is one node that leads.
+func startLeader(tb testing.TB) *cluster {
+	c := startCluster(tb, 1)
+	c.eventually("a leader", func() bool { status, _, _ := c.request(0, "GET", "/yarrowgap/v1/machines", nil); return status == 200 })
 	return c
 }
 
@@ -42,32 +42,35 @@
 // health allocate no more than they did when the bounds were set: a third more of the
 // garbage that reports make is a collection more in every minute of a leader with two
 // thousand machines.
-func TestAllocationsOfRequests(t *testing.T) {
-	c := leading(t)
-	ended := job(1, 1)
-	c.site.Upload(ended, 0)
-	c.until("acceptance", func() bool { s, _, _ := c.do(0, "POST", "/v2/runs", body(t, ended)); return s == 201 })
-	c.until("completion", func() bool { _, v, _ := c.do(0, "GET", "/v2/runs/run-000001", nil); return v.State == wire.JobDone })
+func TestRequestAllocations(t *testing.T) {
+	c := startLeader(t)
+	ended := newJob(1, 1)
+	c.simulation.UploadJob(ended, 0)
+	c.eventually("acceptance", func() bool { s, _, _ := c.request(0, "POST", "/v2/runs", encodeSubmission(t, ended)); return s == 201 })
+	c.eventually("completion", func() bool {
+		_, v, _ := c.request(0, "GET", "/v2/runs/run-000001", nil)
+		return v.State == wire.JobDone
+	})
 	tick := uint64(0)
 	for _, tc := range []struct {
 		name string
 		most float64
 		make func() *http.Request
 	}{
-		{"report without news", allocsOfReport, func() *http.Request {
+		{"report without news", maxHeartbeatAllocations, func() *http.Request {
 			tick++
-			return httptest.NewRequest("POST", "/checkin", bytes.NewReader(reportBody(t, 900, tick, 0)))
+			return httptest.NewRequest("POST", "/checkin", bytes.NewReader(heartbeatBody(t, 900, tick, 0)))
 		}},
-		{"question", allocsOfQuestion, func() *http.Request { return httptest.NewRequest("GET", "/v2/runs/run-000001", nil) }},
-		{"health", allocsOfHealth, func() *http.Request { return httptest.NewRequest("GET", "/healthz", nil) }},
+		{"question", maxQueryAllocations, func() *http.Request { return httptest.NewRequest("GET", "/v2/runs/run-000001", nil) }},
+		{"health", maxHealthAllocations, func() *http.Request { return httptest.NewRequest("GET", "/healthz", nil) }},
 	} {
 		var requests []*http.Request
-		for range allocRuns + 1 {
+		for range allocationRuns + 1 {
 			requests = append(requests, tc.make())
 		}
 		i := 0
-		got := testing.AllocsPerRun(allocRuns, func() {
-			c.handlers[0].ServeHTTP(discard{http.Header{}}, requests[i])
+		got := testing.AllocsPerRun(allocationRuns, func() {
+			c.handlers[0].ServeHTTP(discardResponse{http.Header{}}, requests[i])
 			i++
 		})
 		t.Logf("%s: %.0f allocations", tc.name, got)
@@ -79,18 +82,18 @@
 
 // Bounds on allocations: what was measured, and a few for what the node does beside.
 const (
-	allocRuns        = 2000
-	allocsOfReport   = 20.0
-	allocsOfQuestion = 14.0
-	allocsOfHealth   = 3.0
+	allocationRuns          = 2000
+	maxHeartbeatAllocations = 20.0
+	maxQueryAllocations     = 14.0
+	maxHealthAllocations    = 3.0
 )
 
-// discard takes an answer and keeps nothing of it.
-type discard struct{ header http.Header }
+// discardResponse takes an answer and keeps nothing of it.
+type discardResponse struct{ header http.Header }
 
-func (d discard) Header() http.Header       { return d.header }
-func (discard) Write(b []byte) (int, error) { return len(b), nil }
-func (discard) WriteHeader(int)             {}
+func (d discardResponse) Header() http.Header       { return d.header }
+func (discardResponse) Write(b []byte) (int, error) { return len(b), nil }
+func (discardResponse) WriteHeader(int)             {}
 
 // rawClient speaks HTTP on one connection, with few allocations of its own.
 type rawClient struct {
@@ -124,8 +127,8 @@
 	return append([]byte(head), body...)
 }
 
-// benchmark sends the requests that next makes, one after the other.
-func benchmark(b *testing.B, addr string, next func(i int) []byte) {
+// benchmarkRequests sends the requests that next makes, one after the other.
+func benchmarkRequests(b *testing.B, addr string, next func(i int) []byte) {
 	client := dialRaw(b, addr)
 	requests := make([][]byte, b.N)
 	for i := range requests {
@@ -138,26 +141,26 @@
 	}
 }
 
-func BenchmarkReport(b *testing.B) {
+func BenchmarkHeartbeat(b *testing.B) {
 	for _, tasks := range []int{0, 4} {
 		b.Run(fmt.Sprintf("tasks=%d", tasks), func(b *testing.B) {
-			c := leading(b)
-			benchmark(b, c.addrs[0], func(i int) []byte { return rawRequest("POST", "/checkin", reportBody(b, 1, uint64(i+1), tasks)) })
+			c := startLeader(b)
+			benchmarkRequests(b, c.userAddrs[0], func(i int) []byte { return rawRequest("POST", "/checkin", heartbeatBody(b, 1, uint64(i+1), tasks)) })
 		})
 	}
 }
 
 // A report with news is one of a task that was not known there a report before.
-func BenchmarkReportWithNews(b *testing.B) {
-	c := leading(b)
-	benchmark(b, c.addrs[0], func(i int) []byte { return rawRequest("POST", "/checkin", reportBody(b, 1, uint64(i+1), i%2)) })
+func BenchmarkHeartbeatWithChanges(b *testing.B) {
+	c := startLeader(b)
+	benchmarkRequests(b, c.userAddrs[0], func(i int) []byte { return rawRequest("POST", "/checkin", heartbeatBody(b, 1, uint64(i+1), i%2)) })
 }
 
 func BenchmarkSubmission(b *testing.B) {
-	c := leading(b)
-	benchmark(b, c.addrs[0], func(i int) []byte {
-		j := job(i+1, 1)
-		raw, err := standin.Submission(j)
+	c := startLeader(b)
+	benchmarkRequests(b, c.userAddrs[0], func(i int) []byte {
+		j := newJob(i+1, 1)
+		raw, err := standin.EncodeSubmission(j)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -166,16 +169,16 @@
 }
 
 func BenchmarkHealth(b *testing.B) {
-	c := leading(b)
-	benchmark(b, c.addrs[0], func(int) []byte { return rawRequest("GET", "/healthz", nil) })
+	c := startLeader(b)
+	benchmarkRequests(b, c.userAddrs[0], func(int) []byte { return rawRequest("GET", "/healthz", nil) })
 }
 
 // A ping is what a node hears from each peer about once a second.
 func BenchmarkPing(b *testing.B) {
-	c := leading(b)
-	raw, err := wire.Marshal(mesh.Ping{Node: "drover-9", Boot: 1, Served: true})
+	c := startLeader(b)
+	raw, err := wire.Marshal(mesh.Ping{Node: "drover-9", BootID: 1, StoreAvailable: true})
 	if err != nil {
 		b.Fatal(err)
 	}
-	benchmark(b, c.peerAddrs[0], func(int) []byte { return rawRequest("POST", mesh.PingPath, raw) })
+	benchmarkRequests(b, c.peerAddrs[0], func(int) []byte { return rawRequest("POST", mesh.PingPath, raw) })
 }
--- a/internal/api/harsh_test.go
+++ b/internal/api/harsh_test.go
@@ -11,45 +11,45 @@
 // A repeated submission of an accepted job never gets 400 or 422, whatever has become of
 // its body, and also while the state service refuses: what cannot be looked up cannot be
 // decided.
-func TestRepeatedSubmissionIsNeverCalledMalformed(t *testing.T) {
-	c := start(t, 1)
-	j := job(1, 1)
+func TestIdempotentSubmissionIsNeverInvalid(t *testing.T) {
+	c := startCluster(t, 1)
+	j := newJob(1, 1)
 	j.Shape = wire.ShapeService
-	c.until("acceptance", func() bool { s, _, _ := c.do(0, "POST", "/v2/runs", body(t, j)); return s == 201 })
+	c.eventually("acceptance", func() bool { s, _, _ := c.request(0, "POST", "/v2/runs", encodeSubmission(t, j)); return s == 201 })
 	lacking, err := wire.Marshal(map[string]any{"uid": j.ID, "docket": "c"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	long := *j
-	long.Types = []string{"box"}
+	long.MachineTypes = []string{"box"}
 	for i := range 40 {
-		long.Types = append(long.Types, fmt.Sprint(strings.Repeat("x", 190), i))
+		long.MachineTypes = append(long.MachineTypes, fmt.Sprint(strings.Repeat("x", 190), i))
 	}
 	unfit := *j
 	unfit.MemoryGB = 99
-	repeats := map[string][]byte{"lacks fields": lacking, "is too long": body(t, &long), "fits nowhere": body(t, &unfit)}
+	repeats := map[string][]byte{"lacks fields": lacking, "is too long": encodeSubmission(t, &long), "fits nowhere": encodeSubmission(t, &unfit)}
 	for name, b := range repeats {
-		if s, _, _ := c.do(0, "POST", "/v2/runs", b); s != 200 {
+		if s, _, _ := c.request(0, "POST", "/v2/runs", b); s != 200 {
 			t.Errorf("a repeat that %s gets %d", name, s)
 		}
 	}
-	c.site.Refuse(true)
+	c.simulation.SetKVStoreDown(true)
 	for name, b := range repeats {
-		if s, _, _ := c.do(0, "POST", "/v2/runs", b); s != 503 {
+		if s, _, _ := c.request(0, "POST", "/v2/runs", b); s != 503 {
 			t.Errorf("a repeat that %s gets %d while the state service refuses", name, s)
 		}
 	}
-	c.site.Refuse(false)
+	c.simulation.SetKVStoreDown(false)
 	if t.Failed() {
 		return
 	}
 	for name, b := range repeats {
-		c.until("an answer after the outage to a repeat that "+name, func() bool { s, _, _ := c.do(0, "POST", "/v2/runs", b); return s == 200 })
+		c.eventually("an answer after the outage to a repeat that "+name, func() bool { s, _, _ := c.request(0, "POST", "/v2/runs", b); return s == 200 })
 	}
 	// Of a job that nobody has accepted, the same are refused.
 	for name, b := range repeats {
 		fresh := []byte(strings.ReplaceAll(string(b), j.ID, "run-000002"))
-		if s, _, _ := c.do(0, "POST", "/v2/runs", fresh); s != 400 && s != 422 {
+		if s, _, _ := c.request(0, "POST", "/v2/runs", fresh); s != 400 && s != 422 {
 			t.Errorf("a new job that %s gets %d", name, s)
 		}
 	}
--- a/internal/api/operators.go
+++ b/internal/api/operators.go
@@ -18,7 +18,7 @@
 // for people and scripts; a later administration API has room beside them.
 const OperatorPath = "/yarrowgap/v1"
 
-func operators(e *echo.Echo, n *node.Node) {
+func registerOperatorRoutes(e *echo.Echo, n *node.Controller) {
 	g := e.Group(OperatorPath)
 	number := func(c echo.Context, name string, def, hi int) int {
 		v, err := strconv.Atoi(c.QueryParam(name))
@@ -31,7 +31,7 @@
 	g.GET("/machines", func(c echo.Context) error {
 		list, ok := n.MachinesView(c.QueryParam("from"), number(c, "most", 100, 500))
 		if !ok {
-			return notLeader(c, n)
+			return writeNotLeader(c, n)
 		}
 		return c.JSON(http.StatusOK, list)
 	})
@@ -39,7 +39,7 @@
 		d, found, err := n.JobView(c.Request().Context(), c.Param("id"))
 		switch {
 		case err != nil:
-			return unavailable(c, "cannot be told now")
+			return writeUnavailable(c, "cannot be told now")
 		case !found:
 			return c.JSON(http.StatusNotFound, map[string]string{"error": "no such job"})
 		}
@@ -48,14 +48,14 @@
 	g.GET("/waiting", func(c echo.Context) error {
 		list, ok := n.WaitingView(c.QueryParam("from"), number(c, "most", 100, 500))
 		if !ok {
-			return notLeader(c, n)
+			return writeNotLeader(c, n)
 		}
 		return c.JSON(http.StatusOK, list)
 	})
 	g.GET("/failures", func(c echo.Context) error {
 		list, ok := n.FailuresView(number(c, "skip", 0, 1<<20), number(c, "most", 100, 500))
 		if !ok {
-			return notLeader(c, n)
+			return writeNotLeader(c, n)
 		}
 		return c.JSON(http.StatusOK, list)
 	})
@@ -63,9 +63,9 @@
 		status, ok, err := n.RecoveryView()
 		switch {
 		case err != nil:
-			return unavailable(c, err.Error())
+			return writeUnavailable(c, err.Error())
 		case !ok:
-			return notLeader(c, n)
+			return writeNotLeader(c, n)
 		}
 		return c.JSON(http.StatusOK, status)
 	})
@@ -74,9 +74,9 @@
 		if err != nil {
 			return c.JSON(http.StatusBadRequest, map[string]string{"error": err.Error()})
 		}
-		list, ok := n.DifferencesView(q.class, q.skip, q.most)
+		list, ok := n.DifferencesView(q.class, q.skip, q.limit)
 		if !ok {
-			return notLeader(c, n)
+			return writeNotLeader(c, n)
 		}
 		return c.JSON(http.StatusOK, list)
 	})
@@ -85,19 +85,19 @@
 
 // differencesQuery is what a client asks of the recovery's differences.
 type differencesQuery struct {
-	class      recovery.Class
-	skip, most int
+	class       recovery.Class
+	skip, limit int
 }
 
 // The page of a list when its size is not given, and at most.
 const (
-	pageDefault = 100
-	pageMost    = 500
+	defaultPageSize = 100
+	maxPageSize     = 500
 )
 
 // parseDifferencesQuery names the parameter that it cannot take.
 func parseDifferencesQuery(params url.Values) (q differencesQuery, err error) {
-	q.most = pageDefault
+	q.limit = defaultPageSize
 	for name, values := range params {
 		value := values[0]
 		switch name {
@@ -110,7 +110,7 @@
 		case "skip":
 			q.skip, err = parseCount(name, value, 0, math.MaxInt32)
 		case "most":
-			q.most, err = parseCount(name, value, 1, pageMost)
+			q.limit, err = parseCount(name, value, 1, maxPageSize)
 		default:
 			err = fmt.Errorf("%s: no such parameter", name)
 		}
@@ -121,22 +121,22 @@
 	return q, nil
 }
 
-func parseCount(name, value string, least, most int) (int, error) {
+func parseCount(name, value string, minimum, maximum int) (int, error) {
 	n, err := strconv.Atoi(value)
-	if err != nil || n < least || n > most {
-		return 0, fmt.Errorf("%s: must be a number from %d to %d, is %q", name, least, most, value)
+	if err != nil || n < minimum || n > maximum {
+		return 0, fmt.Errorf("%s: must be a number from %d to %d, is %q", name, minimum, maximum, value)
 	}
 	return n, nil
 }
 
-// unavailable says why something cannot be told now.
-func unavailable(c echo.Context, why string) error {
-	c.Response().Header().Set("Retry-After", strconv.Itoa(tuning.RetryAfter))
-	return c.JSON(http.StatusServiceUnavailable, map[string]string{"error": why})
+// writeUnavailable says why something cannot be told now.
+func writeUnavailable(c echo.Context, reason string) error {
+	c.Response().Header().Set("Retry-After", strconv.Itoa(tuning.RetryAfterS))
+	return c.JSON(http.StatusServiceUnavailable, map[string]string{"error": reason})
 }
 
-func notLeader(c echo.Context, n *node.Node) error {
-	c.Response().Header().Set("Retry-After", strconv.Itoa(tuning.RetryAfter))
+func writeNotLeader(c echo.Context, n *node.Controller) error {
+	c.Response().Header().Set("Retry-After", strconv.Itoa(tuning.RetryAfterS))
 	return c.JSON(http.StatusServiceUnavailable, map[string]string{
 		"error": "this node does not lead", "leader": n.LeaderView().Leader})
 }
--- a/internal/api/recovery_test.go
+++ b/internal/api/recovery_test.go
@@ -16,9 +16,9 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// get asks node i for an operators' page in JSON.
-func (c *cluster) get(i int, path string, v any) int {
-	resp, err := http.Get("http://" + c.addrs[i] + "/yarrowgap/v1" + path)
+// getOperatorView asks node i for an operators' page in JSON.
+func (c *cluster) getOperatorView(i int, path string, v any) int {
+	resp, err := http.Get("http://" + c.userAddrs[i] + "/yarrowgap/v1" + path)
 	if err != nil {
 		return 0
 	}
@@ -32,11 +32,11 @@
 	return resp.StatusCode
 }
 
-// settled waits until the leader's recovery is settled, with all that it asked for done.
-func (c *cluster) settled() (status recovery.Status) {
-	c.until("a settled recovery", func() bool {
-		for i := range c.addrs {
-			if c.get(i, "/recovery", &status) == http.StatusOK && status.Phase == recovery.Settled.String() {
+// waitUntilSettled waits until the leader's recovery is settled, with all that it asked for done.
+func (c *cluster) waitUntilSettled() (status recovery.Status) {
+	c.eventually("a settled recovery", func() bool {
+		for i := range c.userAddrs {
+			if c.getOperatorView(i, "/recovery", &status) == http.StatusOK && status.Phase == recovery.Settled.String() {
 				return true
 			}
 		}
@@ -45,67 +45,67 @@
 	return status
 }
 
-// stopAll ends all controllers, and startAll starts them anew at their addresses.
-func (c *cluster) stopAll() {
-	for i := range c.addrs {
-		c.stops[i]()
+// stopAllControllers ends all controllers, and startAllControllers starts them anew at their addresses.
+func (c *cluster) stopAllControllers() {
+	for i := range c.userAddrs {
+		c.stopFuncs[i]()
 	}
 }
 
-func (c *cluster) startAll() {
-	c.stops = nil
-	for i := range c.addrs {
+func (c *cluster) startAllControllers() {
+	c.stopFuncs = nil
+	for i := range c.userAddrs {
 		var listeners [2]net.Listener
-		for k, addr := range []string{c.addrs[i], c.peerAddrs[i]} {
-			c.until("a free address", func() (ok bool) {
+		for k, addr := range []string{c.userAddrs[i], c.peerAddrs[i]} {
+			c.eventually("a free address", func() (ok bool) {
 				l, err := net.Listen("tcp", addr)
 				listeners[k] = l
 				return err == nil
 			})
 		}
-		c.run(c.ctx, i, listeners[0], listeners[1])
+		c.startController(c.ctx, i, listeners[0], listeners[1])
 	}
 }
 
 const (
-	recoveryMachines = 50
-	machineTasks     = 4 // that fill a machine
+	reconcileMachines = 50
+	tasksPerMachine   = 4 // that fill a machine
 )
 
-// fifty starts three controllers and fifty machines that are full of long tasks.
-func fifty(t *testing.T) *cluster {
+// startLoadedCluster starts three controllers and fifty machines that are full of long tasks.
+func startLoadedCluster(t *testing.T) *cluster {
 	operators := policy.Defaults(false)
-	operators.Recovery, operators.SpareShare = true, 0
-	c := startWith(t, 3, operators, 2*recoveryMachines*machineTasks)
+	operators.ReconcileRestarts, operators.HeadroomShare = true, 0
+	c := startClusterWith(t, 3, operators, 2*reconcileMachines*tasksPerMachine)
 	const jobs = 10
 	for i := range jobs {
-		j := job(1+i, recoveryMachines*machineTasks/jobs)
-		c.site.Upload(j, time.Hour)
-		c.until("acceptance", func() bool { s, _, _ := c.do(i%3, "POST", "/v2/runs", body(t, j)); return s == 201 })
+		j := newJob(1+i, reconcileMachines*tasksPerMachine/jobs)
+		c.simulation.UploadJob(j, time.Hour)
+		c.eventually("acceptance", func() bool { s, _, _ := c.request(i%3, "POST", "/v2/runs", encodeSubmission(t, j)); return s == 201 })
 	}
-	c.allRun()
-	if n := len(c.site.Machines()); n != recoveryMachines {
-		t.Fatalf("%d machines, not %d", n, recoveryMachines)
+	c.waitUntilAllRunning()
+	if n := len(c.simulation.MachineNames()); n != reconcileMachines {
+		t.Fatalf("%d machines, not %d", n, reconcileMachines)
 	}
 	return c
 }
 
-// allRun waits until all tasks are on machines.
-func (c *cluster) allRun() {
-	c.until("all tasks on machines", func() bool {
+// waitUntilAllRunning waits until all tasks are on machines.
+func (c *cluster) waitUntilAllRunning() {
+	c.eventually("all tasks on machines", func() bool {
 		n := 0
-		for _, name := range c.site.Machines() {
-			n += c.site.Running(name)
+		for _, name := range c.simulation.MachineNames() {
+			n += c.simulation.ActiveAttempts(name)
 		}
-		return n == recoveryMachines*machineTasks
+		return n == reconcileMachines*tasksPerMachine
 	})
 }
 
-// changes makes differences while the controllers are away, and says which orders they
+// injectDifferences makes differences while the controllers are away, and says which orders they
 // need.
-func (c *cluster) changes(seed uint64) (need standin.OrderCounts) {
+func (c *cluster) injectDifferences(seed uint64) (need standin.OrderCounts) {
 	rnd := rand.New(rand.NewPCG(seed, 5))
-	names := c.site.Machines()
+	names := c.simulation.MachineNames()
 	rnd.Shuffle(len(names), func(a, b int) { names[a], names[b] = names[b], names[a] })
 	take := func(most int) (taken []string) {
 		n := 1 + rnd.IntN(most)
@@ -113,26 +113,26 @@
 		return taken
 	}
 	for _, name := range take(4) { // gone for good: replaced
-		need.Starts += c.site.Running(name)
-		need.Rented++
+		need.Starts += c.simulation.ActiveAttempts(name)
+		need.Provisioned++
 		need.Releases++
-		c.site.Lose(name)
+		c.simulation.TerminateMachine(name)
 	}
 	for _, name := range take(6) { // lost its tasks
-		need.Starts += c.site.Running(name)
-		c.site.Restart(name)
+		need.Starts += c.simulation.ActiveAttempts(name)
+		c.simulation.RestartMachine(name)
 	}
 	for i, name := range take(4) { // lost its tasks, and runs one that nobody knows
-		stray := job(900+i, 1)
+		stray := newJob(900+i, 1)
 		stray.CPUs, stray.Team = 0.1, "crew"
-		c.site.Upload(stray, time.Hour)
-		need.Starts += c.site.Running(name)
+		c.simulation.UploadJob(stray, time.Hour)
+		need.Starts += c.simulation.ActiveAttempts(name)
 		need.Stops++
-		c.site.Restart(name)
-		c.site.Start(name, wire.TaskName(stray.ID, 0), uint64(i+1))
+		c.simulation.RestartMachine(name)
+		c.simulation.StartTask(name, wire.TaskName(stray.ID, 0), uint64(i+1))
 	}
 	for _, name := range take(8) { // late, for longer than a machine is usually given
-		c.site.Silence(name, 8*time.Second)
+		c.simulation.PartitionMachine(name, 8*time.Second)
 	}
 	return need
 }
@@ -140,45 +140,45 @@
 // All controllers end and start anew, with fifty machines at work. What is ordered until
 // all is well again is exactly what was needed, by what the stand-ins know: nothing after
 // a clean restart, and what follows from generated differences else.
-func TestOrdersAfterAColdRestart(t *testing.T) {
-	c := fifty(t)
+func TestCommandsAfterColdRestart(t *testing.T) {
+	c := startLoadedCluster(t)
 	for seed := range uint64(4) {
-		c.site.Orders()
-		c.stopAll()
+		c.simulation.TakeOrders()
+		c.stopAllControllers()
 		var need standin.OrderCounts
 		if seed > 0 {
-			need = c.changes(seed)
+			need = c.injectDifferences(seed)
 		}
-		c.startAll()
-		status := c.settled()
-		c.allRun()
-		if got := c.site.Orders(); got != need {
+		c.startAllControllers()
+		status := c.waitUntilSettled()
+		c.waitUntilAllRunning()
+		if got := c.simulation.TakeOrders(); got != need {
 			t.Errorf("seed %d: ordered %+v, needed %+v\n%+v", seed, got, need, status)
 		}
-		if stops := status.Orders[recovery.OrderStop.String()]; stops.Total != need.Stops || stops.Traced != need.Stops {
+		if stops := status.Operations[recovery.StopOperation.String()]; stops.Total != need.Stops || stops.Attributed != need.Stops {
 			t.Errorf("seed %d: stops as the leader counts them: %+v, needed %d", seed, stops, need.Stops)
 		}
-		if seed == 0 && (status.Differences != 0 || status.Classes[recovery.Confirmed.String()] != recoveryMachines*machineTasks) {
+		if seed == 0 && (status.Differences != 0 || status.Classes[recovery.Confirmed.String()] != reconcileMachines*tasksPerMachine) {
 			t.Errorf("after a clean restart: %+v", status)
 		}
 	}
-	if broken := c.site.Broken(); len(broken) > 0 {
+	if broken := c.simulation.Violations(); len(broken) > 0 {
 		t.Error(broken)
 	}
 }
 
 // The operators' pages say what is wrong with a question, who leads, and that there has
 // been no recovery.
-func TestRecoveryPages(t *testing.T) {
-	c := start(t, 2)
-	c.settled()
+func TestRecoveryEndpoints(t *testing.T) {
+	c := startCluster(t, 2)
+	c.waitUntilSettled()
 	leader := 0
-	if c.get(leader, "/machines", nil) != http.StatusOK {
+	if c.getOperatorView(leader, "/machines", nil) != http.StatusOK {
 		leader = 1
 	}
-	c.until("a node that knows who leads", func() bool {
+	c.eventually("a node that knows who leads", func() bool {
 		var view struct{ Leader string }
-		return c.get(1-leader, "/leader", &view) == http.StatusOK && view.Leader != ""
+		return c.getOperatorView(1-leader, "/leader", &view) == http.StatusOK && view.Leader != ""
 	})
 	var list []recovery.DifferenceView
 	for path, want := range map[string]int{
@@ -186,15 +186,15 @@
 		"/recovery/differences?class=lost": 400, "/recovery/differences?skip=-1": 400, "/recovery/differences?most=0": 400,
 		"/recovery/differences?most=501": 400, "/recovery/differences?most=many": 400, "/recovery/differences?page=2": 400,
 	} {
-		if got := c.get(leader, path, nil); got != want {
+		if got := c.getOperatorView(leader, path, nil); got != want {
 			t.Errorf("%s: %d, want %d", path, got, want)
 		}
 	}
-	if c.get(leader, "/recovery/differences", &list) != 200 || list == nil {
+	if c.getOperatorView(leader, "/recovery/differences", &list) != 200 || list == nil {
 		t.Errorf("an empty page is %v", list)
 	}
 	for _, path := range []string{"/recovery", "/recovery/differences"} {
-		resp, err := http.Get("http://" + c.addrs[1-leader] + "/yarrowgap/v1" + path)
+		resp, err := http.Get("http://" + c.userAddrs[1-leader] + "/yarrowgap/v1" + path)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -204,11 +204,11 @@
 		}
 		resp.Body.Close()
 	}
-	c.site.Refuse(true) // nobody can be elected
-	c.stopAll()
-	c.startAll()
+	c.simulation.SetKVStoreDown(true) // nobody can be elected
+	c.stopAllControllers()
+	c.startAllControllers()
 	var says struct{ Error string }
-	resp, err := http.Get("http://" + c.addrs[0] + "/yarrowgap/v1/recovery")
+	resp, err := http.Get("http://" + c.userAddrs[0] + "/yarrowgap/v1/recovery")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/capacity.go
+++ b/internal/config/capacity.go
@@ -7,34 +7,34 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// Sockets divides the platform's sockets: how many may be for connections of users and
+// SocketLimits divides the platform's sockets: how many may be for connections of users and
 // workers, and how many for direct calls to machines.
-func (s *Settings) Sockets() (taken, calls int) {
+func (s *Settings) SocketLimits() (listener, workerCalls int) {
 	limit := s.Deployment.Quota.FDLimit
 	if limit == 0 {
 		limit = math.MaxInt32 // the platform sets none
 	}
-	taken = max(tuning.ConnsLeast, int(float64(limit)*tuning.SocketShare))
-	return taken, max(tuning.DirectLeast, limit-taken-tuning.SocketsKept)
+	listener = max(tuning.MinConns, int(float64(limit)*tuning.ListenerSocketShare))
+	return listener, max(tuning.MinWorkerCalls, limit-listener-tuning.ReservedSockets)
 }
 
-// Connections is how many connections of users and workers are taken at once: as many as
+// MaxConnections is how many connections of users and workers are taken at once: as many as
 // there are sockets for, and as the memory that is left for them holds, with what the
 // collector lets the heap grow by between two collections.
-func (s *Settings) Connections() int {
-	taken, _ := s.Sockets()
+func (s *Settings) MaxConnections() int {
+	taken, _ := s.SocketLimits()
 	if mem := s.Deployment.Quota.MemMB; mem > 0 {
 		//mutation:connections-by-memory
-		taken = min(taken, int(mem*(1<<20)*tuning.ConnMemoryShare/(tuning.ConnBytes*(1+tuning.GCPercent/100.0))))
+		taken = min(taken, int(mem*(1<<20)*tuning.ConnMemoryShare/(tuning.BytesPerConn*(1+tuning.GCPercent/100.0))))
 	}
-	return max(tuning.ConnsLeast, taken)
+	return max(tuning.MinConns, taken)
 }
 
 // Capacity is for how many machines a controller that leads has room, by each of its
 // limits. What the platform does not limit is 0.
 type Capacity struct {
 	ByConnections int // sockets and memory, see Connections
-	ByProcessor   int
+	ByCPU         int
 }
 
 // Capacity estimates for how many machines this controller has room when it leads.
@@ -42,11 +42,11 @@
 	var c Capacity
 	q := &s.Deployment.Quota
 	if q.FDLimit > 0 || q.MemMB > 0 {
-		c.ByConnections = s.Connections()
+		c.ByConnections = s.MaxConnections()
 	}
 	if q.CPUShare > 0 {
-		perMachine := tuning.ReportCost.Seconds() * tuning.ReportsPerInterval / s.Deployment.Workers.ReportS
-		c.ByProcessor = int(q.CPUShare / perMachine)
+		perMachine := tuning.HeartbeatCPUCost.Seconds() * tuning.HeartbeatsPerInterval / s.Deployment.Workers.ReportS
+		c.ByCPU = int(q.CPUShare / perMachine)
 	}
 	return c
 }
@@ -58,8 +58,8 @@
 	if c.ByConnections > 0 && machines > c.ByConnections {
 		out = append(out, fmt.Sprintf("sockets or memory: connections for %d of %d machines, the other workers are sent away", c.ByConnections, machines))
 	}
-	if c.ByProcessor > 0 && machines > c.ByProcessor {
-		out = append(out, fmt.Sprintf("processor: %v of a core does for the reports of %d of %d machines, the others are answered late", s.Deployment.Quota.CPUShare, c.ByProcessor, machines))
+	if c.ByCPU > 0 && machines > c.ByCPU {
+		out = append(out, fmt.Sprintf("processor: %v of a core does for the reports of %d of %d machines, the others are answered late", s.Deployment.Quota.CPUShare, c.ByCPU, machines))
 	}
 	return out
 }
@@ -74,17 +74,17 @@
 			out = append(out, fmt.Sprintf("deployment.%s is %v, under %.4g: %s", field, have, need, why))
 		}
 	}
-	bits := float64(tuning.BitmapTasks) / 6 / 1024 // in base64
-	short("state.value_kb", d.State.ValueKB, (tuning.RecordKB+bits)/(1-tuning.ValueSlack), "records of large jobs do not fit and are refused")
-	short("state.write_rps", d.State.WriteRPS, 1/tuning.BatchShare, "starts wait for their records for over a second")
+	bits := float64(tuning.TasksPerBitmap) / 6 / 1024 // in base64
+	short("state.value_kb", d.State.ValueKB, (tuning.JobRecordKiB+bits)/(1-tuning.ValueSizeMargin), "records of large jobs do not fit and are refused")
+	short("state.write_rps", d.State.WriteRPS, 1/tuning.BatchWriteShare, "starts wait for their records for over a second")
 	short("state.rps", d.State.RPS, 4*float64(1+len(s.Peers)), "leases, watches and polls of all nodes do not fit")
 	short("workers.lease_s", d.Workers.LeaseS, 2*d.Workers.ReportS, "a late report costs a worker its tasks")
 	short("workers.cancel_s", d.Workers.CancelS, d.Workers.LeaseS+tuning.KeepaliveMargin.Seconds(), "a zone that is cut off cannot be kept alive")
 	if d.Quota.FDLimit > 0 {
-		short("quota.fd_limit", float64(d.Quota.FDLimit), (tuning.SocketsKept+tuning.DirectLeast)/(1-tuning.SocketShare), "too few sockets for our own calls")
+		short("quota.fd_limit", float64(d.Quota.FDLimit), (tuning.ReservedSockets+tuning.MinWorkerCalls)/(1-tuning.ListenerSocketShare), "too few sockets for our own calls")
 	}
 	if d.Quota.MemMB > 0 {
-		short("quota.mem_mb", d.Quota.MemMB, tuning.MemoryLeast, "a fleet of hundreds of machines does not fit")
+		short("quota.mem_mb", d.Quota.MemMB, tuning.MinMemoryMB, "a fleet of hundreds of machines does not fit")
 	}
 	return out
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -22,35 +22,35 @@
 	Addr string `toml:"addr"`
 }
 
-// Team has a guarantee and a limit. Where the file says 0 a guarantee is none, and
+// TeamQuota has a guarantee and a limit. Where the file says 0 a guarantee is none, and
 // so is a limit on CPUs: nothing runs without any, so a team that may have none
 // would not be named. A limit of 0 on GPUs keeps a team off them, unless none of its
 // figures is set: a guest, who uses what is free.
 type Team struct {
-	Name    string  `toml:"name"`
-	CPUs    float64 `toml:"cpus"`
-	CPUsMax float64 `toml:"cpus_max"`
-	GPUs    float64 `toml:"gpus"`
-	GPUsMax float64 `toml:"gpus_max"`
+	Name           string  `toml:"name"`
+	GuaranteedCPUs float64 `toml:"cpus"`
+	MaxCPUs        float64 `toml:"cpus_max"`
+	GuaranteedGPUs float64 `toml:"gpus"`
+	MaxGPUs        float64 `toml:"gpus_max"`
 }
 
 // Objective restates one aim of the deployment.
 type Objective struct {
-	Kind    string  `toml:"kind"`
-	Class   string  `toml:"class"`
-	WithinS float64 `toml:"within_s"`
-	Share   float64 `toml:"share"`
-	Times   float64 `toml:"times"` // of a deadline: the multiple that counts
+	Kind             string  `toml:"kind"`
+	Class            string  `toml:"class"`
+	WithinS          float64 `toml:"within_s"`
+	Share            float64 `toml:"share"`
+	DeadlineMultiple float64 `toml:"times"` // of a deadline: the multiple that counts
 }
 
 // Settings is the whole file.
 type Settings struct {
-	Node     string `toml:"node"`
-	Zone     string `toml:"domain"`
-	Bind     string `toml:"bind"`
-	MeshAddr string `toml:"mesh_addr"`
-	Peers    []Peer `toml:"seeds"`
-	Outside  struct {
+	Node      string `toml:"node"`
+	Zone      string `toml:"domain"`
+	Bind      string `toml:"bind"`
+	PeerAddr  string `toml:"mesh_addr"`
+	Peers     []Peer `toml:"seeds"`
+	Endpoints struct {
 		Cloud string `toml:"cloud"`
 		State string `toml:"state"`
 	} `toml:"outside"`
@@ -107,10 +107,10 @@
 		}
 		return nil, err
 	}
-	return s, s.check()
+	return s, s.validate()
 }
 
-func (s *Settings) check() error {
+func (s *Settings) validate() error {
 	var errs []error
 	bad := func(field, format string, args ...any) {
 		errs = append(errs, fmt.Errorf("%s: %s", field, fmt.Sprintf(format, args...)))
@@ -135,7 +135,7 @@
 	name("node", s.Node)
 	name("domain", s.Zone)
 	addr("bind", s.Bind)
-	addr("mesh_addr", s.MeshAddr)
+	addr("mesh_addr", s.PeerAddr)
 	seen := map[string]bool{s.Node: true}
 	for i, p := range s.Peers {
 		f := fmt.Sprintf("seeds[%d]", i)
@@ -146,8 +146,8 @@
 		}
 		seen[p.Name] = true
 	}
-	addr("outside.cloud", s.Outside.Cloud)
-	addr("outside.state", s.Outside.State)
+	addr("outside.cloud", s.Endpoints.Cloud)
+	addr("outside.state", s.Endpoints.State)
 	d := &s.Deployment
 	if len(d.Zones) == 0 {
 		bad("deployment.zones", "missing")
@@ -163,16 +163,16 @@
 			bad(f+".name", "named twice: %q", t.Name)
 		}
 		teams[t.Name] = true
-		if t.CPUsMax == 0 {
-			d.Teams[i].CPUsMax = math.Inf(1)
-			if t.GPUs == 0 && t.GPUsMax == 0 {
-				d.Teams[i].GPUsMax = math.Inf(1)
+		if t.MaxCPUs == 0 {
+			d.Teams[i].MaxCPUs = math.Inf(1)
+			if t.GuaranteedGPUs == 0 && t.MaxGPUs == 0 {
+				d.Teams[i].MaxGPUs = math.Inf(1)
 			}
 		}
 		for _, v := range []struct {
 			n string
 			v float64
-		}{{"cpus", t.CPUs}, {"cpus_max", t.CPUsMax}, {"gpus", t.GPUs}, {"gpus_max", t.GPUsMax}} {
+		}{{"cpus", t.GuaranteedCPUs}, {"cpus_max", t.MaxCPUs}, {"gpus", t.GuaranteedGPUs}, {"gpus_max", t.MaxGPUs}} {
 			if !(v.v >= 0 && v.v < 1e9) {
 				bad(f+"."+v.n, "out of range: %v", v.v)
 			}
@@ -203,13 +203,13 @@
 // Seconds turns a duration of the settings into one of Go's.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Thrifty reports whether renting should economise: if price or useful work is
+// CostSensitive reports whether renting should economise: if price or useful work is
 // an aim, or if the aims on starts are loose. The settings restate the aims on
 // starting and finishing alone, so the looseness of those is the sign that a
 // deployment has: one that lets work within a guarantee wait for many seconds, or
 // a tenth of it be late, does not ask for capacity that stands ready. Where no aim
 // is on guarantees, those on the starts of classes decide.
-func (s *Settings) Thrifty() bool {
+func (s *Settings) CostSensitive() bool {
 	starts, loose := map[string]int{}, map[string]int{}
 	for _, o := range s.Deployment.Objectives {
 		switch o.Kind {
@@ -217,7 +217,7 @@
 			return true
 		case "wait", "guarantee":
 			starts[o.Kind]++
-			if o.Share < tuning.LooseShare || Seconds(o.WithinS) >= tuning.PatientStart {
+			if o.Share < tuning.LooseStartShare || Seconds(o.WithinS) >= tuning.LooseStartDelay {
 				loose[o.Kind]++
 			}
 		}
@@ -230,9 +230,9 @@
 	return false
 }
 
-// GuaranteeWithin is how soon work within a guarantee should start: the
+// GuaranteeStartTarget is how soon work within a guarantee should start: the
 // tightest of the aims on that, or a default.
-func (s *Settings) GuaranteeWithin() time.Duration {
+func (s *Settings) GuaranteeStartTarget() time.Duration {
 	d := time.Duration(0)
 	for _, o := range s.Deployment.Objectives {
 		if w := Seconds(o.WithinS); o.Kind == "guarantee" && w > 0 && (d == 0 || w < d) {
@@ -240,7 +240,7 @@
 		}
 	}
 	if d == 0 {
-		return tuning.GuaranteeWithin
+		return tuning.DefaultGuaranteeStartTarget
 	}
 	return d
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,7 +9,7 @@
 	"github.com/yarrowgap/yarrowgap/internal/config"
 )
 
-func example(t *testing.T) string {
+func exampleSettings(t *testing.T) string {
 	b, err := os.ReadFile("../../examples/local.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -17,8 +17,8 @@
 	return string(b)
 }
 
-func TestExampleAndUnknownFields(t *testing.T) {
-	s, err := config.Parse([]byte("later = 1\n" + example(t) + "\n[deployment.later]\nx = [1, 2]\n"))
+func TestUnknownFieldsAreIgnored(t *testing.T) {
+	s, err := config.Parse([]byte("later = 1\n" + exampleSettings(t) + "\n[deployment.later]\nx = [1, 2]\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 		{`state = "127.0.0.1:7000"`, ``, "outside.state"},
 		{`size = 1`, `size = = 1`, "line"},
 	} {
-		text := example(t)
+		text := exampleSettings(t)
 		if !strings.Contains(text, tc.old) {
 			t.Fatalf("the example has no %q", tc.old)
 		}
@@ -52,23 +52,23 @@
 // A team for which the file has no figures is a guest: it is guaranteed nothing and
 // limited by nothing. Its jobs were all refused when a limit of 0 was taken at its
 // word. A team with a limit on CPUs and none on GPUs stays off GPUs.
-func TestGuestTeam(t *testing.T) {
-	s, err := config.Parse([]byte(example(t) + "\n[[deployment.teams]]\nname = \"guest\"\n\n[[deployment.teams]]\nname = \"plain\"\ncpus_max = 8.0\n"))
+func TestTeamWithoutFiguresIsUnlimited(t *testing.T) {
+	s, err := config.Parse([]byte(exampleSettings(t) + "\n[[deployment.teams]]\nname = \"guest\"\n\n[[deployment.teams]]\nname = \"plain\"\ncpus_max = 8.0\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	teams := s.Deployment.Teams
 	guest, plain := teams[len(teams)-2], teams[len(teams)-1]
-	if guest.CPUs != 0 || !math.IsInf(guest.CPUsMax, 1) || !math.IsInf(guest.GPUsMax, 1) {
+	if guest.GuaranteedCPUs != 0 || !math.IsInf(guest.MaxCPUs, 1) || !math.IsInf(guest.MaxGPUs, 1) {
 		t.Errorf("a guest may use %+v", guest)
 	}
-	if plain.CPUsMax != 8 || plain.GPUsMax != 0 {
+	if plain.MaxCPUs != 8 || plain.MaxGPUs != 0 {
 		t.Errorf("a team with a limit may use %+v", plain)
 	}
 }
 
 // What is too small to hold is named with its number, and nothing else is.
-func TestShortfalls(t *testing.T) {
+func TestShortfallsNameTheField(t *testing.T) {
 	for _, tc := range []struct{ old, new, want string }{
 		{"", "", ""},
 		{`value_kb = 4.0`, `value_kb = 2.0`, "value_kb is 2"},
@@ -78,10 +78,10 @@
 		{`lease_s = 12.0`, `lease_s = 1.5`, "lease_s is 1.5"},
 		{`cancel_s = 40.0`, `cancel_s = 12.5`, "cancel_s is 12.5"},
 	} {
-		if !strings.Contains(example(t), tc.old) {
+		if !strings.Contains(exampleSettings(t), tc.old) {
 			t.Fatalf("the example has no %q", tc.old)
 		}
-		s, err := config.Parse([]byte(strings.Replace(example(t), tc.old, tc.new, 1)))
+		s, err := config.Parse([]byte(strings.Replace(exampleSettings(t), tc.old, tc.new, 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -93,7 +93,7 @@
 }
 
 // The aims that a deployment states decide how it rents.
-func TestThrift(t *testing.T) {
+func TestCostSensitiveFollowsObjectives(t *testing.T) {
 	aim := func(kind, share string) string {
 		return "\n[[deployment.objectives]]\nkind = \"" + kind + "\"\nshare = " + share + "\nwithin_s = 7.0\n"
 	}
@@ -108,22 +108,22 @@
 		{aim("wait", "0.8") + aim("guarantee", "0.8"), true},
 		{aim("wait", "0.95") + aim("price", "1.5"), true},
 	} {
-		s, err := config.Parse([]byte(example(t) + tc.aims))
+		s, err := config.Parse([]byte(exampleSettings(t) + tc.aims))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if s.Thrifty() != tc.want {
+		if s.CostSensitive() != tc.want {
 			t.Errorf("%q: thrifty %v", tc.aims, !tc.want)
 		}
-		if strings.Contains(tc.aims, "guarantee") && s.GuaranteeWithin().Seconds() < 7 {
-			t.Errorf("guarantee within %v", s.GuaranteeWithin())
+		if strings.Contains(tc.aims, "guarantee") && s.GuaranteeStartTarget().Seconds() < 7 {
+			t.Errorf("guarantee within %v", s.GuaranteeStartTarget())
 		}
 	}
 }
 
 // Connections are bounded by sockets and by memory, whichever is less, and what is too
 // little for a fleet is named.
-func TestCapacity(t *testing.T) {
+func TestCapacityLimits(t *testing.T) {
 	for _, tc := range []struct {
 		share, mem string
 		sockets    string
@@ -139,7 +139,7 @@
 		{"0.01", "512.0", "5000", 4000, 2250, []string{"processor"}},
 	} {
 		quota := "cpu_share = " + tc.share + "\nmem_mb = " + tc.mem + "\nfd_limit = " + tc.sockets + "\n"
-		text := strings.Replace(example(t), "cpu_share = 1.0\nmem_mb = 256.0\nfd_limit = 1000\n", quota, 1)
+		text := strings.Replace(exampleSettings(t), "cpu_share = 1.0\nmem_mb = 256.0\nfd_limit = 1000\n", quota, 1)
 		text = strings.Replace(text, "report_s = 1.0\n", "report_s = 10.0\n", 1)
 		s, err := config.Parse([]byte(text))
 		if err != nil {
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -10,20 +10,20 @@
 
 // taskRef names a task.
 type taskRef struct {
-	job   string
+	jobID string
 	index int
 }
 
 // attempt is one try of a task on one machine.
 type attempt struct {
-	ref    taskRef
-	job    *job // nil if the job is not live
-	m      *machine
-	number uint64
+	ref     taskRef
+	job     *job // nil if the job is not live
+	machine *machine
+	number  uint64
 
 	recorded bool // durably
 	queued   bool // to be written with the next batch
-	batches  []*batch
+	batches  []*assignmentBatch
 	sent     bool // a start has been or may have been sent
 	seen     bool // the worker has listed it: the start is acknowledged
 	state    string
@@ -54,64 +54,64 @@
 }
 
 // attach enters an attempt everywhere that counts it.
-func (l *Leader) attach(a *attempt) {
-	a.m.tasks[a.ref] = a
-	a.m.taskSummary = nil
+func (s *Scheduler) attach(a *attempt) {
+	a.machine.tasks[a.ref] = a
+	a.machine.taskSummary = nil
 	if a.job == nil {
 		return
 	}
 	j := a.job
 	if len(j.active[a.ref.index]) == 0 {
-		j.nActive++
+		j.activeCount++
 	}
 	j.active[a.ref.index] = append(j.active[a.ref.index], a)
-	a.m.cpus += j.spec.CPUs
-	a.m.gpus += j.spec.GPUs
-	a.m.mem += j.spec.MemoryGB
-	u := l.use(j.spec.Team)
+	a.machine.cpus += j.spec.CPUs
+	a.machine.gpus += j.spec.GPUs
+	a.machine.mem += j.spec.MemoryGB
+	u := s.teamUsage(j.spec.Team)
 	u.CPUs += j.spec.CPUs
 	u.GPUs += j.spec.GPUs
 }
 
-func (l *Leader) use(team string) *Team {
-	u := l.usage[team]
+func (s *Scheduler) teamUsage(team string) *TeamQuota {
+	u := s.usage[team]
 	if u == nil {
-		u = &Team{}
-		l.usage[team] = u
+		u = &TeamQuota{}
+		s.usage[team] = u
 	}
 	return u
 }
 
 // detach removes an attempt that is proven gone.
-func (l *Leader) detach(a *attempt) {
-	m := a.m
+func (s *Scheduler) detach(a *attempt) {
+	m := a.machine
 	if m.tasks[a.ref] != a {
 		return
 	}
 	delete(m.tasks, a.ref)
 	m.taskSummary = nil
-	l.stopProven(a)
+	s.countStopProven(a)
 	if len(m.tasks) == 0 {
-		m.idleSince = l.now.Mono
+		m.idleSince = s.now.Mono
 		m.cpus, m.gpus, m.mem = 0, 0, 0 // sheds rounding
 	}
-	if !a.awaitsSave() {
-		l.unneedAll(a)
+	if !a.awaitsDurableCompletion() {
+		s.removeFromBatches(a)
 	}
-	l.dirtyPlace = true
+	s.dirtyPlace = true
 	j := a.job
 	if j == nil {
 		return
 	}
 	if a.state == wire.TaskRunning {
-		j.running--
+		j.runningCount--
 	}
 	if len(m.tasks) > 0 {
 		m.cpus -= j.spec.CPUs
 		m.gpus -= j.spec.GPUs
 		m.mem -= j.spec.MemoryGB
 	}
-	u := l.use(j.spec.Team)
+	u := s.teamUsage(j.spec.Team)
 	u.CPUs -= j.spec.CPUs
 	u.GPUs -= j.spec.GPUs
 	list := j.active[a.ref.index]
@@ -126,9 +126,9 @@
 		return
 	}
 	delete(j.active, a.ref.index)
-	j.nActive--
-	if j.archived && j.nActive == 0 {
-		delete(l.jobs, j.id)
+	j.activeCount--
+	if j.archived && j.activeCount == 0 {
+		delete(s.jobs, j.id)
 	}
 	if !j.done.Has(a.ref.index) {
 		j.returned = append(j.returned, a.ref.index)
@@ -137,37 +137,37 @@
 
 // stop asks for an attempt's end and sends that at once. An attempt that was
 // never sent simply ends.
-func (l *Leader) stop(a *attempt, save bool, why string) {
+func (s *Scheduler) stopAttempt(a *attempt, checkpoint bool, reason string) {
 	if !a.halt {
-		a.haltWhy = why
-		l.line(true, "stop", "task", wire.TaskName(a.ref.job, a.ref.index), "machine", a.m.name, "why", why)
+		a.haltWhy = reason
+		s.log(true, "stop", "task", wire.TaskName(a.ref.jobID, a.ref.index), "machine", a.machine.name, "why", reason)
 	}
-	if a.halt && (save || !a.haltSave) {
+	if a.halt && (checkpoint || !a.haltSave) {
 		return
 	}
-	a.halt, a.haltSave, a.haltedAt = true, save, 0
-	a.m.taskSummary = nil
+	a.halt, a.haltSave, a.haltedAt = true, checkpoint, 0
+	a.machine.taskSummary = nil
 	//mutation:stop-detaches-unsent-only
 	if !a.sent {
-		l.detach(a)
+		s.detach(a)
 		return
 	}
 	if !a.seen {
 		// The start may still be on its way: only a report under a higher token
 		// will show that it is not.
 		//mutation:stop-raises-fencing-token
-		l.raise(a.m)
-		a.needFence = a.m.fence
+		s.raiseFencingToken(a.machine)
+		a.needFence = a.machine.fence
 	}
 	//mutation:stop-is-sent-at-once
-	l.pushDue[a.m.name] = true // with all other stops of this input
+	s.pushDue[a.machine.name] = true // with all other stops of this input
 }
 
 func sortAttempts(list []*attempt) {
 	sort.Slice(list, func(a, b int) bool {
 		x, y := list[a], list[b]
-		if x.ref.job != y.ref.job {
-			return x.ref.job < y.ref.job
+		if x.ref.jobID != y.ref.jobID {
+			return x.ref.jobID < y.ref.jobID
 		}
 		if x.ref.index != y.ref.index {
 			return x.ref.index < y.ref.index
--- a/internal/core/batch.go
+++ b/internal/core/batch.go
@@ -13,65 +13,65 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// batch is a durable value that holds attempts. Batches are written once and
+// assignmentBatch is a durable value that holds attempts. Batches are written once and
 // deleted when nothing needs them; their names are never used twice. So a write
 // or deletion that is carried out late can only bring back an old batch, which
 // makes a later leader wait for a report, and never takes a record away that is
 // still needed: an attempt leaves a batch only when it is gone or when a later
 // batch with it is known to be written.
-type batch struct {
-	key     string
-	live    map[*attempt]bool // what needs it
-	size    int               // how many attempts were written
-	at      time.Duration
-	writing bool
-	ghosts  bool // it names a machine that is gone: a new leader would look for it
-	names   []string
+type assignmentBatch struct {
+	key                  string
+	neededBy             map[*attempt]bool // what needs it
+	attemptCount         int               // how many attempts were written
+	createdAt            time.Duration
+	writeInFlight        bool
+	namesReleasedMachine bool // it names a machine that is gone: a new leader would look for it
+	machineNames         []string
 }
 
-// record has an attempt written with the next batch.
-func (l *Leader) record(a *attempt) {
+// queueAssignment has an attempt written with the next batch.
+func (s *Scheduler) queueAssignment(a *attempt) {
 	if !a.queued {
 		a.queued = true
-		l.toRecord = append(l.toRecord, a)
+		s.toRecord = append(s.toRecord, a)
 	}
 }
 
-// unneed takes an attempt out of a batch.
-func (l *Leader) unneed(b *batch, a *attempt) {
-	delete(b.live, a)
-	l.dropEmpty(b)
+// removeFromBatch takes an attempt out of a batch.
+func (s *Scheduler) removeFromBatch(b *assignmentBatch, a *attempt) {
+	delete(b.neededBy, a)
+	s.deleteBatchIfUnneeded(b)
 }
 
-func (l *Leader) dropEmpty(b *batch) {
-	if len(b.live) > 0 || b.writing || l.batches[b.key] != b {
+func (s *Scheduler) deleteBatchIfUnneeded(b *assignmentBatch) {
+	if len(b.neededBy) > 0 || b.writeInFlight || s.batches[b.key] != b {
 		return
 	}
-	delete(l.batches, b.key)
-	for _, n := range b.names {
-		if m := l.machines[n]; m != nil {
+	delete(s.batches, b.key)
+	for _, n := range b.machineNames {
+		if m := s.machines[n]; m != nil {
 			delete(m.batches, b)
 		}
 	}
-	l.obsoleteKeys = append(l.obsoleteKeys, b.key)
+	s.obsoleteKeys = append(s.obsoleteKeys, b.key)
 }
 
-// gatherBatches writes attempts that wait for their record, those of the highest
+// addAssignmentBatches writes attempts that wait for their record, those of the highest
 // rank first. Batches are spaced, so that what is placed meanwhile shares one.
-func (l *Leader) gatherBatches(t *txn) {
-	if len(l.toRecord) == 0 || l.now.Mono < l.nextBatch || !l.room(t, 1) {
+func (s *Scheduler) addAssignmentBatches(t *transaction) {
+	if len(s.toRecord) == 0 || s.now.Mono < s.nextBatch || !s.canAddChanges(t, 1) {
 		return
 	}
-	queue := l.toRecord[:0]
-	for _, a := range l.toRecord {
-		if a.m.tasks[a.ref] == a {
+	queue := s.toRecord[:0]
+	for _, a := range s.toRecord {
+		if a.machine.tasks[a.ref] == a {
 			queue = append(queue, a)
 		} else {
 			a.queued = false
 		}
 	}
-	clear(l.toRecord[len(queue):])
-	rank := func(a *attempt) int {
+	clear(s.toRecord[len(queue):])
+	priority := func(a *attempt) int {
 		switch {
 		case a.recorded:
 			return 9 // only moved, to be rid of an old batch
@@ -81,297 +81,297 @@
 		return a.job.rank
 	}
 	slices.SortFunc(queue, func(a, b *attempt) int {
-		if c := cmp.Compare(rank(a), rank(b)); c != 0 {
+		if c := cmp.Compare(priority(a), priority(b)); c != 0 {
 			return c
 		}
-		if c := strings.Compare(a.m.name, b.m.name); c != 0 {
+		if c := strings.Compare(a.machine.name, b.machine.name); c != 0 {
 			return c
 		}
 		return cmp.Compare(a.number, b.number)
 	})
-	at := 0
-	for at < len(queue) && l.room(t, 1) {
-		w := newBatchWriter(min(int(float64(l.cfg.ValueBytes)*(1-tuning.ValueSlack)), tuning.BatchBytes))
-		for at < len(queue) && w.add(queue[at]) {
-			queue[at].queued = false
-			at++
-		}
-		if len(w.list) == 0 {
+	next := 0
+	for next < len(queue) && s.canAddChanges(t, 1) {
+		encoder := newBatchEncoder(min(int(float64(s.settings.MaxValueBytes)*(1-tuning.ValueSizeMargin)), tuning.MaxBatchBytes))
+		for next < len(queue) && encoder.add(queue[next]) {
+			queue[next].queued = false
+			next++
+		}
+		if len(encoder.attempts) == 0 {
 			break // never: one attempt always fits
 		}
-		l.nextID++
-		b := &batch{key: store.BatchKey(l.term, l.nextID), live: map[*attempt]bool{}, size: len(w.list), at: l.now.Mono, writing: true}
-		for _, a := range w.list {
-			b.live[a] = true
+		s.nextEffectID++
+		b := &assignmentBatch{key: store.BatchKey(s.term, s.nextEffectID), neededBy: map[*attempt]bool{}, attemptCount: len(encoder.attempts), createdAt: s.now.Mono, writeInFlight: true}
+		for _, a := range encoder.attempts {
+			b.neededBy[a] = true
 		}
-		for m := range w.machines {
-			b.names = append(b.names, m.name)
+		for m := range encoder.machineIndex {
+			b.machineNames = append(b.machineNames, m.name)
 			m.batches[b] = true
 		}
-		l.batches[b.key] = b
-		t.t.If = append(t.t.If, wire.Condition{Key: b.key})
-		t.t.Apply = append(t.t.Apply, wire.Change{Set: b.key, Value: w.finish()})
-		t.bytes += w.size
-		t.state.batches = append(t.state.batches, b)
+		s.batches[b.key] = b
+		t.request.If = append(t.request.If, wire.Compare{Key: b.key})
+		t.request.Then = append(t.request.Then, wire.Op{Set: b.key, Value: encoder.finish()})
+		t.bytes += encoder.size
+		t.contents.batches = append(t.contents.batches, b)
 	}
-	l.toRecord = append([]*attempt(nil), queue[at:]...)
-	l.nextBatch = l.now.Mono + time.Duration(float64(time.Second)/(l.cfg.WriteRate*tuning.BatchShare))
+	s.toRecord = append([]*attempt(nil), queue[next:]...)
+	s.nextBatch = s.now.Mono + time.Duration(float64(time.Second)/(s.settings.WriteRate*tuning.BatchWriteShare))
 }
 
 // batchWritten takes the outcome of a batch's write.
-func (l *Leader) batchWritten(b *batch, res CommitResult, bad map[string]bool) {
-	b.writing = false
-	for a := range b.live {
-		if a.m.tasks[a.ref] != a && !a.awaitsSave() {
-			delete(b.live, a) // gone meanwhile
+func (s *Scheduler) batchWritten(b *assignmentBatch, result CommitResult, conflicting map[string]bool) {
+	b.writeInFlight = false
+	for a := range b.neededBy {
+		if a.machine.tasks[a.ref] != a && !a.awaitsDurableCompletion() {
+			delete(b.neededBy, a) // gone meanwhile
 		}
 	}
 	switch {
-	case res == CommitDone:
-		for a := range b.live {
+	case result == CommitDone:
+		for a := range b.neededBy {
 			for _, old := range a.batches {
-				l.unneed(old, a)
+				s.removeFromBatch(old, a)
 			}
-			a.batches = []*batch{b}
+			a.batches = []*assignmentBatch{b}
 			if !a.recorded {
 				a.recorded = true
-				l.pushDue[a.m.name] = true
+				s.pushDue[a.machine.name] = true
 			}
 		}
-		l.dropEmpty(b)
-	case res == CommitUnknown || bad[b.key]:
+		s.deleteBatchIfUnneeded(b)
+	case result == CommitUnknown || conflicting[b.key]:
 		// It may be there, or come yet. What it holds is written again under
 		// another name; until then this one is kept track of.
-		for a := range b.live {
+		for a := range b.neededBy {
 			a.batches = append(a.batches, b)
 			if !a.recorded {
-				l.record(a)
+				s.queueAssignment(a)
 			}
 		}
-		b.ghosts = true
-		l.dropEmpty(b)
+		b.namesReleasedMachine = true
+		s.deleteBatchIfUnneeded(b)
 	default:
-		for a := range b.live {
+		for a := range b.neededBy {
 			if !a.recorded {
-				l.record(a)
+				s.queueAssignment(a)
 			}
 		}
-		clear(b.live)
-		delete(l.batches, b.key)
-		for _, n := range b.names {
-			if m := l.machines[n]; m != nil {
+		clear(b.neededBy)
+		delete(s.batches, b.key)
+		for _, n := range b.machineNames {
+			if m := s.machines[n]; m != nil {
 				delete(m.batches, b)
 			}
 		}
 	}
 }
 
-// foldBatches has what is left of old batches written again, a value at a time,
+// compactBatches has what is left of old batches written again, a value at a time,
 // so that neither the records nor a new leader's reading grow with what is over.
-func (l *Leader) foldBatches() {
-	if len(l.toRecord) > 0 || l.budget < l.cfg.WriteRate*tuning.WriteShare/2 {
+func (s *Scheduler) compactBatches() {
+	if len(s.toRecord) > 0 || s.budget < s.settings.WriteRate*tuning.StoreWriteRateShare/2 {
 		return
 	}
-	var old []*batch
-	for _, b := range l.batches {
-		if b.writing || l.now.Mono-b.at < tuning.RecordFlush {
+	var candidates []*assignmentBatch
+	for _, b := range s.batches {
+		if b.writeInFlight || s.now.Mono-b.createdAt < tuning.BatchRewriteAge {
 			continue
 		}
-		if b.ghosts || len(l.batches) > tuning.BatchesKept && len(b.live)*4 <= b.size {
-			old = append(old, b)
+		if b.namesReleasedMachine || len(s.batches) > tuning.BatchCompactionThreshold && len(b.neededBy)*4 <= b.attemptCount {
+			candidates = append(candidates, b)
 		}
 	}
-	slices.SortFunc(old, func(a, b *batch) int {
-		if c := cmp.Compare(len(a.live), len(b.live)); c != 0 {
+	slices.SortFunc(candidates, func(a, b *assignmentBatch) int {
+		if c := cmp.Compare(len(a.neededBy), len(b.neededBy)); c != 0 {
 			return c
 		}
 		return strings.Compare(a.key, b.key)
 	})
 	n := 0
-	for _, b := range old {
-		if n += len(b.live); n > tuning.FoldAttempts && n > len(b.live) {
+	for _, b := range candidates {
+		if n += len(b.neededBy); n > tuning.MaxCompactedAttempts && n > len(b.neededBy) {
 			return
 		}
-		for a := range b.live {
-			if !a.awaitsSave() {
-				l.record(a)
+		for a := range b.neededBy {
+			if !a.awaitsDurableCompletion() {
+				s.queueAssignment(a)
 			}
 		}
 	}
 }
 
-// addRecord takes over attempts from a record. What is recorded may run, or may
+// restoreAssignments takes over attempts from a record. What is recorded may run, or may
 // yet be started by a command of an earlier leader, so it stays until its worker
 // reports under our token.
-func (l *Leader) addRecord(it wire.Item) {
-	b := &batch{key: it.Key, live: map[*attempt]bool{}, at: l.now.Mono}
-	l.batches[b.key] = b
-	if name, ok := strings.CutPrefix(it.Key, store.MachinePrefix); ok {
-		var rec store.MachineRecord // the layout before batches
-		if err := wire.Unmarshal(it.Value, &rec); err != nil {
-			l.unreadable(b, err)
+func (s *Scheduler) restoreAssignments(item wire.KeyValue) {
+	b := &assignmentBatch{key: item.Key, neededBy: map[*attempt]bool{}, createdAt: s.now.Mono}
+	s.batches[b.key] = b
+	if name, ok := strings.CutPrefix(item.Key, store.LegacyMachinePrefix); ok {
+		var record store.LegacyMachine // the layout before batches
+		if err := wire.Unmarshal(item.Value, &record); err != nil {
+			s.noteUnreadableRecord(b, err)
 			return
 		}
-		m := l.recovered(b, name, rec.Type, rec.Zone, rec.Spot, rec.Address, rec.Images)
-		for _, id := range slices.Sorted(maps.Keys(rec.Tasks)) {
-			for _, x := range rec.Tasks[id] {
-				l.recoverAttempt(b, m, taskRef{id, x.Index}, x.Attempt)
+		m := s.restoreMachine(b, name, record.Type, record.Zone, record.Spot, record.Address, record.Images)
+		for _, id := range slices.Sorted(maps.Keys(record.Tasks)) {
+			for _, x := range record.Tasks[id] {
+				s.restoreAttempt(b, m, taskRef{id, x.Index}, x.Attempt)
 			}
 		}
 	} else {
-		rec, err := store.DecodeBatch(it.Value)
+		record, err := store.DecodeBatch(item.Value)
 		if err != nil {
-			l.unreadable(b, err)
+			s.noteUnreadableRecord(b, err)
 			return
 		}
-		for _, x := range rec.Machines {
+		for _, x := range record.Machines {
 			var images []string
 			for _, i := range x.Images {
-				images = append(images, rec.Images[i])
+				images = append(images, record.Images[i])
 			}
-			m := l.recovered(b, x.Name, rec.Types[x.Type], rec.Zones[x.Zone], x.Spot, x.Address, images)
+			m := s.restoreMachine(b, x.Name, record.Types[x.Type], record.Zones[x.Zone], x.Spot, x.Address, images)
 			for _, r := range x.Runs {
 				for k := range r[2] {
-					l.recoverAttempt(b, m, taskRef{rec.Jobs[r[0]], int(r[1] + k)}, rec.Base+r[3]+k)
+					s.restoreAttempt(b, m, taskRef{record.Jobs[r[0]], int(r[1] + k)}, record.Base+r[3]+k)
 				}
 			}
 		}
 	}
-	b.size = len(b.live)
-	l.dropEmpty(b)
+	b.attemptCount = len(b.neededBy)
+	s.deleteBatchIfUnneeded(b)
 }
 
-// unreadable deals with a record that cannot be decoded: any task that no other
-// record has may be running by its word. See proveUnreadable.
-func (l *Leader) unreadable(b *batch, err error) {
-	delete(l.batches, b.key)
-	l.dark = append(l.dark, b.key)
-	l.line(false, "record unreadable: jobs that it may be about wait for every machine's report", "key", b.key, "err", err.Error())
+// noteUnreadableRecord deals with a record that cannot be decoded: any task that no other
+// record has may be running by its word. See resolveUnreadableRecords.
+func (s *Scheduler) noteUnreadableRecord(b *assignmentBatch, err error) {
+	delete(s.batches, b.key)
+	s.dark = append(s.dark, b.key)
+	s.log(false, "record unreadable: jobs that it may be about wait for every machine's report", "key", b.key, "err", err.Error())
 }
 
-// inUnreadableRecord reports whether a record that cannot be read may be about the job: none of it
+// mayBeInUnreadableRecord reports whether a record that cannot be read may be about the job: none of it
 // is placed, and if it is cancelled it is not over, until that is settled. A later leader
 // would not know of an ended job's tasks whose limit they count for, and nothing of one
 // whose tasks nobody has seen is known to be gone.
-func (l *Leader) inUnreadableRecord(j *job) bool { return len(l.dark) > 0 && j.recovered }
+func (s *Scheduler) mayBeInUnreadableRecord(j *job) bool { return len(s.dark) > 0 && j.recovered }
 
-// proveUnreadable ends the wait for what unreadable records may have held: when
+// resolveUnreadableRecords ends the wait for what unreadable records may have held: when
 // the cloud's list is of our term and all that it has was heard under our token.
-func (l *Leader) proveUnreadable() {
-	if len(l.dark) == 0 || l.listedAt-l.startedAt <= 3*l.cfg.ListLag {
+func (s *Scheduler) resolveUnreadableRecords() {
+	if len(s.dark) == 0 || s.listedAt-s.startedAt <= 3*s.settings.CloudListLag {
 		return
 	}
-	for _, m := range l.machines {
-		if !m.confirmed && m.rentedAt < l.startedAt {
+	for _, m := range s.machines {
+		if !m.confirmed && m.rentedAt < s.startedAt {
 			return
 		}
 	}
-	l.obsoleteKeys = append(l.obsoleteKeys, l.dark...)
-	l.dark = nil
-	l.dirtyPlace = true
+	s.obsoleteKeys = append(s.obsoleteKeys, s.dark...)
+	s.dark = nil
+	s.dirtyPlace = true
 }
 
-func (l *Leader) recovered(b *batch, name, typ, zone string, spot bool, addr string, images []string) *machine {
-	m := l.machines[name]
+func (s *Scheduler) restoreMachine(b *assignmentBatch, name, machineType, zone string, spot bool, address string, images []string) *machine {
+	m := s.machines[name]
 	if m == nil {
-		m = l.addMachine(name, typ, zone, spot, addr)
-		m.phase, m.upAt = up, l.now.Mono
+		m = s.addMachine(name, machineType, zone, spot, address)
+		m.phase, m.upAt = machineUp, s.now.Mono
 		// It reported in an earlier term, so the cloud lists it, but for the
 		// list's lag; a few more lists make up for that.
-		m.listedOnce, m.missing = true, -tuning.MissingLists
-		l.recovery.ExpectMachine(name)
+		m.listedOnce, m.missing = true, -tuning.MissingListThreshold
+		s.reconciler.ExpectMachine(name)
 	}
 	for _, im := range images {
-		if !m.has(im) {
-			m.images = append(m.images, image{name: im})
+		if !m.hasImage(im) {
+			m.images = append(m.images, cachedImage{name: im})
 		}
 	}
-	b.names = append(b.names, name)
+	b.machineNames = append(b.machineNames, name)
 	m.batches[b] = true
 	return m
 }
 
-func (l *Leader) recoverAttempt(b *batch, m *machine, ref taskRef, number uint64) {
-	j := l.jobs[ref.job]
+func (s *Scheduler) restoreAttempt(b *assignmentBatch, m *machine, ref taskRef, number uint64) {
+	j := s.jobs[ref.jobID]
 	if j != nil && (ref.index >= j.spec.Tasks || j.done.Has(ref.index)) {
 		return
 	}
-	if have := m.tasks[ref]; have != nil {
+	if known := m.tasks[ref]; known != nil {
 		switch {
-		case have.number == number:
-			b.live[have] = true
-			have.batches = append(have.batches, b)
+		case known.number == number:
+			b.neededBy[known] = true
+			known.batches = append(known.batches, b)
 			return
-		case have.number > number:
+		case known.number > number:
 			return // placed there again only after this one was proven gone
 		}
-		l.recovery.Unexpect(m.name)
-		l.detach(have)
+		s.reconciler.UnexpectAttempt(m.name)
+		s.detach(known)
 	}
 	//mutation:recovered-attempt-counts-as-sent
-	a := &attempt{ref: ref, job: j, m: m, number: number, recorded: true, sent: true, placedAt: l.now.Mono, batches: []*batch{b}}
-	b.live[a] = true
-	l.attach(a)
+	a := &attempt{ref: ref, job: j, machine: m, number: number, recorded: true, sent: true, placedAt: s.now.Mono, batches: []*assignmentBatch{b}}
+	b.neededBy[a] = true
+	s.attach(a)
 	a.class = recovery.MissingUnproven
-	l.recovery.ExpectAttempt(m.name)
+	s.reconciler.ExpectAttempt(m.name)
 	if j == nil || j.cancelled {
-		l.obsolete = append(l.obsolete, a)
+		s.obsolete = append(s.obsolete, a)
 	}
 }
 
-// batchWriter fills a batch up to a size.
-type batchWriter struct {
-	rec                        store.BatchRecord
-	types, zones, jobs, images map[string]int
-	machines                   map[*machine]int
-	list                       []*attempt
-	size, limit                int
+// batchEncoder fills a batch up to a size.
+type batchEncoder struct {
+	record                                     store.Batch
+	typeIndex, zoneIndex, jobIndex, imageIndex map[string]int
+	machineIndex                               map[*machine]int
+	attempts                                   []*attempt
+	size, limit                                int
 }
 
 // Parts of a batch take at most this many bytes in JSON, beside names: what
 // surrounds the lists, a machine's fields, and a run with an attempt's twenty
 // digits.
 const (
-	batchHead    = 160
-	batchMachine = 60
-	batchRun     = 48
-	batchName    = 4
+	batchOverheadBytes = 160
+	batchMachineBytes  = 60
+	batchRunBytes      = 48
+	batchNameBytes     = 4
 )
 
-func newBatchWriter(limit int) *batchWriter {
-	return &batchWriter{types: map[string]int{}, zones: map[string]int{}, jobs: map[string]int{}, images: map[string]int{},
-		machines: map[*machine]int{}, size: batchHead, limit: limit}
+func newBatchEncoder(limit int) *batchEncoder {
+	return &batchEncoder{typeIndex: map[string]int{}, zoneIndex: map[string]int{}, jobIndex: map[string]int{}, imageIndex: map[string]int{},
+		machineIndex: map[*machine]int{}, size: batchOverheadBytes, limit: limit}
 }
 
 // add takes one more attempt, unless it would not fit.
-func (w *batchWriter) add(a *attempt) bool {
-	m := a.m
-	at, known := w.machines[m]
+func (w *batchEncoder) add(a *attempt) bool {
+	m := a.machine
+	at, known := w.machineIndex[m]
 	if known {
-		runs := w.rec.Machines[at].Runs
-		if last := &runs[len(runs)-1]; w.rec.Jobs[last[0]] == a.ref.job && last[1]+last[2] == uint64(a.ref.index) && last[3]+last[2] == a.number {
+		runs := w.record.Machines[at].Runs
+		if last := &runs[len(runs)-1]; w.record.Jobs[last[0]] == a.ref.jobID && last[1]+last[2] == uint64(a.ref.index) && last[3]+last[2] == a.number {
 			last[2]++
-			w.list = append(w.list, a)
+			w.attempts = append(w.attempts, a)
 			return true
 		}
 	}
-	images := m.images[max(0, len(m.images)-tuning.ImagesRecorded):]
-	cost := batchRun
+	images := m.images[max(0, len(m.images)-tuning.MaxRecordedImages):]
+	cost := batchRunBytes
 	name := func(set map[string]int, s string) {
 		if _, ok := set[s]; !ok {
-			cost += len(s) + batchName
+			cost += len(s) + batchNameBytes
 		}
 	}
-	name(w.jobs, a.ref.job)
+	name(w.jobIndex, a.ref.jobID)
 	if !known {
-		cost += batchMachine + len(m.name) + len(m.addr) + batchName*len(images)
-		name(w.types, m.typ)
-		name(w.zones, m.zone)
+		cost += batchMachineBytes + len(m.name) + len(m.address) + batchNameBytes*len(images)
+		name(w.typeIndex, m.machineType)
+		name(w.zoneIndex, m.zone)
 		for _, im := range images {
-			name(w.images, im.name)
+			name(w.imageIndex, im.name)
 		}
 	}
-	if w.size+cost > w.limit && len(w.list) > 0 {
+	if w.size+cost > w.limit && len(w.attempts) > 0 {
 		return false
 	}
 	w.size += cost
@@ -385,30 +385,30 @@
 		return i
 	}
 	if !known {
-		bm := store.BatchMachine{Name: m.name, Type: place(w.types, &w.rec.Types, m.typ), Zone: place(w.zones, &w.rec.Zones, m.zone), Spot: m.spot, Address: m.addr}
+		bm := store.BatchMachine{Name: m.name, Type: place(w.typeIndex, &w.record.Types, m.machineType), Zone: place(w.zoneIndex, &w.record.Zones, m.zone), Spot: m.spot, Address: m.address}
 		for _, im := range images {
-			bm.Images = append(bm.Images, place(w.images, &w.rec.Images, im.name))
+			bm.Images = append(bm.Images, place(w.imageIndex, &w.record.Images, im.name))
 		}
-		at = len(w.rec.Machines)
-		w.machines[m] = at
-		w.rec.Machines = append(w.rec.Machines, bm)
+		at = len(w.record.Machines)
+		w.machineIndex[m] = at
+		w.record.Machines = append(w.record.Machines, bm)
 	}
-	bm := &w.rec.Machines[at]
-	bm.Runs = append(bm.Runs, [4]uint64{uint64(place(w.jobs, &w.rec.Jobs, a.ref.job)), uint64(a.ref.index), 1, a.number})
-	w.list = append(w.list, a)
+	bm := &w.record.Machines[at]
+	bm.Runs = append(bm.Runs, [4]uint64{uint64(place(w.jobIndex, &w.record.Jobs, a.ref.jobID)), uint64(a.ref.index), 1, a.number})
+	w.attempts = append(w.attempts, a)
 	return true
 }
 
-func (w *batchWriter) finish() store.BatchRecord {
-	base := w.list[0].number
-	for _, a := range w.list {
+func (w *batchEncoder) finish() store.Batch {
+	base := w.attempts[0].number
+	for _, a := range w.attempts {
 		base = min(base, a.number)
 	}
-	w.rec.Base = base
-	for i := range w.rec.Machines {
-		for k := range w.rec.Machines[i].Runs {
-			w.rec.Machines[i].Runs[k][3] -= base
+	w.record.Base = base
+	for i := range w.record.Machines {
+		for k := range w.record.Machines[i].Runs {
+			w.record.Machines[i].Runs[k][3] -= base
 		}
 	}
-	return w.rec
+	return w.record
 }
--- a/internal/core/batch_test.go
+++ b/internal/core/batch_test.go
@@ -16,73 +16,73 @@
 
 // A round's starts on many machines take one change; what is left of batches is
 // written again elsewhere before they are deleted, and nothing is left in the end.
-func TestBatchesAreFewAndEnd(t *testing.T) {
-	d := newDesk(t, false, nil, nil)
-	d.l.cfg.Teams["red"] = Team{CPUs: 8, CPUsMax: 1000}
+func TestAssignmentBatchesAreCompactedAndDeleted(t *testing.T) {
+	h := newHarness(t, false, nil, nil)
+	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 8, CPUsMax: 1000}
 	var names []string
 	for i := range 20 {
 		names = append(names, fmt.Sprintf("n-%02d", i))
 	}
-	d.up(names...)
+	h.bringUp(names...)
 	batches := func() (n int) {
-		for key := range d.items {
+		for key := range h.items {
 			if strings.HasPrefix(key, store.BatchPrefix) {
 				n++
 			}
 		}
 		return n
 	}
-	d.submit(wire.Job{ID: "run-000001", Tasks: 20, CPUs: 8})
-	if n := batches(); n != 1 || d.recorded() != 20 {
-		t.Fatalf("%d tasks recorded in %d values", d.recorded(), n)
+	h.submit(wire.Job{ID: "run-000001", Tasks: 20, CPUs: 8})
+	if n := batches(); n != 1 || h.recordedAttempts() != 20 {
+		t.Fatalf("%d tasks recorded in %d values", h.recordedAttempts(), n)
 	}
-	d.answerAll(CallExecuted)
+	h.answerAll(CallExecuted)
 	// A machine of the batch goes: a new leader would look for it.
 	var gone string
-	for _, m := range d.l.sorted() {
+	for _, m := range h.scheduler.sortedMachines() {
 		if len(m.tasks) > 0 {
 			gone = m.name
 		}
 	}
-	d.l.Released(d.clock(), []string{gone}, ReleaseDone)
+	h.scheduler.Released(h.clock(), []string{gone}, ReleaseDone)
 	names = slices.DeleteFunc(names, func(n string) bool { return n == gone })
 	keep := func(t time.Duration) {
-		for end := d.now + t; d.now < end; {
-			d.now += tuning.TickEvery
+		for end := h.now + t; h.now < end; {
+			h.now += tuning.TickInterval
 			for _, n := range names {
-				d.report(n, d.on(n)...)
+				h.heartbeat(n, h.runningTasks(n)...)
 			}
-			d.l.Tick(d.clock())
-			d.settle()
-			d.answerQuestions(names)
+			h.scheduler.Tick(h.clock())
+			h.settle()
+			h.answerStatusProbes(names)
 		}
 	}
-	keep(2*tuning.RecordFlush + time.Second)
-	for key, it := range d.items {
+	keep(2*tuning.BatchRewriteAge + time.Second)
+	for key, it := range h.items {
 		if strings.HasPrefix(key, store.BatchPrefix) && strings.Contains(string(it.Value), gone) {
 			t.Errorf("%s still names %s", key, gone)
 		}
 	}
-	if n := d.recorded(); n != 19 && n != 20 {
+	if n := h.recordedAttempts(); n != 19 && n != 20 {
 		t.Errorf("%d tasks recorded", n)
 	}
 	for _, n := range names {
-		var done []wire.TaskReport
-		for _, r := range d.on(n) {
+		var done []wire.TaskStatus
+		for _, r := range h.runningTasks(n) {
 			r.State, r.Cause = wire.TaskExited, wire.CauseDone
 			done = append(done, r)
 		}
-		d.report(n, done...)
+		h.heartbeat(n, done...)
 	}
-	d.l.cancelJob(d.l.jobs["run-000001"])
+	h.scheduler.cancelJob(h.scheduler.jobs["run-000001"])
 	for range 20 {
-		d.now += time.Second
+		h.now += time.Second
 		for _, n := range names {
-			d.report(n)
+			h.heartbeat(n)
 		}
-		d.l.Tick(d.clock())
-		d.settle()
-		d.answerAll(CallExecuted)
+		h.scheduler.Tick(h.clock())
+		h.settle()
+		h.answerAll(CallExecuted)
 	}
 	if n := batches(); n != 0 {
 		t.Errorf("%d batches are left of nothing", n)
@@ -91,26 +91,26 @@
 
 // The estimate of a batch's size is never below its size, whatever is in it, and
 // what was written is read back as it was.
-func TestBatchFitsTheValueLimit(t *testing.T) {
+func TestAssignmentBatchFitsValueLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := NewLeader(Now{}, Settings{}, 1, NewReplica(), nil, nil, nil)
+		l := New(Now{}, Settings{}, 1, NewReplica(), nil, nil, nil)
 		l.term = rapid.Uint64Range(1, 1<<43).Draw(t, "term")
 		limit := rapid.IntRange(1500, 20000).Draw(t, "limit")
 		var machines []*machine
 		for i := range rapid.IntRange(1, 40).Draw(t, "machines") {
 			m := l.addMachine(fmt.Sprintf("n-%06d", i), rapid.SampledFrom([]string{"small", "large"}).Draw(t, "type"), "zone", i%2 == 0, "10.1.0.232:9000")
 			for k := range rapid.IntRange(0, 8).Draw(t, "images") {
-				m.fetched(fmt.Sprintf("img-%0*d", 1+k*20, k), 1)
+				m.addImage(fmt.Sprintf("img-%0*d", 1+k*20, k), 1)
 			}
 			machines = append(machines, m)
 		}
-		w := newBatchWriter(limit)
+		w := newBatchEncoder(limit)
 		number := rapid.Uint64Range(0, 1<<62).Draw(t, "number")
 		for i := range rapid.IntRange(1, 400).Draw(t, "tasks") {
 			m := machines[rapid.IntRange(0, len(machines)-1).Draw(t, "on")]
 			j := &job{id: fmt.Sprintf("run-%06d", rapid.IntRange(0, 5).Draw(t, "job"))}
 			number += rapid.Uint64Range(1, 3).Draw(t, "step")
-			if !w.add(&attempt{ref: taskRef{j.id, i + 99000}, job: j, m: m, number: number}) {
+			if !w.add(&attempt{ref: taskRef{j.id, i + 99000}, job: j, machine: m, number: number}) {
 				break
 			}
 		}
@@ -118,13 +118,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if size := wire.JSONSize(w.rec); size > limit || size > w.size {
-			t.Fatalf("%d tasks take %d bytes of %d, thought %d", len(w.list), size, limit, w.size)
+		if size := wire.JSONSize(w.record); size > limit || size > w.size {
+			t.Fatalf("%d tasks take %d bytes of %d, thought %d", len(w.attempts), size, limit, w.size)
 		}
-		next := NewLeader(Now{}, Settings{}, l.term+1, NewReplica(), nil, []wire.Item{{Key: store.BatchKey(1, 1), Value: raw, Stamp: 3}}, nil)
-		for _, a := range w.list {
-			m := next.machines[a.m.name]
-			if m == nil || m.typ != a.m.typ || m.spot != a.m.spot || m.addr != a.m.addr {
+		next := New(Now{}, Settings{}, l.term+1, NewReplica(), nil, []wire.KeyValue{{Key: store.BatchKey(1, 1), Value: raw, ModRevision: 3}}, nil)
+		for _, a := range w.attempts {
+			m := next.machines[a.machine.name]
+			if m == nil || m.machineType != a.machine.machineType || m.spot != a.machine.spot || m.address != a.machine.address {
 				t.Fatalf("machine read back as %+v", m)
 			}
 			if got := m.tasks[a.ref]; got == nil || got.number != a.number || !got.recorded {
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -12,166 +12,166 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// fleet drives a leader of many machines: commits and direct calls succeed at
+// fleetHarness drives a leader of many machines: commits and direct calls succeed at
 // once, and every machine runs what it is told to.
-type fleet struct {
-	tb    testing.TB
-	l     *Leader
-	now   time.Duration
-	rev   uint64
-	items map[string]wire.Item
-	live  map[string]*LiveJob
-	names []string
-	has   map[string]map[string]wire.TaskReport
-	ticks map[string]uint64
-	token map[string]uint64
-	calls int // direct calls so far
-	asked int // questions, without commands
-	puts  int // changes written so far
+type fleetHarness struct {
+	tb           testing.TB
+	scheduler    *Scheduler
+	now          time.Duration
+	revision     uint64
+	items        map[string]wire.KeyValue
+	live         map[string]*LiveJob
+	machineNames []string
+	tasks        map[string]map[string]wire.TaskStatus
+	sequences    map[string]uint64
+	tokens       map[string]uint64
+	directCalls  int // direct calls so far
+	statusProbes int // questions, without commands
+	writes       int // changes written so far
 
-	share float64 // of the processor, that the next leader has
+	cpuShare float64 // of the processor, that the next leader has
 }
 
 func fleetSettings() Settings {
-	teams := map[string]Team{}
+	teams := map[string]TeamQuota{}
 	for i := range 12 {
-		teams[fmt.Sprintf("team-%02d", i)] = Team{CPUs: 1500, CPUsMax: 100_000}
+		teams[fmt.Sprintf("team-%02d", i)] = TeamQuota{CPUs: 1500, CPUsMax: 100_000}
 	}
-	return Settings{Teams: teams, Report: 5 * time.Second, Lease: 26500 * time.Millisecond, Cancel: 46500 * time.Millisecond,
-		TxnOps: 12, ValueBytes: 4096, WriteRate: 70, GuaranteeWithin: 5 * time.Second, Policy: policy.Defaults(false)}
+	return Settings{Teams: teams, HeartbeatInterval: 5 * time.Second, WorkerLease: 26500 * time.Millisecond, CancellationBound: 46500 * time.Millisecond,
+		MaxTransactionOps: 12, MaxValueBytes: 4096, WriteRate: 70, GuaranteedStartWithin: 5 * time.Second, Policy: policy.Defaults(false)}
 }
 
-var fleetTypes = []wire.MachineType{{Name: "box", CPUs: 16, MemoryGB: 64, CacheGB: 50, FetchGBs: 0.5, Price: 1, SpotCost: 0.5, BootS: 10, Zones: []string{"a", "b"}}}
+var fleetMachineTypes = []wire.MachineType{{Name: "box", CPUs: 16, MemoryGB: 64, CacheGB: 50, FetchGBPerS: 0.5, Price: 1, SpotPrice: 0.5, BootS: 10, Zones: []string{"a", "b"}}}
 
-// newFleet brings n machines up and fills them: two tasks of services and four of
+// newFleetHarness brings n machines up and fills them: two tasks of services and four of
 // arrays on each.
-func newFleet(tb testing.TB, n int) *fleet {
-	f := &fleet{tb: tb, now: time.Hour, rev: 100, items: map[string]wire.Item{}, live: map[string]*LiveJob{},
-		has: map[string]map[string]wire.TaskReport{}, ticks: map[string]uint64{}, token: map[string]uint64{}}
+func newFleetHarness(tb testing.TB, n int) *fleetHarness {
+	f := &fleetHarness{tb: tb, now: time.Hour, revision: 100, items: map[string]wire.KeyValue{}, live: map[string]*LiveJob{},
+		tasks: map[string]map[string]wire.TaskStatus{}, sequences: map[string]uint64{}, tokens: map[string]uint64{}}
 	for i := range n {
-		f.names = append(f.names, fmt.Sprintf("n-%06d", i))
-		f.has[f.names[i]] = map[string]wire.TaskReport{}
+		f.machineNames = append(f.machineNames, fmt.Sprintf("n-%06d", i))
+		f.tasks[f.machineNames[i]] = map[string]wire.TaskStatus{}
 	}
-	f.lead(50)
-	f.all()
+	f.startTerm(50)
+	f.heartbeatAll()
 	for i := range n / 4 {
-		f.submit(wire.Job{ID: fmt.Sprintf("run-1%05d", i), Shape: wire.ShapeService, Rank: wire.RankProduction, Tasks: 8, CPUs: 2, MemoryGB: 3, Scatter: true})
+		f.submit(wire.Job{ID: fmt.Sprintf("run-1%05d", i), Shape: wire.ShapeService, Priority: wire.PriorityProduction, Tasks: 8, CPUs: 2, MemoryGB: 3, SpreadZones: true})
 	}
 	due := 600.0
 	for i := range n / 16 {
-		f.submit(wire.Job{ID: fmt.Sprintf("run-2%05d", i), Shape: wire.ShapeArray, Rank: wire.RankNormal, Tasks: 64, CPUs: 2, MemoryGB: 3, EstimateS: 40, DueS: &due})
+		f.submit(wire.Job{ID: fmt.Sprintf("run-2%05d", i), Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: 64, CPUs: 2, MemoryGB: 3, EstimatedRunS: 40, DeadlineS: &due})
 	}
 	for range 200 {
 		f.now += 100 * time.Millisecond
 		f.settle()
 	}
-	f.all()
+	f.heartbeatAll()
 	return f
 }
 
-func (f *fleet) clock() Now { return Now{Mono: f.now, Wall: f.now.Milliseconds()} }
+func (f *fleetHarness) clock() Now { return Now{Mono: f.now, Wall: f.now.Milliseconds()} }
 
-// lead starts a term from what is recorded.
-func (f *fleet) lead(term uint64) {
-	var records []wire.Item
+// startTerm starts a term from what is recorded.
+func (f *fleetHarness) startTerm(term uint64) {
+	var storedRecords []wire.KeyValue
 	for key, it := range f.items {
 		if strings.HasPrefix(key, store.BatchPrefix) {
-			records = append(records, it)
+			storedRecords = append(storedRecords, it)
 		}
 	}
-	rep := NewReplica()
-	rep.Live = f.live
+	replica := NewReplica()
+	replica.Live = f.live
 	settings := fleetSettings()
-	settings.CPUShare = f.share
-	f.l = NewLeader(f.clock(), settings, term, rep, nil, records, fleetTypes)
-	f.l.listed = true
-	f.l.Held(1000 * time.Hour)
+	settings.CPUShare = f.cpuShare
+	f.scheduler = New(f.clock(), settings, term, replica, nil, storedRecords, fleetMachineTypes)
+	f.scheduler.listed = true
+	f.scheduler.LeaseHeldUntil(1000 * time.Hour)
 }
 
-func (f *fleet) submit(j wire.Job) {
-	j.CreatedMilli, j.Image, j.ImageGB = f.now.Milliseconds(), "img", 1
+func (f *fleetHarness) submit(j wire.Job) {
+	j.CreatedAtMilli, j.Image, j.ImageGB = f.now.Milliseconds(), "img", 1
 	if j.Team == "" {
 		j.Team = fmt.Sprintf("team-%02d", len(f.live)%12)
 	}
-	f.rev++
-	lj := &LiveJob{Record: &store.JobRecord{Job: j}, Stamp: f.rev}
+	f.revision++
+	lj := &LiveJob{Record: &store.Job{Job: j}, ModRevision: f.revision}
 	f.live[j.ID] = lj
-	f.l.JobsChanged(f.clock(), []Changed{{j.ID, lj}})
+	f.scheduler.JobsChanged(f.clock(), []JobChange{{j.ID, lj}})
 }
 
-func (f *fleet) report(name string) *wire.Report {
-	f.ticks[name]++
-	r := &wire.Report{Machine: name, Address: name + ":1", Type: "box", Zone: string("ab"[int(name[len(name)-1])%2]), Session: 1, Tick: f.ticks[name], Token: f.token[name]}
-	for _, t := range f.has[name] {
-		r.Tasks = append(r.Tasks, t)
+func (f *fleetHarness) newHeartbeat(name string) *wire.Heartbeat {
+	f.sequences[name]++
+	heartbeat := &wire.Heartbeat{Machine: name, Address: name + ":1", Type: "box", Zone: string("ab"[int(name[len(name)-1])%2]), Incarnation: 1, Sequence: f.sequences[name], FencingToken: f.tokens[name]}
+	for _, t := range f.tasks[name] {
+		heartbeat.Tasks = append(heartbeat.Tasks, t)
 	}
-	return r
+	return heartbeat
 }
 
-func (f *fleet) obey(name string, token uint64, cmds []wire.Command) {
-	f.token[name] = max(f.token[name], token)
-	for _, c := range cmds {
-		switch t, ok := f.has[name][c.Task]; {
+func (f *fleetHarness) apply(name string, token uint64, commands []wire.Command) {
+	f.tokens[name] = max(f.tokens[name], token)
+	for _, c := range commands {
+		switch t, ok := f.tasks[name][c.Task]; {
 		case c.Verb == wire.VerbRun && !ok:
-			f.has[name][c.Task] = wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}
-		case c.Verb == wire.VerbHalt && ok && t.Attempt == c.Attempt:
-			t.State, t.Cause = wire.TaskExited, wire.CauseHalted
-			f.has[name][c.Task] = t
+			f.tasks[name][c.Task] = wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}
+		case c.Verb == wire.VerbStop && ok && t.Attempt == c.Attempt:
+			t.State, t.Cause = wire.TaskExited, wire.CauseStopped
+			f.tasks[name][c.Task] = t
 		case c.Verb == wire.VerbForget && ok && t.Attempt == c.Attempt:
-			delete(f.has[name], c.Task)
+			delete(f.tasks[name], c.Task)
 		}
 	}
 }
 
-func (f *fleet) checkin(name string) {
-	reply, ok := f.l.Checkin(f.clock(), f.report(name))
+func (f *fleetHarness) heartbeat(name string) {
+	reply, ok := f.scheduler.Heartbeat(f.clock(), f.newHeartbeat(name))
 	if !ok {
 		f.tb.Fatal("not answered")
 	}
-	f.obey(name, reply.Token, reply.Commands)
+	f.apply(name, reply.FencingToken, reply.Commands)
 	f.settle()
 }
 
-// all has every machine report, a report interval long.
-func (f *fleet) all() {
-	for _, n := range f.names {
-		f.now += f.l.cfg.Report / time.Duration(len(f.names))
-		f.checkin(n)
+// heartbeatAll has every machine report, a report interval long.
+func (f *fleetHarness) heartbeatAll() {
+	for _, n := range f.machineNames {
+		f.now += f.scheduler.settings.HeartbeatInterval / time.Duration(len(f.machineNames))
+		f.heartbeat(n)
 	}
 }
 
-func (f *fleet) settle() {
+func (f *fleetHarness) settle() {
 	for range 50 {
-		f.l.Settle(f.clock())
-		e := f.l.Take()
-		if e.Resign != "" {
-			f.tb.Fatalf("resigned: %s", e.Resign)
+		f.scheduler.Settle(f.clock())
+		effects := f.scheduler.TakeEffects()
+		if effects.Resign != "" {
+			f.tb.Fatalf("resigned: %s", effects.Resign)
 		}
-		for _, c := range e.Commits {
-			f.rev++
-			for _, ch := range c.Txn.Apply {
-				f.puts++
-				if ch.Delete != "" {
-					delete(f.items, ch.Delete)
+		for _, c := range effects.Commits {
+			f.revision++
+			for _, change := range c.Txn.Then {
+				f.writes++
+				if change.Delete != "" {
+					delete(f.items, change.Delete)
 					continue
 				}
-				raw, err := wire.Marshal(ch.Value)
+				raw, err := wire.Marshal(change.Value)
 				if err != nil {
 					f.tb.Fatal(err)
 				}
-				f.items[ch.Set] = wire.Item{Key: ch.Set, Value: raw, Stamp: f.rev}
+				f.items[change.Set] = wire.KeyValue{Key: change.Set, Value: raw, ModRevision: f.revision}
 			}
-			f.l.CommitDone(f.clock(), c.ID, CommitDone, f.rev, nil)
+			f.scheduler.CommitDone(f.clock(), c.ID, CommitDone, f.revision, nil)
 		}
-		for _, c := range e.Direct {
-			f.calls++
+		for _, c := range effects.DirectCalls {
+			f.directCalls++
 			if len(c.Body.Commands) == 0 {
-				f.asked++
+				f.statusProbes++
 			}
-			f.obey(c.Machine, c.Body.Token, c.Body.Commands)
-			f.l.CallDone(f.clock(), c.ID, CallExecuted, f.report(c.Machine))
+			f.apply(c.Machine, c.Body.FencingToken, c.Body.Commands)
+			f.scheduler.CallDone(f.clock(), c.ID, CallExecuted, f.newHeartbeat(c.Machine))
 		}
-		if len(e.Commits)+len(e.Direct) == 0 {
+		if len(effects.Commits)+len(effects.DirectCalls) == 0 {
 			return
 		}
 	}
@@ -179,10 +179,10 @@
 
 var fleetSizes = []int{256, 1024, 4096}
 
-func sized(b *testing.B, f func(*testing.B, *fleet)) {
+func benchmarkSizes(b *testing.B, f func(*testing.B, *fleetHarness)) {
 	for _, n := range fleetSizes {
 		b.Run(fmt.Sprintf("machines=%d", n), func(b *testing.B) {
-			fl := newFleet(b, n)
+			fl := newFleetHarness(b, n)
 			b.ReportAllocs()
 			b.ResetTimer()
 			f(b, fl)
@@ -192,96 +192,96 @@
 
 // A report on which nothing has changed costs as much as the machine has tasks,
 // whatever the fleet's size.
-func BenchmarkReport(b *testing.B) {
-	sized(b, func(b *testing.B, f *fleet) {
+func BenchmarkHeartbeat(b *testing.B) {
+	benchmarkSizes(b, func(b *testing.B, f *fleetHarness) {
 		for i := range b.N {
-			r := f.report(f.names[i%len(f.names)])
-			if _, ok := f.l.Checkin(f.clock(), r); !ok {
+			heartbeat := f.newHeartbeat(f.machineNames[i%len(f.machineNames)])
+			if _, ok := f.scheduler.Heartbeat(f.clock(), heartbeat); !ok {
 				b.Fatal("not answered")
 			}
-			f.l.Settle(f.clock())
-			f.l.Take()
+			f.scheduler.Settle(f.clock())
+			f.scheduler.TakeEffects()
 		}
 	})
 }
 
 // A tick looks at every machine once.
 func BenchmarkTick(b *testing.B) {
-	sized(b, func(b *testing.B, f *fleet) {
+	benchmarkSizes(b, func(b *testing.B, f *fleetHarness) {
 		for range b.N {
-			for _, m := range f.l.sorted() {
+			for _, m := range f.scheduler.sortedMachines() {
 				m.heardAt = f.now
 			}
-			f.l.heardAny = f.now
-			f.l.Tick(f.clock())
-			f.l.Take()
+			f.scheduler.heardAny = f.now
+			f.scheduler.Tick(f.clock())
+			f.scheduler.TakeEffects()
 		}
 	})
 }
 
 // A round of placement, with as much waiting as there are machines.
-func BenchmarkRound(b *testing.B) {
-	sized(b, func(b *testing.B, f *fleet) {
+func BenchmarkPlacementRound(b *testing.B) {
+	benchmarkSizes(b, func(b *testing.B, f *fleetHarness) {
 		due := 60.0
-		for i := range len(f.names) / 16 {
-			f.submit(wire.Job{ID: fmt.Sprintf("run-3%05d", i), Shape: wire.ShapeArray, Rank: wire.RankNormal, Tasks: 400, CPUs: 16, MemoryGB: 3, EstimateS: 40, DueS: &due})
+		for i := range len(f.machineNames) / 16 {
+			f.submit(wire.Job{ID: fmt.Sprintf("run-3%05d", i), Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: 400, CPUs: 16, MemoryGB: 3, EstimatedRunS: 40, DeadlineS: &due})
 		}
-		f.l.place()
+		f.scheduler.placePending()
 		b.ResetTimer()
 		for range b.N {
-			f.l.place()
+			f.scheduler.placePending()
 		}
 	})
 }
 
 // A new leader reads each record once.
-func BenchmarkRecovery(b *testing.B) {
-	sized(b, func(b *testing.B, f *fleet) {
+func BenchmarkNewTerm(b *testing.B) {
+	benchmarkSizes(b, func(b *testing.B, f *fleetHarness) {
 		for i := range b.N {
-			f.lead(100 + uint64(i))
+			f.startTerm(100 + uint64(i))
 		}
 	})
 }
 
 // The fixture is what the benchmarks say that it is.
-func TestFleetFixture(t *testing.T) {
-	f := newFleet(t, 256)
+func TestFleetHarnessRunsWhatTheBenchmarksAssume(t *testing.T) {
+	f := newFleetHarness(t, 256)
 	n := 0
-	for _, m := range f.l.machines {
+	for _, m := range f.scheduler.machines {
 		n += len(m.tasks)
 	}
 	if n != 256*6 {
 		t.Errorf("%d tasks placed", n)
 	}
-	if err := f.l.Audit(); err != nil {
+	if err := f.scheduler.Audit(); err != nil {
 		t.Error(err)
 	}
 }
 
 // A round in a burst: hundreds of jobs wait for machines that are full, and as many
 // machines again are booting. It looks at what is to be rented, too.
-func BenchmarkBurst(b *testing.B) {
-	sized(b, func(b *testing.B, f *fleet) {
+func BenchmarkScaleOutBurst(b *testing.B) {
+	benchmarkSizes(b, func(b *testing.B, f *fleetHarness) {
 		due := 60.0
-		for i := range len(f.names) / 8 {
-			f.submit(wire.Job{ID: fmt.Sprintf("run-3%05d", i), Shape: wire.ShapeArray, Rank: wire.RankNormal, Tasks: 30, CPUs: 16, MemoryGB: 3, EstimateS: 40, DueS: &due, Spot: true})
+		for i := range len(f.machineNames) / 8 {
+			f.submit(wire.Job{ID: fmt.Sprintf("run-3%05d", i), Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: 30, CPUs: 16, MemoryGB: 3, EstimatedRunS: 40, DeadlineS: &due, Spot: true})
 		}
-		for i := range len(f.names) / 2 {
-			f.l.addMachine(fmt.Sprintf("n-9%05d", i), "box", []string{"a", "b"}[i%2], true, "").ours = true
+		for i := range len(f.machineNames) / 2 {
+			f.scheduler.addMachine(fmt.Sprintf("n-9%05d", i), "box", []string{"a", "b"}[i%2], true, "").ours = true
 		}
 		b.ResetTimer()
 		for range b.N {
-			f.now += f.l.placeGap()
-			f.l.now = f.clock()
-			f.l.rentAt = 0
-			f.l.rent(f.l.place())
-			f.l.Take()
+			f.now += f.scheduler.placementInterval()
+			f.scheduler.now = f.clock()
+			f.scheduler.rentAt = 0
+			f.scheduler.scaleOut(f.scheduler.placePending())
+			f.scheduler.TakeEffects()
 		}
 	})
 }
 
-// heapOf is what the heap grows by while f makes what it returns.
-func heapOf(f func() any) float64 {
+// heapGrowth is what the heap grows by while f makes what it returns.
+func heapGrowth(f func() any) float64 {
 	measure := func() float64 {
 		runtime.GC()
 		runtime.GC()
@@ -301,11 +301,11 @@
 func BenchmarkMemory(b *testing.B) {
 	const machines, ended = 1024, 20000
 	for range b.N {
-		fleet := heapOf(func() any { return newFleet(b, machines).l })
-		jobs := heapOf(func() any {
+		fleet := heapGrowth(func() any { return newFleetHarness(b, machines).scheduler })
+		jobs := heapGrowth(func() any {
 			r := NewReplica()
 			for i := range ended {
-				r.Remember(fmt.Sprintf("run-%06d", i), store.EndedRecord{State: wire.JobDone, Done: 40, Tasks: 40, Class: "batch"})
+				r.RememberEnded(fmt.Sprintf("run-%06d", i), store.EndedJob{State: wire.JobDone, Done: 40, Tasks: 40, Class: "batch"})
 			}
 			return r
 		})
@@ -316,18 +316,18 @@
 
 // A report without news allocates no more than when the bound was set: two thousand
 // machines send hundreds of them a second.
-func TestAllocationsOfAReportWithoutNews(t *testing.T) {
+func TestAllocationsOfUnchangedHeartbeat(t *testing.T) {
 	const most = 7
-	f := newFleet(t, 64)
-	name := f.names[0]
-	r := f.report(name)
+	f := newFleetHarness(t, 64)
+	name := f.machineNames[0]
+	heartbeat := f.newHeartbeat(name)
 	allocs := testing.AllocsPerRun(100, func() {
-		r.Tick++
-		if _, ok := f.l.Checkin(f.clock(), r); !ok {
+		heartbeat.Sequence++
+		if _, ok := f.scheduler.Heartbeat(f.clock(), heartbeat); !ok {
 			t.Fatal("not answered")
 		}
-		f.l.Settle(f.clock())
-		f.l.Take()
+		f.scheduler.Settle(f.clock())
+		f.scheduler.TakeEffects()
 	})
 	if allocs > most {
 		t.Errorf("%.0f allocations, over %d", allocs, most)
--- a/internal/core/counters_test.go
+++ b/internal/core/counters_test.go
@@ -10,41 +10,41 @@
 
 // Attempts' numbers and tokens of a term never reach those of the next: a leader that has
 // counted far resigns, and until then it numbers no more attempts than there are.
-func TestCountersStayWithinTheTerm(t *testing.T) {
-	resigns := func(d *desk) bool {
-		d.now += tuning.TickEvery
-		d.l.Tick(d.clock())
-		return d.l.Take().Resign != ""
+func TestFencingCountersStayWithinTerm(t *testing.T) {
+	resigns := func(h *harness) bool {
+		h.now += tuning.TickInterval
+		h.scheduler.Tick(h.clock())
+		return h.scheduler.TakeEffects().Resign != ""
 	}
-	most := float64(counterMost)
-	for _, used := range []float64{0, most * tuning.CountersUsed, most*tuning.CountersUsed + 1, most} {
-		want := used > most*tuning.CountersUsed
-		d := newDesk(t, false, nil, nil)
-		d.up("n-1")
-		d.l.nextTry = uint64(used)
-		if got := resigns(d); got != want {
+	most := float64(maxCounter)
+	for _, used := range []float64{0, most * tuning.MaxFencingCounterUse, most*tuning.MaxFencingCounterUse + 1, most} {
+		want := used > most*tuning.MaxFencingCounterUse
+		h := newHarness(t, false, nil, nil)
+		h.bringUp("n-1")
+		h.scheduler.nextTry = uint64(used)
+		if got := resigns(h); got != want {
 			t.Errorf("%v attempts: resigned %v", used, got)
 		}
-		d = newDesk(t, false, nil, nil)
-		d.up("n-1")
-		d.l.machines["n-1"].fence = uint64(used)
-		if got := resigns(d); got != want {
+		h = newHarness(t, false, nil, nil)
+		h.bringUp("n-1")
+		h.scheduler.machines["n-1"].fence = uint64(used)
+		if got := resigns(h); got != want {
 			t.Errorf("fence %v: resigned %v", used, got)
 		}
 	}
 
-	d := newDesk(t, false, nil, nil)
-	d.up("n-1")
-	d.l.nextTry = counterMost - 2
-	d.submit(wire.Job{ID: "run-000001", Tasks: 5, CPUs: 1})
-	d.submit(wire.Job{ID: "run-000002", Tasks: 3, CPUs: 1, Shape: wire.ShapeGang, Team: "blue"})
-	d.now += time.Second
-	if s := d.starts(); len(s) != 2 || s[0].Attempt == s[1].Attempt || Term(s[0].Attempt) != deskTerm || Term(s[1].Attempt) != deskTerm {
+	h := newHarness(t, false, nil, nil)
+	h.bringUp("n-1")
+	h.scheduler.nextTry = maxCounter - 2
+	h.submit(wire.Job{ID: "run-000001", Tasks: 5, CPUs: 1})
+	h.submit(wire.Job{ID: "run-000002", Tasks: 3, CPUs: 1, Shape: wire.ShapeGang, Team: "blue"})
+	h.now += time.Second
+	if s := h.startCommands(); len(s) != 2 || s[0].Attempt == s[1].Attempt || TermOf(s[0].Attempt) != harnessTerm || TermOf(s[1].Attempt) != harnessTerm {
 		t.Errorf("starts at the end of the numbers: %+v", s)
 	}
-	m := d.l.machines["n-1"]
-	m.fence = counterMost
-	if d.l.raise(m); Term(d.l.token(m)) != deskTerm {
-		t.Errorf("raised into term %d", Term(d.l.token(m)))
+	m := h.scheduler.machines["n-1"]
+	m.fence = maxCounter
+	if h.scheduler.raiseFencingToken(m); TermOf(h.scheduler.fencingToken(m)) != harnessTerm {
+		t.Errorf("raised into term %d", TermOf(h.scheduler.fencingToken(m)))
 	}
 }
