--- a/internal/core/deadline.go
+++ b/internal/core/deadline.go
@@ -10,79 +10,79 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// duration is how long a task of the job takes to run, in seconds: the owner's
+// taskDuration is how long a task of the job takes to run, in seconds: the owner's
 // estimate at first, which is often wrong, and what was seen of the job's own
 // tasks as soon as enough of them have ended.
-func (j *job) duration() float64 {
-	est := max(j.spec.EstimateS, 0.1)
-	if j.seenRuns < tuning.RunsToTrust {
-		return est
+func (j *job) taskDuration() float64 {
+	estimate := max(j.spec.EstimatedRunS, 0.1)
+	if j.seenRuns < tuning.MinRuntimeSamples {
+		return estimate
 	}
 	return max(0.1, j.seenRunS/float64(j.seenRuns))
 }
 
 // work is what is left of the job, in CPU seconds.
-func (l *Leader) work(j *job) float64 {
-	d := j.duration()
-	s := float64(j.pending()) * d
+func (s *Scheduler) remainingWork(j *job) float64 {
+	duration := j.taskDuration()
+	sum := float64(j.pendingTasks()) * duration
 	for _, list := range j.active {
 		for _, a := range list {
-			left := d
+			left := duration
 			if a.runningAt > 0 {
-				left = max(0.1*d, d-(l.now.Mono-a.runningAt).Seconds())
+				left = max(0.1*duration, duration-(s.now.Mono-a.runningAt).Seconds())
 			}
-			s += left
+			sum += left
 		}
 	}
-	return s * max(j.spec.CPUs, 0.1)
+	return sum * max(j.spec.CPUs, 0.1)
 }
 
-// Aim is what a deployment expects of the completion of a class of jobs.
-type Aim struct {
-	Times  []float64 // multiples of the owner's deadline that count
-	Within float64   // seconds from the submission; 0: no such aim
+// Objective is what a deployment expects of the completion of a class of jobs.
+type Objective struct {
+	DeadlineMultiples []float64 // multiples of the owner's deadline that count
+	WithinS           float64   // seconds from the submission; 0: no such aim
 }
 
-// dues are by when the job should be complete, in seconds from its submission,
+// deadlinesOf are by when the job should be complete, in seconds from its submission,
 // the earliest first: by the owner's deadline, or by what the deployment expects
 // of its class. Who misses one may still make the next. Empty: no deadline.
-func (l *Leader) dues(j *wire.Job) []float64 {
-	aim := l.cfg.Aims[j.Class]
-	var dues []float64
-	if j.DueS != nil && len(aim.Times) == 0 && aim.Within == 0 {
-		dues = append(dues, *j.DueS)
+func (s *Scheduler) deadlinesOf(j *wire.Job) []float64 {
+	objective := s.settings.Objectives[j.Class]
+	var deadlines []float64
+	if j.DeadlineS != nil && len(objective.DeadlineMultiples) == 0 && objective.WithinS == 0 {
+		deadlines = append(deadlines, *j.DeadlineS)
 	}
-	if j.DueS != nil {
-		for _, t := range aim.Times {
-			dues = append(dues, *j.DueS*max(t, 1))
+	if j.DeadlineS != nil {
+		for _, t := range objective.DeadlineMultiples {
+			deadlines = append(deadlines, *j.DeadlineS*max(t, 1))
 		}
 	}
-	if aim.Within > 0 && j.Shape != wire.ShapeService {
-		dues = append(dues, aim.Within)
+	if objective.WithinS > 0 && j.Shape != wire.ShapeService {
+		deadlines = append(deadlines, objective.WithinS)
 	}
-	slices.Sort(dues)
-	return slices.Compact(dues)
+	slices.Sort(deadlines)
+	return slices.Compact(deadlines)
 }
 
 // due is in how many seconds the job should be complete: by the first of its
 // deadlines that it can meet, or by the last.
-func (l *Leader) due(j *job) float64 {
-	return j.dues[min(j.hope, len(j.dues)-1)] - (l.now.Mono - j.created).Seconds()
+func (s *Scheduler) secondsToDeadline(j *job) float64 {
+	return j.dues[min(j.hope, len(j.dues)-1)] - (s.now.Mono - j.createdAt).Seconds()
 }
 
 // arrayCapacity is how many CPUs arrays with tasks like j's can use: on machines
 // that are in reach or on their way, beside what services leave there. A machine
 // that a service is on may have no room for a large task.
-func (l *Leader) arrayCapacity(j *job) float64 {
+func (s *Scheduler) arrayCapacity(j *job) float64 {
 	sum := 0.0
-	for _, m := range l.machines {
-		if m.mt == nil || m.failed || m.leaveBy > 0 || m.phase == releasing || m.phase == up && l.now.Mono-m.heardAt > l.cfg.Report*3 {
+	for _, m := range s.machines {
+		if m.machineSpec == nil || m.failed || m.leaveBy > 0 || m.phase == machineReleasing || m.phase == machineUp && s.now.Mono-m.heardAt > s.settings.HeartbeatInterval*3 {
 			continue
 		}
-		cpus, mem := m.mt.CPUs, m.mt.MemoryGB
+		cpus, mem := m.machineSpec.CPUs, m.machineSpec.MemoryGB
 		if d := m.summarize(); d.services > 0 {
 			cpus -= d.serviceCPUs
-			mem -= d.serviceMem
+			mem -= d.serviceMemoryGB
 		}
 		n := math.Inf(1)
 		if j.spec.CPUs > 0 {
@@ -98,12 +98,12 @@
 	return sum
 }
 
-// planned is a job with deadlines in a plan.
-type planned struct {
-	j    *job
-	work float64
-	due  float64
-	kept bool // by an earlier pass: not to be given up
+// plannedJob is a job with deadlines in a plan.
+type plannedJob struct {
+	job         *job
+	work        float64
+	secondsLeft float64
+	committed   bool // by an earlier pass: not to be given up
 }
 
 // planDeadlines decides which jobs can still meet which of their deadlines. Jobs
@@ -112,13 +112,13 @@
 // rule, with the cluster as one machine, after each team's limit as one). What is
 // given up is tried with its next deadline, beside what was kept; what misses the
 // last runs after the others, with whatever room they leave.
-func (l *Leader) planDeadlines() {
-	var all []planned
+func (s *Scheduler) planDeadlines() {
+	var planned []plannedJob
 	services := map[string]float64{} // CPUs by team
 	tiers := 0
 	var typical *job // the one with the most work says what fits on a machine
-	most := 0.0
-	for _, j := range l.jobs {
+	mostWork := 0.0
+	for _, j := range s.jobs {
 		j.hope = 0
 		if j.cancelled || j.archived {
 			continue
@@ -126,82 +126,82 @@
 		if j.service {
 			services[j.spec.Team] += float64(j.spec.Tasks) * j.spec.CPUs
 		}
-		if j.service || len(j.dues) == 0 || l.likelyFaulty(j) {
+		if j.service || len(j.dues) == 0 || s.likelyInvalid(j) {
 			continue
 		}
-		w := l.work(j)
-		all = append(all, planned{j: j, work: w})
+		work := s.remainingWork(j)
+		planned = append(planned, plannedJob{job: j, work: work})
 		tiers = max(tiers, len(j.dues))
-		if typical == nil || w > most || w == most && j.id < typical.id {
-			typical, most = j, w
+		if typical == nil || work > mostWork || work == mostWork && j.id < typical.id {
+			typical, mostWork = j, work
 		}
 	}
 	if typical == nil {
 		return
 	}
-	capacity := max(l.arrayCapacity(typical), 1)
+	capacity := max(s.arrayCapacity(typical), 1)
 	for tier := range tiers {
-		teams := map[string][]*planned{}
-		for i := range all {
-			e := &all[i]
-			e.kept = e.j.hope < tier
-			if e.j.hopeless() {
+		teams := map[string][]*plannedJob{}
+		for i := range planned {
+			entry := &planned[i]
+			entry.committed = entry.job.hope < tier
+			if entry.job.missesAllDeadlines() {
 				continue
 			}
-			e.due = l.due(e.j)
-			teams[e.j.spec.Team] = append(teams[e.j.spec.Team], e)
+			entry.secondsLeft = s.secondsToDeadline(entry.job)
+			teams[entry.job.spec.Team] = append(teams[entry.job.spec.Team], entry)
 		}
-		var left []*planned
+		var onTime []*plannedJob
 		for name, list := range teams {
-			width := capacity
-			if t, ok := l.cfg.Teams[name]; ok && t.CPUsMax > 0 {
-				width = max(1, min(width, t.CPUsMax-services[name]))
+			cpus := capacity
+			if t, ok := s.settings.Teams[name]; ok && t.CPUsMax > 0 {
+				cpus = max(1, min(cpus, t.CPUsMax-services[name]))
 			}
-			left = append(left, moore(list, width)...)
+			onTime = append(onTime, keepMostOnTime(list, cpus)...)
 		}
-		moore(left, capacity)
+		keepMostOnTime(onTime, capacity)
 	}
 }
 
-// moore gives up jobs until the others are on time on a machine of the given
+// keepMostOnTime gives up jobs until the others are on time on a machine of the given
 // width, and returns these.
-func moore(list []*planned, width float64) []*planned {
-	slices.SortFunc(list, func(a, b *planned) int {
-		if c := cmp.Compare(a.due, b.due); c != 0 {
+func keepMostOnTime(list []*plannedJob, cpus float64) []*plannedJob {
+	slices.SortFunc(list, func(a, b *plannedJob) int {
+		if c := cmp.Compare(a.secondsLeft, b.secondsLeft); c != 0 {
 			return c
 		}
-		return strings.Compare(a.j.id, b.j.id)
+		return strings.Compare(a.job.id, b.job.id)
 	})
-	var set []*planned
+	var onTime []*plannedJob
 	sum := 0.0
 	for _, e := range list {
-		alone := e.work / width // even alone it needs this long
-		if e.j.pending() > 0 {
-			alone = max(alone, e.j.duration())
+		alone := e.work / cpus // even alone it needs this long
+		if e.job.pendingTasks() > 0 {
+			alone = max(alone, e.job.taskDuration())
 		}
-		if !e.kept && alone*tuning.HopeFactor > e.due {
-			e.j.hope++
+		if !e.committed && alone*tuning.DeadlineFeasibilityFactor > e.secondsLeft {
+			e.job.hope++
 			continue
 		}
-		set = append(set, e)
+		onTime = append(onTime, e)
 		sum += e.work
-		for sum/width*tuning.HopeFactor > e.due {
-			worst := -1
-			for i, x := range set {
-				if !x.kept && (worst < 0 || x.work > set[worst].work) {
-					worst = i
+		for sum/cpus*tuning.DeadlineFeasibilityFactor > e.secondsLeft {
+			largest := -1
+			for i, x := range onTime {
+				if !x.committed && (largest < 0 || x.work > onTime[largest].work) {
+					largest = i
 				}
 			}
-			if worst < 0 {
+			if largest < 0 {
 				break
 			}
-			set[worst].j.hope++
-			sum -= set[worst].work
-			set = slices.Delete(set, worst, worst+1)
+			onTime[largest].job.hope++
+			sum -= onTime[largest].work
+			onTime = slices.Delete(onTime, largest, largest+1)
 		}
 	}
-	return set
+	return onTime
 }
 
-// hopeless reports whether the job misses all its deadlines, by the last plan.
-func (j *job) hopeless() bool { return len(j.dues) > 0 && j.hope >= len(j.dues) }
+// missesAllDeadlines reports whether the job misses all its deadlines, by the last plan.
+func (j *job) missesAllDeadlines() bool { return len(j.dues) > 0 && j.hope >= len(j.dues) }
--- a/internal/core/desk_test.go
+++ b/internal/core/desk_test.go
@@ -13,253 +13,253 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// desk drives one leader by hand: every commit succeeds at once, and direct
+// harness drives one leader by hand: every commit succeeds at once, and direct
 // calls wait until the test answers them.
-type desk struct {
-	t     *testing.T
-	l     *Leader
-	now   time.Duration
-	rev   uint64
-	items map[string]wire.Item
-	calls []DirectCall
-	rents []Rental
-	rel   [][]string
-	ticks map[string]uint64
-	fail  bool // commits are refused
-
-	replied []wire.Command // starts in answers to reports
+type harness struct {
+	t                 *testing.T
+	scheduler         *Scheduler
+	now               time.Duration
+	revision          uint64
+	items             map[string]wire.KeyValue
+	calls             []DirectCall
+	provisionRequests []ProvisionRequest
+	releases          [][]string
+	sequences         map[string]uint64
+	refuseCommits     bool // commits are refused
+
+	startsInReplies []wire.Command // starts in answers to reports
 }
 
-const deskTerm = 50
+const harnessTerm = 50
 
-func newDesk(t *testing.T, thrifty bool, live map[string]*LiveJob, machines []wire.Item) *desk {
-	return newDeskWith(t, thrifty, live, machines, func(*Settings) {})
+func newHarness(t *testing.T, thrifty bool, live map[string]*LiveJob, machines []wire.KeyValue) *harness {
+	return newHarnessWith(t, thrifty, live, machines, func(*Settings) {})
 }
 
-// newDeskWith changes the settings before the term begins.
-func newDeskWith(t *testing.T, thrifty bool, live map[string]*LiveJob, machines []wire.Item, change func(*Settings)) *desk {
-	d := &desk{t: t, now: time.Hour, rev: 100, items: map[string]wire.Item{}, ticks: map[string]uint64{}}
-	types := []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchGBs: 1, Price: 1, SpotCost: 0.5, BootS: 10, Zones: []string{"a", "b"}}}
-	cfg := Settings{Teams: map[string]Team{"red": {CPUs: 8, CPUsMax: 16}, "blue": {CPUs: 8, CPUsMax: 16}},
-		Report: time.Second, Lease: 12 * time.Second, TxnOps: 12, ValueBytes: 4096, WriteRate: 1000, Thrifty: thrifty,
-		GuaranteeWithin: 2 * time.Second, Policy: policy.Defaults(thrifty)}
-	change(&cfg)
-	d.lead(cfg, deskTerm, live, machines, types)
-	return d
+// newHarnessWith changes the settings before the term begins.
+func newHarnessWith(t *testing.T, thrifty bool, live map[string]*LiveJob, machines []wire.KeyValue, change func(*Settings)) *harness {
+	h := &harness{t: t, now: time.Hour, revision: 100, items: map[string]wire.KeyValue{}, sequences: map[string]uint64{}}
+	types := []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchGBPerS: 1, Price: 1, SpotPrice: 0.5, BootS: 10, Zones: []string{"a", "b"}}}
+	settings := Settings{Teams: map[string]TeamQuota{"red": {CPUs: 8, CPUsMax: 16}, "blue": {CPUs: 8, CPUsMax: 16}},
+		HeartbeatInterval: time.Second, WorkerLease: 12 * time.Second, MaxTransactionOps: 12, MaxValueBytes: 4096, WriteRate: 1000, MinimizeCost: thrifty,
+		GuaranteedStartWithin: 2 * time.Second, Policy: policy.Defaults(thrifty)}
+	change(&settings)
+	h.startTerm(settings, harnessTerm, live, machines, types)
+	return h
 }
 
-// lead begins a term.
-func (d *desk) lead(cfg Settings, term uint64, live map[string]*LiveJob, records []wire.Item, types []wire.MachineType) {
-	rep := NewReplica()
-	for id, lj := range live {
-		rep.Live[id] = lj
+// startTerm begins a term.
+func (h *harness) startTerm(settings Settings, term uint64, live map[string]*LiveJob, storedRecords []wire.KeyValue, types []wire.MachineType) {
+	replica := NewReplica()
+	for id, liveJob := range live {
+		replica.Live[id] = liveJob
 	}
-	d.l = NewLeader(d.clock(), cfg, term, rep, nil, records, types)
-	d.l.Held(1000 * time.Hour)
-	d.settle()
+	h.scheduler = New(h.clock(), settings, term, replica, nil, storedRecords, types)
+	h.scheduler.LeaseHeldUntil(1000 * time.Hour)
+	h.settle()
 }
 
-func (d *desk) clock() Now { return Now{Mono: d.now, Wall: d.now.Milliseconds()} }
+func (h *harness) clock() Now { return Now{Mono: h.now, Wall: h.now.Milliseconds()} }
 
-func (d *desk) settle() {
+func (h *harness) settle() {
 	for range 20 {
-		d.now += 4 * time.Millisecond // batches are spaced
-		d.l.Settle(d.clock())
-		e := d.l.Take()
-		d.calls = append(d.calls, e.Direct...)
-		d.rents = append(d.rents, e.Rent...)
-		d.rel = append(d.rel, e.Release...)
-		if e.Resign != "" {
-			d.t.Fatalf("resigned: %s", e.Resign)
+		h.now += 4 * time.Millisecond // batches are spaced
+		h.scheduler.Settle(h.clock())
+		effects := h.scheduler.TakeEffects()
+		h.calls = append(h.calls, effects.DirectCalls...)
+		h.provisionRequests = append(h.provisionRequests, effects.Provision...)
+		h.releases = append(h.releases, effects.Release...)
+		if effects.Resign != "" {
+			h.t.Fatalf("resigned: %s", effects.Resign)
 		}
-		if len(e.Commits) == 0 {
+		if len(effects.Commits) == 0 {
 			return
 		}
-		for _, c := range e.Commits {
-			if d.fail {
-				d.l.CommitDone(d.clock(), c.ID, CommitRefused, 0, nil)
+		for _, c := range effects.Commits {
+			if h.refuseCommits {
+				h.scheduler.CommitDone(h.clock(), c.ID, CommitRefused, 0, nil)
 				continue
 			}
-			d.rev++
-			for _, ch := range c.Txn.Apply {
-				raw, err := wire.Marshal(ch.Value)
+			h.revision++
+			for _, change := range c.Txn.Then {
+				raw, err := wire.Marshal(change.Value)
 				if err != nil {
-					d.t.Fatal(err)
+					h.t.Fatal(err)
 				}
-				if ch.Delete != "" {
-					delete(d.items, ch.Delete)
+				if change.Delete != "" {
+					delete(h.items, change.Delete)
 				} else {
-					d.items[ch.Set] = wire.Item{Key: ch.Set, Value: raw, Stamp: d.rev}
+					h.items[change.Set] = wire.KeyValue{Key: change.Set, Value: raw, ModRevision: h.revision}
 				}
 			}
-			d.l.CommitDone(d.clock(), c.ID, CommitDone, d.rev, nil)
+			h.scheduler.CommitDone(h.clock(), c.ID, CommitDone, h.revision, nil)
 		}
 	}
 }
 
-// pass lets time go by, with ticks, while the named machines keep reporting.
-func (d *desk) pass(t time.Duration, machines ...string) {
-	for end := d.now + t; d.now < end; {
-		d.now += tuning.TickEvery
-		for _, m := range machines {
-			d.report(m)
+// advance lets time go by, with ticks, while the named machines keep reporting.
+func (h *harness) advance(duration time.Duration, machines ...string) {
+	for end := h.now + duration; h.now < end; {
+		h.now += tuning.TickInterval
+		for _, machine := range machines {
+			h.heartbeat(machine)
 		}
-		d.l.Tick(d.clock())
-		d.settle()
-		d.answerQuestions(machines)
+		h.scheduler.Tick(h.clock())
+		h.settle()
+		h.answerStatusProbes(machines)
 	}
 }
 
-// answerQuestions answers the calls without commands for the named machines.
-func (d *desk) answerQuestions(machines []string) {
-	calls := d.calls
-	d.calls = nil
+// answerStatusProbes answers the calls without commands for the named machines.
+func (h *harness) answerStatusProbes(machines []string) {
+	calls := h.calls
+	h.calls = nil
 	for _, c := range calls {
 		if len(c.Body.Commands) == 0 && slices.Contains(machines, c.Machine) {
-			d.answer(c, CallExecuted)
+			h.answer(c, CallExecuted)
 		} else {
-			d.calls = append(d.calls, c)
+			h.calls = append(h.calls, c)
 		}
 	}
 }
 
 // report sends a machine's report, under the token it was last told.
-func (d *desk) report(name string, tasks ...wire.TaskReport) wire.CheckinReply {
-	return d.reportAs(name, d.token(name), tasks...)
+func (h *harness) heartbeat(name string, tasks ...wire.TaskStatus) wire.HeartbeatReply {
+	return h.heartbeatWithToken(name, h.fencingToken(name), tasks...)
 }
 
-func (d *desk) token(name string) uint64 {
-	if m := d.l.machines[name]; m != nil {
-		return d.l.token(m)
+func (h *harness) fencingToken(name string) uint64 {
+	if m := h.scheduler.machines[name]; m != nil {
+		return h.scheduler.fencingToken(m)
 	}
 	return 0
 }
 
-func (d *desk) view(name string, token uint64, tasks ...wire.TaskReport) *wire.Report {
-	d.ticks[name]++
+func (h *harness) newHeartbeat(name string, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+	h.sequences[name]++
 	zone := "a"
 	if name > "n-5" {
 		zone = "b"
 	}
-	return &wire.Report{Machine: name, Address: name + ":1", Type: "box", Zone: zone, Session: 1, Tick: d.ticks[name], Token: token, Tasks: tasks}
+	return &wire.Heartbeat{Machine: name, Address: name + ":1", Type: "box", Zone: zone, Incarnation: 1, Sequence: h.sequences[name], FencingToken: token, Tasks: tasks}
 }
 
-func (d *desk) reportAs(name string, token uint64, tasks ...wire.TaskReport) wire.CheckinReply {
-	reply, ok := d.l.Checkin(d.clock(), d.view(name, token, tasks...))
+func (h *harness) heartbeatWithToken(name string, token uint64, tasks ...wire.TaskStatus) wire.HeartbeatReply {
+	reply, ok := h.scheduler.Heartbeat(h.clock(), h.newHeartbeat(name, token, tasks...))
 	if !ok {
-		d.t.Fatal("not answered")
+		h.t.Fatal("not answered")
 	}
-	for _, o := range reply.Commands {
-		if o.Verb == wire.VerbRun {
-			d.replied = append(d.replied, o)
+	for _, command := range reply.Commands {
+		if command.Verb == wire.VerbRun {
+			h.startsInReplies = append(h.startsInReplies, command)
 		}
 	}
-	d.settle()
+	h.settle()
 	return reply
 }
 
 // up brings machines up: they report, and answer the question that follows.
-func (d *desk) up(names ...string) {
+func (h *harness) bringUp(names ...string) {
 	for _, n := range names {
-		d.report(n)
-		d.answerAll(CallExecuted)
-		d.report(n)
+		h.heartbeat(n)
+		h.answerAll(CallExecuted)
+		h.heartbeat(n)
 	}
 }
 
 // answerAll answers all direct calls that are out with what was asked for.
-func (d *desk) answerAll(res CallResult) {
-	for len(d.calls) > 0 {
-		c := d.calls[0]
-		d.calls = d.calls[1:]
-		d.answer(c, res)
+func (h *harness) answerAll(result CallResult) {
+	for len(h.calls) > 0 {
+		c := h.calls[0]
+		h.calls = h.calls[1:]
+		h.answer(c, result)
 	}
 }
 
-func (d *desk) answer(c DirectCall, res CallResult) {
-	var r *wire.Report
-	if res != CallLost {
-		var tasks []wire.TaskReport
-		m := d.l.machines[c.Machine]
-		for _, a := range m.list() {
+func (h *harness) answer(c DirectCall, result CallResult) {
+	var heartbeat *wire.Heartbeat
+	if result != CallLost {
+		var tasks []wire.TaskStatus
+		m := h.scheduler.machines[c.Machine]
+		for _, a := range m.sortedAttempts() {
 			if a.seen {
-				tasks = append(tasks, wire.TaskReport{Task: wire.TaskName(a.ref.job, a.ref.index), Attempt: a.number, State: wire.TaskRunning})
+				tasks = append(tasks, wire.TaskStatus{Task: wire.TaskName(a.ref.jobID, a.ref.index), Attempt: a.number, State: wire.TaskRunning})
 			}
 		}
-		for _, o := range c.Body.Commands {
-			if o.Verb == wire.VerbRun {
-				tasks = append(tasks, wire.TaskReport{Task: o.Task, Attempt: o.Attempt, State: wire.TaskRunning})
+		for _, command := range c.Body.Commands {
+			if command.Verb == wire.VerbRun {
+				tasks = append(tasks, wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: wire.TaskRunning})
 			}
 			for i := range tasks {
-				if o.Verb == wire.VerbHalt && tasks[i].Task == o.Task {
-					tasks[i].State, tasks[i].Cause = wire.TaskExited, wire.CauseHalted
+				if command.Verb == wire.VerbStop && tasks[i].Task == command.Task {
+					tasks[i].State, tasks[i].Cause = wire.TaskExited, wire.CauseStopped
 				}
 			}
 		}
-		r = d.view(c.Machine, c.Body.Token, tasks...)
+		heartbeat = h.newHeartbeat(c.Machine, c.Body.FencingToken, tasks...)
 	}
-	d.l.CallDone(d.clock(), c.ID, res, r)
-	d.settle()
+	h.scheduler.CallDone(h.clock(), c.ID, result, heartbeat)
+	h.settle()
 }
 
-func (d *desk) submit(j wire.Job) {
-	j.CreatedMilli = d.now.Milliseconds()
+func (h *harness) submit(j wire.Job) {
+	j.CreatedAtMilli = h.now.Milliseconds()
 	if j.Team == "" {
 		j.Team = "red"
 	}
 	if j.Shape == "" {
 		j.Shape = wire.ShapeArray
 	}
-	if j.Rank == "" {
-		j.Rank = wire.RankNormal
+	if j.Priority == "" {
+		j.Priority = wire.PriorityNormal
 	}
 	if j.Image == "" {
 		j.Image = "img"
 	}
-	d.rev++
-	d.l.JobsChanged(d.clock(), []Changed{{j.ID, &LiveJob{Record: &store.JobRecord{Job: j}, Stamp: d.rev}}})
-	d.now += tuning.PlaceGap
-	d.settle()
+	h.revision++
+	h.scheduler.JobsChanged(h.clock(), []JobChange{{j.ID, &LiveJob{Record: &store.Job{Job: j}, ModRevision: h.revision}}})
+	h.now += tuning.MinPlacementInterval
+	h.settle()
 }
 
 // starts lists the start commands in answers and among the calls that are out.
-func (d *desk) starts() (out []wire.Command) {
-	out = append(out, d.replied...)
-	for _, c := range d.calls {
-		for _, o := range c.Body.Commands {
-			if o.Verb == wire.VerbRun {
-				out = append(out, o)
+func (h *harness) startCommands() (out []wire.Command) {
+	out = append(out, h.startsInReplies...)
+	for _, c := range h.calls {
+		for _, command := range c.Body.Commands {
+			if command.Verb == wire.VerbRun {
+				out = append(out, command)
 			}
 		}
 	}
 	return out
 }
 
-func running(o wire.Command) wire.TaskReport {
-	return wire.TaskReport{Task: o.Task, Attempt: o.Attempt, State: wire.TaskRunning}
+func runningReport(o wire.Command) wire.TaskStatus {
+	return wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: wire.TaskRunning}
 }
 
-func exited(o wire.Command, cause string) wire.TaskReport {
-	return wire.TaskReport{Task: o.Task, Attempt: o.Attempt, State: wire.TaskExited, Cause: cause}
+func exitedReport(o wire.Command, cause string) wire.TaskStatus {
+	return wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: wire.TaskExited, Cause: cause}
 }
 
-func machineItem(t *testing.T, name string, rec store.MachineRecord) wire.Item {
+func machineRecordItem(t *testing.T, name string, rec store.LegacyMachine) wire.KeyValue {
 	raw, err := wire.Marshal(rec)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return wire.Item{Key: store.MachineKey(name), Value: raw, Stamp: 7}
+	return wire.KeyValue{Key: store.LegacyMachineKey(name), Value: raw, ModRevision: 7}
 }
 
-// recorded counts the attempts in the batches.
-func (d *desk) recorded() (n int) {
-	for key, it := range d.items {
+// recordedAttempts counts the attempts in the batches.
+func (h *harness) recordedAttempts() (n int) {
+	for key, it := range h.items {
 		if !strings.HasPrefix(key, store.BatchPrefix) {
 			continue
 		}
 		rec, err := store.DecodeBatch(it.Value)
 		if err != nil {
-			d.t.Fatal(err)
+			h.t.Fatal(err)
 		}
 		for _, m := range rec.Machines {
 			for _, r := range m.Runs {
@@ -271,105 +271,105 @@
 }
 
 // on lists what a machine would report: all that is placed there, running.
-func (d *desk) on(name string) (out []wire.TaskReport) {
-	for _, a := range d.l.machines[name].list() {
+func (h *harness) runningTasks(name string) (out []wire.TaskStatus) {
+	for _, a := range h.scheduler.machines[name].sortedAttempts() {
 		if a.sent {
-			out = append(out, wire.TaskReport{Task: wire.TaskName(a.ref.job, a.ref.index), Attempt: a.number, State: wire.TaskRunning})
+			out = append(out, wire.TaskStatus{Task: wire.TaskName(a.ref.jobID, a.ref.index), Attempt: a.number, State: wire.TaskRunning})
 		}
 	}
 	return out
 }
 
-// crew stands for the machines of a desk: it runs what the leader starts.
-type crew struct {
-	d             *desk
-	from          time.Duration
-	runs          func(task, machine string) (time.Duration, string) // for how long, and how it ends
-	machines      []string
-	on            map[string]map[string]*crewTask
-	begun, stayed map[string]time.Duration // when a job's first task started, and had run for 30 s
-	starts        int
-	slow          time.Duration        // how long a stopped task saves
-	fetch         func() time.Duration // how long an image takes; nil: no time
+// fakeWorkers stands for the machines of a desk: it runs what the leader starts.
+type fakeWorkers struct {
+	harness                           *harness
+	startedAt                         time.Duration
+	runTask                           func(task, machine string) (time.Duration, string) // for how long, and how it ends
+	machines                          []string
+	tasks                             map[string]map[string]*fakeTask
+	firstStartAfter, establishedAfter map[string]time.Duration // when a job's first task started, and had run for 30 s
+	startCount                        int
+	checkpointTime                    time.Duration        // how long a stopped task saves
+	imageFetchTime                    func() time.Duration // how long an image takes; nil: no time
 }
 
-type crewTask struct {
-	r             wire.TaskReport
-	begun, end    time.Duration
-	cause         string
-	fetched, held time.Duration // has its image from then on; was stopped
+type fakeTask struct {
+	report               wire.TaskStatus
+	startedAt, endsAt    time.Duration
+	cause                string
+	fetchedAt, stoppedAt time.Duration // has its image from then on; was stopped
 }
 
-func newCrew(d *desk, runs func(task, machine string) (time.Duration, string)) *crew {
-	c := &crew{d: d, from: d.now, runs: runs, machines: []string{"n-1", "n-2", "n-3"},
-		on: map[string]map[string]*crewTask{}, begun: map[string]time.Duration{}, stayed: map[string]time.Duration{}}
-	for _, m := range c.machines {
-		c.on[m] = map[string]*crewTask{}
+func newFakeWorkers(h *harness, runTask func(task, machine string) (time.Duration, string)) *fakeWorkers {
+	workers := &fakeWorkers{harness: h, startedAt: h.now, runTask: runTask, machines: []string{"n-1", "n-2", "n-3"},
+		tasks: map[string]map[string]*fakeTask{}, firstStartAfter: map[string]time.Duration{}, establishedAfter: map[string]time.Duration{}}
+	for _, machine := range workers.machines {
+		workers.tasks[machine] = map[string]*fakeTask{}
 	}
-	d.up(c.machines...)
-	return c
+	h.bringUp(workers.machines...)
+	return workers
 }
 
 // work lets half a second go by.
-func (c *crew) work() {
-	d := c.d
-	d.now += 500 * time.Millisecond
-	calls := d.calls
-	d.calls = nil
+func (workers *fakeWorkers) step() {
+	h := workers.harness
+	h.now += 500 * time.Millisecond
+	calls := h.calls
+	h.calls = nil
 	for _, call := range calls {
-		c.take(call.Machine, call.Body.Commands)
+		workers.apply(call.Machine, call.Body.Commands)
 	}
 	for _, call := range calls {
-		d.l.CallDone(d.clock(), call.ID, CallExecuted, d.view(call.Machine, call.Body.Token, c.list(call.Machine)...))
+		h.scheduler.CallDone(h.clock(), call.ID, CallExecuted, h.newHeartbeat(call.Machine, call.Body.FencingToken, workers.taskReports(call.Machine)...))
 	}
-	for _, m := range c.machines {
-		c.take(m, d.report(m, c.list(m)...).Commands)
+	for _, machine := range workers.machines {
+		workers.apply(machine, h.heartbeat(machine, workers.taskReports(machine)...).Commands)
 	}
-	d.l.Tick(d.clock())
-	d.settle()
+	h.scheduler.Tick(h.clock())
+	h.settle()
 }
 
-func (c *crew) take(m string, commands []wire.Command) {
-	for _, o := range commands {
-		switch have := c.on[m][o.Task]; {
-		case o.Verb == wire.VerbRun && (have == nil || have.r.Attempt != o.Attempt):
-			run, cause := c.runs(o.Task, m)
-			x := &crewTask{r: running(o), begun: c.d.now, end: c.d.now + run, cause: cause}
-			if c.fetch != nil {
-				x.fetched = c.d.now + c.fetch()
-				x.end += x.fetched - c.d.now
+func (workers *fakeWorkers) apply(machine string, commands []wire.Command) {
+	for _, command := range commands {
+		switch running := workers.tasks[machine][command.Task]; {
+		case command.Verb == wire.VerbRun && (running == nil || running.report.Attempt != command.Attempt):
+			run, cause := workers.runTask(command.Task, machine)
+			task := &fakeTask{report: runningReport(command), startedAt: workers.harness.now, endsAt: workers.harness.now + run, cause: cause}
+			if workers.imageFetchTime != nil {
+				task.fetchedAt = workers.harness.now + workers.imageFetchTime()
+				task.endsAt += task.fetchedAt - workers.harness.now
 			}
-			c.on[m][o.Task] = x
-			c.starts++
-			id, _, _ := wire.SplitTask(o.Task)
-			if _, ok := c.begun[id]; !ok {
-				c.begun[id] = c.d.now - c.from
+			workers.tasks[machine][command.Task] = task
+			workers.startCount++
+			id, _, _ := wire.ParseTaskName(command.Task)
+			if _, ok := workers.firstStartAfter[id]; !ok {
+				workers.firstStartAfter[id] = workers.harness.now - workers.startedAt
 			}
-		case o.Verb == wire.VerbHalt && have != nil && have.r.Attempt == o.Attempt && c.slow > 0:
-			if have.held == 0 {
-				have.held, have.end, have.cause = c.d.now, min(have.end, c.d.now+c.slow), wire.CauseHalted
+		case command.Verb == wire.VerbStop && running != nil && running.report.Attempt == command.Attempt && workers.checkpointTime > 0:
+			if running.stoppedAt == 0 {
+				running.stoppedAt, running.endsAt, running.cause = workers.harness.now, min(running.endsAt, workers.harness.now+workers.checkpointTime), wire.CauseStopped
 			}
-		case o.Verb != wire.VerbRun && have != nil && have.r.Attempt == o.Attempt:
-			delete(c.on[m], o.Task)
+		case command.Verb != wire.VerbRun && running != nil && running.report.Attempt == command.Attempt:
+			delete(workers.tasks[machine], command.Task)
 		}
 	}
 }
 
-func (c *crew) list(m string) (out []wire.TaskReport) {
-	for _, name := range slices.Sorted(maps.Keys(c.on[m])) {
-		x := c.on[m][name]
-		id, _, _ := wire.SplitTask(name)
-		if _, ok := c.stayed[id]; !ok && c.d.now-x.begun >= 30*time.Second {
-			c.stayed[id] = c.d.now - c.from
+func (workers *fakeWorkers) taskReports(machine string) (out []wire.TaskStatus) {
+	for _, name := range slices.Sorted(maps.Keys(workers.tasks[machine])) {
+		task := workers.tasks[machine][name]
+		id, _, _ := wire.ParseTaskName(name)
+		if _, ok := workers.establishedAfter[id]; !ok && workers.harness.now-task.startedAt >= 30*time.Second {
+			workers.establishedAfter[id] = workers.harness.now - workers.startedAt
 		}
-		x.r.State = wire.TaskRunning
-		if x.fetched > c.d.now {
-			x.r.State = wire.TaskFetching
+		task.report.State = wire.TaskRunning
+		if task.fetchedAt > workers.harness.now {
+			task.report.State = wire.TaskFetching
 		}
-		if x.end <= c.d.now {
-			x.r.State, x.r.Cause = wire.TaskExited, x.cause
+		if task.endsAt <= workers.harness.now {
+			task.report.State, task.report.Cause = wire.TaskExited, task.cause
 		}
-		out = append(out, x.r)
+		out = append(out, task.report)
 	}
 	return out
 }
--- a/internal/core/digest_test.go
+++ b/internal/core/digest_test.go
@@ -26,8 +26,8 @@
 var printDigest = flag.Bool("decision-digest", false, "play all digest worlds and print a digest of all decisions")
 
 const (
-	digestWorlds      = 60 // that are played with the flag
-	quickDigestWorlds = 4  // that are played twice without it
+	digestSimulations      = 60 // that are played with the flag
+	quickDigestSimulations = 4  // that are played twice without it
 )
 
 // decisionDigest hashes what leaders decide: direct calls, transactions, rentals, releases,
@@ -70,13 +70,13 @@
 
 // addEffects hashes what a leader decided after one input, in the order of its decisions.
 func (d *decisionDigest) addEffects(now time.Duration, node string, e core.Effects) {
-	for _, call := range e.Direct {
+	for _, call := range e.DirectCalls {
 		d.add(now, node, "direct", call.ID, call.Machine, call.Addr, call.Body)
 	}
 	for _, commit := range e.Commits {
-		d.add(now, node, "commit", commit.ID, encodeSorted(d, commit.Txn.If), encodeSorted(d, commit.Txn.Apply))
+		d.add(now, node, "commit", commit.ID, encodeSorted(d, commit.Txn.If), encodeSorted(d, commit.Txn.Then))
 	}
-	for _, rental := range e.Rent {
+	for _, rental := range e.Provision {
 		d.add(now, node, "rent", rental.Request)
 	}
 	for _, names := range e.Release {
@@ -88,82 +88,82 @@
 }
 
 // addReply hashes a leader's answer to a worker.
-func (d *decisionDigest) addReply(now time.Duration, node, machine string, reply wire.CheckinReply, ok bool) {
+func (d *decisionDigest) addReply(now time.Duration, node, machine string, reply wire.HeartbeatReply, ok bool) {
 	d.add(now, node, "reply", machine, reply, ok)
 }
 
 func (d *decisionDigest) String() string { return hex.EncodeToString(d.hash.Sum(nil)) }
 
-// digestWorld prepares world number i: its settings, users and troubles follow from the
+// digestSimulation prepares world number i: its settings, users and troubles follow from the
 // number, so that all settings meet all kinds of trouble. It returns the world's end.
-func digestWorld(i int) (*world, time.Duration) {
-	w := newWorld(uint64(1000 + i))
-	w.decisions = newDecisionDigest()
-	pick := func(step int, values ...float64) float64 { return values[i/step%len(values)] }
-	w.lose = pick(1, 0, 0.02, 0.1)
-	w.hold = pick(2, 0, 0.1, 0.02)
-	w.repeat = pick(3, 0.05, 0, 0.3)
-	w.copies = pick(4, 0, 0.02, 0.2)
-	w.settings.Thrifty = i%4 == 1
-	w.settings.Policy = policy.Defaults(w.settings.Thrifty)
-	w.settings.Policy.Recovery = i%2 == 0
-	w.settings.Policy.UseSpot = i%7 != 3
-	w.settings.Policy.Preempt = i%9 != 4
-	w.settings.Policy.MaxMachines = int(pick(5, 0, 0, 9))
-	w.settings.Policy.SpareShare += pick(3, 0, 0.3)
-	w.settings.CloudRate = pick(2, 0, 5)
-	w.settings.CPUShare = pick(6, 0, 0.25)
-	w.settings.GuaranteeWithin = time.Duration(pick(8, 0, 2)) * time.Second
-	w.writeLag = int(pick(10, 0, 400))
-	w.callLag = int(pick(12, 0, 300))
-	if i%3 == 2 {
-		return w, digestRestarts(w, i)
+func digestSimulation(number int) (*simulation, time.Duration) {
+	sim := newSimulation(uint64(1000 + number))
+	sim.decisions = newDecisionDigest()
+	pick := func(step int, values ...float64) float64 { return values[number/step%len(values)] }
+	sim.lossRate = pick(1, 0, 0.02, 0.1)
+	sim.delayRate = pick(2, 0, 0.1, 0.02)
+	sim.duplicateRate = pick(3, 0.05, 0, 0.3)
+	sim.heartbeatCopyRate = pick(4, 0, 0.02, 0.2)
+	sim.settings.MinimizeCost = number%4 == 1
+	sim.settings.Policy = policy.Defaults(sim.settings.MinimizeCost)
+	sim.settings.Policy.ReconcileRestarts = number%2 == 0
+	sim.settings.Policy.UseSpot = number%7 != 3
+	sim.settings.Policy.Preempt = number%9 != 4
+	sim.settings.Policy.MaxMachines = int(pick(5, 0, 0, 9))
+	sim.settings.Policy.HeadroomShare += pick(3, 0, 0.3)
+	sim.settings.CloudRate = pick(2, 0, 5)
+	sim.settings.CPUShare = pick(6, 0, 0.25)
+	sim.settings.GuaranteedStartWithin = time.Duration(pick(8, 0, 2)) * time.Second
+	sim.maxWriteDelayMS = int(pick(10, 0, 400))
+	sim.maxCallDelayMS = int(pick(12, 0, 300))
+	if number%3 == 2 {
+		return sim, scheduleDigestRestarts(sim, number)
 	}
-	w.users(120 * time.Second)
-	w.troubles(130 * time.Second)
-	return w, 260 * time.Second
+	sim.runUsers(120 * time.Second)
+	sim.injectFaults(130 * time.Second)
+	return sim, 260 * time.Second
 }
 
-// digestRestarts has all controllers end and come back while services and arrays run.
-func digestRestarts(w *world, i int) (end time.Duration) {
-	for k := range 6 {
-		w.after(time.Duration(k)*200*time.Millisecond, func() { w.submit(w.service(fmt.Sprintf("run-%06d", k), 2)) })
+// scheduleDigestRestarts has all controllers end and come back while services and arrays run.
+func scheduleDigestRestarts(sim *simulation, number int) (end time.Duration) {
+	for index := range 6 {
+		sim.after(time.Duration(index)*200*time.Millisecond, func() { sim.submit(sim.serviceJob(fmt.Sprintf("run-%06d", index), 2)) })
 	}
-	w.submitArrays(70 * time.Second)
-	w.every(time.Second, w.pollAll)
-	w.after(20*time.Second+w.between(0, 3000), func() {
-		away := w.between(200, 9000)
-		for _, n := range w.nodes {
-			n.crash(away + w.between(0, 1+int(away/time.Millisecond)/4))
+	sim.submitArrays(70 * time.Second)
+	sim.every(time.Second, sim.pollAll)
+	sim.after(20*time.Second+sim.randomDuration(0, 3000), func() {
+		downFor := sim.randomDuration(200, 9000)
+		for _, c := range sim.controllers {
+			c.crash(downFor + sim.randomDuration(0, 1+int(downFor/time.Millisecond)/4))
 		}
-		switch i / 3 % 4 {
+		switch number / 3 % 4 {
 		case 0:
-			w.killLeaderAfter(away + w.between(50, 7000))
+			sim.crashLeaderAfter(downFor + sim.randomDuration(50, 7000))
 		case 1:
-			w.muteSome(away + w.between(6000, 60_000))
+			sim.isolateMachines(downFor + sim.randomDuration(6000, 60_000))
 		case 2:
-			w.cloudDown = true
-			w.after(away+50*time.Second, func() { w.cloudDown = false })
+			sim.cloudDown = true
+			sim.after(downFor+50*time.Second, func() { sim.cloudDown = false })
 		case 3:
-			for k, name := range w.names {
-				if k%2 == 0 {
-					w.workers[name].Kill()
+			for index, name := range sim.machineNames {
+				if index%2 == 0 {
+					sim.workers[name].Terminate()
 				}
 			}
 		}
 	})
-	w.after(100*time.Second, func() { w.trouble = false })
+	sim.after(100*time.Second, func() { sim.faultsActive = false })
 	return 170 * time.Second
 }
 
-// playDigestWorld plays world number i to its end.
-func playDigestWorld(i int) *decisionDigest {
-	w, end := digestWorld(i)
-	w.run(end)
-	for _, j := range w.jobs {
-		w.decisions.add("job", j.ID, w.poll(j.ID))
+// playDigestSimulation plays world number i to its end.
+func playDigestSimulation(i int) *decisionDigest {
+	sim, end := digestSimulation(i)
+	sim.run(end)
+	for _, j := range sim.jobs {
+		sim.decisions.add("job", j.ID, sim.pollJob(j.ID))
 	}
-	return w.decisions
+	return sim.decisions
 }
 
 // Decisions follow from the inputs alone: a world that is played twice is decided the same
@@ -171,20 +171,20 @@
 // those of another version.
 func TestDecisionDigest(t *testing.T) {
 	if !*printDigest {
-		for i := range quickDigestWorlds {
-			first, second := playDigestWorld(i), playDigestWorld(i)
+		for i := range quickDigestSimulations {
+			first, second := playDigestSimulation(i), playDigestSimulation(i)
 			if first.count == 0 || first.String() != second.String() {
 				t.Errorf("world %d: %d decisions with digest %s, then %d with %s", i, first.count, first, second.count, second)
 			}
 		}
 		return
 	}
-	var digests [digestWorlds]*decisionDigest
+	var digests [digestSimulations]*decisionDigest
 	t.Run("worlds", func(t *testing.T) {
 		for i := range digests {
 			t.Run(fmt.Sprint(i), func(t *testing.T) {
 				t.Parallel()
-				digests[i] = playDigestWorld(i)
+				digests[i] = playDigestSimulation(i)
 			})
 		}
 	})
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -7,14 +7,14 @@
 
 // Effects are what the node has to do after an input.
 type Effects struct {
-	Direct  []DirectCall
-	Commits []Commit
-	Rent    []Rental
-	Release [][]string
-	Resign  string // why the lead has to be given up, if it has to
-	Log     []Line
-	// Recovery has what happened in the term's recovery, for traces.
-	Recovery []recovery.Event
+	DirectCalls []DirectCall
+	Commits     []Commit
+	Provision   []ProvisionRequest
+	Release     [][]string
+	Resign      string // why the lead has to be given up, if it has to
+	Log         []LogLine
+	// Reconciliation has what happened in the term's recovery, for traces.
+	Reconciliation []recovery.Event
 }
 
 // DirectCall is a POST /commands to a machine.
@@ -31,26 +31,26 @@
 	Txn wire.Txn
 }
 
-// Rental is a request for machines.
-type Rental struct {
-	Request wire.RentRequest
+// ProvisionRequest is a request for machines.
+type ProvisionRequest struct {
+	Request wire.ProvisionRequest
 }
 
-// Line is a line for the log.
-type Line struct {
+// LogLine is a line for the log.
+type LogLine struct {
 	Debug bool
 	Msg   string
 	Args  []any
 }
 
-// Take returns the effects gathered since the last call.
-func (l *Leader) Take() Effects {
-	l.takeRecoveryEvents()
-	e := l.out
-	l.out = Effects{}
+// TakeEffects returns the effects gathered since the last call.
+func (s *Scheduler) TakeEffects() Effects {
+	s.takeReconciliationEvents()
+	e := s.effects
+	s.effects = Effects{}
 	return e
 }
 
-func (l *Leader) line(debug bool, msg string, args ...any) {
-	l.out.Log = append(l.out.Log, Line{debug, msg, args})
+func (s *Scheduler) log(debug bool, message string, args ...any) {
+	s.effects.Log = append(s.effects.Log, LogLine{debug, message, args})
 }
--- a/internal/core/export_test.go
+++ b/internal/core/export_test.go
@@ -4,14 +4,14 @@
 
 // Audit recomputes the books from the machines' attempts and says where they
 // differ: what is in no book is placed twice, what stays in one is lost room.
-func (l *Leader) Audit() error {
-	use := map[string]Team{}
+func (s *Scheduler) Audit() error {
+	use := map[string]TeamQuota{}
 	perJob := map[string]map[int]int{}
-	for _, m := range l.machines {
+	for _, m := range s.machines {
 		cpus := 0.0
 		for ref, a := range m.tasks {
-			if a.m != m || a.ref != ref {
-				return fmt.Errorf("%s holds an attempt of %v on %s", m.name, a.ref, a.m.name)
+			if a.machine != m || a.ref != ref {
+				return fmt.Errorf("%s holds an attempt of %v on %s", m.name, a.ref, a.machine.name)
 			}
 			if a.job == nil {
 				continue
@@ -20,21 +20,21 @@
 			u := use[a.job.spec.Team]
 			u.CPUs += a.job.spec.CPUs
 			use[a.job.spec.Team] = u
-			if perJob[ref.job] == nil {
-				perJob[ref.job] = map[int]int{}
+			if perJob[ref.jobID] == nil {
+				perJob[ref.jobID] = map[int]int{}
 			}
-			perJob[ref.job][ref.index]++
+			perJob[ref.jobID][ref.index]++
 		}
 		if d := cpus - m.cpus; d > 0.01 || d < -0.01 {
 			return fmt.Errorf("%s: %v CPUs in use, booked %v", m.name, cpus, m.cpus)
 		}
 	}
-	for team, u := range l.usage {
+	for team, u := range s.usage {
 		if d := use[team].CPUs - u.CPUs; d > 0.01 || d < -0.01 {
 			return fmt.Errorf("team %s: %v CPUs in use, booked %v", team, use[team].CPUs, u.CPUs)
 		}
 	}
-	for id, j := range l.jobs {
+	for id, j := range s.jobs {
 		n := 0
 		for index, list := range j.active {
 			n++
@@ -42,8 +42,8 @@
 				return fmt.Errorf("%s/%d: on %d machines, booked %d", id, index, perJob[id][index], len(list))
 			}
 		}
-		if n != j.nActive {
-			return fmt.Errorf("%s: %d active, booked %d", id, n, j.nActive)
+		if n != j.activeCount {
+			return fmt.Errorf("%s: %d active, booked %d", id, n, j.activeCount)
 		}
 		free := map[int]bool{}
 		for _, i := range j.returned {
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -10,279 +10,281 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// SetTypes takes the cloud's machine types.
-func (l *Leader) SetTypes(now Now, types []wire.MachineType) {
-	l.now = now
+// SetMachineTypes takes the cloud's machine types.
+func (s *Scheduler) SetMachineTypes(now Now, types []wire.MachineType) {
+	s.now = now
 	for i := range types {
 		t := types[i]
-		l.types[t.Name] = &t
+		s.types[t.Name] = &t
 	}
-	for _, m := range l.machines {
-		m.mt = l.types[m.typ]
+	for _, m := range s.machines {
+		m.machineSpec = s.types[m.machineType]
 	}
 }
 
-// NoWorkerReports is why a leader resigns that serves nobody.
-const NoWorkerReports = "no worker reaches this node"
+// ResignNoHeartbeats is why a leader resigns that serves nobody.
+const ResignNoHeartbeats = "no worker reaches this node"
 
-// Tick does what falls due with time.
-func (l *Leader) Tick(now Now) {
-	l.now = now
-	if now.Mono-l.tickAt > tuning.ProcessPause {
-		l.resumedAt = now.Mono
-		l.line(false, "this process stood still", "for_s", (now.Mono - l.tickAt).Seconds())
+// Sequence does what falls due with time.
+func (s *Scheduler) Tick(now Now) {
+	s.now = now
+	if now.Mono-s.tickAt > tuning.ProcessPauseThreshold {
+		s.resumedAt = now.Mono
+		s.log(false, "this process stood still", "for_s", (now.Mono - s.tickAt).Seconds())
 	}
-	look := now.Mono-l.lookedAt >= l.lookGap()
-	if look {
-		l.lookedAt = now.Mono
-		l.watchMachines()
+	scan := now.Mono-s.lookedAt >= s.scanInterval()
+	if scan {
+		s.lookedAt = now.Mono
+		s.scanMachines()
 		//mutation:counter-check
-		l.watchCounters()
+		s.watchCounterLimits()
 	}
-	l.watchSilence()
-	if look {
-		l.returnMachines()
+	s.watchIsolation()
+	if scan {
+		s.scaleIn()
 	}
-	if now.Mono-l.loadAt >= tuning.LoadLine {
-		l.loadAt = now.Mono
-		l.logLoad()
+	if now.Mono-s.loadAt >= tuning.LoadLogInterval {
+		s.loadAt = now.Mono
+		s.logLoad()
 	}
-	l.recovery.Advance(now.Mono)
-	l.proveUnreadable()
-	l.foldBatches()
-	if now.Mono-l.placedAt >= time.Second {
-		l.dirtyPlace = true // capacity may be offered again, machines heard again
+	s.reconciler.Advance(now.Mono)
+	s.resolveUnreadableRecords()
+	s.compactBatches()
+	if now.Mono-s.placedAt >= time.Second {
+		s.dirtyPlace = true // capacity may be offered again, machines heard again
 	}
-	l.Settle(now)
+	s.Settle(now)
 }
 
-// Held tells the leader up to when its lease lasts, if it is not renewed.
-func (l *Leader) Held(until time.Duration) { l.heldTo = max(l.heldTo, until) }
+// LeaseHeldUntil tells the leader up to when its lease lasts, if it is not renewed.
+func (s *Scheduler) LeaseHeldUntil(until time.Duration) {
+	s.leaseHeldUntil = max(s.leaseHeldUntil, until)
+}
 
-// leads reports whether the lead is still ours, as far as the lease tells. The
+// holdsLease reports whether the lead is still ours, as far as the lease tells. The
 // cloud checks no conditions and no tokens: a process that stood still for longer
 // than its lease would find all machines silent when it goes on, and give back
 // hundreds that work for its successor.
-func (l *Leader) leads() bool { return l.now.Mono < l.heldTo }
+func (s *Scheduler) holdsLease() bool { return s.now.Mono < s.leaseHeldUntil }
 
-// watchSilence resigns when no worker reaches us any more. Hundreds of machines
+// watchIsolation resigns when no worker reaches us any more. Hundreds of machines
 // report within any second, so few seconds tell; waiting for several report
 // intervals where these are long would cost the workers their leases, since the
 // other nodes send them here all the while. A few machines may just be between
 // two reports. Time in which this process stood still does not count: whatever
 // came meanwhile has yet to be read.
-func (l *Leader) watchSilence() {
-	if l.heardAny > l.tickAt {
-		l.alone = 0
+func (s *Scheduler) watchIsolation() {
+	if s.heardAny > s.tickAt {
+		s.alone = 0
 	} else {
-		l.alone += min(l.now.Mono-l.tickAt, 2*tuning.TickEvery)
+		s.alone += min(s.now.Mono-s.tickAt, 2*tuning.TickInterval)
 	}
-	l.tickAt = l.now.Mono
-	n := l.machinesUp()
+	s.tickAt = s.now.Mono
+	n := s.upMachineCount()
 	if n == 0 {
 		// Nobody can be silent. Else the first machine that the cloud lists, after a
 		// restart without records, would find that none was heard for long.
 		//mutation:isolation-clock-reset
-		l.alone = 0
+		s.alone = 0
 		return
 	}
-	limit := l.cfg.Report * tuning.SilentIntervals * tuning.SilentMachines / time.Duration(max(n, tuning.SilentMachines))
-	if l.alone > max(limit, tuning.SilentLeast) {
-		l.out.Resign = NoWorkerReports
+	limit := s.settings.HeartbeatInterval * tuning.ResignMissedHeartbeats * tuning.ResignReferenceMachines / time.Duration(max(n, tuning.ResignReferenceMachines))
+	if s.alone > max(limit, tuning.MinResignSilence) {
+		s.effects.Resign = ResignNoHeartbeats
 	}
 }
 
 // Settle places, writes and rents after any input.
-func (l *Leader) Settle(now Now) {
-	l.now = now
-	l.retryDue()
-	if l.dirtyPlace && now.Mono-l.placedAt >= l.placeGap() {
-		l.placedAt = now.Mono
-		l.rounds++
-		left := l.place()
-		l.rent(left)
+func (s *Scheduler) Settle(now Now) {
+	s.now = now
+	s.wakeBackedOffJobs()
+	if s.dirtyPlace && now.Mono-s.placedAt >= s.placementInterval() {
+		s.placedAt = now.Mono
+		s.rounds++
+		unplaced := s.placePending()
+		s.scaleOut(unplaced)
 	}
-	l.flush()
-	for _, name := range slices.Sorted(maps.Keys(l.pushDue)) {
-		delete(l.pushDue, name)
-		if m := l.machines[name]; m != nil {
-			l.push(m)
+	s.flush()
+	for _, name := range slices.Sorted(maps.Keys(s.pushDue)) {
+		delete(s.pushDue, name)
+		if m := s.machines[name]; m != nil {
+			s.sendDue(m)
 		}
 	}
 }
 
-// placeGap is the least time between two rounds: a round looks at every machine.
-func (l *Leader) placeGap() time.Duration {
-	return tuning.PlaceGap + l.slowed(time.Duration(len(l.machines))*tuning.PlaceGapMachine)
+// placementInterval is the least time between two rounds: a round looks at every machine.
+func (s *Scheduler) placementInterval() time.Duration {
+	return tuning.MinPlacementInterval + s.scaleByCPUShare(time.Duration(len(s.machines))*tuning.PlacementIntervalPerMachine)
 }
 
-// lookGap is the least time between two ticks that look at every machine.
-func (l *Leader) lookGap() time.Duration {
-	return l.slowed(time.Duration(len(l.machines)) * tuning.LookGapMachine)
+// scanInterval is the least time between two ticks that look at every machine.
+func (s *Scheduler) scanInterval() time.Duration {
+	return s.scaleByCPUShare(time.Duration(len(s.machines)) * tuning.ScanIntervalPerMachine)
 }
 
-// slowed stretches what was measured for a process with tuning.UsualShare of a core, for
+// scaleByCPUShare stretches what was measured for a process with tuning.ReferenceCPUShare of a core, for
 // one that has less: it would spend all of its time on rounds while hundreds of jobs
 // wait, and fall behind with reports, so that machines stand empty beside them.
-func (l *Leader) slowed(d time.Duration) time.Duration {
-	if l.smallShare() {
-		return time.Duration(float64(d) * tuning.UsualShare / l.cfg.CPUShare)
+func (s *Scheduler) scaleByCPUShare(d time.Duration) time.Duration {
+	if s.isCPULimited() {
+		return time.Duration(float64(d) * tuning.ReferenceCPUShare / s.settings.CPUShare)
 	}
 	return d
 }
 
-// retryDue wakes jobs whose pause after a failure is over.
-func (l *Leader) retryDue() {
-	for j := range l.pausing {
-		if l.now.Mono >= j.retryAt {
-			delete(l.pausing, j)
+// wakeBackedOffJobs wakes jobs whose pause after a failure is over.
+func (s *Scheduler) wakeBackedOffJobs() {
+	for j := range s.pausing {
+		if s.now.Mono >= j.retryAt {
+			delete(s.pausing, j)
 			j.retryAt = 0
-			l.dirtyPlace = true
+			s.dirtyPlace = true
 		}
 	}
 }
 
 // logLoad says how full the cluster is and what waits for what.
-func (l *Leader) logLoad() {
-	used, total := l.capacity()
-	why := map[string]int{}
-	for _, j := range l.jobs {
-		if n := j.pending(); n > 0 {
-			why[j.why] += n
+func (s *Scheduler) logLoad() {
+	used, total := s.cpuUsage()
+	waitingByReason := map[string]int{}
+	for _, j := range s.jobs {
+		if n := j.pendingTasks(); n > 0 {
+			waitingByReason[j.why] += n
 		}
 	}
-	oldest := l.now.Mono
-	for _, a := range l.toRecord {
+	oldest := s.now.Mono
+	for _, a := range s.toRecord {
 		if !a.sent {
 			oldest = min(oldest, a.placedAt)
 		}
 	}
-	if late := l.now.Mono - oldest; late > tuning.RecordsLate {
-		why := "starts wait for their records: too few changes a second"
-		if l.now.Mono < l.holdOff+tuning.StateRetry {
-			why = "starts wait for their records: the state service takes no writes"
+	if delay := s.now.Mono - oldest; delay > tuning.LateRecordAfter {
+		waitingByReason := "starts wait for their records: too few changes a second"
+		if s.now.Mono < s.holdOff+tuning.StoreRetryDelay {
+			waitingByReason = "starts wait for their records: the state service takes no writes"
 		}
-		l.line(false, why, "starts", len(l.toRecord), "longest_s", late.Seconds(), "changes_a_second", l.cfg.WriteRate)
+		s.log(false, waitingByReason, "starts", len(s.toRecord), "longest_s", delay.Seconds(), "changes_a_second", s.settings.WriteRate)
 	}
-	for _, name := range slices.Sorted(maps.Keys(l.usage)) {
-		if u := l.usage[name]; u.CPUs > 0 {
-			l.line(true, "team load", "team", name, "cpus_used", u.CPUs, "cpus_max", l.cfg.Teams[name].CPUsMax)
+	for _, name := range slices.Sorted(maps.Keys(s.usage)) {
+		if usage := s.usage[name]; usage.CPUs > 0 {
+			s.log(true, "team load", "team", name, "cpus_used", usage.CPUs, "cpus_max", s.settings.Teams[name].CPUsMax)
 		}
 	}
-	l.line(true, "load", "cpus_used", used, "cpus_total", total, "machines", len(l.machines), "jobs", len(l.jobs),
-		"no_room", why["no machine has room"], "team_limit", why["its team is at its limit"], "other", why[""],
-		"unsettled_s", (l.now.Mono - l.SettledAsOf(l.now.Mono)).Seconds())
+	s.log(true, "load", "cpus_used", used, "cpus_total", total, "machines", len(s.machines), "jobs", len(s.jobs),
+		"no_room", waitingByReason["no machine has room"], "team_limit", waitingByReason["its team is at its limit"], "other", waitingByReason[""],
+		"unsettled_s", (s.now.Mono - s.EnforcedCancellationWatermark(s.now.Mono)).Seconds())
 }
 
-// Unsettled reports whether placement waits for its gap to pass.
-func (l *Leader) Unsettled() bool { return l.dirtyPlace }
+// PlacementPending reports whether placement waits for its gap to pass.
+func (s *Scheduler) PlacementPending() bool { return s.dirtyPlace }
 
-func (l *Leader) machinesUp() int {
+func (s *Scheduler) upMachineCount() int {
 	n := 0
-	for _, m := range l.machines {
-		if m.phase == up {
+	for _, m := range s.machines {
+		if m.phase == machineUp {
 			n++
 		}
 	}
 	return n
 }
 
-// watchMachines looks at every machine, first at those that found no place for a
+// scanMachines looks at every machine, first at those that found no place for a
 // question the last time.
-func (l *Leader) watchMachines() {
-	list := l.sorted()
-	first, _ := slices.BinarySearchFunc(list, l.questions.next, func(m *machine, name string) int { return strings.Compare(m.name, name) })
-	l.questions.next = ""
+func (s *Scheduler) scanMachines() {
+	list := s.sortedMachines()
+	first, _ := slices.BinarySearchFunc(list, s.questions.nextMachine, func(m *machine, name string) int { return strings.Compare(m.name, name) })
+	s.questions.nextMachine = ""
 	for i := range list {
 		//mutation:status-probe-rotation
-		l.watchMachine(list[(first+i)%len(list)])
+		s.scanMachine(list[(first+i)%len(list)])
 	}
 }
 
-// watchMachine sends what is due, probes, and gives up on what is lost.
-func (l *Leader) watchMachine(m *machine) {
-	if m.phase != up {
+// scanMachine sends what is due, probes, and gives up on what is lost.
+func (s *Scheduler) scanMachine(m *machine) {
+	if m.phase != machineUp {
 		return
 	}
 	if m.leaveBy > 0 {
-		l.evacuate(m)
+		s.drainMachine(m)
 	}
 	due, waiting := false, false
-	var over []*attempt
+	var expired []*attempt
 	for _, a := range m.tasks {
 		waiting = waiting || a.sent && !a.seen
-		if a.sent && !a.seen && !a.halt && a.firstSent > 0 && a.nextProbe <= l.now.Mono && !a.calling {
+		if a.sent && !a.seen && !a.halt && a.firstSent > 0 && a.nextProbe <= s.now.Mono && !a.calling {
 			// The next probe would be sent now: give up if it is too late for it.
-			if l.now.Mono >= l.horizon(a) {
-				over = append(over, a)
+			if s.now.Mono >= s.dispatchDeadline(a) {
+				expired = append(expired, a)
 				continue
 			}
 			due = true
 		}
-		if a.halt && l.now.Mono-a.haltedAt >= tuning.HaltRepeat {
+		if a.halt && s.now.Mono-a.haltedAt >= tuning.StopResendInterval {
 			due = true
 		}
 	}
-	sortAttempts(over)
-	for _, a := range over {
+	sortAttempts(expired)
+	for _, a := range expired {
 		a.giveUp = true
-		l.count.ProbeGiveUp++
-		l.line(false, "start never acknowledged, giving up", "task", wire.TaskName(a.ref.job, a.ref.index), "machine", m.name, "probes", a.probes)
-		l.failures = append(l.failures, Failure{wire.TaskName(a.ref.job, a.ref.index), a.number, m.name, "ack timeout", l.now.Wall})
-		l.stop(a, false, "start never acknowledged")
+		s.counters.DispatchGiveUps++
+		s.log(false, "start never acknowledged, giving up", "task", wire.TaskName(a.ref.jobID, a.ref.index), "machine", m.name, "probes", a.probes)
+		s.failures = append(s.failures, Failure{wire.TaskName(a.ref.jobID, a.ref.index), a.number, m.name, "ack timeout", s.now.Wall})
+		s.stopAttempt(a, false, "start never acknowledged")
 	}
 	if due {
-		l.push(m)
+		s.sendDue(m)
 	}
-	quiet := l.now.Mono - m.heardAt
+	heartbeatAge := s.now.Mono - m.heardAt
 	//mutation:status-probe-when-overdue
-	if quiet > l.overdueReport() || !m.confirmed || m.unreachableSince > 0 || waiting && m.seenToken < l.token(m) {
-		l.askForReport(m)
+	if heartbeatAge > s.heartbeatOverdueAfter() || !m.confirmed || m.unreachableSince > 0 || waiting && m.seenToken < s.fencingToken(m) {
+		s.probeStatus(m)
 	}
 }
 
-// Listed takes the cloud's list, as it was a while ago.
-func (l *Leader) Listed(now Now, list []wire.ListedMachine) {
-	l.now = now
-	l.listed, l.listedAt = true, now.Mono
-	for _, m := range l.machines {
+// MachinesListed takes the cloud's list, as it was a while ago.
+func (s *Scheduler) MachinesListed(now Now, list []wire.ListedMachine) {
+	s.now = now
+	s.listed, s.listedAt = true, now.Mono
+	for _, m := range s.machines {
 		m.missing++
 	}
 	for i := range list {
-		it := &list[i]
-		if l.gone[it.Name] {
+		listed := &list[i]
+		if s.gone[listed.Name] {
 			continue
 		}
-		m := l.machines[it.Name]
+		m := s.machines[listed.Name]
 		if m == nil {
-			m = l.addMachine(it.Name, it.Type, it.Zone, it.Spot, it.Address)
-			m.rentedAt = now.Mono - time.Duration(it.AgeS*float64(time.Second))
-			l.line(false, "machine adopted from the cloud's list", "machine", m.name, "type", m.typ, "zone", m.zone, "spot", m.spot, "state", it.State)
-			l.dirtyPlace = true
-			if it.State == wire.MachineRunning && m.rentedAt < l.startedAt {
-				l.recovery.ExpectMachine(m.name)
+			m = s.addMachine(listed.Name, listed.Type, listed.Zone, listed.Spot, listed.Address)
+			m.rentedAt = now.Mono - time.Duration(listed.AgeS*float64(time.Second))
+			s.log(false, "machine adopted from the cloud's list", "machine", m.name, "type", m.machineType, "zone", m.zone, "spot", m.spot, "state", listed.State)
+			s.dirtyPlace = true
+			if listed.State == wire.MachineRunning && m.rentedAt < s.startedAt {
+				s.reconciler.ExpectMachine(m.name)
 			}
 		}
 		m.missing, m.listedOnce = 0, true
-		if m.addr == "" {
-			m.addr = it.Address
+		if m.address == "" {
+			m.address = listed.Address
 		}
-		if m.phase == booting && it.State == wire.MachineRunning && now.Mono-m.knownAt > l.cfg.Report {
+		if m.phase == machineBooting && listed.State == wire.MachineRunning && now.Mono-m.knownAt > s.settings.HeartbeatInterval {
 			// Up before our term, or its first report went elsewhere: ask it.
-			l.markUp(m)
-			l.askForReport(m)
+			s.markUp(m)
+			s.probeStatus(m)
 		}
-		if it.State == wire.MachineFailed && !m.failed {
+		if listed.State == wire.MachineFailed && !m.failed {
 			m.failed = true
-			l.line(false, "machine failed", "machine", m.name, "tasks", len(m.tasks))
+			s.log(false, "machine failed", "machine", m.name, "tasks", len(m.tasks))
 		}
 	}
-	l.recovery.Listed(now.Mono)
+	s.reconciler.CloudListed(now.Mono)
 }
 
-func (l *Leader) bootTime(typ string) time.Duration {
-	if t := l.types[typ]; t != nil {
+func (s *Scheduler) bootTime(machineType string) time.Duration {
+	if t := s.types[machineType]; t != nil {
 		return time.Duration(t.BootS * float64(time.Second))
 	}
-	return tuning.BootPatienceMin
+	return tuning.MinBootTimeout
 }
--- a/internal/core/flush.go
+++ b/internal/core/flush.go
@@ -12,88 +12,88 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// maxCommits is how many of the leader's transactions may be out at once; they
+// maxTransactionsInFlight is how many of the leader's transactions may be out at once; they
 // never share a key.
-const maxCommits = 4
+const maxTransactionsInFlight = 4
 
-// txn gathers one transaction of the leader.
-type txn struct {
-	t     wire.Txn
-	state commitState
-	bytes int
+// transaction gathers one transaction of the leader.
+type transaction struct {
+	request  wire.Txn
+	contents transactionContents
+	bytes    int
 }
 
-func (l *Leader) newTxn(leaderStamp uint64) *txn {
+func (s *Scheduler) newTransaction(leaderRevision uint64) *transaction {
 	//mutation:transaction-needs-leadership
-	return &txn{t: wire.Txn{If: []wire.Condition{{Key: store.LeaderKey, Stamp: leaderStamp}}}}
+	return &transaction{request: wire.Txn{If: []wire.Compare{{Key: store.LeaderKey, ModRevision: leaderRevision}}}}
 }
 
 // room reports whether the transaction can take n more changes.
-func (l *Leader) room(t *txn, n int) bool {
+func (s *Scheduler) canAddChanges(t *transaction, n int) bool {
 	//mutation:write-budget
-	return len(t.t.Apply)+n <= l.cfg.TxnOps && t.bytes < tuning.TxnBytes &&
-		float64(len(t.t.Apply)+n) <= l.budget
+	return len(t.request.Then)+n <= s.settings.MaxTransactionOps && t.bytes < tuning.MaxTxnBytes &&
+		float64(len(t.request.Then)+n) <= s.budget
 }
 
-func (l *Leader) refill() {
-	rate := l.cfg.WriteRate * tuning.WriteShare
-	l.budget = min(max(rate, float64(l.cfg.TxnOps)), l.budget+(l.now.Mono-l.budgetAt).Seconds()*rate)
-	l.budgetAt = l.now.Mono
+func (s *Scheduler) refillWriteBudget() {
+	rate := s.settings.WriteRate * tuning.StoreWriteRateShare
+	s.budget = min(max(rate, float64(s.settings.MaxTransactionOps)), s.budget+(s.now.Mono-s.budgetAt).Seconds()*rate)
+	s.budgetAt = s.now.Mono
 }
 
 // flush writes what is due, the most urgent first: starts that wait for their record,
 // ended jobs, then what can wait.
-func (l *Leader) flush() {
-	l.refill()
-	for len(l.commits) < maxCommits && l.now.Mono >= l.holdOff {
-		t := l.newTxn(l.term)
+func (s *Scheduler) flush() {
+	s.refillWriteBudget()
+	for len(s.commits) < maxTransactionsInFlight && s.now.Mono >= s.holdOff {
+		t := s.newTransaction(s.term)
 		// Batches are spaced, and one change has dozens of starts where an end takes
 		// two: a swarm of small jobs that end would keep all starts waiting.
-		l.gatherBatches(t)
-		l.gatherEnded(t)
-		l.gatherProgress(t)
-		l.gatherDeleted(t)
-		if len(t.t.Apply) == 0 {
+		s.addAssignmentBatches(t)
+		s.addEndedJobs(t)
+		s.addJobProgress(t)
+		s.addDeletions(t)
+		if len(t.request.Then) == 0 {
 			return
 		}
-		l.budget -= float64(len(t.t.Apply))
-		l.nextID++
-		l.commits[l.nextID] = &t.state
-		l.out.Commits = append(l.out.Commits, Commit{ID: l.nextID, Txn: t.t})
+		s.budget -= float64(len(t.request.Then))
+		s.nextEffectID++
+		s.commits[s.nextEffectID] = &t.contents
+		s.effects.Commits = append(s.effects.Commits, Commit{ID: s.nextEffectID, Txn: t.request})
 	}
 }
 
-func (l *Leader) dueJobs(after time.Duration) []*job {
-	var out []*job
-	for j := range l.dirtyJobs {
-		if j.dirtyAt > 0 && !j.writing && !j.archived && l.now.Mono >= j.blocked && l.now.Mono-j.dirtyAt >= after {
-			out = append(out, j)
+func (s *Scheduler) jobsDueForWrite(minAge time.Duration) []*job {
+	var due []*job
+	for j := range s.dirtyJobs {
+		if j.dirtyAt > 0 && !j.writing && !j.archived && s.now.Mono >= j.blocked && s.now.Mono-j.dirtyAt >= minAge {
+			due = append(due, j)
 		}
 	}
-	slices.SortFunc(out, func(a, b *job) int {
+	slices.SortFunc(due, func(a, b *job) int {
 		if c := cmp.Compare(a.dirtyAt, b.dirtyAt); c != 0 {
 			return c
 		}
 		return strings.Compare(a.id, b.id)
 	})
-	return out
+	return due
 }
 
-// over reports whether the job's end may be written. A cancelled one stays live until
+// readyToArchive reports whether the job's end may be written. A cancelled one stays live until
 // nothing of it may be about: of what no live job has, a later leader would not know
 // whose limit it counts for.
-func (j *job) over() bool {
+func (j *job) readyToArchive() bool {
 	//mutation:cancelled-job-outlives-attempts
-	return j.nDone == j.spec.Tasks || j.cancelled && j.nActive == 0
+	return j.nDone == j.spec.Tasks || j.cancelled && j.activeCount == 0
 }
 
-func (l *Leader) gatherEnded(t *txn) {
-	for _, j := range l.dueJobs(0) {
+func (s *Scheduler) addEndedJobs(t *transaction) {
+	for _, j := range s.jobsDueForWrite(0) {
 		//mutation:end-waits-for-unreadable-records
-		if !j.over() || j.cancelled && l.inUnreadableRecord(j) {
+		if !j.readyToArchive() || j.cancelled && s.mayBeInUnreadableRecord(j) {
 			continue
 		}
-		if !l.room(t, 2) {
+		if !s.canAddChanges(t, 2) {
 			return
 		}
 		state := wire.JobDone
@@ -101,74 +101,74 @@
 			state = wire.JobCancelled
 		}
 		//mutation:job-end-conditions
-		t.t.If = append(t.t.If, wire.Condition{Key: store.JobKey(j.id), Stamp: j.stamp})
-		t.t.Apply = append(t.t.Apply,
-			wire.Change{Delete: store.JobKey(j.id)},
-			wire.Change{Set: store.EndedKey(j.id), Value: store.EndedRecord{State: state, Done: j.nDone, Tasks: j.spec.Tasks, Class: j.spec.Class}})
+		t.request.If = append(t.request.If, wire.Compare{Key: store.JobKey(j.id), ModRevision: j.modRevision})
+		t.request.Then = append(t.request.Then,
+			wire.Op{Delete: store.JobKey(j.id)},
+			wire.Op{Set: store.EndedJobKey(j.id), Value: store.EndedJob{State: state, Done: j.nDone, Tasks: j.spec.Tasks, Class: j.spec.Class}})
 		t.bytes += 400
 		j.writing = true
-		t.state.jobs = append(t.state.jobs, jobWrite{j: j, ended: true})
+		t.contents.jobWrites = append(t.contents.jobWrites, jobWrite{job: j, ended: true})
 	}
 }
 
-// doneFlush is how long done tasks wait for their write: longer where many jobs
+// progressFlushDelay is how long done tasks wait for their write: longer where many jobs
 // have some, since each job's write is one of its own.
-func (l *Leader) doneFlush() time.Duration {
-	return max(tuning.DoneFlush, time.Duration(float64(len(l.dirtyJobs))/(l.cfg.WriteRate*tuning.ProgressShare)*float64(time.Second)))
+func (s *Scheduler) progressFlushDelay() time.Duration {
+	return max(tuning.DoneFlushDelay, time.Duration(float64(len(s.dirtyJobs))/(s.settings.WriteRate*tuning.ProgressWriteShare)*float64(time.Second)))
 }
 
-// gatherProgress writes done tasks of unfinished jobs.
-func (l *Leader) gatherProgress(t *txn) {
-	for _, j := range l.dueJobs(l.doneFlush()) {
-		if j.over() {
+// addJobProgress writes done tasks of unfinished jobs.
+func (s *Scheduler) addJobProgress(t *transaction) {
+	for _, j := range s.jobsDueForWrite(s.progressFlushDelay()) {
+		if j.readyToArchive() {
 			continue
 		}
-		if l.budget-float64(len(t.t.Apply)) < l.cfg.WriteRate*tuning.WriteReserve {
+		if s.budget-float64(len(t.request.Then)) < s.settings.WriteRate*tuning.StartWriteReserve {
 			return // starts, and jobs that end, come first
 		}
 		if j.nDone == j.nSaved {
-			l.clean(j)
+			s.markClean(j)
 			continue
 		}
-		w := jobWrite{j: j, saved: append(store.Bitmap(nil), j.done...)}
-		for k := 0; k < j.done.Chunks(); k++ {
-			text := j.done.Encode(k)
-			if text == j.saved.Encode(k) {
+		write := jobWrite{job: j, doneBits: append(store.Bitmap(nil), j.done...)}
+		for k := 0; k < j.done.ChunkCount(); k++ {
+			text := j.done.EncodeChunk(k)
+			if text == j.saved.EncodeChunk(k) {
 				continue
 			}
-			if !l.room(t, 1) {
+			if !s.canAddChanges(t, 1) {
 				break // the rest follows with the next write
 			}
 			if k == 0 {
-				rec := store.JobRecord{Job: j.spec, Cancelled: j.cancelled, Done: text}
+				rec := store.Job{Job: j.spec, Cancelled: j.cancelled, Done: text}
 				//mutation:progress-conditions
-				t.t.If = append(t.t.If, wire.Condition{Key: store.JobKey(j.id), Stamp: j.stamp})
-				t.t.Apply = append(t.t.Apply, wire.Change{Set: store.JobKey(j.id), Value: rec})
-				w.touched = true
+				t.request.If = append(t.request.If, wire.Compare{Key: store.JobKey(j.id), ModRevision: j.modRevision})
+				t.request.Then = append(t.request.Then, wire.Op{Set: store.JobKey(j.id), Value: rec})
+				write.wroteJobRecord = true
 			} else {
-				key := store.BitsKey(j.id, k)
-				t.t.If = append(t.t.If, wire.Condition{Key: key, Stamp: j.chunks[k]})
-				t.t.Apply = append(t.t.Apply, wire.Change{Set: key, Value: store.BitsRecord{Done: text}})
-				w.chunks = append(w.chunks, k)
+				key := store.BitmapKey(j.id, k)
+				t.request.If = append(t.request.If, wire.Compare{Key: key, ModRevision: j.chunks[k]})
+				t.request.Then = append(t.request.Then, wire.Op{Set: key, Value: store.BitmapChunk{Done: text}})
+				write.chunks = append(write.chunks, k)
 			}
 			t.bytes += len(text) + 800
 		}
-		if !w.touched && len(w.chunks) == 0 {
+		if !write.wroteJobRecord && len(write.chunks) == 0 {
 			return
 		}
 		j.writing = true
-		t.state.jobs = append(t.state.jobs, w)
+		t.contents.jobWrites = append(t.contents.jobWrites, write)
 	}
 }
 
-// gatherDeleted deletes batches that nothing needs any more, and the further done
+// addDeletions deletes batches that nothing needs any more, and the further done
 // bits of ended jobs.
-func (l *Leader) gatherDeleted(t *txn) {
-	for len(l.obsoleteKeys) > 0 && l.room(t, 1) {
-		key := l.obsoleteKeys[0]
-		l.obsoleteKeys = l.obsoleteKeys[1:]
-		t.t.Apply = append(t.t.Apply, wire.Change{Delete: key})
-		t.state.deleted = append(t.state.deleted, key)
+func (s *Scheduler) addDeletions(t *transaction) {
+	for len(s.obsoleteKeys) > 0 && s.canAddChanges(t, 1) {
+		key := s.obsoleteKeys[0]
+		s.obsoleteKeys = s.obsoleteKeys[1:]
+		t.request.Then = append(t.request.Then, wire.Op{Delete: key})
+		t.contents.deletedKeys = append(t.contents.deletedKeys, key)
 	}
 }
 
@@ -184,80 +184,80 @@
 )
 
 // CommitDone takes the outcome of a transaction.
-func (l *Leader) CommitDone(now Now, id uint64, res CommitResult, rev uint64, failed []string) {
-	l.now = now
-	cs := l.commits[id]
-	if cs == nil {
+func (s *Scheduler) CommitDone(now Now, id uint64, result CommitResult, revision uint64, failedKeys []string) {
+	s.now = now
+	commit := s.commits[id]
+	if commit == nil {
 		return
 	}
-	delete(l.commits, id)
-	bad := map[string]bool{}
-	if res == CommitConflict {
-		for _, k := range failed {
-			bad[k] = true
+	delete(s.commits, id)
+	conflicting := map[string]bool{}
+	if result == CommitConflict {
+		for _, k := range failedKeys {
+			conflicting[k] = true
 			if k == store.LeaderKey {
-				l.out.Resign = "another leader holds the key"
+				s.effects.Resign = "another leader holds the key"
 				return
 			}
 		}
 	}
-	if res == CommitRefused || res == CommitUnknown {
-		l.holdOff = now.Mono + tuning.StateRetry
+	if result == CommitRefused || result == CommitUnknown {
+		s.holdOff = now.Mono + tuning.StoreRetryDelay
 	}
-	if res != CommitDone {
-		l.obsoleteKeys = append(l.obsoleteKeys, cs.deleted...)
+	if result != CommitDone {
+		s.obsoleteKeys = append(s.obsoleteKeys, commit.deletedKeys...)
 	}
-	for _, w := range cs.jobs {
-		l.jobWritten(w, res, rev, bad)
+	for _, w := range commit.jobWrites {
+		s.jobWritten(w, result, revision, conflicting)
 	}
-	for _, b := range cs.batches {
-		l.batchWritten(b, res, bad)
+	for _, b := range commit.batches {
+		s.batchWritten(b, result, conflicting)
 	}
-	l.flush()
+	s.flush()
 }
 
-func (l *Leader) jobWritten(w jobWrite, res CommitResult, rev uint64, bad map[string]bool) {
-	j := w.j
+func (s *Scheduler) jobWritten(write jobWrite, result CommitResult, revision uint64, conflicting map[string]bool) {
+	j := write.job
 	j.writing = false
-	if res != CommitDone {
+	if result != CommitDone {
 		// After a conflict, or an answer that was lost, the watch brings the
 		// record as it is. Chunks are read again by a retry's conflict.
-		j.blocked = l.now.Mono + tuning.StateRetry
-		for _, k := range w.chunks {
-			if bad[store.BitsKey(j.id, k)] {
-				l.out.Resign = "a job's bitmap changed under us"
+		j.blocked = s.now.Mono + tuning.StoreRetryDelay
+		for _, k := range write.chunks {
+			if conflicting[store.BitmapKey(j.id, k)] {
+				s.effects.Resign = "a job's bitmap changed under us"
 			}
 		}
 		return
 	}
-	if w.ended {
+	if write.ended {
 		state := wire.JobDone
 		if j.cancelled {
 			state = wire.JobCancelled
 		}
 		for _, k := range slices.Sorted(maps.Keys(j.chunks)) {
-			l.obsoleteKeys = append(l.obsoleteKeys, store.BitsKey(j.id, k))
+			s.obsoleteKeys = append(s.obsoleteKeys, store.BitmapKey(j.id, k))
 		}
-		l.line(false, "job over", "job", j.id, "state", state, "after_s", (l.now.Mono - j.created).Seconds())
+		s.log(false, "job over", "job", j.id, "state", state, "after_s", (s.now.Mono - j.createdAt).Seconds())
 		j.saved = append(store.Bitmap(nil), j.done...)
 		j.nSaved = j.nDone
-		l.clean(j)
-		l.dropJob(j)
+		s.markClean(j)
+		s.archiveJob(j)
 		return
 	}
-	if w.touched {
-		j.stamp = max(j.stamp, rev)
-		_ = j.saved.Merge(0, w.saved.Encode(0))
+	if write.wroteJobRecord {
+		j.modRevision = max(j.modRevision, revision)
+		_ = j.saved.MergeChunk(0, write.doneBits.EncodeChunk(0))
 	}
-	for _, k := range w.chunks {
-		j.chunks[k] = rev
-		_ = j.saved.Merge(k, w.saved.Encode(k))
+	for _, k := range write.chunks {
+		j.chunks[k] = revision
+		_ = j.saved.MergeChunk(k, write.doneBits.EncodeChunk(k))
 	}
 	j.nSaved = j.saved.Count()
 	//mutation:release-saved-attempt
-	l.releaseSaved(j)
-	l.clean(j)
-	if j.nSaved != j.nDone || j.over() {
-		l.touch(j)
+	s.dropSavedAssignments(j)
+	s.markClean(j)
+	if j.nSaved != j.nDone || j.readyToArchive() {
+		s.markDirty(j)
 	}
 }
--- a/internal/core/gangs.go
+++ b/internal/core/gangs.go
@@ -14,67 +14,67 @@
 // placeGang places all waiting members of a gang, or none. Where they have to be
 // together, each zone is tried: the best machine for the first of them may be in one
 // that has no room for the others.
-func (l *Leader) placeGang(r *round, j *job, n int) bool {
+func (s *Scheduler) placeGang(r *placementRound, j *job, n int) bool {
 	//mutation:gang-zone-choice
-	if !j.spec.Together || j.nActive > 0 {
-		return l.placeGangIn(r, j, n, "")
+	if !j.spec.SameZone || j.activeCount > 0 {
+		return s.placeGangInZone(r, j, n, "")
 	}
 	zones := map[string]bool{}
-	for _, m := range r.roomy {
+	for _, m := range r.withCapacity {
 		zones[m.zone] = true
 	}
 	for _, z := range slices.Sorted(maps.Keys(zones)) {
-		if l.placeGangIn(r, j, n, z) {
+		if s.placeGangInZone(r, j, n, z) {
 			return true
 		}
 	}
 	return false
 }
 
-// placeGangIn places them in one zone; empty: in any.
-func (l *Leader) placeGangIn(r *round, j *job, n int, zone string) bool {
-	if l.numbersLeft() < n {
+// placeGangInZone places them in one zone; empty: in any.
+func (s *Scheduler) placeGangInZone(r *placementRound, j *job, n int, zone string) bool {
+	if s.attemptNumbersLeft() < n {
 		return false
 	}
 	var placed []*attempt
-	p := l.newPicker(r, j)
+	p := s.newMachinePicker(r, j)
 	if zone != "" {
-		p.heap = slices.DeleteFunc(p.heap, func(x pick) bool { return x.m.zone != zone })
-		heap.Init(&p.heap)
+		p.candidates = slices.DeleteFunc(p.candidates, func(x candidate) bool { return x.machine.zone != zone })
+		heap.Init(&p.candidates)
 	}
 	for range n {
-		m := p.next()
+		m := p.best()
 		if m == nil {
 			break
 		}
-		i, ok := j.nextFree()
+		i, ok := j.takeFreeIndex()
 		if !ok {
 			break
 		}
-		a := l.newAttempt(j, i, m)
-		l.attach(a)
-		p.took(m)
+		a := s.newAttempt(j, i, m)
+		s.attach(a)
+		p.recordAssignment(m)
 		placed = append(placed, a)
 	}
 	if len(placed) < n {
 		for _, a := range placed {
-			l.detach(a)
+			s.detach(a)
 		}
-		l.dirtyPlace = false // nothing has changed
+		s.dirtyPlace = false // nothing has changed
 		return false
 	}
 	for _, a := range placed {
-		l.record(a)
+		s.queueAssignment(a)
 	}
 	return true
 }
 
-// reserve keeps machines free of other work, production apart, until a gang that
+// reserveForGang keeps machines free of other work, production apart, until a gang that
 // waits for long fits on them together: room for all of it never comes by itself
 // where smaller tasks take each slot that falls free.
-func (l *Leader) reserve(j *job, n int) {
+func (s *Scheduler) reserveForGang(j *job, n int) {
 	slots := func(m *machine) int {
-		cpus, mem := m.mt.CPUs, m.mt.MemoryGB
+		cpus, mem := m.machineSpec.CPUs, m.machineSpec.MemoryGB
 		for _, a := range m.tasks {
 			if a.job != nil && (a.job.service || a.job.rank < j.rank) {
 				cpus -= a.job.spec.CPUs
@@ -92,8 +92,8 @@
 	}
 	var list []*machine
 	room := map[string]int{}
-	for _, m := range l.sorted() {
-		if l.usable(m) && !m.summarize().blocked && j.allows(m.typ, m.zone, m.spot) && slots(m) > 0 {
+	for _, m := range s.sortedMachines() {
+		if s.schedulable(m) && !m.summarize().hasUnknownTask && j.allowsMachine(m.machineType, m.zone, m.spot) && slots(m) > 0 {
 			list = append(list, m)
 			room[m.zone] += slots(m)
 		}
@@ -106,8 +106,8 @@
 	}
 	fits := 0
 	for z, k := range room {
-		if z == best || !j.spec.Together {
-			fits += min(k, j.spec.ZoneCap())
+		if z == best || !j.spec.SameZone {
+			fits += min(k, j.spec.MaxTasksPerZone())
 		}
 	}
 	//mutation:reserve-only-if-gang-fits
@@ -118,45 +118,45 @@
 	sort.SliceStable(list, func(a, b int) bool { return list[a].cpus < list[b].cpus })
 	taken := map[string]int{}
 	for _, m := range list {
-		if j.spec.Together && m.zone != best || n <= 0 {
+		if j.spec.SameZone && m.zone != best || n <= 0 {
 			continue
 		}
-		k := min(slots(m), j.spec.ZoneCap()-taken[m.zone])
+		k := min(slots(m), j.spec.MaxTasksPerZone()-taken[m.zone])
 		if k <= 0 {
 			continue
 		}
 		taken[m.zone] += k
 		n -= k
-		m.keptFor, m.keptTo = j.id, l.now.Mono+tuning.KeepRoom
+		m.keptFor, m.keptTo = j.id, s.now.Mono+tuning.PreemptionReservationTTL
 	}
 }
 
-// hostable is how many of n waiting tasks of the job could go to the machines that
+// hostableTasks is how many of n waiting tasks of the job could go to the machines that
 // there are if all but production made way there. Of those that need machines yet, no
 // room is kept. What is on its way is waited for, for a while.
-func (l *Leader) hostable(j *job, n int) int {
+func (s *Scheduler) hostableTasks(j *job, n int) int {
 	//mutation:reservation-wait-bound
-	if l.now.Mono-j.waitSince < tuning.PromiseFor {
+	if s.now.Mono-j.waitSince < tuning.ReservationTTL {
 		return n
 	}
-	z := j.zones()
+	z := j.attemptsByZone()
 	room := map[string]int{}
 	could := func() int {
 		most, sum := 0, 0
 		for zone, k := range room {
 			most = max(most, k)
-			sum += max(0, min(k, j.spec.ZoneCap()-z[zone]))
+			sum += max(0, min(k, j.spec.MaxTasksPerZone()-z[zone]))
 		}
-		if j.spec.Together {
+		if j.spec.SameZone {
 			sum = most
 		}
 		return sum
 	}
-	for _, m := range l.sorted() {
-		if !l.usable(m) || m.summarize().blocked || !j.allows(m.typ, m.zone, m.spot) || !j.zoneOpen(z, m.zone) {
+	for _, m := range s.sortedMachines() {
+		if !s.schedulable(m) || m.summarize().hasUnknownTask || !j.allowsMachine(m.machineType, m.zone, m.spot) || !j.allowsZone(z, m.zone) {
 			continue
 		}
-		cpus, gpus, mem := m.mt.CPUs, m.mt.GPUs, m.mt.MemoryGB
+		cpus, gpus, mem := m.machineSpec.CPUs, m.machineSpec.GPUs, m.machineSpec.MemoryGB
 		for _, a := range m.tasks {
 			if a.job.rank == 0 || a.job == j {
 				cpus -= a.job.spec.CPUs
@@ -184,8 +184,8 @@
 	return could()
 }
 
-// stopping reports whether any attempt of the job is being stopped.
-func (j *job) stopping() bool {
+// hasStoppingAttempt reports whether any attempt of the job is being stopped.
+func (j *job) hasStoppingAttempt() bool {
 	for _, list := range j.active {
 		for _, a := range list {
 			if a.halt {
--- a/internal/core/harsh_test.go
+++ b/internal/core/harsh_test.go
@@ -12,21 +12,21 @@
 
 // The world's own checks can fail: controllers that all stand still once the troubles are
 // over leave jobs waiting beside room, and answer no question.
-func TestWorldSeesWaitingAndForgottenJobs(t *testing.T) {
-	w := newWorld(5)
-	w.trouble = false
-	w.rules.TroublesOver(0)
-	w.run(10 * time.Second)
+func TestSimulationNoticesWaitingAndForgottenJobs(t *testing.T) {
+	sim := newSimulation(5)
+	sim.faultsActive = false
+	sim.checker.FaultsEnded(0)
+	sim.run(10 * time.Second)
 	job := func(id string) *wire.Job {
-		return &wire.Job{ID: id, Class: "c", Team: "red", Shape: wire.ShapeArray, Rank: wire.RankNormal, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, EstimateS: 5}
+		return &wire.Job{ID: id, Class: "c", Team: "red", Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, EstimatedRunS: 5}
 	}
-	w.submit(job("run-000001"))
-	for _, n := range w.nodes {
-		n.frozen = 10 * time.Minute
+	sim.submit(job("run-000001"))
+	for _, c := range sim.controllers {
+		c.pausedUntil = 10 * time.Minute
 	}
-	w.every(5*time.Second, func() { w.poll("run-000001") })
-	w.run(115 * time.Second)
-	all := strings.Join(w.rules.Broken, "\n")
+	sim.every(5*time.Second, func() { sim.pollJob("run-000001") })
+	sim.run(115 * time.Second)
+	all := strings.Join(sim.checker.Violations, "\n")
 	for _, rule := range []string{"left_waiting: run-000001", "forgotten: no question about run-000001"} {
 		if !strings.Contains(all, rule) {
 			t.Errorf("%q went unnoticed; broken: %s", rule, all)
@@ -35,61 +35,61 @@
 }
 
 // A machine that hangs keeps its tasks past its lease, until its worker resumes.
-func TestHangingMachineKeepsItsTasks(t *testing.T) {
+func TestHungMachineKeepsItsTasksUntilItsWorkerResumes(t *testing.T) {
 	for _, hang := range []time.Duration{3 * time.Second, 11 * time.Second, 13 * time.Second, 50 * time.Second} {
-		rules := standin.NewRules(map[string]float64{"red": 8}, time.Minute)
+		rules := standin.NewRuleChecker(map[string]float64{"red": 8}, time.Minute)
 		j := &wire.Job{ID: "run-000001", Team: "red", Shape: wire.ShapeArray, Tasks: 1, CPUs: 1, Image: "img"}
-		rules.Submit(j)
-		mt := wire.MachineType{Name: "small", CPUs: 8, MemoryGB: 8, FetchGBs: 1}
+		rules.AddJob(j)
+		mt := wire.MachineType{Name: "small", CPUs: 8, MemoryGB: 8, FetchGBPerS: 1}
 		wk := standin.NewWorker(0, 12*time.Second, "n-000001", mt, "a", false, rules, func(string) time.Duration { return 2 * time.Second }, func(string) bool { return false })
-		wk.Reply(0, 0, 1, wire.CheckinReply{Token: 1, Commands: []wire.Command{{Verb: wire.VerbRun, Task: "run-000001/0", Attempt: 1}}})
+		wk.HandleHeartbeatReply(0, 0, 1, wire.HeartbeatReply{FencingToken: 1, Commands: []wire.Command{{Verb: wire.VerbRun, Task: "run-000001/0", Attempt: 1}}})
 		end := time.Second + hang
 		for now := time.Second; now <= end; now += 100 * time.Millisecond {
-			wk.Stand(now)
-			if rules.On(j.ID) != 1 {
+			wk.Pause(now)
+			if rules.PlacedTasks(j.ID) != 1 {
 				t.Fatalf("hung for %v of %v: its task is gone", now-time.Second, hang)
 			}
 		}
 		wk.Advance(end + time.Millisecond)
-		if rules.Completed("run-000001/0") {
+		if rules.IsCompleted("run-000001/0") {
 			t.Fatalf("after %v: its task went on while it hung", hang)
 		}
 		killed := end+time.Millisecond > 12*time.Second
-		if gone := rules.On(j.ID) == 0; gone != killed || (wk.Session == 2) != killed {
-			t.Fatalf("after %v: killed %v in session %d", hang, gone, wk.Session)
+		if gone := rules.PlacedTasks(j.ID) == 0; gone != killed || (wk.Incarnation == 2) != killed {
+			t.Fatalf("after %v: killed %v in session %d", hang, gone, wk.Incarnation)
 		}
 	}
 }
 
-// meetsServices runs worlds with eight services, in which something happens after 20 s,
+// runServicesWithFault runs worlds with eight services, in which something happens after 20 s,
 // and says what they break.
-func meetsServices(seed uint64, until time.Duration, meet func(w *world)) string {
-	w := newWorld(seed)
+func runServicesWithFault(seed uint64, until time.Duration, fault func(sim *simulation)) string {
+	sim := newSimulation(seed)
 	for i := range 8 {
-		w.after(time.Duration(i)*100*time.Millisecond, func() {
-			w.submit(&wire.Job{ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: []string{"red", "blue"}[i%2], Shape: wire.ShapeService,
-				Rank: wire.RankProduction, Tasks: 3, CPUs: 1, MemoryGB: 2, Image: "img", ImageGB: 1})
+		sim.after(time.Duration(i)*100*time.Millisecond, func() {
+			sim.submit(&wire.Job{ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: []string{"red", "blue"}[i%2], Shape: wire.ShapeService,
+				Priority: wire.PriorityProduction, Tasks: 3, CPUs: 1, MemoryGB: 2, Image: "img", ImageGB: 1})
 		})
 	}
-	w.after(20*time.Second+w.between(0, 2000), func() { meet(w) })
-	w.run(until)
-	return strings.Join(w.rules.Broken, "\n")
+	sim.after(20*time.Second+sim.randomDuration(0, 2000), func() { fault(sim) })
+	sim.run(until)
+	return strings.Join(sim.checker.Violations, "\n")
 }
 
 // Machines hang for less than a lease and are given back; the deletion is held back on
 // its way for longer than a cancellation has; the machines go on and report, and jobs that
 // run there are cancelled.
-func TestCancelledWhileItsMachineIsBeingReleased(t *testing.T) {
+func TestCancellationDuringDelayedReleaseOfHungMachine(t *testing.T) {
 	for seed := range uint64(15) {
-		b := meetsServices(seed, 140*time.Second, func(w *world) {
-			w.releasesHeld = w.now + 70*time.Second
-			back := w.now + w.between(7500, 10_500)
-			for _, name := range w.names {
-				if w.workers[name].Has("run-000003") || w.workers[name].Has("run-000002") {
-					w.hung[name] = back
+		b := runServicesWithFault(seed, 140*time.Second, func(sim *simulation) {
+			sim.releasesDelayedUntil = sim.now + 70*time.Second
+			back := sim.now + sim.randomDuration(7500, 10_500)
+			for _, name := range sim.machineNames {
+				if sim.workers[name].HasJob("run-000003") || sim.workers[name].HasJob("run-000002") {
+					sim.hungUntil[name] = back
 				}
 			}
-			w.after(w.between(11_000, 16_000), w.cancelSome)
+			sim.after(sim.randomDuration(11_000, 16_000), sim.cancelHalfOfServices)
 		})
 		if b != "" {
 			t.Fatalf("seed %d: %s", seed, b)
@@ -99,13 +99,13 @@
 
 // Machines hang past their lease, and their deletion is held back: until it is carried
 // out, or their workers resume, their tasks are on them and start nowhere else.
-func TestHungMachinesTasksStartElsewhereOnlyByProof(t *testing.T) {
+func TestTasksOfHungMachinesRestartOnlyAfterProof(t *testing.T) {
 	for seed := range uint64(15) {
-		b := meetsServices(seed, 100*time.Second, func(w *world) {
-			w.releasesHeld = w.now + w.between(25_000, 40_000)
-			for _, name := range w.names {
-				if w.workers[name].Has("run-000003") {
-					w.hung[name] = w.now + w.between(13_000, 35_000)
+		b := runServicesWithFault(seed, 100*time.Second, func(sim *simulation) {
+			sim.releasesDelayedUntil = sim.now + sim.randomDuration(25_000, 40_000)
+			for _, name := range sim.machineNames {
+				if sim.workers[name].HasJob("run-000003") {
+					sim.hungUntil[name] = sim.now + sim.randomDuration(13_000, 35_000)
 				}
 			}
 		})
@@ -118,33 +118,33 @@
 // Machines come that nobody expects, by rentals that got no answer. Those that never come
 // up are given back, though no answer ever named them, and the others are known: none is
 // charged for long for nothing.
-func TestUnexpectedMachinesAreReturned(t *testing.T) {
+func TestUnexpectedMachinesAreAdoptedOrReleased(t *testing.T) {
 	for seed := range uint64(10) {
-		w := newWorld(seed)
-		w.run(10 * time.Second)
+		sim := newSimulation(seed)
+		sim.run(10 * time.Second)
 		var late []string
 		for i := range 4 {
-			w.after(w.between(0, 20_000), func() {
-				late = append(late, w.bootIn([]time.Duration{never, 40 * time.Second, w.between(1, 2000), never}[i], w.types[i%2], "a", i%2 == 0))
+			sim.after(sim.randomDuration(0, 20_000), func() {
+				late = append(late, sim.bootMachineIn([]time.Duration{never, 40 * time.Second, sim.randomDuration(1, 2000), never}[i], sim.machineTypes[i%2], "a", i%2 == 0))
 			})
 		}
-		w.run(150 * time.Second)
-		known := w.known()
+		sim.run(150 * time.Second)
+		known := sim.knownMachines()
 		for _, name := range late {
-			m := w.times[name]
-			if m.gone == 0 && (m.up > w.now || !known[name]) {
-				t.Errorf("seed %d: %s, which nobody expected and is up at %v, is charged for nothing after %v", seed, name, m.up, w.now-m.rented)
+			m := sim.lifecycles[name]
+			if m.removedAt == 0 && (m.upAt > sim.now || !known[name]) {
+				t.Errorf("seed %d: %s, which nobody expected and is up at %v, is charged for nothing after %v", seed, name, m.upAt, sim.now-m.provisionedAt)
 			}
 		}
 	}
 }
 
 // known are the machines that whoever leads has in its books.
-func (w *world) known() map[string]bool {
+func (sim *simulation) knownMachines() map[string]bool {
 	out := map[string]bool{}
-	for _, n := range w.nodes {
-		if n.leader != nil {
-			for _, m := range n.leader.Machines(w.coreNow(), "", 500) {
+	for _, c := range sim.controllers {
+		if c.scheduler != nil {
+			for _, m := range c.scheduler.Machines(sim.schedulerNow(), "", 500) {
 				out[m.Name] = true
 			}
 		}
@@ -152,40 +152,40 @@
 	return out
 }
 
-// inFlight is how long in a world without troubles a task may still start after its
+// maxStartAfterCancellation is how long in a world without troubles a task may still start after its
 // job's cancellation was confirmed ("those whose start command was still in flight"): the
 // leader's watch, up to 125 ms after, and the way of the stop, up to 20 ms.
-const inFlight = 150 * time.Millisecond
+const maxStartAfterCancellation = 150 * time.Millisecond
 
 // Without troubles no task starts after its job's cancellation was confirmed but what was
 // in flight, though jobs of one task come four a second and a quarter of them is
 // cancelled, mostly as they start.
-func TestNothingStartsAfterAConfirmedCancellation(t *testing.T) {
+func TestNoStartAfterConfirmedCancellation(t *testing.T) {
 	starts := 0
 	for seed := range uint64(8) {
-		w := newWorld(seed)
-		w.trouble = false
+		sim := newSimulation(seed)
+		sim.faultsActive = false
 		for i := range 160 {
-			w.after(time.Duration(i)*250*time.Millisecond, func() {
+			sim.after(time.Duration(i)*250*time.Millisecond, func() {
 				id, image := fmt.Sprintf("run-%06d", i), "img"
 				if i%4 == 0 {
 					image = fmt.Sprintf("img-%d", i) // nowhere yet: it is fetched first
 				}
-				w.submit(&wire.Job{ID: id, Class: "c", Team: []string{"red", "blue"}[i%2], Shape: wire.ShapeArray, Rank: wire.RankNormal,
-					Tasks: 1, CPUs: 0.5, MemoryGB: 1, Image: image, ImageGB: 1, EstimateS: 8})
+				sim.submit(&wire.Job{ID: id, Class: "c", Team: []string{"red", "blue"}[i%2], Shape: wire.ShapeArray, Priority: wire.PriorityNormal,
+					Tasks: 1, CPUs: 0.5, MemoryGB: 1, Image: image, ImageGB: 1, EstimatedRunS: 8})
 				if i%4 == 0 {
-					w.after(w.between(0, 3500), func() { w.cancel(id) })
+					sim.after(sim.randomDuration(0, 3500), func() { sim.cancel(id) })
 				}
 			})
 		}
-		w.run(100 * time.Second)
-		starts += w.rules.Starts
-		if len(w.rules.Broken) > 0 {
-			t.Errorf("seed %d: %s", seed, w.rules.Broken[0])
+		sim.run(100 * time.Second)
+		starts += sim.checker.Starts
+		if len(sim.checker.Violations) > 0 {
+			t.Errorf("seed %d: %s", seed, sim.checker.Violations[0])
 		}
-		for _, s := range w.rules.LateStarts {
-			if s.After > inFlight {
-				t.Errorf("seed %d: %s starts %v after its job was confirmed as cancelled", seed, s.Task, s.After)
+		for _, s := range sim.checker.LateStarts {
+			if s.AfterConfirmation > maxStartAfterCancellation {
+				t.Errorf("seed %d: %s starts %v after its job was confirmed as cancelled", seed, s.Task, s.AfterConfirmation)
 			}
 		}
 	}
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -9,31 +9,31 @@
 )
 
 type job struct {
-	id      string
-	spec    wire.Job
-	stamp   uint64
-	created time.Duration // Mono; may be negative
-	service bool
-	rank    int
-
-	cancelled bool
-	knewAsOf  time.Duration // cancelled: as of when we knew all cancellations before this one
-	archived  bool          // its live record is gone: it has ended
-	done      store.Bitmap  // known to be done
-	saved     store.Bitmap  // durably done
-	nDone     int
-	nSaved    int
-	dirtyAt   time.Duration
-	writing   bool
-	blocked   time.Duration  // no write until then
-	chunks    map[int]uint64 // stamps of further bitmap chunks
-
-	active   map[int][]*attempt
-	unsaved  map[int]*attempt // completed attempts whose done bit is not durable yet
-	returned []int            // indices given back by ended attempts
-	cursor   int              // indices below it have been handed out at least once
-	nActive  int              // distinct indices with attempts
-	running  int
+	id          string
+	spec        wire.Job
+	modRevision uint64
+	createdAt   time.Duration // Mono; may be negative
+	service     bool
+	rank        int
+
+	cancelled             bool
+	cancellationWatermark time.Duration // cancelled: as of when we knew all cancellations before this one
+	archived              bool          // its live record is gone: it has ended
+	done                  store.Bitmap  // known to be done
+	saved                 store.Bitmap  // durably done
+	nDone                 int
+	nSaved                int
+	dirtyAt               time.Duration
+	writing               bool
+	blocked               time.Duration  // no write until then
+	chunks                map[int]uint64 // stamps of further bitmap chunks
+
+	active          map[int][]*attempt
+	unsavedAttempts map[int]*attempt // completed attempts whose done bit is not durable yet
+	returned        []int            // indices given back by ended attempts
+	cursor          int              // indices below it have been handed out at least once
+	activeCount     int              // distinct indices with attempts
+	runningCount    int
 
 	failures   int
 	failsAfter time.Duration // the longest that a failed attempt ran
@@ -45,7 +45,7 @@
 	placedOnce bool          // some task of it has been placed in this term
 	why        string        // why it waits, for people
 
-	roomAt    time.Duration // when hasRoom was last asked, and what it said
+	roomAt    time.Duration // when fitsSomewhere was last asked, and what it said
 	room      bool
 	preemptAt time.Duration // last time that room was looked for by preemption
 	recovered bool          // from a time before our term
@@ -62,14 +62,14 @@
 	slack   float64 // seconds until it is due, as of the last round
 }
 
-func (j *job) pending() int {
+func (j *job) pendingTasks() int {
 	if j.cancelled || j.archived {
 		return 0
 	}
-	return j.spec.Tasks - j.nDone - j.nActive
+	return j.spec.Tasks - j.nDone - j.activeCount
 }
 
-func (j *job) attempts() []*attempt {
+func (j *job) sortedAttempts() []*attempt {
 	var out []*attempt
 	for _, list := range j.active {
 		out = append(out, list...)
@@ -83,8 +83,8 @@
 	return out
 }
 
-// nextFree takes an index of the job that neither is done nor has an attempt.
-func (j *job) nextFree() (int, bool) {
+// takeFreeIndex takes an index of the job that neither is done nor has an attempt.
+func (j *job) takeFreeIndex() (int, bool) {
 	for len(j.returned) > 0 {
 		i := j.returned[len(j.returned)-1]
 		j.returned = j.returned[:len(j.returned)-1]
@@ -102,82 +102,82 @@
 	return 0, false
 }
 
-func (l *Leader) addJob(lj *LiveJob) *job {
-	rec := lj.Record
+func (s *Scheduler) addJob(live *LiveJob) *job {
+	record := live.Record
 	j := &job{
-		id: rec.Job.ID, spec: rec.Job, stamp: lj.Stamp,
-		service: rec.Job.Service(), rank: wire.RankOrder(rec.Job.Rank),
+		id: record.Job.ID, spec: record.Job, modRevision: live.ModRevision,
+		service: record.Job.Service(), rank: wire.PriorityOrder(record.Job.Priority),
 		//mutation:recover-cancelled-flag
-		cancelled: rec.Cancelled,
-		done:      store.NewBitmap(rec.Job.Tasks), saved: store.NewBitmap(rec.Job.Tasks),
+		cancelled: record.Cancelled,
+		done:      store.NewBitmap(record.Job.Tasks), saved: store.NewBitmap(record.Job.Tasks),
 		active: map[int][]*attempt{}, chunks: map[int]uint64{}, failedOn: map[string]bool{},
 	}
 	// The job's age by the time of day, moved onto our steady clock.
-	j.created = l.now.Mono - time.Duration(max(0, l.now.Wall-rec.Job.CreatedMilli))*time.Millisecond
-	j.dues = l.dues(&j.spec)
-	l.mergeDone(j, 0, rec.Done)
-	l.jobs[j.id] = j
+	j.createdAt = s.now.Mono - time.Duration(max(0, s.now.Wall-record.Job.CreatedAtMilli))*time.Millisecond
+	j.dues = s.deadlinesOf(&j.spec)
+	s.mergeDoneBits(j, 0, record.Done)
+	s.jobs[j.id] = j
 	return j
 }
 
-func (l *Leader) mergeDone(j *job, chunk int, s string) {
-	if s == "" {
+func (s *Scheduler) mergeDoneBits(j *job, chunk int, encoded string) {
+	if encoded == "" {
 		return
 	}
-	if err := j.saved.Merge(chunk, s); err != nil {
-		l.line(false, "job record has a bad bitmap", "job", j.id, "err", err.Error())
+	if err := j.saved.MergeChunk(chunk, encoded); err != nil {
+		s.log(false, "job record has a bad bitmap", "job", j.id, "err", err.Error())
 		return
 	}
-	_ = j.done.Merge(chunk, s) // as long as saved, which took it
+	_ = j.done.MergeChunk(chunk, encoded) // as long as saved, which took it
 	j.nDone, j.nSaved = j.done.Count(), j.saved.Count()
 }
 
-func (l *Leader) addBits(it wire.Item) {
-	var rec store.BitsRecord
-	id, chunk, ok := wire.SplitTask(store.IDOf(store.BitsPrefix, it.Key))
-	if !ok || wire.Unmarshal(it.Value, &rec) != nil {
+func (s *Scheduler) addDoneBits(item wire.KeyValue) {
+	var record store.BitmapChunk
+	id, chunk, ok := wire.ParseTaskName(store.IDFromKey(store.BitmapPrefix, item.Key))
+	if !ok || wire.Unmarshal(item.Value, &record) != nil {
 		return
 	}
-	j := l.jobs[id]
+	j := s.jobs[id]
 	if j == nil {
-		l.obsoleteKeys = append(l.obsoleteKeys, it.Key) // left by a job that has ended
+		s.obsoleteKeys = append(s.obsoleteKeys, item.Key) // left by a job that has ended
 		return
 	}
-	j.chunks[chunk] = it.Stamp
-	l.mergeDone(j, chunk, rec.Done)
+	j.chunks[chunk] = item.ModRevision
+	s.mergeDoneBits(j, chunk, record.Done)
 }
 
-// dropJob takes note that a job's live record is gone: it has ended. Attempts
+// archiveJob takes note that a job's live record is gone: it has ended. Attempts
 // that are still about are stopped, and count against their machine and team
 // until they are proven gone.
-func (l *Leader) dropJob(j *job) {
+func (s *Scheduler) archiveJob(j *job) {
 	j.archived = true
-	l.releaseSaved(j)
-	for _, a := range j.attempts() {
-		l.stop(a, false, "the job is over")
+	s.dropSavedAssignments(j)
+	for _, a := range j.sortedAttempts() {
+		s.stopAttempt(a, false, "the job is over")
 	}
-	if j.nActive == 0 {
-		delete(l.jobs, j.id)
+	if j.activeCount == 0 {
+		delete(s.jobs, j.id)
 	}
 }
 
-// finish marks a job as due for its last write once nothing of it is left.
-func (l *Leader) finish(j *job) {
-	if j.over() {
-		l.touch(j)
+// markDirtyIfComplete marks a job as due for its last write once nothing of it is left.
+func (s *Scheduler) markDirtyIfComplete(j *job) {
+	if j.readyToArchive() {
+		s.markDirty(j)
 	}
 }
 
-// touch notes that there is something of the job to write.
-func (l *Leader) touch(j *job) {
+// markDirty notes that there is something of the job to write.
+func (s *Scheduler) markDirty(j *job) {
 	if j.dirtyAt == 0 {
-		j.dirtyAt = l.now.Mono
-		l.dirtyJobs[j] = true
+		j.dirtyAt = s.now.Mono
+		s.dirtyJobs[j] = true
 	}
 }
 
-// clean notes that there is not.
-func (l *Leader) clean(j *job) {
+// markClean notes that there is not.
+func (s *Scheduler) markClean(j *job) {
 	j.dirtyAt = 0
-	delete(l.dirtyJobs, j)
+	delete(s.dirtyJobs, j)
 }
--- a/internal/core/leader_test.go
+++ b/internal/core/leader_test.go
@@ -12,16 +12,16 @@
 
 // A cancellation that the last leader did not see through is carried on: no
 // watch tells of it again.
-func TestRecoveredCancellation(t *testing.T) {
-	j := wire.Job{ID: "run-000001", Tasks: 2, CPUs: 1, Team: "red", Shape: wire.ShapeService, Rank: wire.RankProduction}
-	live := map[string]*LiveJob{j.ID: {Record: &store.JobRecord{Job: j, Cancelled: true}, Stamp: 5}}
-	items := []wire.Item{machineItem(t, "n-1", store.MachineRecord{Type: "box", Zone: "a", Address: "n-1:1",
-		Tasks: map[string][]store.Assigned{j.ID: {{Index: 0, Attempt: 9}, {Index: 1, Attempt: 10}}}})}
-	d := newDesk(t, false, live, items)
+func TestFailoverCompletesCancellation(t *testing.T) {
+	j := wire.Job{ID: "run-000001", Tasks: 2, CPUs: 1, Team: "red", Shape: wire.ShapeService, Priority: wire.PriorityProduction}
+	live := map[string]*LiveJob{j.ID: {Record: &store.Job{Job: j, Cancelled: true}, ModRevision: 5}}
+	items := []wire.KeyValue{machineRecordItem(t, "n-1", store.LegacyMachine{Type: "box", Zone: "a", Address: "n-1:1",
+		Tasks: map[string][]store.AssignedTask{j.ID: {{Index: 0, Attempt: 9}, {Index: 1, Attempt: 10}}}})}
+	h := newHarness(t, false, live, items)
 	halts := 0
-	for _, c := range d.calls {
+	for _, c := range h.calls {
 		for _, o := range c.Body.Commands {
-			if o.Verb == wire.VerbHalt {
+			if o.Verb == wire.VerbStop {
 				halts++
 			}
 		}
@@ -29,69 +29,69 @@
 	if halts != 2 {
 		t.Fatalf("%d stops of 2", halts)
 	}
-	if len(d.items) != 0 {
+	if len(h.items) != 0 {
 		t.Fatal("the job was ended before its tasks were")
 	}
-	token := d.token("n-1")
-	d.reportAs("n-1", token, exited(wire.Command{Task: "run-000001/0", Attempt: 9}, wire.CauseHalted),
-		exited(wire.Command{Task: "run-000001/1", Attempt: 10}, wire.CauseHalted))
-	if _, ok := d.items[store.EndedKey(j.ID)]; !ok {
+	token := h.fencingToken("n-1")
+	h.heartbeatWithToken("n-1", token, exitedReport(wire.Command{Task: "run-000001/0", Attempt: 9}, wire.CauseStopped),
+		exitedReport(wire.Command{Task: "run-000001/1", Attempt: 10}, wire.CauseStopped))
+	if _, ok := h.items[store.EndedJobKey(j.ID)]; !ok {
 		t.Fatal("the job was not ended after its tasks were")
 	}
 }
 
 // What an earlier leader recorded stays put until its worker reports under our
 // token, whatever other reports and lists say.
-func TestRecordedTasksStayPut(t *testing.T) {
-	j := wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1, Team: "red", Shape: wire.ShapeArray, Rank: wire.RankNormal}
-	live := map[string]*LiveJob{j.ID: {Record: &store.JobRecord{Job: j}, Stamp: 5}}
-	items := []wire.Item{machineItem(t, "n-1", store.MachineRecord{Type: "box", Zone: "a", Address: "n-1:1",
-		Tasks: map[string][]store.Assigned{j.ID: {{Index: 0, Attempt: 9}}}})}
-	d := newDesk(t, false, live, items)
-	d.answerAll(CallLost)
-	d.up("n-2")
-	d.reportAs("n-1", 3) // from before our term
-	d.l.Listed(d.clock(), nil)
-	d.l.Listed(d.clock(), nil)
-	d.pass(2*time.Second, "n-2")
-	if s := d.starts(); len(s) != 0 {
+func TestRecordedAttemptBlocksPlacementUntilProvenAbsent(t *testing.T) {
+	j := wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1, Team: "red", Shape: wire.ShapeArray, Priority: wire.PriorityNormal}
+	live := map[string]*LiveJob{j.ID: {Record: &store.Job{Job: j}, ModRevision: 5}}
+	items := []wire.KeyValue{machineRecordItem(t, "n-1", store.LegacyMachine{Type: "box", Zone: "a", Address: "n-1:1",
+		Tasks: map[string][]store.AssignedTask{j.ID: {{Index: 0, Attempt: 9}}}})}
+	h := newHarness(t, false, live, items)
+	h.answerAll(CallLost)
+	h.bringUp("n-2")
+	h.heartbeatWithToken("n-1", 3) // from before our term
+	h.scheduler.MachinesListed(h.clock(), nil)
+	h.scheduler.MachinesListed(h.clock(), nil)
+	h.advance(2*time.Second, "n-2")
+	if s := h.startCommands(); len(s) != 0 {
 		t.Fatalf("placed while it may run elsewhere: %v", s)
 	}
-	d.report("n-1")
-	d.pass(time.Second, "n-1", "n-2")
-	if s := d.starts(); len(s) != 1 {
-		t.Fatalf("not placed once it is proven free: %v\n%+v\n%+v", s, d.l.Job(d.clock(), j.ID), d.l.Machines(d.clock(), "", 9))
+	h.heartbeat("n-1")
+	h.advance(time.Second, "n-1", "n-2")
+	if s := h.startCommands(); len(s) != 1 {
+		t.Fatalf("not placed once it is proven free: %v\n%+v\n%+v", s, h.scheduler.Job(h.clock(), j.ID), h.scheduler.Machines(h.clock(), "", 9))
 	}
 }
 
 // A record that cannot be read may be about any job of before: those wait until
 // every machine has reported; later jobs do not.
-func TestUnreadableRecord(t *testing.T) {
-	j := wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1, Team: "red", Shape: wire.ShapeArray, Rank: wire.RankNormal}
-	live := map[string]*LiveJob{j.ID: {Record: &store.JobRecord{Job: j}, Stamp: 5}}
-	for _, key := range []string{store.BatchKey(3, 1), store.MachineKey("n-7")} {
-		d := newDesk(t, false, live, []wire.Item{{Key: key, Value: wire.Raw{0xa1, 0x61}, Stamp: 7}})
-		d.items[key] = wire.Item{Key: key}
-		d.up("n-1")
-		d.submit(wire.Job{ID: "run-000002", Tasks: 1, CPUs: 1})
+func TestUnreadableRecordBlocksEarlierJobs(t *testing.T) {
+	j := wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1, Team: "red", Shape: wire.ShapeArray, Priority: wire.PriorityNormal}
+	live := map[string]*LiveJob{j.ID: {Record: &store.Job{Job: j}, ModRevision: 5}}
+	for _, key := range []string{store.BatchKey(3, 1), store.LegacyMachineKey("n-7")} {
+		h := newHarness(t, false, live, []wire.KeyValue{{Key: key, Value: wire.Raw{0xa1, 0x61}, ModRevision: 7}})
+		h.items[key] = wire.KeyValue{Key: key}
+		h.bringUp("n-1")
+		h.submit(wire.Job{ID: "run-000002", Tasks: 1, CPUs: 1})
 		list := []wire.ListedMachine{{Name: "n-1", Type: "box", Zone: "a", Address: "n-1:1", State: wire.MachineRunning, AgeS: 500},
 			{Name: "n-2", Type: "box", Zone: "a", Address: "n-2:1", State: wire.MachineRunning, AgeS: 500}}
-		d.now += time.Second
-		d.l.Listed(d.clock(), list)
-		d.pass(2*time.Second, "n-1")
-		if n := len(d.l.jobs[j.ID].active); n != 0 {
+		h.now += time.Second
+		h.scheduler.MachinesListed(h.clock(), list)
+		h.advance(2*time.Second, "n-1")
+		if n := len(h.scheduler.jobs[j.ID].active); n != 0 {
 			t.Fatal("placed while an unreadable record may be about it")
 		}
-		if n := len(d.l.jobs["run-000002"].active); n != 1 {
+		if n := len(h.scheduler.jobs["run-000002"].active); n != 1 {
 			t.Fatal("a later job waits as well")
 		}
-		d.up("n-2")
-		d.l.Listed(d.clock(), list)
-		d.pass(2*time.Second, "n-1", "n-2")
-		if n := len(d.l.jobs[j.ID].active); n != 1 {
-			t.Fatalf("still waits: %s", d.l.jobs[j.ID].why)
+		h.bringUp("n-2")
+		h.scheduler.MachinesListed(h.clock(), list)
+		h.advance(2*time.Second, "n-1", "n-2")
+		if n := len(h.scheduler.jobs[j.ID].active); n != 1 {
+			t.Fatalf("still waits: %s", h.scheduler.jobs[j.ID].why)
 		}
-		if _, left := d.items[key]; left {
+		if _, left := h.items[key]; left {
 			t.Error("the unreadable record is left")
 		}
 	}
@@ -99,30 +99,30 @@
 
 // A job that is cancelled while a record that may be about it cannot be read is not over,
 // and not seen through, before every machine was heard: its tasks may be anywhere.
-func TestCancelledWithAnUnreadableRecord(t *testing.T) {
-	j := wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1, Team: "red", Shape: wire.ShapeService, Rank: wire.RankProduction}
+func TestCancellationWaitsForUnreadableRecord(t *testing.T) {
+	j := wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1, Team: "red", Shape: wire.ShapeService, Priority: wire.PriorityProduction}
 	for _, before := range []bool{true, false} {
-		live := map[string]*LiveJob{j.ID: {Record: &store.JobRecord{Job: j, Cancelled: before}, Stamp: 5}}
-		d := newDesk(t, false, live, []wire.Item{{Key: store.BatchKey(3, 1), Value: wire.Raw{0xa1, 0x61}, Stamp: 7}})
-		d.up("n-1")
+		live := map[string]*LiveJob{j.ID: {Record: &store.Job{Job: j, Cancelled: before}, ModRevision: 5}}
+		h := newHarness(t, false, live, []wire.KeyValue{{Key: store.BatchKey(3, 1), Value: wire.Raw{0xa1, 0x61}, ModRevision: 7}})
+		h.bringUp("n-1")
 		list := []wire.ListedMachine{{Name: "n-1", Type: "box", Zone: "a", Address: "n-1:1", State: wire.MachineRunning, AgeS: 500},
 			{Name: "n-2", Type: "box", Zone: "a", Address: "n-2:1", State: wire.MachineRunning, AgeS: 500}}
-		d.now += time.Second
-		d.l.Listed(d.clock(), list)
+		h.now += time.Second
+		h.scheduler.MachinesListed(h.clock(), list)
 		if !before {
-			d.l.Cancelled(d.clock(), []string{j.ID})
+			h.scheduler.Cancelled(h.clock(), []string{j.ID})
 		}
-		d.pass(2*time.Second, "n-1")
-		if _, ended := d.items[store.EndedKey(j.ID)]; ended {
+		h.advance(2*time.Second, "n-1")
+		if _, ended := h.items[store.EndedJobKey(j.ID)]; ended {
 			t.Fatalf("cancelled before: %v; ended while its task may be on a machine that was not heard", before)
 		}
-		if d.l.SettledAsOf(d.now) == d.now {
+		if h.scheduler.EnforcedCancellationWatermark(h.now) == h.now {
 			t.Errorf("cancelled before: %v; counts as seen through", before)
 		}
-		d.up("n-2")
-		d.l.Listed(d.clock(), list)
-		d.pass(2*time.Second, "n-1", "n-2")
-		if _, ended := d.items[store.EndedKey(j.ID)]; !ended || d.l.SettledAsOf(d.now) != d.now {
+		h.bringUp("n-2")
+		h.scheduler.MachinesListed(h.clock(), list)
+		h.advance(2*time.Second, "n-1", "n-2")
+		if _, ended := h.items[store.EndedJobKey(j.ID)]; !ended || h.scheduler.EnforcedCancellationWatermark(h.now) != h.now {
 			t.Errorf("cancelled before: %v; not ended once every machine was heard", before)
 		}
 	}
@@ -130,25 +130,25 @@
 
 // The largest job's done bits spread over several values, each within the
 // limit, survive a change of leader, and are gone with the job's end.
-func TestLargestJob(t *testing.T) {
-	d := newDesk(t, false, nil, nil)
-	d.up("n-1")
-	d.submit(wire.Job{ID: "run-000001", Tasks: wire.MaxTasks, CPUs: 1})
-	j := d.l.jobs["run-000001"]
+func TestDoneBitsOfLargestJobSurviveFailover(t *testing.T) {
+	h := newHarness(t, false, nil, nil)
+	h.bringUp("n-1")
+	h.submit(wire.Job{ID: "run-000001", Tasks: wire.MaxTasks, CPUs: 1})
+	j := h.scheduler.jobs["run-000001"]
 	for i := range wire.MaxTasks {
 		if i%10 != 9 {
-			d.l.taskDone(j, i)
+			h.scheduler.markTaskDone(j, i)
 		}
 	}
-	d.now += 2 * tuning.DoneFlush
-	d.pass(3*time.Second, "n-1")
+	h.now += 2 * tuning.DoneFlushDelay
+	h.advance(3*time.Second, "n-1")
 	rep := NewReplica()
-	var bits []wire.Item
-	for key, it := range d.items {
-		if strings.HasPrefix(key, store.BitsPrefix) {
+	var bits []wire.KeyValue
+	for key, it := range h.items {
+		if strings.HasPrefix(key, store.BitmapPrefix) {
 			bits = append(bits, it)
 		}
-		if strings.HasPrefix(key, store.JobPrefix) {
+		if strings.HasPrefix(key, store.LiveJobPrefix) {
 			rec, err := store.DecodeJob(it)
 			if err != nil {
 				t.Fatal(err)
@@ -156,19 +156,19 @@
 			if size := wire.JSONSize(rec); size > 4096 {
 				t.Errorf("the job's record takes %d bytes", size)
 			}
-			rep.Live[rec.Job.ID] = &LiveJob{Record: rec, Stamp: it.Stamp}
+			rep.Live[rec.Job.ID] = &LiveJob{Record: rec, ModRevision: it.ModRevision}
 		}
 	}
-	next := NewLeader(d.clock(), d.l.cfg, deskTerm+1, rep, bits, nil, nil)
-	if n := next.jobs["run-000001"].nDone; n != j.nDone || len(bits) != wire.MaxTasks/tuning.BitmapTasks {
+	next := New(h.clock(), h.scheduler.settings, harnessTerm+1, rep, bits, nil, nil)
+	if n := next.jobs["run-000001"].nDone; n != j.nDone || len(bits) != wire.MaxTasks/tuning.TasksPerBitmap {
 		t.Fatalf("%d of %d done tasks recovered, from %d values", n, j.nDone, len(bits)+1)
 	}
 	for i := range wire.MaxTasks {
-		d.l.taskDone(j, i)
+		h.scheduler.markTaskDone(j, i)
 	}
-	d.pass(3*time.Second, "n-1")
-	for key := range d.items {
-		if strings.HasPrefix(key, store.BitsPrefix) || strings.HasPrefix(key, store.JobPrefix) {
+	h.advance(3*time.Second, "n-1")
+	for key := range h.items {
+		if strings.HasPrefix(key, store.BitmapPrefix) || strings.HasPrefix(key, store.LiveJobPrefix) {
 			t.Errorf("%s is left", key)
 		}
 	}
@@ -176,78 +176,78 @@
 
 // A machine may be given back although it reports again, and no answer to that comes
 // for long. Until then its lease is kept, so its tasks of cancelled jobs are stopped.
-func TestCancelledOnAMachineThatIsGivenBack(t *testing.T) {
-	d := newDesk(t, false, nil, nil)
-	d.up("n-1", "n-2")
-	d.submit(wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1, Shape: wire.ShapeService, Rank: wire.RankProduction})
-	on := d.calls[0].Machine
-	d.answerAll(CallExecuted)
+func TestCancellationOnMachineBeingReleased(t *testing.T) {
+	h := newHarness(t, false, nil, nil)
+	h.bringUp("n-1", "n-2")
+	h.submit(wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1, Shape: wire.ShapeService, Priority: wire.PriorityProduction})
+	on := h.calls[0].Machine
+	h.answerAll(CallExecuted)
 	other := map[string]string{"n-1": "n-2", "n-2": "n-1"}[on]
 	for range 15 {
-		d.pass(time.Second, other)
-		d.answerAll(CallLost)
+		h.advance(time.Second, other)
+		h.answerAll(CallLost)
 	}
-	if len(d.rel) != 1 || d.rel[0][0] != on {
-		t.Fatalf("released: %v", d.rel)
+	if len(h.releases) != 1 || h.releases[0][0] != on {
+		t.Fatalf("released: %v", h.releases)
 	}
-	tasks := d.on(on)
-	d.l.Cancelled(d.clock(), []string{"run-000001"})
-	d.settle()
+	tasks := h.runningTasks(on)
+	h.scheduler.Cancelled(h.clock(), []string{"run-000001"})
+	h.settle()
 	halts := 0
 	for range 3 {
-		d.l.Released(d.clock(), d.rel[0], ReleaseUnknown)
-		for _, o := range d.report(on, tasks...).Commands {
-			if o.Verb == wire.VerbHalt && o.Task == tasks[0].Task && o.Attempt == tasks[0].Attempt {
+		h.scheduler.Released(h.clock(), h.releases[0], ReleaseUnknown)
+		for _, o := range h.heartbeat(on, tasks...).Commands {
+			if o.Verb == wire.VerbStop && o.Task == tasks[0].Task && o.Attempt == tasks[0].Attempt {
 				halts++
 			}
 		}
-		d.now += tuning.HaltRepeat
+		h.now += tuning.StopResendInterval
 	}
 	if halts != 3 {
 		t.Errorf("%d stops in 3 answers that keep the machine's lease", halts)
 	}
-	if s := d.starts(); len(s) != 0 {
+	if s := h.startCommands(); len(s) != 0 {
 		t.Errorf("started beside that: %v", s)
 	}
-	if _, ended := d.items[store.EndedKey("run-000001")]; ended {
+	if _, ended := h.items[store.EndedJobKey("run-000001")]; ended {
 		t.Error("the job was ended without proof that its task is gone")
 	}
 }
 
 // A peer's list of cancellations comes once, and may come before an older answer of
 // the watch, which has the job as new: it is not started.
-func TestCancelledBeforeItIsKnown(t *testing.T) {
-	j := wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1, Team: "red", Shape: wire.ShapeService, Rank: wire.RankProduction, Image: "img"}
-	seen := func(d *desk, cancelled bool) {
-		d.rev++
-		d.l.JobsChanged(d.clock(), []Changed{{j.ID, &LiveJob{Record: &store.JobRecord{Job: j, Cancelled: cancelled}, Stamp: d.rev}}})
-		d.now += tuning.PlaceGap
-		d.settle()
-	}
-	d := newDesk(t, false, nil, nil)
-	d.up("n-1", "n-2")
-	d.l.Cancelled(d.clock(), []string{j.ID})
-	seen(d, false)
-	d.pass(2*time.Second, "n-1", "n-2")
-	if s := d.starts(); len(s) != 0 {
+func TestCancellationKnownBeforeJob(t *testing.T) {
+	j := wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1, Team: "red", Shape: wire.ShapeService, Priority: wire.PriorityProduction, Image: "img"}
+	seen := func(h *harness, cancelled bool) {
+		h.revision++
+		h.scheduler.JobsChanged(h.clock(), []JobChange{{j.ID, &LiveJob{Record: &store.Job{Job: j, Cancelled: cancelled}, ModRevision: h.revision}}})
+		h.now += tuning.MinPlacementInterval
+		h.settle()
+	}
+	h := newHarness(t, false, nil, nil)
+	h.bringUp("n-1", "n-2")
+	h.scheduler.Cancelled(h.clock(), []string{j.ID})
+	seen(h, false)
+	h.advance(2*time.Second, "n-1", "n-2")
+	if s := h.startCommands(); len(s) != 0 {
 		t.Fatalf("started though it is cancelled: %v", s)
 	}
-	seen(d, true)
-	d.pass(2*time.Second, "n-1", "n-2")
-	if _, ended := d.items[store.EndedKey(j.ID)]; !ended {
+	seen(h, true)
+	h.advance(2*time.Second, "n-1", "n-2")
+	if _, ended := h.items[store.EndedJobKey(j.ID)]; !ended {
 		t.Error("the job was not ended though nothing of it is left")
 	}
-	if len(d.l.ahead) != 0 {
-		t.Errorf("kept after the watch brought it: %v", d.l.ahead)
+	if len(h.scheduler.ahead) != 0 {
+		t.Errorf("kept after the watch brought it: %v", h.scheduler.ahead)
 	}
 	// Of a job that is over nothing comes any more: a read that was sent later will do.
-	d.l.Cancelled(d.clock(), []string{"run-000002"})
-	d.l.ReadAsOf(d.now)
-	if len(d.l.ahead) != 1 {
+	h.scheduler.Cancelled(h.clock(), []string{"run-000002"})
+	h.scheduler.JobsReadAt(h.now)
+	if len(h.scheduler.ahead) != 1 {
 		t.Error("a cancellation is dropped for a read that may not have it")
 	}
-	d.l.ReadAsOf(d.now + time.Millisecond)
-	if len(d.l.ahead) != 0 {
-		t.Errorf("kept for good: %v", d.l.ahead)
+	h.scheduler.JobsReadAt(h.now + time.Millisecond)
+	if len(h.scheduler.ahead) != 0 {
+		t.Errorf("kept for good: %v", h.scheduler.ahead)
 	}
 }
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -8,20 +8,20 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-type phase int
+type machinePhase int
 
 const (
-	booting   phase = iota // rented, its worker has not reported yet
-	up                     // its worker has reported
-	releasing              // being given back; nothing is sent to it any more
+	machineBooting   machinePhase = iota // rented, its worker has not reported yet
+	machineUp                            // its worker has reported
+	machineReleasing                     // being given back; nothing is sent to it any more
 )
 
 type machine struct {
-	name, typ, zone, addr string
-	spot                  bool
-	mt                    *wire.MachineType
+	name, machineType, zone, address string
+	spot                             bool
+	machineSpec                      *wire.MachineType
 
-	phase        phase
+	phase        machinePhase
 	knownAt      time.Duration // when this term first knew of it
 	rentedAt     time.Duration
 	upAt         time.Duration
@@ -48,15 +48,15 @@
 	directUsed                 bool   // starts went directly under the present fence
 	calling                    bool   // a direct call is out
 	callAgain                  bool
-	askedAt                    time.Duration // last question, see askForReport
+	askedAt                    time.Duration // last question, see probeStatus
 
 	tasks           map[taskRef]*attempt
-	exited          map[taskRef]exit // told by the worker, dealt with by us, not yet forgotten
-	extras          []wire.Command   // stops of attempts that are not in our picture
-	images          []image          // most recently used last
+	exited          map[taskRef]taskExit // told by the worker, dealt with by us, not yet forgotten
+	unexpectedStops []wire.Command       // stops of attempts that are not in our picture
+	images          []cachedImage        // most recently used last
 	cpus, gpus, mem float64
-	taskSummary     *taskSummary    // what placement asks of its tasks, until they change
-	batches         map[*batch]bool // records that name it
+	taskSummary     *taskSummary              // what placement asks of its tasks, until they change
+	batches         map[*assignmentBatch]bool // records that name it
 
 	// unreachableSince is since when it seems that nothing reaches it although its
 	// reports arrive; 0: it hears us. See deaf.
@@ -67,65 +67,67 @@
 	ours                 bool          // rented in this term
 }
 
-type image struct {
-	name string
-	gb   float64
+type cachedImage struct {
+	name   string
+	sizeGB float64
 }
 
-type exit struct {
+type taskExit struct {
 	attempt uint64
 	done    bool
 }
 
-func (l *Leader) addMachine(name, typ, zone string, spot bool, addr string) *machine {
+func (s *Scheduler) addMachine(name, machineType, zone string, spot bool, address string) *machine {
 	m := &machine{
-		name: name, typ: typ, zone: zone, spot: spot, addr: addr, mt: l.types[typ],
-		rentedAt: l.now.Mono, knownAt: l.now.Mono, heardAt: l.now.Mono, idleSince: l.now.Mono,
-		tasks: map[taskRef]*attempt{}, exited: map[taskRef]exit{}, failedBy: map[string]bool{}, batches: map[*batch]bool{},
+		name: name, machineType: machineType, zone: zone, spot: spot, address: address, machineSpec: s.types[machineType],
+		rentedAt: s.now.Mono, knownAt: s.now.Mono, heardAt: s.now.Mono, idleSince: s.now.Mono,
+		tasks: map[taskRef]*attempt{}, exited: map[taskRef]taskExit{}, failedBy: map[string]bool{}, batches: map[*assignmentBatch]bool{},
 	}
-	l.machines[name] = m
-	l.byName = nil
+	s.machines[name] = m
+	s.byName = nil
 	return m
 }
 
-// sorted gives the machines by name. The slice is not to be changed.
-func (l *Leader) sorted() []*machine {
-	if l.byName == nil {
-		l.byName = make([]*machine, 0, len(l.machines))
-		for _, m := range l.machines {
-			l.byName = append(l.byName, m)
+// sortedMachines gives the machines by name. The slice is not to be changed.
+func (s *Scheduler) sortedMachines() []*machine {
+	if s.byName == nil {
+		s.byName = make([]*machine, 0, len(s.machines))
+		for _, m := range s.machines {
+			s.byName = append(s.byName, m)
 		}
-		slices.SortFunc(l.byName, func(a, b *machine) int { return strings.Compare(a.name, b.name) })
+		slices.SortFunc(s.byName, func(a, b *machine) int { return strings.Compare(a.name, b.name) })
 	}
-	return l.byName
+	return s.byName
 }
 
-func (m *machine) extra(c wire.Command) { m.extras = append(m.extras, c) }
+func (m *machine) queueUnexpectedStop(c wire.Command) {
+	m.unexpectedStops = append(m.unexpectedStops, c)
+}
 
 // fetched notes that the machine has an image, as the most recently used.
-func (m *machine) fetched(name string, gb float64) {
+func (m *machine) addImage(name string, sizeGB float64) {
 	m.taskSummary = nil
 	for i, im := range m.images {
 		if im.name == name {
-			m.images = append(append(m.images[:i:i], m.images[i+1:]...), image{name, gb})
+			m.images = append(append(m.images[:i:i], m.images[i+1:]...), cachedImage{name, sizeGB})
 			return
 		}
 	}
-	m.images = append(m.images, image{name, gb})
-	if m.mt == nil || m.mt.CacheGB <= 0 {
+	m.images = append(m.images, cachedImage{name, sizeGB})
+	if m.machineSpec == nil || m.machineSpec.CacheGB <= 0 {
 		return
 	}
 	sum := 0.0
 	for _, im := range m.images {
-		sum += im.gb
+		sum += im.sizeGB
 	}
-	for len(m.images) > 1 && sum > m.mt.CacheGB {
-		sum -= m.images[0].gb
+	for len(m.images) > 1 && sum > m.machineSpec.CacheGB {
+		sum -= m.images[0].sizeGB
 		m.images = m.images[1:]
 	}
 }
 
-func (m *machine) has(name string) bool {
+func (m *machine) hasImage(name string) bool {
 	for _, im := range m.images {
 		if im.name == name {
 			return true
@@ -135,7 +137,7 @@
 }
 
 // list gives the machine's attempts in a fixed order.
-func (m *machine) list() []*attempt {
+func (m *machine) sortedAttempts() []*attempt {
 	out := make([]*attempt, 0, len(m.tasks))
 	for _, a := range m.tasks {
 		out = append(out, a)
@@ -146,10 +148,10 @@
 
 // taskSummary is what placement asks of a machine's tasks.
 type taskSummary struct {
-	blocked                 bool // something is there whose size we do not know
-	services                int  // tasks of services, and what they take
-	serviceCPUs, serviceMem float64
-	fetching                map[string]float64 // images on their way, without those of stopped tasks
+	hasUnknownTask               bool // something is there whose size we do not know
+	services                     int  // tasks of services, and what they take
+	serviceCPUs, serviceMemoryGB float64
+	fetching                     map[string]float64 // images on their way, without those of stopped tasks
 }
 
 // summarize gives the machine's taskSummary, made anew after its tasks have changed.
@@ -157,24 +159,24 @@
 	if m.taskSummary != nil {
 		return m.taskSummary
 	}
-	d := &taskSummary{}
+	summary := &taskSummary{}
 	for _, a := range m.tasks {
 		if a.job == nil {
-			d.blocked = true
+			summary.hasUnknownTask = true
 			continue
 		}
 		if a.job.service {
-			d.services++
-			d.serviceCPUs += a.job.spec.CPUs
-			d.serviceMem += a.job.spec.MemoryGB
+			summary.services++
+			summary.serviceCPUs += a.job.spec.CPUs
+			summary.serviceMemoryGB += a.job.spec.MemoryGB
 		}
-		if !a.halt && a.state != wire.TaskRunning && !m.has(a.job.spec.Image) {
-			if d.fetching == nil {
-				d.fetching = map[string]float64{}
+		if !a.halt && a.state != wire.TaskRunning && !m.hasImage(a.job.spec.Image) {
+			if summary.fetching == nil {
+				summary.fetching = map[string]float64{}
 			}
-			d.fetching[a.job.spec.Image] = a.job.spec.ImageGB
+			summary.fetching[a.job.spec.Image] = a.job.spec.ImageGB
 		}
 	}
-	m.taskSummary = d
-	return d
+	m.taskSummary = summary
+	return summary
 }
--- a/internal/core/meetings_reports_test.go
+++ b/internal/core/meetings_reports_test.go
@@ -10,141 +10,143 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// reportWorlds is how many worlds each meeting of reports, commands and machines is
+// messageFaultSeeds is how many worlds each meeting of reports, commands and machines is
 // brought about in.
-const reportWorlds = 25
+const messageFaultSeeds = 25
 
 // Meetings of reports, commands and machines, with generated times: no rule is broken
 // in any world, every accepted array is completed and every service is complete again
 // once the troubles are over. internal/guards takes the guards out and sees this fail.
-func TestReportMeetings(t *testing.T) {
+func TestCombinedMessageFaults(t *testing.T) {
 	for _, m := range []struct {
 		name string
-		prep func(w *world)
-		meet func(w *world, leader *simNode)
+		prep func(sim *simulation)
+		meet func(sim *simulation, leader *simController)
 	}{
 		{"workers open no connections, while direct commands reach them", nil,
-			func(w *world, leader *simNode) {
-				for _, name := range w.names {
-					if w.rng.IntN(4) > 0 {
-						w.mute[name] = w.now + w.between(5000, 40_000)
+			func(sim *simulation, leader *simController) {
+				for _, name := range sim.machineNames {
+					if sim.rng.IntN(4) > 0 {
+						sim.heartbeatsBlockedUntil[name] = sim.now + sim.randomDuration(5000, 40_000)
 					}
 				}
-				w.hold = 0.1
-				w.after(w.between(0, 10_000), w.cancelSome)
-				if w.rng.IntN(2) == 0 {
-					w.after(w.between(0, 10_000), func() { leader.crash(w.between(100, 3000)) })
+				sim.delayRate = 0.1
+				sim.after(sim.randomDuration(0, 10_000), sim.cancelHalfOfServices)
+				if sim.rng.IntN(2) == 0 {
+					sim.after(sim.randomDuration(0, 10_000), func() { leader.crash(sim.randomDuration(100, 3000)) })
 				}
 			}},
 		{"an old report reaches every controller just as a new leader begins", nil,
-			func(w *world, leader *simNode) {
-				w.keepReports(leader, 0, 20)
+			func(sim *simulation, leader *simController) {
+				sim.replayHeartbeatsToNewLeader(leader, 0, 20)
 			}},
 		{"a report is held back until a new leader has acted", nil,
-			func(w *world, leader *simNode) {
-				w.keepReports(leader, 300, 6000)
+			func(sim *simulation, leader *simController) {
+				sim.replayHeartbeatsToNewLeader(leader, 300, 6000)
 			}},
 		{"an old report arrives after newer ones, from an earlier session or attempt too", nil,
-			func(w *world, leader *simNode) {
-				for _, name := range w.names {
-					if w.rng.IntN(3) == 0 {
-						w.hung[name] = w.now + w.between(3000, 20_000) // some into their next session
+			func(sim *simulation, leader *simController) {
+				for _, name := range sim.machineNames {
+					if sim.rng.IntN(3) == 0 {
+						sim.hungUntil[name] = sim.now + sim.randomDuration(3000, 20_000) // some into their next session
 					}
 				}
 				for range 40 {
-					w.after(w.between(0, 30_000), func() { w.copyReports(w.between(500, 30_000)) })
+					sim.after(sim.randomDuration(0, 30_000), func() { sim.duplicateHeartbeats(sim.randomDuration(500, 30_000)) })
 				}
-				w.after(w.between(0, 20_000), w.cancelSome)
+				sim.after(sim.randomDuration(0, 20_000), sim.cancelHalfOfServices)
 			}},
 		{"a command or its answer is held up, and the machine hangs and goes on", nil,
-			func(w *world, leader *simNode) {
-				w.hold, w.repeat, w.callLag = 0.2, 0.4, 700
-				w.blunder()
+			func(sim *simulation, leader *simController) {
+				sim.delayRate, sim.duplicateRate, sim.maxCallDelayMS = 0.2, 0.4, 700
+				sim.failTasksOnHalfOfMachines()
 				for i := range 12 {
-					w.after(w.between(0, 20_000), func() { w.submitGang(900 + i) })
+					sim.after(sim.randomDuration(0, 20_000), func() { sim.submitGang(900 + i) })
 				}
 				for i := range 12 {
-					w.after(time.Duration(i)*3*time.Second, func() {
-						name := w.names[w.rng.IntN(len(w.names))]
-						w.hung[name] = w.now + w.between(500, 10_000)
+					sim.after(time.Duration(i)*3*time.Second, func() {
+						name := sim.machineNames[sim.rng.IntN(len(sim.machineNames))]
+						sim.hungUntil[name] = sim.now + sim.randomDuration(500, 10_000)
 					})
 				}
-				w.after(w.between(0, 20_000), w.cancelSome)
+				sim.after(sim.randomDuration(0, 20_000), sim.cancelHalfOfServices)
 			}},
 		{"machines are up within two seconds and get work while writes lag, and the leader ends",
-			func(w *world) { w.writeLag = 3000 },
-			func(w *world, leader *simNode) {
+			func(sim *simulation) { sim.maxWriteDelayMS = 3000 },
+			func(sim *simulation, leader *simController) {
 				for i := range 12 {
-					w.after(w.between(0, 2000), func() { w.submitArray(900+i, 3) })
+					sim.after(sim.randomDuration(0, 2000), func() { sim.submitArray(900+i, 3) })
 				}
-				w.after(w.between(1000, 4000), func() {
-					leader.crash(w.between(100, 1000))
-					for _, name := range w.names {
-						if w.rng.IntN(2) == 0 {
-							w.cut[name] = w.now + w.between(4000, 11_000)
+				sim.after(sim.randomDuration(1000, 4000), func() {
+					leader.crash(sim.randomDuration(100, 1000))
+					for _, name := range sim.machineNames {
+						if sim.rng.IntN(2) == 0 {
+							sim.partitionedUntil[name] = sim.now + sim.randomDuration(4000, 11_000)
 						}
 					}
 				})
 			}},
 		{"a leader ends while machines with long tasks can't be reached or hear no answer", nil,
-			func(w *world, leader *simNode) {
-				for _, name := range w.names {
-					until := w.now + w.between(3000, 30_000)
-					switch w.rng.IntN(3) {
+			func(sim *simulation, leader *simController) {
+				for _, name := range sim.machineNames {
+					until := sim.now + sim.randomDuration(3000, 30_000)
+					switch sim.rng.IntN(3) {
 					case 0:
-						w.deaf[name] = until
+						sim.unreachableUntil[name] = until
 					case 1:
-						w.cut[name] = until
+						sim.partitionedUntil[name] = until
 					}
 				}
-				w.after(w.between(0, 3000), func() { leader.crash(w.between(100, 5000)) })
-				w.after(w.between(0, 8000), w.cancelSome)
+				sim.after(sim.randomDuration(0, 3000), func() { leader.crash(sim.randomDuration(100, 5000)) })
+				sim.after(sim.randomDuration(0, 8000), sim.cancelHalfOfServices)
 			}},
 		{"machines that nobody expected appear by their reports", nil,
-			func(w *world, leader *simNode) {
-				w.cloudDown = true // the list does not show them
+			func(sim *simulation, leader *simController) {
+				sim.cloudDown = true // the list does not show them
 				for range 4 {
-					w.after(w.between(0, 15_000), func() {
-						w.boot(w.types[w.rng.IntN(2)], []string{"a", "b"}[w.rng.IntN(2)], w.rng.IntN(2) == 0)
+					sim.after(sim.randomDuration(0, 15_000), func() {
+						sim.bootMachine(sim.machineTypes[sim.rng.IntN(2)], []string{"a", "b"}[sim.rng.IntN(2)], sim.rng.IntN(2) == 0)
 					})
 				}
-				w.after(w.between(0, 8000), func() { leader.crash(w.between(100, 3000)) })
-				w.after(w.between(8000, 20_000), func() { w.cloudDown = false })
+				sim.after(sim.randomDuration(0, 8000), func() { leader.crash(sim.randomDuration(100, 3000)) })
+				sim.after(sim.randomDuration(8000, 20_000), func() { sim.cloudDown = false })
 			}},
 	} {
 		t.Run(m.name, func(t *testing.T) {
 			failed := 0
 			first := ""
-			for seed := range uint64(reportWorlds) {
-				w := newWorld(seed)
+			for seed := range uint64(messageFaultSeeds) {
+				sim := newSimulation(seed)
 				if m.prep != nil {
-					m.prep(w)
+					m.prep(sim)
 				}
 				for i := range 8 {
-					w.after(time.Duration(i)*100*time.Millisecond, func() {
-						w.submit(&wire.Job{ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: []string{"red", "blue"}[i%2], Shape: wire.ShapeService,
-							Rank: wire.RankProduction, Tasks: 2, CPUs: 1, MemoryGB: 2, Image: "img", ImageGB: 1, Scatter: i%3 == 0})
+					sim.after(time.Duration(i)*100*time.Millisecond, func() {
+						sim.submit(&wire.Job{ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: []string{"red", "blue"}[i%2], Shape: wire.ShapeService,
+							Priority: wire.PriorityProduction, Tasks: 2, CPUs: 1, MemoryGB: 2, Image: "img", ImageGB: 1, SpreadZones: i%3 == 0})
 					})
 				}
 				for i := range 30 {
-					w.after(time.Duration(i)*2*time.Second+w.between(0, 1500), func() { w.submitArray(100+i, 1+w.rng.IntN(3)) })
+					sim.after(time.Duration(i)*2*time.Second+sim.randomDuration(0, 1500), func() { sim.submitArray(100+i, 1+sim.rng.IntN(3)) })
 				}
-				w.every(time.Second, func() {
-					for _, j := range w.jobs {
-						w.poll(j.ID)
+				sim.every(time.Second, func() {
+					for _, j := range sim.jobs {
+						sim.pollJob(j.ID)
 					}
 				})
-				w.after(20*time.Second+w.between(0, 2000), func() {
-					for _, n := range w.nodes {
-						if n.leader != nil {
-							m.meet(w, n)
+				sim.after(20*time.Second+sim.randomDuration(0, 2000), func() {
+					for _, c := range sim.controllers {
+						if c.scheduler != nil {
+							m.meet(sim, c)
 							return
 						}
 					}
 				})
-				w.after(70*time.Second, func() { w.trouble, w.hold, w.repeat, w.writeLag, w.callLag = false, 0, 0, 0, 0 })
-				w.run(185 * time.Second)
-				if wrong := w.wrong(); wrong != "" {
+				sim.after(70*time.Second, func() {
+					sim.faultsActive, sim.delayRate, sim.duplicateRate, sim.maxWriteDelayMS, sim.maxCallDelayMS = false, 0, 0, 0, 0
+				})
+				sim.run(185 * time.Second)
+				if wrong := sim.firstViolation(); wrong != "" {
 					failed++
 					if first == "" {
 						first = fmt.Sprintf("seed %d: %s", seed, wrong)
@@ -152,7 +154,7 @@
 				}
 			}
 			if failed > 0 {
-				t.Errorf("%d of %d worlds; the first: %s", failed, reportWorlds, first)
+				t.Errorf("%d of %d worlds; the first: %s", failed, messageFaultSeeds, first)
 			}
 		})
 	}
@@ -161,38 +163,38 @@
 // Jobs of two or three tasks end far apart across changes of the leader, while writes
 // lag and copies of reports come late: none is called done early, all become done, and
 // no task starts again that has completed.
-func TestEndsFarApartAcrossLeaders(t *testing.T) {
+func TestSpreadCompletionsSurviveFailovers(t *testing.T) {
 	starts, repeated := 0, 0
-	for seed := range uint64(reportWorlds) {
-		w := newWorld(seed)
-		clear(w.faulty)
-		w.writeLag, w.copies = 2500, 0.2
+	for seed := range uint64(messageFaultSeeds) {
+		sim := newSimulation(seed)
+		clear(sim.faultyMachines)
+		sim.maxWriteDelayMS, sim.heartbeatCopyRate = 2500, 0.2
 		for i := range 14 {
-			w.after(time.Duration(i)*time.Second, func() {
-				w.submit(&wire.Job{ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: []string{"red", "blue"}[i%2], Shape: wire.ShapeArray,
-					Rank: wire.RankNormal, Tasks: 2 + i%2, CPUs: 1, MemoryGB: 2, Image: "img", ImageGB: 1, EstimateS: 20})
+			sim.after(time.Duration(i)*time.Second, func() {
+				sim.submit(&wire.Job{ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: []string{"red", "blue"}[i%2], Shape: wire.ShapeArray,
+					Priority: wire.PriorityNormal, Tasks: 2 + i%2, CPUs: 1, MemoryGB: 2, Image: "img", ImageGB: 1, EstimatedRunS: 20})
 			})
 		}
-		w.every(time.Second, func() {
-			for _, j := range w.jobs {
-				w.poll(j.ID)
+		sim.every(time.Second, func() {
+			for _, j := range sim.jobs {
+				sim.pollJob(j.ID)
 			}
 		})
 		for i := range 6 {
-			w.after(time.Duration(8+9*i)*time.Second+w.between(0, 4000), func() {
-				for _, n := range w.nodes {
-					if n.leader != nil {
-						n.crash(w.between(100, 1000))
+			sim.after(time.Duration(8+9*i)*time.Second+sim.randomDuration(0, 4000), func() {
+				for _, c := range sim.controllers {
+					if c.scheduler != nil {
+						c.crash(sim.randomDuration(100, 1000))
 					}
 				}
 			})
 		}
-		w.after(75*time.Second, func() { w.writeLag, w.copies = 0, 0 })
-		w.run(180 * time.Second)
-		if wrong := w.wrong(); wrong != "" {
+		sim.after(75*time.Second, func() { sim.maxWriteDelayMS, sim.heartbeatCopyRate = 0, 0 })
+		sim.run(180 * time.Second)
+		if wrong := sim.firstViolation(); wrong != "" {
 			t.Fatalf("seed %d: %s", seed, wrong)
 		}
-		starts, repeated = starts+w.rules.Starts, repeated+w.rules.Repeated
+		starts, repeated = starts+sim.checker.Starts, repeated+sim.checker.RepeatedStarts
 	}
 	// A completed attempt keeps its record until its task is durably done.
 	t.Logf("%d starts, %d of them of tasks that had completed", starts, repeated)
@@ -201,103 +203,103 @@
 	}
 }
 
-// wrong says which rule was broken, or what was not served once the troubles were over.
-func (w *world) wrong() string {
-	if len(w.rules.Broken) > 0 {
-		return strings.Join(w.rules.Broken[:min(3, len(w.rules.Broken))], "\n")
+// firstViolation says which rule was broken, or what was not served once the troubles were over.
+func (sim *simulation) firstViolation() string {
+	if len(sim.checker.Violations) > 0 {
+		return strings.Join(sim.checker.Violations[:min(3, len(sim.checker.Violations))], "\n")
 	}
-	for _, j := range w.jobs {
-		switch state := w.poll(j.ID); {
-		case state == wire.JobCancelled && w.rules.On(j.ID) == 0:
+	for _, j := range sim.jobs {
+		switch state := sim.pollJob(j.ID); {
+		case state == wire.JobCancelled && sim.checker.PlacedTasks(j.ID) == 0:
 		case state == wire.JobDone && !j.Service():
-		case state == wire.JobPending && j.Service() && w.rules.On(j.ID) == j.Tasks:
+		case state == wire.JobPending && j.Service() && sim.checker.PlacedTasks(j.ID) == j.Tasks:
 		default:
-			return fmt.Sprintf("unserved: %s is %s with %d of %d tasks on machines", j.ID, state, w.rules.On(j.ID), j.Tasks)
+			return fmt.Sprintf("unserved: %s is %s with %d of %d tasks on machines", j.ID, state, sim.checker.PlacedTasks(j.ID), j.Tasks)
 		}
 	}
 	return ""
 }
 
 // submitArray submits an array whose tasks end far apart from each other in some worlds.
-func (w *world) submitArray(i, tasks int) {
-	w.submit(&wire.Job{ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: []string{"red", "blue"}[i%2], Shape: wire.ShapeArray,
-		Rank: []string{wire.RankUrgent, wire.RankNormal, wire.RankIdle}[i%3], Tasks: tasks, CPUs: float64(1 + i%3), MemoryGB: 2,
-		Image: fmt.Sprintf("img-%d", i%3), ImageGB: 1, EstimateS: 8, Spot: i%4 == 0, Together: i%5 == 0})
+func (sim *simulation) submitArray(i, tasks int) {
+	sim.submit(&wire.Job{ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: []string{"red", "blue"}[i%2], Shape: wire.ShapeArray,
+		Priority: []string{wire.PriorityUrgent, wire.PriorityNormal, wire.PriorityIdle}[i%3], Tasks: tasks, CPUs: float64(1 + i%3), MemoryGB: 2,
+		Image: fmt.Sprintf("img-%d", i%3), ImageGB: 1, EstimatedRunS: 8, Spot: i%4 == 0, SameZone: i%5 == 0})
 }
 
 // submitGang submits a gang: when a member ends, the others are stopped, also those
 // whose start is still on its way.
-func (w *world) submitGang(i int) {
-	w.submit(&wire.Job{ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: []string{"red", "blue"}[i%2], Shape: wire.ShapeGang,
-		Rank: wire.RankNormal, Tasks: 3, CPUs: 1, MemoryGB: 2, Image: fmt.Sprintf("img-%d", i%3), ImageGB: 0.2, EstimateS: 8})
+func (sim *simulation) submitGang(i int) {
+	sim.submit(&wire.Job{ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: []string{"red", "blue"}[i%2], Shape: wire.ShapeGang,
+		Priority: wire.PriorityNormal, Tasks: 3, CPUs: 1, MemoryGB: 2, Image: fmt.Sprintf("img-%d", i%3), ImageGB: 0.2, EstimatedRunS: 8})
 }
 
-// blunder makes tasks fail on half of the machines, until the troubles are over.
-func (w *world) blunder() {
-	for _, name := range w.names {
-		w.faulty[name] = w.rng.IntN(2) == 0
+// failTasksOnHalfOfMachines makes tasks fail on half of the machines, until the troubles are over.
+func (sim *simulation) failTasksOnHalfOfMachines() {
+	for _, name := range sim.machineNames {
+		sim.faultyMachines[name] = sim.rng.IntN(2) == 0
 	}
 }
 
-// keepReports keeps reports of each machine from the seconds before the leader ends,
+// replayHeartbeatsToNewLeader keeps reports of each machine from the seconds before the leader ends,
 // until a new one has been there for some milliseconds, and then brings them to every
 // controller. Half of the machines can't be reached meanwhile, so that the old report
 // is all that the new leader has of them.
-func (w *world) keepReports(leader *simNode, from, to int) {
-	var kept []wire.Report
+func (sim *simulation) replayHeartbeatsToNewLeader(leader *simController, from, to int) {
+	var kept []wire.Heartbeat
 	take := func() {
-		for _, wk := range w.standing() {
-			kept = append(kept, wk.Report(w.now))
+		for _, wk := range sim.respondingWorkers() {
+			kept = append(kept, wk.Heartbeat(sim.now))
 		}
 	}
-	ends := w.between(2000, 5000)
+	ends := sim.randomDuration(2000, 5000)
 	for range 4 {
-		w.after(w.between(0, int(ends/time.Millisecond)), take)
+		sim.after(sim.randomDuration(0, int(ends/time.Millisecond)), take)
 	}
 	var wait func()
 	wait = func() {
-		for _, n := range w.nodes {
-			if n.leader == nil {
+		for _, c := range sim.controllers {
+			if c.scheduler == nil {
 				continue
 			}
 			for i := range kept {
-				w.after(w.between(from, to), func() {
-					for _, n := range w.nodes {
-						n.checkin(&kept[i])
+				sim.after(sim.randomDuration(from, to), func() {
+					for _, c := range sim.controllers {
+						c.heartbeat(&kept[i])
 					}
 				})
 			}
 			return
 		}
-		w.after(5*time.Millisecond, wait)
+		sim.after(5*time.Millisecond, wait)
 	}
-	w.after(ends, func() {
-		for _, name := range w.names {
-			if w.rng.IntN(2) == 0 {
-				w.cut[name] = w.now + w.between(4000, 11_000)
+	sim.after(ends, func() {
+		for _, name := range sim.machineNames {
+			if sim.rng.IntN(2) == 0 {
+				sim.partitionedUntil[name] = sim.now + sim.randomDuration(4000, 11_000)
 			}
 		}
-		leader.crash(w.between(100, 1000))
+		leader.crash(sim.randomDuration(100, 1000))
 		wait()
 	})
 }
 
-// copyReports brings a report of each machine to every controller after a while.
-func (w *world) copyReports(late time.Duration) {
-	for _, wk := range w.standing() {
-		r := wk.Report(w.now)
-		w.after(late, func() {
-			for _, n := range w.nodes {
-				n.checkin(&r)
+// duplicateHeartbeats brings a report of each machine to every controller after a while.
+func (sim *simulation) duplicateHeartbeats(late time.Duration) {
+	for _, wk := range sim.respondingWorkers() {
+		r := wk.Heartbeat(sim.now)
+		sim.after(late, func() {
+			for _, c := range sim.controllers {
+				c.heartbeat(&r)
 			}
 		})
 	}
 }
 
-// standing are the workers that are there and do not hang.
-func (w *world) standing() (out []*standin.Worker) {
-	for _, name := range w.names {
-		if wk := w.workers[name]; !wk.Gone && w.hung[name] <= w.now {
+// respondingWorkers are the workers that are there and do not hang.
+func (sim *simulation) respondingWorkers() (out []*standin.Worker) {
+	for _, name := range sim.machineNames {
+		if wk := sim.workers[name]; !wk.Terminated && sim.hungUntil[name] <= sim.now {
 			out = append(out, wk)
 		}
 	}
--- a/internal/core/meetings_room_test.go
+++ b/internal/core/meetings_room_test.go
@@ -12,28 +12,28 @@
 )
 
 const (
-	besideRoom = 90 * time.Second  // no job waits for longer while a machine that fits has room
-	unanswered = 75 * time.Second  // a job about which no question is answered for that long is forgotten
-	beginBy    = 240 * time.Second // the largest jobs begin within it
+	maxWaitBesideCapacity = 90 * time.Second  // no job waits for longer while a machine that fits has room
+	maxUnanswered         = 75 * time.Second  // a job about which no question is answered for that long is forgotten
+	startBound            = 240 * time.Second // the largest jobs begin within it
 )
 
-// takes reports whether the state service takes n more changes now.
-func (w *world) takes(n int) bool {
-	if w.writes == 0 {
+// acceptsWrites reports whether the state service takes n more changes now.
+func (sim *simulation) acceptsWrites(n int) bool {
+	if sim.writeRate == 0 {
 		return true
 	}
-	w.budget = min(w.writes, w.budget+(w.now-w.budgeted).Seconds()*w.writes)
-	w.budgeted = w.now
-	if w.budget < float64(n) {
+	sim.writeBudget = min(sim.writeRate, sim.writeBudget+(sim.now-sim.budgetRefilledAt).Seconds()*sim.writeRate)
+	sim.budgetRefilledAt = sim.now
+	if sim.writeBudget < float64(n) {
 		return false
 	}
-	w.budget -= float64(n)
+	sim.writeBudget -= float64(n)
 	return true
 }
 
-// watchWaiting checks from a moment on, once all troubles are over, that no job waits
+// checkWaitingJobs checks from a moment on, once all troubles are over, that no job waits
 // beside room and that each is known: those that hold no matter how others fare.
-func (w *world) watchWaiting(from time.Duration) {
+func (sim *simulation) checkWaitingJobs(from time.Duration) {
 	since := map[string]map[string]time.Duration{} // by job and machine with room
 	answer := map[string]time.Duration{}           // when a question about it was last answered
 	type attempt struct {
@@ -42,61 +42,61 @@
 	}
 	seen := map[attempt]bool{}
 	over := map[string]bool{} // jobs
-	w.after(from-w.now, func() {
-		w.every(time.Second, func() {
+	sim.after(from-sim.now, func() {
+		sim.every(time.Second, func() {
 			use, fresh := map[string]float64{}, map[string]bool{}
 			taken := map[string]*wire.Job{} // by machine: what its tasks take
 			on := map[string]string{}       // zones of tasks that are on a machine
-			for _, name := range w.names {
+			for _, name := range sim.machineNames {
 				sum := &wire.Job{}
-				w.workers[name].Each(func(task string, number uint64, exited bool) {
-					j := w.rules.Spec(task)
+				sim.workers[name].EachAttempt(func(task string, number uint64, exited bool) {
+					j := sim.checker.JobOfTask(task)
 					if a := (attempt{task, number}); !seen[a] {
 						seen[a], fresh[j.ID] = true, true
 					}
 					if !exited {
 						sum.CPUs, sum.MemoryGB = sum.CPUs+j.CPUs, sum.MemoryGB+j.MemoryGB
 						use[j.Team] += j.CPUs
-						on[task] = w.workers[name].Zone
+						on[task] = sim.workers[name].Zone
 					}
 				})
 				taken[name] = sum
 			}
-			for _, j := range w.jobs {
+			for _, j := range sim.jobs {
 				if over[j.ID] {
 					continue
 				}
-				state := w.poll(j.ID)
+				state := sim.pollJob(j.ID)
 				over[j.ID] = state == wire.JobDone || state == wire.JobCancelled
 				if state != "" {
-					answer[j.ID] = w.now
-				} else if w.now-max(from, answer[j.ID]) > unanswered {
-					w.rules.Broken = append(w.rules.Broken, fmt.Sprintf("%v forgotten: %s", w.now, j.ID))
+					answer[j.ID] = sim.now
+				} else if sim.now-max(from, answer[j.ID]) > maxUnanswered {
+					sim.checker.Violations = append(sim.checker.Violations, fmt.Sprintf("%v forgotten: %s", sim.now, j.ID))
 				}
 				task, zones := "", map[string]int{}
 				for i := range j.Tasks {
 					name := wire.TaskName(j.ID, i)
 					if z, there := on[name]; there {
 						zones[z]++
-					} else if !w.rules.Completed(name) && task == "" {
+					} else if !sim.checker.IsCompleted(name) && task == "" {
 						task = name
 					}
 				}
 				// The same machine all the time: under load some has room at any moment,
 				// between the end of a task and the next one's start.
 				var beside []string
-				if state == wire.JobPending && task != "" && !fresh[j.ID] && use[j.Team]+j.CPUs <= w.rules.Limit(j.Team) {
-					beside = w.fitting(j, zones, taken)
+				if state == wire.JobPending && task != "" && !fresh[j.ID] && use[j.Team]+j.CPUs <= sim.checker.QuotaLimit(j.Team) {
+					beside = sim.machinesThatFit(j, zones, taken)
 				}
 				waits := map[string]time.Duration{}
 				for _, name := range beside {
-					waits[name] = w.now
+					waits[name] = sim.now
 					if at, ok := since[j.ID][name]; ok {
 						waits[name] = at
 					}
-					if w.now-waits[name] > besideRoom {
-						w.rules.LeftWaiting(w.now, task, name, waits[name])
-						waits[name] = w.now
+					if sim.now-waits[name] > maxWaitBesideCapacity {
+						sim.checker.RecordLeftWaiting(sim.now, task, name, waits[name])
+						waits[name] = sim.now
 					}
 				}
 				since[j.ID] = waits
@@ -105,21 +105,21 @@
 	})
 }
 
-// fitting lists machines that could take one more task of the job, which has tasks in
+// machinesThatFit lists machines that could take one more task of the job, which has tasks in
 // the zones already.
-func (w *world) fitting(j *wire.Job, zones map[string]int, taken map[string]*wire.Job) (out []string) {
-	for _, name := range w.names {
-		wk := w.workers[name]
-		if wk.Gone || wk.Spot && !j.Spot || j.Zone != "" && j.Zone != wk.Zone || zones[wk.Zone] >= j.ZoneCap() {
+func (sim *simulation) machinesThatFit(j *wire.Job, zones map[string]int, taken map[string]*wire.Job) (out []string) {
+	for _, name := range sim.machineNames {
+		wk := sim.workers[name]
+		if wk.Terminated || wk.Spot && !j.Spot || j.Zone != "" && j.Zone != wk.Zone || zones[wk.Zone] >= j.MaxTasksPerZone() {
 			continue
 		}
-		if j.Together && len(zones) > 0 && zones[wk.Zone] == 0 {
+		if j.SameZone && len(zones) > 0 && zones[wk.Zone] == 0 {
 			continue
 		}
 		if j.Gang() && len(zones) == 0 {
 			continue // room for one task is not enough
 		}
-		if taken[name].CPUs+j.CPUs <= wk.MT.CPUs && taken[name].MemoryGB+j.MemoryGB <= wk.MT.MemoryGB {
+		if taken[name].CPUs+j.CPUs <= wk.MachineType.CPUs && taken[name].MemoryGB+j.MemoryGB <= wk.MachineType.MemoryGB {
 			out = append(out, name)
 		}
 	}
@@ -127,30 +127,30 @@
 }
 
 // ended reports what became of a job for good; empty: it lives.
-func (w *world) ended(id string) string {
-	it := w.state.Get(w.now, store.EndedKey(id))
-	if it.Stamp == 0 {
+func (sim *simulation) endedState(id string) string {
+	it := sim.kvStore.Get(sim.now, store.EndedJobKey(id))
+	if it.ModRevision == 0 {
 		return ""
 	}
-	var rec store.EndedRecord
+	var rec store.EndedJob
 	must(wire.Unmarshal(it.Value, &rec))
 	return rec.State
 }
 
-func (w *world) broken(t *testing.T, seed uint64) {
+func (sim *simulation) failOnViolations(t *testing.T, seed uint64) {
 	t.Helper()
-	if n := len(w.rules.Broken); n > 0 {
-		t.Fatalf("seed %d: %d broken:\n%s", seed, n, strings.Join(w.rules.Broken[:min(4, n)], "\n"))
+	if n := len(sim.checker.Violations); n > 0 {
+		t.Fatalf("seed %d: %d broken:\n%s", seed, n, strings.Join(sim.checker.Violations[:min(4, n)], "\n"))
 	}
 }
 
 // The outage in which one-task jobs go on coming and ending.
-const outageFrom, outageTo = 60 * time.Second, 85 * time.Second
+const outageStart, outageEnd = 60 * time.Second, 85 * time.Second
 
-// outUntil is when the outage ends that a moment falls into, or is shortly before.
-func outUntil(at time.Duration) time.Duration {
-	if at > outageFrom-5*time.Second && at < outageTo+5*time.Second {
-		return outageTo
+// outageEndAround is when the outage ends that a moment falls into, or is shortly before.
+func outageEndAround(at time.Duration) time.Duration {
+	if at > outageStart-5*time.Second && at < outageEnd+5*time.Second {
+		return outageEnd
 	}
 	return 0
 }
@@ -158,56 +158,56 @@
 // One-task jobs come four a second for two minutes, a quarter of them cancelled, at a
 // state service that takes twenty changes a second, and none for a while: the leader
 // keeps its share of them, jobs are accepted, start, and end.
-func TestManySmallJobs(t *testing.T) {
+func TestSmallJobsUnderWriteBudgetAndOutage(t *testing.T) {
 	for seed := range uint64(3) {
-		size := smallWorld
-		size.limit, size.writes, size.most = 200, 20, 12
-		w := newWorldOf(seed, size)
-		w.trouble, w.writes, w.budget = false, 20, 20
+		size := smallSimulation
+		size.teamCPUs, size.writeRate, size.maxPerKind = 200, 20, 12
+		sim := newSimulationOf(seed, size)
+		sim.faultsActive, sim.writeRate, sim.writeBudget = false, 20, 20
 		begun, over := map[string]time.Duration{}, map[string]time.Duration{}
 		came := map[string]time.Duration{}
-		w.changes, w.acceptedAt = make([]int, 201), map[string]time.Duration{}
+		sim.changesBySecond, sim.acceptedAt = make([]int, 201), map[string]time.Duration{}
 		cancelled := map[string]bool{}
 		n := 0
-		w.every(250*time.Millisecond, func() {
-			if w.now < 10*time.Second || w.now > 130*time.Second {
+		sim.every(250*time.Millisecond, func() {
+			if sim.now < 10*time.Second || sim.now > 130*time.Second {
 				return
 			}
 			n++
 			j := &wire.Job{ID: fmt.Sprintf("run-%06d", n), Class: "c", Team: []string{"red", "blue"}[n%2], Shape: wire.ShapeArray,
-				Rank: wire.RankNormal, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 0.1, EstimateS: 8}
-			came[j.ID] = w.now
-			if w.rng.IntN(4) == 0 {
+				Priority: wire.PriorityNormal, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 0.1, EstimatedRunS: 8}
+			came[j.ID] = sim.now
+			if sim.rng.IntN(4) == 0 {
 				cancelled[j.ID] = true
-				w.after(w.between(100, 12_000), func() { w.cancel(j.ID) })
+				sim.after(sim.randomDuration(100, 12_000), func() { sim.cancel(j.ID) })
 			}
-			w.submit(j)
+			sim.submit(j)
 		})
-		w.every(500*time.Millisecond, func() {
-			for _, name := range w.names {
-				w.workers[name].Each(func(task string, _ uint64, _ bool) {
-					id, _, _ := wire.SplitTask(task)
+		sim.every(500*time.Millisecond, func() {
+			for _, name := range sim.machineNames {
+				sim.workers[name].EachAttempt(func(task string, _ uint64, _ bool) {
+					id, _, _ := wire.ParseTaskName(task)
 					if begun[id] == 0 {
-						begun[id] = w.now
+						begun[id] = sim.now
 					}
 				})
 			}
-			for _, j := range w.jobs {
-				if over[j.ID] == 0 && w.ended(j.ID) != "" {
-					over[j.ID] = w.now
+			for _, j := range sim.jobs {
+				if over[j.ID] == 0 && sim.endedState(j.ID) != "" {
+					over[j.ID] = sim.now
 				}
 			}
 		})
 		// Jobs that ended in an outage are all written after it, and starts with them.
-		w.after(outageFrom, func() { w.state.SetDown(w.now, true) })
-		w.after(outageTo, func() { w.state.SetDown(w.now, false) })
-		w.watchWaiting(100 * time.Second)
-		w.run(200 * time.Second)
-		w.broken(t, seed)
+		sim.after(outageStart, func() { sim.kvStore.SetUnavailable(sim.now, true) })
+		sim.after(outageEnd, func() { sim.kvStore.SetUnavailable(sim.now, false) })
+		sim.checkWaitingJobs(100 * time.Second)
+		sim.run(200 * time.Second)
+		sim.failOnViolations(t, seed)
 		late, slowest := 0, time.Duration(0)
 		for id := range came {
 			// No start can be written in the outage.
-			if wait := begun[id] - max(w.acceptedAt[id], outUntil(w.acceptedAt[id])); !cancelled[id] {
+			if wait := begun[id] - max(sim.acceptedAt[id], outageEndAround(sim.acceptedAt[id])); !cancelled[id] {
 				slowest = max(slowest, wait)
 				if wait > 10*time.Second {
 					late++
@@ -222,71 +222,71 @@
 		}
 		for at := range 190 {
 			sum := 0
-			for _, k := range w.changes[at : at+10] {
+			for _, k := range sim.changesBySecond[at : at+10] {
 				sum += k
 			}
 			if sum > 10*16+16 { // its share of the rate, and of one second's burst
 				t.Fatalf("seed %d: the leader makes %d changes in the 10 s from %d s on", seed, sum, at)
 			}
 		}
-		for _, j := range w.jobs {
-			wait := w.acceptedAt[j.ID] - came[j.ID]
-			if out := outUntil(came[j.ID]) > 0; wait > 10*time.Second && !out || wait > 60*time.Second {
+		for _, j := range sim.jobs {
+			wait := sim.acceptedAt[j.ID] - came[j.ID]
+			if out := outageEndAround(came[j.ID]) > 0; wait > 10*time.Second && !out || wait > 60*time.Second {
 				t.Errorf("seed %d: %s was accepted after %v", seed, j.ID, wait)
 			}
 		}
-		t.Logf("seed %d: %d jobs, %d late, the last after %v, the leader was refused %d times", seed, n, late, slowest, w.refused)
+		t.Logf("seed %d: %d jobs, %d late, the last after %v, the leader was refused %d times", seed, n, late, slowest, sim.refusedTransactions)
 	}
 }
 
 // There is more work than room, urgent and not, over slow links: the largest jobs begin
 // within four minutes, and of each class, team and of the largest at least half is served.
-func TestMoreWorkThanRoom(t *testing.T) {
+func TestOverloadStarvesNoJob(t *testing.T) {
 	for seed := range uint64(3) {
-		size := smallWorld
-		size.limit, size.most = 60, 2
-		w := newWorldOf(seed, size)
-		w.trouble, w.slowLinks = false, 400*time.Millisecond
+		size := smallSimulation
+		size.teamCPUs, size.maxPerKind = 60, 2
+		sim := newSimulationOf(seed, size)
+		sim.faultsActive, sim.maxLinkDelay = false, 400*time.Millisecond
 		served, all := map[string]int{}, map[string]int{}
 		of := map[string][]string{}
 		begun, came := map[string]time.Duration{}, map[string]time.Duration{}
 		n := 0
-		w.every(2*time.Second, func() {
-			if w.now < 5*time.Second || w.now > 300*time.Second {
+		sim.every(2*time.Second, func() {
+			if sim.now < 5*time.Second || sim.now > 300*time.Second {
 				return
 			}
 			n++
-			due := float64(30 + w.rng.IntN(60))
+			due := float64(30 + sim.rng.IntN(60))
 			j := &wire.Job{ID: fmt.Sprintf("run-%06d", n), Class: []string{"train", "sweep"}[n%2], Team: []string{"red", "blue"}[n/2%2], Shape: wire.ShapeArray,
-				Rank: []string{wire.RankUrgent, wire.RankUrgent, wire.RankNormal}[n%3], Tasks: 1 + w.rng.IntN(9), CPUs: float64(1 + w.rng.IntN(3)), MemoryGB: 1,
-				Image: fmt.Sprintf("img-%d", n%3), ImageGB: 1, EstimateS: 8, DueS: &due}
+				Priority: []string{wire.PriorityUrgent, wire.PriorityUrgent, wire.PriorityNormal}[n%3], Tasks: 1 + sim.rng.IntN(9), CPUs: float64(1 + sim.rng.IntN(3)), MemoryGB: 1,
+				Image: fmt.Sprintf("img-%d", n%3), ImageGB: 1, EstimatedRunS: 8, DeadlineS: &due}
 			groups := []string{j.Class, j.Team}
 			if n%12 == 4 {
-				j.Tasks, j.Rank = 30, wire.RankNormal
+				j.Tasks, j.Priority = 30, wire.PriorityNormal
 				groups = append(groups, "largest")
 			}
-			of[j.ID], came[j.ID] = groups, w.now
-			w.submit(j)
+			of[j.ID], came[j.ID] = groups, sim.now
+			sim.submit(j)
 		})
-		w.every(500*time.Millisecond, func() {
-			for _, name := range w.names {
-				w.workers[name].Each(func(task string, _ uint64, _ bool) {
-					if id, _, _ := wire.SplitTask(task); begun[id] == 0 {
-						begun[id] = w.now
+		sim.every(500*time.Millisecond, func() {
+			for _, name := range sim.machineNames {
+				sim.workers[name].EachAttempt(func(task string, _ uint64, _ bool) {
+					if id, _, _ := wire.ParseTaskName(task); begun[id] == 0 {
+						begun[id] = sim.now
 					}
 				})
 			}
 		})
-		w.watchWaiting(20 * time.Second)
-		w.run(640 * time.Second)
-		w.broken(t, seed)
+		sim.checkWaitingJobs(20 * time.Second)
+		sim.run(640 * time.Second)
+		sim.failOnViolations(t, seed)
 		for id, groups := range of {
 			for _, g := range groups {
 				all[g]++
-				if w.ended(id) != "" {
+				if sim.endedState(id) != "" {
 					served[g]++
 				}
-				if g == "largest" && (begun[id] == 0 || begun[id]-came[id] > beginBy) {
+				if g == "largest" && (begun[id] == 0 || begun[id]-came[id] > startBound) {
 					t.Errorf("seed %d: %s, one of the largest, came at %v and began at %v", seed, id, came[id], begun[id])
 				}
 			}
@@ -302,114 +302,114 @@
 
 // Teams are at their limits when the leader changes, while some machines cannot be
 // asked, or hang, and jobs are cancelled: what may still be there counts.
-func TestLimitsAcrossLeaders(t *testing.T) {
+func TestQuotaLimitsHoldAcrossFailovers(t *testing.T) {
 	for seed := range uint64(6) {
-		w := newWorld(seed)
-		w.lose, w.hold = 0.02, 0.02
+		sim := newSimulation(seed)
+		sim.lossRate, sim.delayRate = 0.02, 0.02
 		n := 0
-		w.every(700*time.Millisecond, func() {
-			if w.now > 100*time.Second {
+		sim.every(700*time.Millisecond, func() {
+			if sim.now > 100*time.Second {
 				return
 			}
 			n++
-			j := &wire.Job{ID: fmt.Sprintf("run-%06d", n), Class: "c", Team: []string{"red", "blue"}[w.rng.IntN(2)], Shape: wire.ShapeArray,
-				Rank: wire.RankNormal, Tasks: 2 + w.rng.IntN(6), CPUs: float64(2 + w.rng.IntN(3)), MemoryGB: 1, Image: "img", ImageGB: 0.5, EstimateS: 8, Spot: true}
+			j := &wire.Job{ID: fmt.Sprintf("run-%06d", n), Class: "c", Team: []string{"red", "blue"}[sim.rng.IntN(2)], Shape: wire.ShapeArray,
+				Priority: wire.PriorityNormal, Tasks: 2 + sim.rng.IntN(6), CPUs: float64(2 + sim.rng.IntN(3)), MemoryGB: 1, Image: "img", ImageGB: 0.5, EstimatedRunS: 8, Spot: true}
 			if n%4 == 0 {
-				j.Shape, j.Rank, j.Tasks, j.EstimateS = wire.ShapeService, wire.RankProduction, 1+w.rng.IntN(2), 0
-				w.after(w.between(20_000, 40_000), func() { w.cancel(j.ID) })
+				j.Shape, j.Priority, j.Tasks, j.EstimatedRunS = wire.ShapeService, wire.PriorityProduction, 1+sim.rng.IntN(2), 0
+				sim.after(sim.randomDuration(20_000, 40_000), func() { sim.cancel(j.ID) })
 			}
-			w.submit(j)
+			sim.submit(j)
 		})
 		for i := range 5 {
-			w.after(time.Duration(15+18*i)*time.Second+w.between(0, 3000), func() {
-				long := w.between(4000, 20_000)
-				for _, name := range w.names {
-					switch w.rng.IntN(4) {
+			sim.after(time.Duration(15+18*i)*time.Second+sim.randomDuration(0, 3000), func() {
+				long := sim.randomDuration(4000, 20_000)
+				for _, name := range sim.machineNames {
+					switch sim.rng.IntN(4) {
 					case 0:
-						w.hung[name] = w.now + long
+						sim.hungUntil[name] = sim.now + long
 					case 1:
-						w.cut[name] = w.now + long
+						sim.partitionedUntil[name] = sim.now + long
 					}
 				}
-				w.after(w.between(0, 4000), func() {
-					for _, node := range w.nodes {
-						if node.leader != nil {
-							node.crash(w.between(500, 6000))
+				sim.after(sim.randomDuration(0, 4000), func() {
+					for _, node := range sim.controllers {
+						if node.scheduler != nil {
+							node.crash(sim.randomDuration(500, 6000))
 						}
 					}
 				})
 				for range 4 {
-					w.after(w.between(0, 6000), func() { w.cancel(w.jobs[len(w.jobs)-1-w.rng.IntN(min(len(w.jobs), 12))].ID) })
+					sim.after(sim.randomDuration(0, 6000), func() { sim.cancel(sim.jobs[len(sim.jobs)-1-sim.rng.IntN(min(len(sim.jobs), 12))].ID) })
 				}
 			})
 		}
-		w.after(125*time.Second, func() { w.trouble = false })
-		w.watchWaiting(160 * time.Second)
-		w.run(330 * time.Second)
-		w.broken(t, seed)
+		sim.after(125*time.Second, func() { sim.faultsActive = false })
+		sim.checkWaitingJobs(160 * time.Second)
+		sim.run(330 * time.Second)
+		sim.failOnViolations(t, seed)
 	}
 }
 
 // Jobs that are bound to a zone lose machines, some in every zone and once all of one
 // zone, and leaders change: they start again where they may, and only there.
-func TestZonesLoseMachines(t *testing.T) {
+func TestZonalJobsSurviveMachineLoss(t *testing.T) {
 	for seed := range uint64(6) {
-		w := newWorld(seed)
-		w.lose, w.hold = 0.02, 0.02
-		w.settings.Teams = map[string]core.Team{"red": {CPUs: 12, CPUsMax: 24}, "blue": {CPUs: 12, CPUsMax: 24}}
+		sim := newSimulation(seed)
+		sim.lossRate, sim.delayRate = 0.02, 0.02
+		sim.settings.Teams = map[string]core.TeamQuota{"red": {CPUs: 12, CPUsMax: 24}, "blue": {CPUs: 12, CPUsMax: 24}}
 		n := 0
-		w.every(1500*time.Millisecond, func() {
-			if w.now > 110*time.Second {
+		sim.every(1500*time.Millisecond, func() {
+			if sim.now > 110*time.Second {
 				return
 			}
 			n++
-			j := &wire.Job{ID: fmt.Sprintf("run-%06d", n), Class: "c", Team: []string{"red", "blue"}[w.rng.IntN(2)], Shape: wire.ShapeArray,
-				Rank: wire.RankNormal, Tasks: 2 + w.rng.IntN(5), CPUs: float64(1 + w.rng.IntN(2)), MemoryGB: 1, Image: "img", ImageGB: 0.5, EstimateS: 8, Spot: w.rng.IntN(2) == 0}
+			j := &wire.Job{ID: fmt.Sprintf("run-%06d", n), Class: "c", Team: []string{"red", "blue"}[sim.rng.IntN(2)], Shape: wire.ShapeArray,
+				Priority: wire.PriorityNormal, Tasks: 2 + sim.rng.IntN(5), CPUs: float64(1 + sim.rng.IntN(2)), MemoryGB: 1, Image: "img", ImageGB: 0.5, EstimatedRunS: 8, Spot: sim.rng.IntN(2) == 0}
 			switch n % 3 {
 			case 0:
-				j.Together = true
+				j.SameZone = true
 			case 1:
-				j.Scatter = true
+				j.SpreadZones = true
 			default:
-				j.Zone = []string{"a", "b"}[w.rng.IntN(2)]
+				j.Zone = []string{"a", "b"}[sim.rng.IntN(2)]
 			}
-			if w.rng.IntN(6) == 0 {
-				j.Shape, j.Tasks, j.EstimateS = wire.ShapeService, 1+w.rng.IntN(4), 0
-				w.after(w.between(60_000, 100_000), func() { w.cancel(j.ID) })
+			if sim.rng.IntN(6) == 0 {
+				j.Shape, j.Tasks, j.EstimatedRunS = wire.ShapeService, 1+sim.rng.IntN(4), 0
+				sim.after(sim.randomDuration(60_000, 100_000), func() { sim.cancel(j.ID) })
 			}
-			w.submit(j)
+			sim.submit(j)
 		})
 		for i := range 6 {
-			w.after(time.Duration(10+15*i)*time.Second+w.between(0, 3000), func() {
-				zone := []string{"a", "b", ""}[w.rng.IntN(3)]
-				for _, name := range w.names {
-					if wk := w.workers[name]; wk.Zone == zone || w.rng.IntN(4) == 0 {
-						switch w.rng.IntN(3) {
+			sim.after(time.Duration(10+15*i)*time.Second+sim.randomDuration(0, 3000), func() {
+				zone := []string{"a", "b", ""}[sim.rng.IntN(3)]
+				for _, name := range sim.machineNames {
+					if wk := sim.workers[name]; wk.Zone == zone || sim.rng.IntN(4) == 0 {
+						switch sim.rng.IntN(3) {
 						case 0:
-							wk.Kill() // taken without notice
+							wk.Terminate() // taken without notice
 						case 1:
-							w.cut[name] = w.now + w.between(4000, 15_000)
+							sim.partitionedUntil[name] = sim.now + sim.randomDuration(4000, 15_000)
 						}
 					}
 				}
-				if w.rng.IntN(2) == 0 {
-					w.after(w.between(0, 4000), func() {
-						for _, node := range w.nodes {
-							if node.leader != nil {
-								node.crash(w.between(500, 4000))
+				if sim.rng.IntN(2) == 0 {
+					sim.after(sim.randomDuration(0, 4000), func() {
+						for _, node := range sim.controllers {
+							if node.scheduler != nil {
+								node.crash(sim.randomDuration(500, 4000))
 							}
 						}
 					})
 				}
 			})
 		}
-		w.after(130*time.Second, func() { w.trouble = false })
-		w.watchWaiting(170 * time.Second)
-		w.run(400 * time.Second)
-		w.broken(t, seed)
-		for _, j := range w.jobs {
-			if w.poll(j.ID) == wire.JobPending && !j.Service() {
-				t.Fatalf("seed %d: %s of %d tasks is not done\n%s", seed, j.ID, j.Tasks, w.explain(j.ID))
+		sim.after(130*time.Second, func() { sim.faultsActive = false })
+		sim.checkWaitingJobs(170 * time.Second)
+		sim.run(400 * time.Second)
+		sim.failOnViolations(t, seed)
+		for _, j := range sim.jobs {
+			if sim.pollJob(j.ID) == wire.JobPending && !j.Service() {
+				t.Fatalf("seed %d: %s of %d tasks is not done\n%s", seed, j.ID, j.Tasks, sim.describeJob(j.ID))
 			}
 		}
 	}
@@ -417,39 +417,39 @@
 
 // The checks of the added rules have to be able to fail: where leaders place nothing a
 // job waits beside room, and with no node left no question about it is answered.
-func TestWaitingIsSeen(t *testing.T) {
+func TestWaitingChecksCanFail(t *testing.T) {
 	for _, m := range []struct {
 		name, want string
-		spoil      func(w *world)
+		spoil      func(sim *simulation)
 	}{
-		{"leaders that take the team's limit for none", "left_waiting", func(w *world) {
-			for _, n := range w.nodes {
-				n.crash(time.Second)
+		{"leaders that take the team's limit for none", "left_waiting", func(sim *simulation) {
+			for _, c := range sim.controllers {
+				c.crash(time.Second)
 			}
-			w.settings.Teams = map[string]core.Team{}
+			sim.settings.Teams = map[string]core.TeamQuota{}
 		}},
-		{"no node", "forgotten", func(w *world) {
-			for _, n := range w.nodes {
-				n.crash(time.Hour)
+		{"no node", "forgotten", func(sim *simulation) {
+			for _, c := range sim.controllers {
+				c.crash(time.Hour)
 			}
 		}},
 	} {
 		t.Run(m.name, func(t *testing.T) {
-			w := newWorld(1)
-			w.trouble = false
-			w.after(20*time.Second, func() {
-				m.spoil(w)
-				w.jobs = append(w.jobs, &wire.Job{ID: "run-000001", Team: "red", Shape: wire.ShapeArray, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img"})
-				w.rules.Submit(w.jobs[0])
-				_, _ = w.state.Commit(w.now, wire.Txn{Apply: []wire.Change{{Set: store.JobKey("run-000001"), Value: store.JobRecord{Job: *w.jobs[0]}}}})
+			sim := newSimulation(1)
+			sim.faultsActive = false
+			sim.after(20*time.Second, func() {
+				m.spoil(sim)
+				sim.jobs = append(sim.jobs, &wire.Job{ID: "run-000001", Team: "red", Shape: wire.ShapeArray, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img"})
+				sim.checker.AddJob(sim.jobs[0])
+				_, _ = sim.kvStore.Commit(sim.now, wire.Txn{Then: []wire.Op{{Set: store.JobKey("run-000001"), Value: store.Job{Job: *sim.jobs[0]}}}})
 			})
-			w.watchWaiting(21 * time.Second)
-			w.run(100 * time.Second)
-			if len(w.rules.Broken) > 0 && m.want == "left_waiting" {
-				t.Fatalf("too early: %v", w.rules.Broken)
+			sim.checkWaitingJobs(21 * time.Second)
+			sim.run(100 * time.Second)
+			if len(sim.checker.Violations) > 0 && m.want == "left_waiting" {
+				t.Fatalf("too early: %v", sim.checker.Violations)
 			}
-			w.run(140 * time.Second)
-			if b := strings.Join(w.rules.Broken, "\n"); !strings.Contains(b, m.want) {
+			sim.run(140 * time.Second)
+			if b := strings.Join(sim.checker.Violations, "\n"); !strings.Contains(b, m.want) {
 				t.Errorf("%s is not seen: %q", m.want, b)
 			}
 		})
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -12,88 +12,88 @@
 // Two troubles that meet, with generated times, around services that are cancelled
 // meanwhile: the rules hold in each world, and in some the checker finds them broken
 // once the guard that the meeting is about is taken out.
-func TestMeetings(t *testing.T) {
+func TestCombinedFaults(t *testing.T) {
 	for _, m := range []struct {
 		name  string
-		guard guard
-		meet  func(w *world, leader *simNode)
+		guard safeguard
+		meet  func(sim *simulation, leader *simController)
 	}{
-		{"the state service refuses the leader alone, then everybody for longer than a cancellation has, and a peer starts anew", boundOnKnown,
-			func(w *world, leader *simNode) {
-				leader.refused = w.now + 10*time.Second
-				w.after(w.between(1000, 1500), func() {
-					w.cancelSome()
-					w.state.SetDown(w.now, true)
-					for _, n := range w.nodes {
-						if n != leader {
-							n.crash(time.Second)
+		{"the state service refuses the leader alone, then everybody for longer than a cancellation has, and a peer starts anew", keepaliveBoundByWatermark,
+			func(sim *simulation, leader *simController) {
+				leader.refusedUntil = sim.now + 10*time.Second
+				sim.after(sim.randomDuration(1000, 1500), func() {
+					sim.cancelHalfOfServices()
+					sim.kvStore.SetUnavailable(sim.now, true)
+					for _, c := range sim.controllers {
+						if c != leader {
+							c.crash(time.Second)
 						}
 					}
 				})
-				w.after(70*time.Second, func() { w.state.SetDown(w.now, false) })
+				sim.after(70*time.Second, func() { sim.kvStore.SetUnavailable(sim.now, false) })
 			}},
-		{"the same, and all peers live", peersLists,
-			func(w *world, leader *simNode) {
-				leader.refused = w.now + 10*time.Second
-				w.after(w.between(100, 1500), w.cancelSome)
-				w.after(w.between(1600, 2200), func() { w.state.SetDown(w.now, true) })
-				w.after(70*time.Second, func() { w.state.SetDown(w.now, false) })
+		{"the same, and all peers live", peerCancellationLists,
+			func(sim *simulation, leader *simController) {
+				leader.refusedUntil = sim.now + 10*time.Second
+				sim.after(sim.randomDuration(100, 1500), sim.cancelHalfOfServices)
+				sim.after(sim.randomDuration(1600, 2200), func() { sim.kvStore.SetUnavailable(sim.now, true) })
+				sim.after(70*time.Second, func() { sim.kvStore.SetUnavailable(sim.now, false) })
 			}},
-		{"a leader that no worker reaches is then cut off from the node that they come to", seenThrough,
-			func(w *world, leader *simNode) {
-				leader.alone = w.now + 60*time.Second
-				w.after(w.between(50, 200), w.cancelSome)
-				w.after(w.between(4800, 5900), func() {
+		{"a leader that no worker reaches is then cut off from the node that they come to", enforcedWatermark,
+			func(sim *simulation, leader *simController) {
+				leader.workersUnreachableUntil = sim.now + 60*time.Second
+				sim.after(sim.randomDuration(50, 200), sim.cancelHalfOfServices)
+				sim.after(sim.randomDuration(4800, 5900), func() {
 					zone := "a"
-					if w.zoneOf(leader.name) == "a" {
+					if sim.zoneOf(leader.name) == "a" {
 						zone = "b"
 					}
-					for _, n := range w.nodes {
-						if w.zoneOf(n.name) == zone {
-							n.cut = w.now + 60*time.Second
+					for _, c := range sim.controllers {
+						if sim.zoneOf(c.name) == zone {
+							c.partitionedUntil = sim.now + 60*time.Second
 						}
 					}
-					w.zoneCut[zone] = w.now + 60*time.Second
+					sim.zonePartitionedUntil[zone] = sim.now + 60*time.Second
 				})
 			}},
-		{"a leader stands still, and is cut off with its zone when it goes on; the cloud is down", fromSending,
-			func(w *world, leader *simNode) {
-				w.cloudDown = true // or the zone's machines would be given back in time
-				leader.frozen = w.now + w.between(4000, 9000)
-				w.after(w.between(50, 200), func() {
-					w.zoneCut[w.zoneOf(leader.name)] = w.now + 60*time.Second
-					for _, n := range w.nodes {
-						if w.zoneOf(n.name) == w.zoneOf(leader.name) {
-							n.cut = w.now + 60*time.Second
+		{"a leader stands still, and is cut off with its zone when it goes on; the cloud is down", watermarkAtReading,
+			func(sim *simulation, leader *simController) {
+				sim.cloudDown = true // or the zone's machines would be given back in time
+				leader.pausedUntil = sim.now + sim.randomDuration(4000, 9000)
+				sim.after(sim.randomDuration(50, 200), func() {
+					sim.zonePartitionedUntil[sim.zoneOf(leader.name)] = sim.now + 60*time.Second
+					for _, c := range sim.controllers {
+						if sim.zoneOf(c.name) == sim.zoneOf(leader.name) {
+							c.partitionedUntil = sim.now + 60*time.Second
 						}
 					}
-					w.after(w.between(10, 3000), w.cancelSome)
+					sim.after(sim.randomDuration(10, 3000), sim.cancelHalfOfServices)
 				})
 			}},
 	} {
 		t.Run(m.name, func(t *testing.T) {
-			broken := func(without guard, seed uint64) string {
-				w := newWorld(seed)
-				w.without = without
+			broken := func(without safeguard, seed uint64) string {
+				sim := newSimulation(seed)
+				sim.disabled = without
 				for i := range 8 {
-					w.after(time.Duration(i)*100*time.Millisecond, func() {
-						w.submit(&wire.Job{ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: []string{"red", "blue"}[i%2], Shape: wire.ShapeService,
-							Rank: wire.RankProduction, Tasks: 3, CPUs: 1, MemoryGB: 2, Image: "img", ImageGB: 1})
+					sim.after(time.Duration(i)*100*time.Millisecond, func() {
+						sim.submit(&wire.Job{ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: []string{"red", "blue"}[i%2], Shape: wire.ShapeService,
+							Priority: wire.PriorityProduction, Tasks: 3, CPUs: 1, MemoryGB: 2, Image: "img", ImageGB: 1})
 					})
 				}
-				w.after(20*time.Second+w.between(0, 2000), func() {
-					for _, n := range w.nodes {
-						if n.leader != nil {
-							m.meet(w, n)
+				sim.after(20*time.Second+sim.randomDuration(0, 2000), func() {
+					for _, c := range sim.controllers {
+						if c.scheduler != nil {
+							m.meet(sim, c)
 						}
 					}
 				})
-				w.run(140 * time.Second)
-				return strings.Join(w.rules.Broken, "\n")
+				sim.run(140 * time.Second)
+				return strings.Join(sim.checker.Violations, "\n")
 			}
 			caught := 0
 			for seed := range uint64(25) {
-				if b := broken(everyGuard, seed); b != "" {
+				if b := broken(noSafeguard, seed); b != "" {
 					t.Fatalf("seed %d: %s", seed, b)
 				}
 				if broken(m.guard, seed) != "" {
@@ -108,14 +108,14 @@
 	}
 }
 
-// between draws a time in milliseconds.
-func (w *world) between(from, to int) time.Duration {
-	return time.Duration(from+w.rng.IntN(to-from)) * time.Millisecond
+// randomDuration draws a time in milliseconds.
+func (sim *simulation) randomDuration(from, to int) time.Duration {
+	return time.Duration(from+sim.rng.IntN(to-from)) * time.Millisecond
 }
 
-// cancelSome cancels half of the services.
-func (w *world) cancelSome() {
+// cancelHalfOfServices cancels half of the services.
+func (sim *simulation) cancelHalfOfServices() {
 	for i := range 4 {
-		w.cancel(fmt.Sprintf("run-%06d", 2*i+w.rng.IntN(2)))
+		sim.cancel(fmt.Sprintf("run-%06d", 2*i+sim.rng.IntN(2)))
 	}
 }
--- a/internal/core/picker.go
+++ b/internal/core/picker.go
@@ -6,145 +6,145 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// picker hands out machines for the tasks of one job, the best first.
-type picker struct {
-	l    *Leader
-	j    *job
-	z    map[string]int
-	same map[*machine]int
-	heap picks
-	held bool // some machine with room fetches another image
+// machinePicker hands out machines for the tasks of one job, the best first.
+type machinePicker struct {
+	scheduler         *Scheduler
+	job               *job
+	attemptsByZone    map[string]int
+	replicasByMachine map[*machine]int
+	candidates        candidateHeap
+	waitsForFetchSlot bool // some machine with room fetches another image
 }
 
-type pick struct {
-	m     *machine
-	score float64
+type candidate struct {
+	machine *machine
+	cost    float64
 }
 
-type picks []pick
+type candidateHeap []candidate
 
-func (p picks) Len() int { return len(p) }
+func (p candidateHeap) Len() int { return len(p) }
 
-func (p picks) Less(a, b int) bool {
-	return p[a].score < p[b].score || p[a].score == p[b].score && p[a].m.name < p[b].m.name
+func (p candidateHeap) Less(a, b int) bool {
+	return p[a].cost < p[b].cost || p[a].cost == p[b].cost && p[a].machine.name < p[b].machine.name
 }
 
-func (p picks) Swap(a, b int) { p[a], p[b] = p[b], p[a] }
+func (p candidateHeap) Swap(a, b int) { p[a], p[b] = p[b], p[a] }
 
-func (p *picks) Push(x any) { *p = append(*p, x.(pick)) }
+func (p *candidateHeap) Push(x any) { *p = append(*p, x.(candidate)) }
 
-func (p *picks) Pop() any {
+func (p *candidateHeap) Pop() any {
 	x := (*p)[len(*p)-1]
 	*p = (*p)[:len(*p)-1]
 	return x
 }
 
-func (l *Leader) newPicker(r *round, j *job) *picker {
-	p := &picker{l: l, j: j, z: j.zones(), same: j.machines()}
-	for _, m := range r.roomy {
-		if p.open(m) {
-			p.heap = append(p.heap, pick{m, l.score(j, m, p.z, p.same[m])})
+func (s *Scheduler) newMachinePicker(r *placementRound, j *job) *machinePicker {
+	p := &machinePicker{scheduler: s, job: j, attemptsByZone: j.attemptsByZone(), replicasByMachine: j.replicasByMachine()}
+	for _, m := range r.withCapacity {
+		if p.admits(m) {
+			p.candidates = append(p.candidates, candidate{m, s.placementCost(j, m, p.attemptsByZone, p.replicasByMachine[m])})
 		}
 	}
 	switch {
-	case len(p.heap) > 0:
-	case !p.held:
+	case len(p.candidates) > 0:
+	case !p.waitsForFetchSlot:
 		j.turnSince = 0
 	case j.turnSince == 0:
-		j.turnSince = l.now.Mono
+		j.turnSince = s.now.Mono
 	}
-	heap.Init(&p.heap)
+	heap.Init(&p.candidates)
 	return p
 }
 
-// open reports whether one more task of the job may go to the machine.
-func (p *picker) open(m *machine) bool {
-	j, l := p.j, p.l
+// admits reports whether one more task of the job may go to the machine.
+func (p *machinePicker) admits(m *machine) bool {
+	j, l := p.job, p.scheduler
 	if m.keptFor != "" && m.keptFor != j.id && l.now.Mono < m.keptTo && j.rank > 0 {
 		return false // room was made here for another job
 	}
-	if !m.fits(j) || !j.allows(m.typ, m.zone, m.spot) || !j.zoneOpen(p.z, m.zone) {
+	if !m.hasCapacityFor(j) || !j.allowsMachine(m.machineType, m.zone, m.spot) || !j.allowsZone(p.attemptsByZone, m.zone) {
 		return false
 	}
 	// Fetches side by side share the machine's rate: one after the other, the
 	// first is there sooner and the last no later. But a job of which nothing is on any
 	// machine does not wait for other jobs' turns for ever.
 	//mutation:fetch-wait-bound
-	if patient := j.nActive > 0 || j.turnSince == 0 || l.now.Mono-j.turnSince < tuning.FetchTurn; patient &&
-		!j.service && !m.has(j.spec.Image) && m.fetchingOther(j.spec.Image) {
-		p.held = true
+	if patient := j.activeCount > 0 || j.turnSince == 0 || l.now.Mono-j.turnSince < tuning.MaxFetchSlotWait; patient &&
+		!j.service && !m.hasImage(j.spec.Image) && m.fetchesOtherImage(j.spec.Image) {
+		p.waitsForFetchSlot = true
 		return false
 	}
-	return len(m.tasks)+len(m.exited) < tuning.MachineTasks
+	return len(m.tasks)+len(m.exited) < tuning.MaxTasksPerMachine
 }
 
 // next gives the best machine, or nil. Scores only grow as tasks are placed, so
 // one that is found again as low as it was noted is the lowest.
-func (p *picker) next() *machine {
-	for len(p.heap) > 0 {
-		top := &p.heap[0]
-		if !p.open(top.m) {
-			heap.Pop(&p.heap)
+func (p *machinePicker) best() *machine {
+	for len(p.candidates) > 0 {
+		top := &p.candidates[0]
+		if !p.admits(top.machine) {
+			heap.Pop(&p.candidates)
 			continue
 		}
-		s := p.l.score(p.j, top.m, p.z, p.same[top.m])
-		if s <= top.score+epsilon {
-			return top.m
+		s := p.scheduler.placementCost(p.job, top.machine, p.attemptsByZone, p.replicasByMachine[top.machine])
+		if s <= top.cost+epsilon {
+			return top.machine
 		}
-		top.score = s
-		heap.Fix(&p.heap, 0)
+		top.cost = s
+		heap.Fix(&p.candidates, 0)
 	}
 	return nil
 }
 
-// took notes that a task went to the machine, which is at the top.
-func (p *picker) took(m *machine) {
-	p.j.turnSince = 0
-	if p.z != nil {
-		p.z[m.zone]++
+// recordAssignment notes that a task went to the machine, which is at the top.
+func (p *machinePicker) recordAssignment(m *machine) {
+	p.job.turnSince = 0
+	if p.attemptsByZone != nil {
+		p.attemptsByZone[m.zone]++
 	}
-	p.same[m]++
-	p.heap[0].score = p.l.score(p.j, m, p.z, p.same[m])
-	heap.Fix(&p.heap, 0)
+	p.replicasByMachine[m]++
+	p.candidates[0].cost = p.scheduler.placementCost(p.job, m, p.attemptsByZone, p.replicasByMachine[m])
+	heap.Fix(&p.candidates, 0)
 }
 
 // machines counts the attempts of a service by machine.
-func (j *job) machines() map[*machine]int {
+func (j *job) replicasByMachine() map[*machine]int {
 	same := map[*machine]int{}
 	if j.service {
 		for _, list := range j.active {
 			for _, a := range list {
-				same[a.m]++
+				same[a.machine]++
 			}
 		}
 	}
 	return same
 }
 
-// holdForWarm reports whether a production service had better wait a moment for
+// waitsForWarmMachine reports whether a production service had better wait a moment for
 // room on a machine that has its image than fetch it on m: lower work is stopped
 // there, which takes a few tens of milliseconds where a fetch takes seconds.
-func (l *Leader) holdForWarm(r *round, j *job, m *machine, p *picker) bool {
-	if !j.service || j.rank > 0 || m.has(j.spec.Image) || j.spec.ImageGB/max(m.mt.FetchGBs, 0.01) < tuning.WorthWarm {
+func (s *Scheduler) waitsForWarmMachine(r *placementRound, j *job, m *machine, p *machinePicker) bool {
+	if !j.service || j.rank > 0 || m.hasImage(j.spec.Image) || j.spec.ImageGB/max(m.machineSpec.FetchGBPerS, 0.01) < tuning.MinFetchForPreemptionS {
 		return false
 	}
-	if l.now.Mono-j.waitSince > tuning.WarmWait {
+	if s.now.Mono-j.waitSince > tuning.MaxWarmCapacityWait {
 		return false
 	}
 	// Only where the task would then really go, or the room is made in vain,
 	// again and again.
-	return l.preempt(r, j, 1, l.score(j, m, p.z, p.same[m])) > 0
+	return s.preemptFor(r, j, 1, s.placementCost(j, m, p.attemptsByZone, p.replicasByMachine[m])) > 0
 }
 
-// allows reports whether the job may use a machine of this description.
-func (j *job) allows(typ, zone string, spot bool) bool {
+// allowsMachine reports whether the job may use a machine of this description.
+func (j *job) allowsMachine(typ, zone string, spot bool) bool {
 	if spot && !j.spec.Spot || j.spec.Zone != "" && j.spec.Zone != zone {
 		return false
 	}
-	if j.spec.Types == nil {
+	if j.spec.MachineTypes == nil {
 		return true
 	}
-	for _, t := range j.spec.Types {
+	for _, t := range j.spec.MachineTypes {
 		if t == typ {
 			return true
 		}
@@ -153,56 +153,56 @@
 }
 
 // zones counts the job's attempts by zone: all that may be there.
-func (j *job) zones() map[string]int {
-	if !j.spec.Together && !j.spec.Scatter {
+func (j *job) attemptsByZone() map[string]int {
+	if !j.spec.SameZone && !j.spec.SpreadZones {
 		return nil
 	}
 	z := map[string]int{}
 	for _, list := range j.active {
 		for _, a := range list {
 			//mutation:zone-counts-unconfirmed-attempts
-			z[a.m.zone]++
+			z[a.machine.zone]++
 		}
 	}
 	return z
 }
 
-// zoneOpen reports whether one more task of the job may go to the zone.
-func (j *job) zoneOpen(z map[string]int, zone string) bool {
-	if j.spec.Together {
-		for other, n := range z {
+// allowsZone reports whether one more task of the job may go to the zone.
+func (j *job) allowsZone(attemptsByZone map[string]int, zone string) bool {
+	if j.spec.SameZone {
+		for other, n := range attemptsByZone {
 			if n > 0 && other != zone {
 				return false
 			}
 		}
 	}
-	return z[zone] < j.spec.ZoneCap()
+	return attemptsByZone[zone] < j.spec.MaxTasksPerZone()
 }
 
-// usable reports whether tasks may be placed on the machine at all. One that did not
+// schedulable reports whether tasks may be placed on the machine at all. One that did not
 // answer a start has to show that it hears us first, by its token or an answer: else
 // what is placed there meanwhile waits with that start.
-func (l *Leader) usable(m *machine) bool {
-	return (m.unanswered == 0 || m.seenToken >= l.token(m)) &&
-		m.phase == up && m.confirmed && !m.failed && m.leaveBy == 0 && m.mt != nil && m.unreachableSince == 0 &&
-		m.pauseTo <= l.now.Mono && l.now.Mono-m.heardAt < l.cfg.Report*3
+func (s *Scheduler) schedulable(m *machine) bool {
+	return (m.unanswered == 0 || m.seenToken >= s.fencingToken(m)) &&
+		m.phase == machineUp && m.confirmed && !m.failed && m.leaveBy == 0 && m.machineSpec != nil && m.unreachableSince == 0 &&
+		m.pauseTo <= s.now.Mono && s.now.Mono-m.heardAt < s.settings.HeartbeatInterval*3
 }
 
-func (m *machine) fits(j *job) bool {
-	return m.cpus+j.spec.CPUs <= m.mt.CPUs+epsilon &&
-		m.gpus+j.spec.GPUs <= m.mt.GPUs+epsilon &&
-		m.mem+j.spec.MemoryGB <= m.mt.MemoryGB+epsilon
+func (m *machine) hasCapacityFor(j *job) bool {
+	return m.cpus+j.spec.CPUs <= m.machineSpec.CPUs+epsilon &&
+		m.gpus+j.spec.GPUs <= m.machineSpec.GPUs+epsilon &&
+		m.mem+j.spec.MemoryGB <= m.machineSpec.MemoryGB+epsilon
 }
 
-// hasRoom reports whether one more task of the job could go to some machine.
-func (l *Leader) hasRoom(j *job) bool {
-	r := &round{}
-	l.findRoom(r, []*job{j})
-	return l.newPicker(r, j).next() != nil
+// fitsSomewhere reports whether one more task of the job could go to some machine.
+func (s *Scheduler) fitsSomewhere(j *job) bool {
+	r := &placementRound{}
+	s.findCapacity(r, []*job{j})
+	return s.newMachinePicker(r, j).best() != nil
 }
 
-// fetchingOther reports whether the machine fetches an image other than this.
-func (m *machine) fetchingOther(name string) bool {
+// fetchesOtherImage reports whether the machine fetches an image other than this.
+func (m *machine) fetchesOtherImage(name string) bool {
 	d := m.summarize()
 	if _, same := d.fetching[name]; same {
 		return len(d.fetching) > 1
@@ -212,13 +212,13 @@
 
 // score is how many seconds, or their worth, a task loses on the machine. z
 // counts the job's tasks by zone, same those on the machine.
-func (l *Leader) score(j *job, m *machine, z map[string]int, same int) float64 {
-	s := 0.0
-	d := m.summarize()
-	if j.spec.ImageGB > 0 && !m.has(j.spec.Image) {
-		fetch := j.spec.ImageGB / max(m.mt.FetchGBs, 0.01)
-		others := len(d.fetching)
-		if _, shared := d.fetching[j.spec.Image]; shared {
+func (s *Scheduler) placementCost(j *job, m *machine, attemptsByZone map[string]int, replicas int) float64 {
+	cost := 0.0
+	summary := m.summarize()
+	if j.spec.ImageGB > 0 && !m.hasImage(j.spec.Image) {
+		fetch := j.spec.ImageGB / max(m.machineSpec.FetchGBPerS, 0.01)
+		others := len(summary.fetching)
+		if _, shared := summary.fetching[j.spec.Image]; shared {
 			others--
 			if !j.service {
 				// Shared with a fetch under way. Not for services: where all
@@ -228,42 +228,42 @@
 				others = 0
 			}
 		}
-		s += fetch * float64(1+others)
+		cost += fetch * float64(1+others)
 	}
-	if m.suspect > l.now.Mono {
-		s += 300
+	if m.suspect > s.now.Mono {
+		cost += 300
 	}
 	if j.failedOn[m.name] {
-		s += 60
+		cost += 60
 	}
 	if j.service {
 		// Replicas apart from each other, and services apart from services,
 		// so that one machine's end costs little.
-		s += 2*float64(same) + 0.3*float64(z[m.zone])
-		if l.cfg.Thrifty {
+		cost += 2*float64(replicas) + 0.3*float64(attemptsByZone[m.zone])
+		if s.settings.MinimizeCost {
 			// Here services share machines, or each blocks one for large tasks.
-			if d.services == 0 {
-				s++
+			if summary.services == 0 {
+				cost++
 			}
 		} else {
-			s += 0.3 * float64(d.services)
+			cost += 0.3 * float64(summary.services)
 		}
 		if m.spot {
-			s += 5
+			cost += 5
 		}
-	} else if m.spot && l.cfg.Thrifty {
-		s -= 0.5
+	} else if m.spot && s.settings.MinimizeCost {
+		cost -= 0.5
 	} else if m.spot {
 		// It may be taken, and what runs there is lost: the longer the more.
-		s += tuning.SpotRisk * j.duration()
+		cost += tuning.ExpectedSpotLoss * j.taskDuration()
 	}
 	// A full machine is better than two half full ones; without a thrifty aim
 	// the difference only breaks ties.
-	free := 1 - (m.cpus+j.spec.CPUs)/m.mt.CPUs
-	if l.cfg.Thrifty {
-		s += 0.5 * free
+	free := 1 - (m.cpus+j.spec.CPUs)/m.machineSpec.CPUs
+	if s.settings.MinimizeCost {
+		cost += 0.5 * free
 	} else {
-		s += 0.05 * free
+		cost += 0.05 * free
 	}
-	return s
+	return cost
 }
