--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -11,101 +11,101 @@
 const epsilon = 1e-6
 
 // idleRank is the lowest rank, that of work for what is free.
-var idleRank = wire.RankOrder(wire.RankIdle)
+var idleRank = wire.PriorityOrder(wire.PriorityIdle)
 
-// unplaced is what was left unplaced of a job after a round.
-type unplaced struct {
-	j *job
-	n int
+// unplacedTasks is what was left unplaced of a job after a round.
+type unplacedTasks struct {
+	job   *job
+	count int
 }
 
-// round is one pass of placement over the waiting jobs.
-type round struct {
-	roomy   []*machine           // usable, with room for the smallest that waits
-	claimed map[*machine]float64 // CPUs on their way to somebody through preemption
-	sought  int                  // jobs for which preemption was tried, production apart
-	idle    int                  // tasks of idle work on machines
-	total   float64              // CPUs of the cluster
+// placementRound is one pass of placement over the waiting jobs.
+type placementRound struct {
+	withCapacity       []*machine           // usable, with room for the smallest that waits
+	claimedCPUs        map[*machine]float64 // CPUs on their way to somebody through preemption
+	preemptionSearches int                  // jobs for which preemption was tried, production apart
+	idleTasks          int                  // tasks of idle work on machines
+	totalCPUs          float64              // CPUs of the cluster
 
-	oldRoom  float64 // CPUs that old jobs may take beside those they have
-	reserved bool    // room is being kept for a gang
+	agedShareCPUs float64 // CPUs that old jobs may take beside those they have
+	gangReserved  bool    // room is being kept for a gang
 
-	// promised is room under a team's limit that production waits for, and holds for how
+	// reservedQuota is room under a team's limit that production waits for, and holds for how
 	// many tasks of a job. Without this, lower work would take what it was stopped for, and
 	// be stopped again.
-	promised map[string]Team
-	holds    map[*job]int
+	reservedQuota map[string]TeamQuota
+	tasksReserved map[*job]int
 
-	// unheard is the largest room on unheard machines by type, zone and kind; it is
+	// unconfirmedCapacity is the largest room on unheard machines by type, zone and kind; it is
 	// made when it is first asked for.
-	unheard map[offer]*slot
+	unconfirmedCapacity map[offer]*capacitySlot
 }
 
-// newRound prepares a round over the queue.
-func (l *Leader) newRound(queue []*job, total float64) *round {
-	r := &round{claimed: map[*machine]float64{}, total: total, promised: map[string]Team{}, holds: map[*job]int{}}
-	for _, j := range l.jobs {
+// newPlacementRound prepares a round over the queue.
+func (s *Scheduler) newPlacementRound(queue []*job, total float64) *placementRound {
+	r := &placementRound{claimedCPUs: map[*machine]float64{}, totalCPUs: total, reservedQuota: map[string]TeamQuota{}, tasksReserved: map[*job]int{}}
+	for _, j := range s.jobs {
 		if j.rank == idleRank {
-			r.idle += j.nActive
+			r.idleTasks += j.activeCount
 		}
 	}
-	l.findRoom(r, queue)
-	r.oldRoom = total * tuning.OldShare
+	s.findCapacity(r, queue)
+	r.agedShareCPUs = total * tuning.AgedShare
 	for _, j := range queue {
 		if j.old {
-			r.oldRoom -= float64(j.nActive) * j.spec.CPUs
+			r.agedShareCPUs -= float64(j.activeCount) * j.spec.CPUs
 		}
 	}
 	return r
 }
 
-// promise keeps room under its team's limit for n tasks of a production job.
-func (r *round) promise(j *job, n int) {
+// reserveQuota keeps room under its team's limit for n tasks of a production job.
+func (r *placementRound) reserveQuota(j *job, n int) {
 	if j.rank > 0 {
 		return
 	}
-	p := r.promised[j.spec.Team]
-	p.CPUs += float64(n-r.holds[j]) * j.spec.CPUs
-	p.GPUs += float64(n-r.holds[j]) * j.spec.GPUs
-	r.promised[j.spec.Team], r.holds[j] = p, n
+	p := r.reservedQuota[j.spec.Team]
+	p.CPUs += float64(n-r.tasksReserved[j]) * j.spec.CPUs
+	p.GPUs += float64(n-r.tasksReserved[j]) * j.spec.GPUs
+	r.reservedQuota[j.spec.Team], r.tasksReserved[j] = p, n
 }
 
-// turn is a job's turn in a round.
-type turn struct {
-	j     *job
-	first bool // its first turn in the round
-	n     int  // tasks that wait
-	could int  // of these, what machines could take if all but production made way
+// jobPlacement is a job's turn in a round.
+type jobPlacement struct {
+	job       *job
+	firstPass bool // its first turn in the round
+	waiting   int  // tasks that wait
+	hostable  int  // of these, what machines could take if all but production made way
 	// budget is how many its team's limit allows, and tries how many are tried now.
-	budget, tries int
-	bounded       bool // fewer are tried than could be, for the share of old jobs
+	quotaHeadroom, limit int
+	limitedByAgedShare   bool // fewer are tried than could be, for the share of old jobs
 }
 
 // place assigns waiting tasks to machines, in order, and says what was left.
-func (l *Leader) place() []unplaced {
-	l.dirtyPlace = false
-	_, total := l.capacity()
-	queue := l.queue(total)
-	r := l.newRound(queue, total)
-	var left []unplaced
+func (s *Scheduler) placePending() []unplacedTasks {
+	s.dirtyPlace = false
+	_, total := s.cpuUsage()
+	queue := s.schedulingQueue(total)
+	r := s.newPlacementRound(queue, total)
+	var left []unplacedTasks
 	turns := len(queue)
 	for i := 0; i < len(queue); i++ {
 		j := queue[i]
-		t, ok := l.beginTurn(r, j, i < turns)
+		t, ok := s.beginJob(r, j, i < turns)
 		if !ok {
 			continue
 		}
-		if j.spec.Gang() && t.tries < t.n {
+		if j.spec.Gang() && t.limit < t.waiting {
 			j.why = "its team is at its limit"
-			r.promise(j, t.could)
+			r.reserveQuota(j, t.hostable)
 			continue
 		}
-		placed, rest := l.takeTurn(r, t)
+		placed, rest := s.placeJob(r, t)
 		// Not what no machine could take: its team's other work would wait with it,
 		// beside room, for as long as there is no such machine.
-		r.promise(j, max(0, t.could-placed))
+		r.reserveQuota(j, max(0, t.hostable-placed))
 		//mutation:aged-share-is-no-bound
-		if t.bounded && rest == 0 {
+		if t.limitedByAgedShare && rest == 0 {
 			// The share of old jobs is what they get ahead of others, and no bound:
 			// what these leave is theirs too. Else a task larger than the share
 			// waited beside empty machines, and had none rented, for good.
@@ -116,11 +116,11 @@
 		case rest > 0:
 			j.why = "no machine has room"
 			//mutation:preempt-only-if-some-fit
-			if t.first && t.could > 0 {
-				l.preempt(r, j, rest, math.Inf(1))
+			if t.firstPass && t.hostable > 0 {
+				s.preemptFor(r, j, rest, math.Inf(1))
 			}
-			left = append(left, unplaced{j, min(t.n, t.budget) - placed})
-		case t.n > placed:
+			left = append(left, unplacedTasks{j, min(t.waiting, t.quotaHeadroom) - placed})
+		case t.waiting > placed:
 			j.why = "its team is at its limit"
 		default:
 			j.why = ""
@@ -129,88 +129,88 @@
 	return left
 }
 
-// beginTurn says how much of a job is tried; ok is false if nothing is for now.
-func (l *Leader) beginTurn(r *round, j *job, first bool) (t turn, ok bool) {
-	t = turn{j: j, first: first, n: j.pending()}
-	if t.n == 0 {
+// beginJob says how much of a job is tried; ok is false if nothing is for now.
+func (s *Scheduler) beginJob(r *placementRound, j *job, first bool) (t jobPlacement, ok bool) {
+	t = jobPlacement{job: j, firstPass: first, waiting: j.pendingTasks()}
+	if t.waiting == 0 {
 		return t, false
 	}
 	if j.waitSince == 0 {
-		j.waitSince = l.now.Mono
+		j.waitSince = s.now.Mono
 	}
-	if l.inUnreadableRecord(j) {
+	if s.mayBeInUnreadableRecord(j) {
 		j.why = "a record that may be about it cannot be read"
 		return t, false
 	}
 	//mutation:reconciliation-holds-recovered-work
-	if j.recovered && l.recovery.HoldsRecoveredWork() {
+	if j.recovered && s.reconciler.HoldsRecoveredWork() {
 		j.why = "machines that may run it without a record have yet to report"
 		return t, false
 	}
-	if l.likelyFaulty(j) && !j.spec.Gang() {
+	if s.likelyInvalid(j) && !j.spec.Gang() {
 		// It is tried with one task at a time until one stays.
-		if t.n = min(t.n, 1-j.nActive); t.n <= 0 {
+		if t.waiting = min(t.waiting, 1-j.activeCount); t.waiting <= 0 {
 			j.why = "it has failed on every machine so far"
 			return t, false
 		}
 	}
-	r.promise(j, 0) // its own room, in its second turn
-	t.budget = l.teamRoom(j, r.promised[j.spec.Team])
-	t.could = t.n
+	r.reserveQuota(j, 0) // its own room, in its second turn
+	t.quotaHeadroom = s.quotaHeadroom(j, r.reservedQuota[j.spec.Team])
+	t.hostable = t.waiting
 	if j.rank == 0 || j.spec.Gang() {
-		t.could = l.hostable(j, t.n)
+		t.hostable = s.hostableTasks(j, t.waiting)
 	}
-	if t.budget < t.could {
-		l.yieldTeam(j, t.could)
+	if t.quotaHeadroom < t.hostable {
+		s.preemptWithinTeam(j, t.hostable)
 	}
-	if j.spec.Gang() && j.stopping() {
+	if j.spec.Gang() && j.hasStoppingAttempt() {
 		j.why = "its gang is being stopped"
 		return t, false
 	}
-	l.bound(r, &t)
+	s.limitTasks(r, &t)
 	return t, true
 }
 
-// bound says how many tasks are tried: fewer than the team's limit allows for what is
+// limitTasks says how many tasks are tried: fewer than the team's limit allows for what is
 // overdue or old.
-func (l *Leader) bound(r *round, t *turn) {
-	j := t.j
-	t.tries = min(t.n, t.budget)
+func (s *Scheduler) limitTasks(r *placementRound, t *jobPlacement) {
+	j := t.job
+	t.limit = min(t.waiting, t.quotaHeadroom)
 	switch {
-	case j.spec.Gang() || t.tries == 0: // a gang runs as a whole or not at all
+	case j.spec.Gang() || t.limit == 0: // a gang runs as a whole or not at all
 	case j.overdue:
-		t.tries = min(t.tries, l.beginWith(j, r.total))
-	case j.old && t.first:
-		all := t.tries
-		t.tries = min(t.tries, int(max(0, r.oldRoom)/max(j.spec.CPUs, 0.1)))
-		r.oldRoom -= float64(t.tries) * j.spec.CPUs
-		t.bounded = t.tries < all
+		t.limit = min(t.limit, s.starvedTaskAllowance(j, r.totalCPUs))
+	case j.old && t.firstPass:
+		all := t.limit
+		t.limit = min(t.limit, int(max(0, r.agedShareCPUs)/max(j.spec.CPUs, 0.1)))
+		r.agedShareCPUs -= float64(t.limit) * j.spec.CPUs
+		t.limitedByAgedShare = t.limit < all
 	}
 }
 
-// takeTurn places tasks, and says how many it did and how many found no room.
-func (l *Leader) takeTurn(r *round, t turn) (placed, rest int) {
-	j := t.j
+// placeJob places tasks, and says how many it did and how many found no room.
+func (s *Scheduler) placeJob(r *placementRound, t jobPlacement) (placed, rest int) {
+	j := t.job
 	switch {
 	case j.spec.Gang():
-		if l.placeGang(r, j, t.n) {
-			placed = t.n
-		} else if j.overdue && !r.reserved {
-			r.reserved = true
-			l.reserve(j, t.n)
+		if s.placeGang(r, j, t.waiting) {
+			placed = t.waiting
+		} else if j.overdue && !r.gangReserved {
+			r.gangReserved = true
+			s.reserveForGang(j, t.waiting)
 		}
-	case t.tries > 0:
-		placed = l.placeTasks(r, j, t.tries)
+	case t.limit > 0:
+		placed = s.placeTasks(r, j, t.limit)
 	}
-	l.tellPlaced(j, placed)
-	return placed, t.tries - placed
+	s.logPlacement(j, placed)
+	return placed, t.limit - placed
 }
 
-// findRoom gathers the machines that have room for the smallest of the waiting
+// findCapacity gathers the machines that have room for the smallest of the waiting
 // tasks, so that a full cluster costs one look at each machine and not one for
 // each job.
-func (l *Leader) findRoom(r *round, queue []*job) {
-	r.roomy = nil
+func (s *Scheduler) findCapacity(r *placementRound, queue []*job) {
+	r.withCapacity = nil
 	cpus, mem := math.Inf(1), math.Inf(1)
 	for _, j := range queue {
 		cpus, mem = min(cpus, j.spec.CPUs), min(mem, j.spec.MemoryGB)
@@ -218,52 +218,52 @@
 	if len(queue) == 0 {
 		return
 	}
-	for _, m := range l.sorted() {
-		if m.mt != nil && m.cpus+cpus <= m.mt.CPUs+epsilon && m.mem+mem <= m.mt.MemoryGB+epsilon && l.usable(m) && !m.summarize().blocked {
-			r.roomy = append(r.roomy, m)
+	for _, m := range s.sortedMachines() {
+		if m.machineSpec != nil && m.cpus+cpus <= m.machineSpec.CPUs+epsilon && m.mem+mem <= m.machineSpec.MemoryGB+epsilon && s.schedulable(m) && !m.summarize().hasUnknownTask {
+			r.withCapacity = append(r.withCapacity, m)
 		}
 	}
 }
 
 // placeTasks places up to n tasks of the job and says how many it did.
-func (l *Leader) placeTasks(r *round, j *job, n int) int {
-	p := l.newPicker(r, j)
+func (s *Scheduler) placeTasks(r *placementRound, j *job, n int) int {
+	p := s.newMachinePicker(r, j)
 	for placed := 0; placed < n; placed++ {
-		m := p.next()
+		m := p.best()
 		//mutation:counter-check-in-round
-		if m == nil || l.numbersLeft() == 0 || l.holdForWarm(r, j, m, p) {
+		if m == nil || s.attemptNumbersLeft() == 0 || s.waitsForWarmMachine(r, j, m, p) {
 			return placed
 		}
-		i, ok := j.nextFree()
+		i, ok := j.takeFreeIndex()
 		if !ok {
 			return placed
 		}
-		l.enter(j, i, m)
-		p.took(m)
-		l.line(true, "placed", "task", wire.TaskName(j.id, i), "machine", m.name, "warm", m.has(j.spec.Image))
+		s.assign(j, i, m)
+		p.recordAssignment(m)
+		s.log(true, "placed", "task", wire.TaskName(j.id, i), "machine", m.name, "warm", m.hasImage(j.spec.Image))
 	}
 	return n
 }
 
-// tellPlaced logs a job's first placement and the one that leaves nothing
+// logPlacement logs a job's first placement and the one that leaves nothing
 // waiting; those in between are at debug, task by task.
-func (l *Leader) tellPlaced(j *job, placed int) {
-	if placed == 0 || j.placedOnce && j.pending() > 0 {
+func (s *Scheduler) logPlacement(j *job, placed int) {
+	if placed == 0 || j.placedOnce && j.pendingTasks() > 0 {
 		return
 	}
 	j.placedOnce = true
-	l.line(false, "job placed", "job", j.id, "tasks", placed, "active", j.nActive, "waiting", j.pending(),
-		"after_s", (l.now.Mono - j.created).Seconds())
+	s.log(false, "job placed", "job", j.id, "tasks", placed, "active", j.activeCount, "waiting", j.pendingTasks(),
+		"after_s", (s.now.Mono - j.createdAt).Seconds())
 }
 
-// teamRoom is how many more tasks of the job its team's limit allows. All that
+// quotaHeadroom is how many more tasks of the job its team's limit allows. All that
 // may be on a machine counts, saving and unproven starts too.
-func (l *Leader) teamRoom(j *job, promised Team) int {
-	team, ok := l.cfg.Teams[j.spec.Team]
+func (s *Scheduler) quotaHeadroom(j *job, promised TeamQuota) int {
+	team, ok := s.settings.Teams[j.spec.Team]
 	if !ok {
 		return 0
 	}
-	u := l.use(j.spec.Team)
+	u := s.teamUsage(j.spec.Team)
 	n := math.Inf(1)
 	if j.spec.CPUs > 0 {
 		n = min(n, math.Floor((team.CPUsMax-u.CPUs-promised.CPUs+epsilon)/j.spec.CPUs))
@@ -274,10 +274,10 @@
 	return int(max(0, min(n, wire.MaxTasks)))
 }
 
-// enter places a task. Nothing is sent before it is recorded.
-func (l *Leader) enter(j *job, index int, m *machine) *attempt {
-	a := l.newAttempt(j, index, m)
-	l.attach(a)
-	l.record(a)
+// assign places a task. Nothing is sent before it is recorded.
+func (s *Scheduler) assign(j *job, index int, m *machine) *attempt {
+	a := s.newAttempt(j, index, m)
+	s.attach(a)
+	s.queueAssignment(a)
 	return a
 }
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -8,23 +8,23 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// yieldTeam makes room under its team's limit for a production job, by stopping
+// preemptWithinTeam makes room under its team's limit for a production job, by stopping
 // lower work of the same team: on machines where the job could then start at
 // once, and there what was started last.
-func (l *Leader) yieldTeam(j *job, n int) {
-	if !l.cfg.Policy.Preempt || j.rank > 0 || l.recovery.HoldsTeamLimits() {
+func (s *Scheduler) preemptWithinTeam(j *job, n int) {
+	if !s.settings.Policy.Preempt || j.rank > 0 || s.reconciler.HoldsTeamLimits() {
 		return
 	}
-	team := l.cfg.Teams[j.spec.Team]
-	u := l.use(j.spec.Team)
+	team := s.settings.Teams[j.spec.Team]
+	u := s.teamUsage(j.spec.Team)
 	cpus := u.CPUs + float64(n)*j.spec.CPUs - team.CPUsMax
 	gpus := u.GPUs + float64(n)*j.spec.GPUs - team.GPUsMax
 	var victims []*attempt
-	for _, v := range l.jobs {
+	for _, v := range s.jobs {
 		if v.spec.Team != j.spec.Team || v == j {
 			continue
 		}
-		for _, a := range v.attempts() {
+		for _, a := range v.sortedAttempts() {
 			if a.halt {
 				cpus -= v.spec.CPUs // room on its way
 				gpus -= v.spec.GPUs
@@ -34,7 +34,7 @@
 		}
 	}
 	good := func(a *attempt) bool {
-		return l.usable(a.m) && j.allows(a.m.typ, a.m.zone, a.m.spot) && a.m.has(j.spec.Image)
+		return s.schedulable(a.machine) && j.allowsMachine(a.machine.machineType, a.machine.zone, a.machine.spot) && a.machine.hasImage(j.spec.Image)
 	}
 	sort.Slice(victims, func(x, y int) bool {
 		a, b := victims[x], victims[y]
@@ -55,19 +55,19 @@
 		}
 		cpus -= a.job.spec.CPUs
 		gpus -= a.job.spec.GPUs
-		l.count.Preempted++
-		l.line(true, "preempted under its team's limit", "task", wire.TaskName(a.ref.job, a.ref.index), "machine", a.m.name, "for", j.id)
-		l.stop(a, false, "preempted for "+j.id)
+		s.counters.Preempted++
+		s.log(true, "preempted under its team's limit", "task", wire.TaskName(a.ref.jobID, a.ref.index), "machine", a.machine.name, "for", j.id)
+		s.stopAttempt(a, false, "preempted for "+j.id)
 	}
 }
 
 // mayPreempt reports whether the victim's end is a reason the rules know.
-func (l *Leader) mayPreempt(j *job, a *attempt) bool {
+func (s *Scheduler) mayPreempt(j *job, a *attempt) bool {
 	v := a.job
 	if v == nil || v == j || a.halt || a.sent && !a.seen {
 		return false // the last: its start is on its way, and soon acknowledged
 	}
-	if a.beginning() && j.rank > 0 {
+	if a.ofStarvedJob() && j.rank > 0 {
 		return false
 	}
 	if v.rank > j.rank {
@@ -76,111 +76,111 @@
 	if !j.within || v.spec.Team == j.spec.Team || v.rank == 0 {
 		return false
 	}
-	guarantee := l.cfg.Teams[v.spec.Team]
-	u := l.use(v.spec.Team)
+	guarantee := s.settings.Teams[v.spec.Team]
+	u := s.teamUsage(v.spec.Team)
 	return !v.within && (u.CPUs-v.spec.CPUs >= guarantee.CPUs-epsilon || v.spec.GPUs > 0 && u.GPUs-v.spec.GPUs >= guarantee.GPUs-epsilon)
 }
 
-// tight reports whether a task of the job that started anew now would miss the
+// hasTightDeadline reports whether a task of the job that started anew now would miss the
 // deadline that the job can still meet.
-func (l *Leader) tight(j *job) bool {
-	return len(j.dues) > 0 && !j.hopeless() && l.due(j) < j.duration()*tuning.HopeFactor
+func (s *Scheduler) hasTightDeadline(j *job) bool {
+	return len(j.dues) > 0 && !j.missesAllDeadlines() && s.secondsToDeadline(j) < j.taskDuration()*tuning.DeadlineFeasibilityFactor
 }
 
-// preemption is a search for room that stops make for one job.
-type preemption struct {
-	l        *Leader
-	r        *round
-	j        *job
-	n        int // tasks that need room
-	made     int // tasks that room was found for
-	below    float64
-	onlyIdle bool
-	zones    map[string]int
-	same     map[*machine]int
+// preemptionSearch is a search for room that stops make for one job.
+type preemptionSearch struct {
+	scheduler         *Scheduler
+	round             *placementRound
+	job               *job
+	wanted            int // tasks that need room
+	found             int // tasks that room was found for
+	belowCost         float64
+	onlyIdle          bool
+	attemptsByZone    map[string]int
+	replicasByMachine map[*machine]int
 }
 
-// preemptOption is a machine where stops make room for one task.
-type preemptOption struct {
-	m       *machine
+// preemptionOption is a machine where stops make room for one task.
+type preemptionOption struct {
+	machine *machine
 	victims []*attempt
 	cost    float64
 }
 
-// freeing is what is free on a machine once what is being stopped there is gone.
-type freeing struct {
-	m               *machine
-	cpus, gpus, mem float64 // in use
+// pendingCapacity is what is free on a machine once what is being stopped there is gone.
+type pendingCapacity struct {
+	machine                          *machine
+	usedCPUs, usedGPUs, usedMemoryGB float64 // in use
 }
 
-func (f *freeing) stop(a *attempt) {
-	f.cpus -= a.job.spec.CPUs
-	f.gpus -= a.job.spec.GPUs
-	f.mem -= a.job.spec.MemoryGB
+func (f *pendingCapacity) remove(a *attempt) {
+	f.usedCPUs -= a.job.spec.CPUs
+	f.usedGPUs -= a.job.spec.GPUs
+	f.usedMemoryGB -= a.job.spec.MemoryGB
 }
 
-func (f *freeing) start(j *job) {
-	f.cpus += j.spec.CPUs
-	f.gpus += j.spec.GPUs
-	f.mem += j.spec.MemoryGB
+func (f *pendingCapacity) add(j *job) {
+	f.usedCPUs += j.spec.CPUs
+	f.usedGPUs += j.spec.GPUs
+	f.usedMemoryGB += j.spec.MemoryGB
 }
 
-func (f *freeing) fits(j *job) bool {
-	return f.cpus+j.spec.CPUs <= f.m.mt.CPUs+epsilon && f.gpus+j.spec.GPUs <= f.m.mt.GPUs+epsilon && f.mem+j.spec.MemoryGB <= f.m.mt.MemoryGB+epsilon
+func (f *pendingCapacity) fits(j *job) bool {
+	return f.usedCPUs+j.spec.CPUs <= f.machine.machineSpec.CPUs+epsilon && f.usedGPUs+j.spec.GPUs <= f.machine.machineSpec.GPUs+epsilon && f.usedMemoryGB+j.spec.MemoryGB <= f.machine.machineSpec.MemoryGB+epsilon
 }
 
-// preempt makes room for up to n tasks of the job, where it may, one a machine,
+// preemptFor makes room for up to n tasks of the job, where it may, one a machine,
 // and says for how many it did: by stopping work of lower priority, or what another
 // team has beyond its guarantee. What was started last is stopped first, since it
 // loses least. With a finite below, only machines that have the image and score
 // better than that are considered.
-func (l *Leader) preempt(r *round, j *job, n int, below float64) int {
+func (s *Scheduler) preemptFor(r *placementRound, j *job, n int, below float64) int {
 	//mutation:preemption-counts-unconfirmed-capacity
-	if !l.cfg.Policy.Preempt || l.mayFitUnheard(r, j) {
+	if !s.settings.Policy.Preempt || s.mayFitUnconfirmed(r, j) {
 		return 0
 	}
 	// Idle work makes room at once, for work beyond a guarantee too. Other work does
 	// for what is within one, and not right away: room may come by itself, and what
 	// is stopped is lost.
-	onlyIdle := j.rank > 0 && (!j.within || l.now.Mono-j.created < l.cfg.GuaranteeWithin/2)
-	if onlyIdle && (j.rank >= idleRank || r.idle == 0) {
+	onlyIdle := j.rank > 0 && (!j.within || s.now.Mono-j.createdAt < s.settings.GuaranteedStartWithin/2)
+	if onlyIdle && (j.rank >= idleRank || r.idleTasks == 0) {
 		return 0
 	}
 	if j.rank > 0 {
-		if r.sought >= tuning.PreemptJobs || j.preemptAt > 0 && l.now.Mono-j.preemptAt < tuning.PreemptGap {
+		if r.preemptionSearches >= tuning.PreemptionJobsPerRound || j.preemptAt > 0 && s.now.Mono-j.preemptAt < tuning.MinPreemptionInterval {
 			return 0 // a look at every task of the cluster is not cheap
 		}
-		r.sought++
-		j.preemptAt = l.now.Mono
+		r.preemptionSearches++
+		j.preemptAt = s.now.Mono
 	}
-	p := &preemption{l: l, r: r, j: j, n: n, below: below, onlyIdle: onlyIdle, zones: j.zones(), same: j.machines()}
-	options := p.options()
-	if p.made < n {
-		p.carryOut(options)
+	p := &preemptionSearch{scheduler: s, round: r, job: j, wanted: n, belowCost: below, onlyIdle: onlyIdle, attemptsByZone: j.attemptsByZone(), replicasByMachine: j.replicasByMachine()}
+	options := p.collectOptions()
+	if p.found < n {
+		p.execute(options)
 	}
-	return p.made
+	return p.found
 }
 
-// options looks at all machines, claims the room that is on its way already, and gathers
+// collectOptions looks at all machines, claims the room that is on its way already, and gathers
 // where stops would make more, until there is enough.
-func (p *preemption) options() []preemptOption {
-	var options []preemptOption
-	for _, m := range p.l.sorted() {
-		if p.made == p.n {
+func (p *preemptionSearch) collectOptions() []preemptionOption {
+	var options []preemptionOption
+	for _, m := range p.scheduler.sortedMachines() {
+		if p.found == p.wanted {
 			return nil
 		}
 		if !p.eligible(m) {
 			continue
 		}
 		free, victims := p.inspect(m)
-		for p.made < p.n && free.fits(p.j) && p.j.zoneOpen(p.zones, m.zone) {
+		for p.found < p.wanted && free.fits(p.job) && p.job.allowsZone(p.attemptsByZone, m.zone) {
 			p.claim(m) // room is on its way
-			free.start(p.j)
+			free.add(p.job)
 		}
 		if len(victims) == 0 {
 			continue
 		}
-		if o, ok := p.option(free, victims); ok {
+		if o, ok := p.cheapestOption(free, victims); ok {
 			options = append(options, o)
 		}
 	}
@@ -188,28 +188,28 @@
 }
 
 // eligible reports whether the job's tasks could go to the machine if it were empty.
-func (p *preemption) eligible(m *machine) bool {
-	l, j := p.l, p.j
-	if m.mt == nil || j.spec.CPUs > m.mt.CPUs || j.spec.GPUs > m.mt.GPUs || j.spec.MemoryGB > m.mt.MemoryGB {
+func (p *preemptionSearch) eligible(m *machine) bool {
+	l, j := p.scheduler, p.job
+	if m.machineSpec == nil || j.spec.CPUs > m.machineSpec.CPUs || j.spec.GPUs > m.machineSpec.GPUs || j.spec.MemoryGB > m.machineSpec.MemoryGB {
 		return false
 	}
-	if !math.IsInf(p.below, 1) && (!m.has(j.spec.Image) || l.score(j, m, p.zones, p.same[m]) >= p.below) {
+	if !math.IsInf(p.belowCost, 1) && (!m.hasImage(j.spec.Image) || l.placementCost(j, m, p.attemptsByZone, p.replicasByMachine[m]) >= p.belowCost) {
 		return false
 	}
-	return l.usable(m) && j.allows(m.typ, m.zone, m.spot) && j.zoneOpen(p.zones, m.zone) && !m.summarize().blocked && m.suspect <= l.now.Mono
+	return l.schedulable(m) && j.allowsMachine(m.machineType, m.zone, m.spot) && j.allowsZone(p.attemptsByZone, m.zone) && !m.summarize().hasUnknownTask && m.suspect <= l.now.Mono
 }
 
 // inspect gives what is free on the machine once stops that were sent are carried out, and
 // what else may be stopped there.
-func (p *preemption) inspect(m *machine) (*freeing, []*attempt) {
+func (p *preemptionSearch) inspect(m *machine) (*pendingCapacity, []*attempt) {
 	// What is being stopped already will make room too, once.
-	claimed := p.r.claimed[m]
-	free := &freeing{m, m.cpus + claimed, m.gpus, m.mem + claimed*p.j.spec.MemoryGB/max(p.j.spec.CPUs, epsilon)}
+	claimed := p.round.claimedCPUs[m]
+	free := &pendingCapacity{m, m.cpus + claimed, m.gpus, m.mem + claimed*p.job.spec.MemoryGB/max(p.job.spec.CPUs, epsilon)}
 	var victims []*attempt
 	for _, a := range m.tasks {
 		if a.halt && a.job != nil {
-			free.stop(a)
-		} else if p.l.mayPreempt(p.j, a) && (!p.onlyIdle || a.job.rank == idleRank) {
+			free.remove(a)
+		} else if p.scheduler.mayPreempt(p.job, a) && (!p.onlyIdle || a.job.rank == idleRank) {
 			victims = append(victims, a)
 		}
 	}
@@ -217,45 +217,45 @@
 }
 
 // claim keeps a machine's room for the job.
-func (p *preemption) claim(m *machine) {
-	l, j := p.l, p.j
-	p.r.claimed[m] += j.spec.CPUs
+func (p *preemptionSearch) claim(m *machine) {
+	l, j := p.scheduler, p.job
+	p.round.claimedCPUs[m] += j.spec.CPUs
 	//mutation:reservation-is-kept
 	if m.keptFor == j.id || m.keptTo <= l.now.Mono || j.rank == 0 {
 		// Whom it is kept for already goes first. Two jobs that took it from each
 		// other, each found it kept for the other once the room was there.
-		m.keptFor, m.keptTo = j.id, l.now.Mono+tuning.KeepRoom
+		m.keptFor, m.keptTo = j.id, l.now.Mono+tuning.PreemptionReservationTTL
 	}
-	if p.zones != nil {
-		p.zones[m.zone]++
+	if p.attemptsByZone != nil {
+		p.attemptsByZone[m.zone]++
 	}
-	p.made++
+	p.found++
 }
 
-// option chooses what to stop for one task, what loses least first, and what that costs.
-func (p *preemption) option(free *freeing, victims []*attempt) (preemptOption, bool) {
-	sort.Slice(victims, func(a, b int) bool { return p.before(victims[a], victims[b]) })
+// cheapestOption chooses what to stop for one task, what loses least first, and what that costs.
+func (p *preemptionSearch) cheapestOption(free *pendingCapacity, victims []*attempt) (preemptionOption, bool) {
+	sort.Slice(victims, func(a, b int) bool { return p.stopsBefore(victims[a], victims[b]) })
 	cost := 0.0
-	if !free.m.has(p.j.spec.Image) {
+	if !free.machine.hasImage(p.job.spec.Image) {
 		// A service is down while it fetches; what is stopped is only late.
 		weight := 2.0
-		if p.j.service {
+		if p.job.service {
 			weight = 50
 		}
-		cost += weight * p.j.spec.ImageGB / max(free.m.mt.FetchGBs, 0.01)
+		cost += weight * p.job.spec.ImageGB / max(free.machine.machineSpec.FetchGBPerS, 0.01)
 	}
 	k := 0
-	for k < len(victims) && !free.fits(p.j) {
-		free.stop(victims[k])
-		cost += p.loss(victims[k])
+	for k < len(victims) && !free.fits(p.job) {
+		free.remove(victims[k])
+		cost += p.stopCost(victims[k])
 		k++
 	}
-	return preemptOption{free.m, victims[:k], cost}, k > 0 && free.fits(p.j)
+	return preemptionOption{free.machine, victims[:k], cost}, k > 0 && free.fits(p.job)
 }
 
 // before reports whether an attempt is stopped rather than another.
-func (p *preemption) before(x, y *attempt) bool {
-	if bx, by := x.beginning(), y.beginning(); bx != by {
+func (p *preemptionSearch) stopsBefore(x, y *attempt) bool {
+	if bx, by := x.ofStarvedJob(), y.ofStarvedJob(); bx != by {
 		return by
 	}
 	if x.job.rank != y.job.rank {
@@ -264,7 +264,7 @@
 	if x.job.hope != y.job.hope {
 		return x.job.hope > y.job.hope // late already: the delay costs nothing
 	}
-	if tx, ty := p.l.tight(x.job), p.l.tight(y.job); tx != ty {
+	if tx, ty := p.scheduler.hasTightDeadline(x.job), p.scheduler.hasTightDeadline(y.job); tx != ty {
 		return ty
 	}
 	if x.placedAt != y.placedAt {
@@ -273,34 +273,34 @@
 	return x.number > y.number
 }
 
-// loss is what a stop costs, in CPU seconds.
-func (p *preemption) loss(v *attempt) float64 {
-	lost := (p.l.now.Mono - v.placedAt).Seconds() * max(1, v.job.spec.CPUs)
+// stopCost is what a stop costs, in CPU seconds.
+func (p *preemptionSearch) stopCost(v *attempt) float64 {
+	lost := (p.scheduler.now.Mono - v.placedAt).Seconds() * max(1, v.job.spec.CPUs)
 	switch {
-	case v.job.hopeless():
+	case v.job.missesAllDeadlines():
 		lost /= 2
-	case p.l.tight(v.job):
-		lost += tuning.TightCost
+	case p.scheduler.hasTightDeadline(v.job):
+		lost += tuning.DeadlineMissCost
 	}
 	return lost
 }
 
-// carryOut makes the stops that cost least, for as many tasks as still need room.
-func (p *preemption) carryOut(options []preemptOption) {
+// execute makes the stops that cost least, for as many tasks as still need room.
+func (p *preemptionSearch) execute(options []preemptionOption) {
 	sort.SliceStable(options, func(a, b int) bool { return options[a].cost < options[b].cost })
 	for _, o := range options {
-		if p.made == p.n {
+		if p.found == p.wanted {
 			return
 		}
-		if !p.j.zoneOpen(p.zones, o.m.zone) {
+		if !p.job.allowsZone(p.attemptsByZone, o.machine.zone) {
 			continue
 		}
-		p.claim(o.m)
+		p.claim(o.machine)
 		for _, v := range o.victims {
-			p.l.count.Preempted++
-			save := v.job.spec.CheckpointS > 0 && p.j.rank > 0
-			p.l.line(true, "preempted", "task", wire.TaskName(v.ref.job, v.ref.index), "machine", o.m.name, "for", p.j.id)
-			p.l.stop(v, save, "preempted for "+p.j.id)
+			p.scheduler.counters.Preempted++
+			save := v.job.spec.CheckpointIntervalS > 0 && p.job.rank > 0
+			p.scheduler.log(true, "preempted", "task", wire.TaskName(v.ref.jobID, v.ref.index), "machine", o.machine.name, "for", p.job.id)
+			p.scheduler.stopAttempt(v, save, "preempted for "+p.job.id)
 		}
 	}
 }
--- a/internal/core/proof_test.go
+++ b/internal/core/proof_test.go
@@ -11,48 +11,48 @@
 // Each condition on its own keeps an attempt that a report does not list from being
 // taken for gone. Several overlap, so that with one of them out the simulated world
 // breaks no rule; here each is the only one that speaks against the proof.
-func TestProofOfAbsence(t *testing.T) {
+func TestEachConditionDefeatsProofOfAbsence(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 9))
 	for range 200 {
-		term := uint64(deskTerm)
+		term := uint64(harnessTerm)
 		fence := 1 + rng.Uint64N(20)
 		session, tick := 1+rng.Uint64N(5), 10+rng.Uint64N(90)
-		l := &Leader{term: term}
+		l := &Scheduler{term: term}
 		// A start of this term that is sent and not listed, and the report that proves it gone.
 		start := func() *attempt {
 			return &attempt{sent: true, session: session, needFence: fence, replyTick: tick}
 		}
-		report := func() *wire.Report {
-			return &wire.Report{Session: session, Tick: tick + 1 + rng.Uint64N(5), Token: term<<tuning.FenceBits | fence + rng.Uint64N(3)}
+		report := func() *wire.Heartbeat {
+			return &wire.Heartbeat{Incarnation: session, Sequence: tick + 1 + rng.Uint64N(5), FencingToken: term<<tuning.FencingBits | fence + rng.Uint64N(3)}
 		}
 		for _, c := range []struct {
 			name    string
-			change  func(a *attempt, r *wire.Report)
+			change  func(a *attempt, r *wire.Heartbeat)
 			checkin bool
 			absent  bool
 		}{
-			{"nothing speaks against it", func(*attempt, *wire.Report) {}, true, true},
-			{"the report is under an earlier term's token", func(_ *attempt, r *wire.Report) {
-				r.Token = (term-1-rng.Uint64N(5))<<tuning.FenceBits | 1<<tuning.FenceBits - 1
+			{"nothing speaks against it", func(*attempt, *wire.Heartbeat) {}, true, true},
+			{"the report is under an earlier term's token", func(_ *attempt, r *wire.Heartbeat) {
+				r.FencingToken = (term-1-rng.Uint64N(5))<<tuning.FencingBits | 1<<tuning.FencingBits - 1
 			}, true, false},
-			{"the report is under a token below the start's fence", func(_ *attempt, r *wire.Report) {
-				r.Token = term<<tuning.FenceBits | rng.Uint64N(fence)
+			{"the report is under a token below the start's fence", func(_ *attempt, r *wire.Heartbeat) {
+				r.FencingToken = term<<tuning.FencingBits | rng.Uint64N(fence)
 			}, true, false},
-			{"the same, though the session is a later one", func(_ *attempt, r *wire.Report) {
-				r.Session++
-				r.Token = term<<tuning.FenceBits | rng.Uint64N(fence)
+			{"the same, though the session is a later one", func(_ *attempt, r *wire.Heartbeat) {
+				r.Incarnation++
+				r.FencingToken = term<<tuning.FencingBits | rng.Uint64N(fence)
 			}, true, false},
-			{"a direct call with it is out", func(a *attempt, _ *wire.Report) { a.calling = true }, true, false},
-			{"the report is the one whose answer took the start", func(a *attempt, r *wire.Report) { r.Tick = a.replyTick }, true, false},
-			{"a direct answer overtakes the answer that took the start", func(*attempt, *wire.Report) {}, false, false},
-			{"a direct answer, and the start went directly", func(a *attempt, _ *wire.Report) { a.replyTick = 0 }, false, true},
-			{"a later session, though a call is out", func(a *attempt, r *wire.Report) {
+			{"a direct call with it is out", func(a *attempt, _ *wire.Heartbeat) { a.calling = true }, true, false},
+			{"the report is the one whose answer took the start", func(a *attempt, r *wire.Heartbeat) { r.Sequence = a.replyTick }, true, false},
+			{"a direct answer overtakes the answer that took the start", func(*attempt, *wire.Heartbeat) {}, false, false},
+			{"a direct answer, and the start went directly", func(a *attempt, _ *wire.Heartbeat) { a.replyTick = 0 }, false, true},
+			{"a later session, though a call is out", func(a *attempt, r *wire.Heartbeat) {
 				a.calling = true
-				r.Session += 1 + rng.Uint64N(3)
+				r.Incarnation += 1 + rng.Uint64N(3)
 			}, true, true},
-			{"of an earlier leader, whose session nobody knows, a call is out", func(a *attempt, _ *wire.Report) { a.session, a.calling = 0, true }, true, false},
-			{"it was never sent", func(a *attempt, _ *wire.Report) { a.sent = false }, true, false},
-			{"it was listed before", func(a *attempt, _ *wire.Report) { a.seen = true }, true, true},
+			{"of an earlier leader, whose session nobody knows, a call is out", func(a *attempt, _ *wire.Heartbeat) { a.session, a.calling = 0, true }, true, false},
+			{"it was never sent", func(a *attempt, _ *wire.Heartbeat) { a.sent = false }, true, false},
+			{"it was listed before", func(a *attempt, _ *wire.Heartbeat) { a.seen = true }, true, true},
 		} {
 			a, r := start(), report()
 			c.change(a, r)
--- a/internal/core/questions.go
+++ b/internal/core/questions.go
@@ -7,73 +7,73 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// questions bounds how machines are asked for their reports: each question costs a
+// statusProbes bounds how machines are asked for their reports: each question costs a
 // connection, and a new leader has thousands to ask.
-type questions struct {
-	out      int           // questions without an answer yet
-	budget   float64       // questions that may be sent now, where their rate is bounded
-	budgetAt time.Duration // when it was last added to
-	next     string        // the first machine that found no place; empty: none did
+type statusProbes struct {
+	inFlight    int           // questions without an answer yet
+	budget      float64       // questions that may be sent now, where their rate is bounded
+	refilledAt  time.Duration // when it was last added to
+	nextMachine string        // the first machine that found no place; empty: none did
 }
 
-// askForReport asks a machine for its report under our token, unless there is no place
+// probeStatus asks a machine for its report under our token, unless there is no place
 // for a question now; then the next look at all machines begins with it.
-func (l *Leader) askForReport(m *machine) {
-	if m.phase != up || m.addr == "" || m.calling || l.pushDue[m.name] {
+func (s *Scheduler) probeStatus(m *machine) {
+	if m.phase != machineUp || m.address == "" || m.calling || s.pushDue[m.name] {
 		return // what is to be pushed asks as well
 	}
-	if m.askedAt > 0 && l.now.Mono-m.askedAt < tuning.QuestionPause<<min(m.unanswered, 3) || l.answersSoon(m) {
+	if m.askedAt > 0 && s.now.Mono-m.askedAt < tuning.MinStatusProbeInterval<<min(m.unanswered, 3) || s.heartbeatExpectedSoon(m) {
 		return
 	}
-	if l.questions.out >= l.questionPlaces(m) || !l.takeQuestion() {
-		if l.questions.next == "" {
-			l.questions.next = m.name
+	if s.questions.inFlight >= s.statusProbeLimit(m) || !s.takeProbeBudget() {
+		if s.questions.nextMachine == "" {
+			s.questions.nextMachine = m.name
 		}
 		return
 	}
-	m.askedAt = l.now.Mono
-	l.questions.out++
-	l.call(m, []wire.Command{}, nil)
+	m.askedAt = s.now.Mono
+	s.questions.inFlight++
+	s.sendCommands(m, []wire.Command{}, nil)
 }
 
-// questionPlaces is how many questions may be out when the machine is asked. Machines
+// statusProbeLimit is how many questions may be out when the machine is asked. Machines
 // that did not answer last time have half of the places at the most: each holds one
 // until its call is given up, and in a cut zone there are hundreds, while others only
 // wait to be asked.
-func (l *Leader) questionPlaces(m *machine) int {
-	places := max(tuning.QuestionsOut, min(len(l.machines)/tuning.QuestionsPart, tuning.QuestionsMost))
+func (s *Scheduler) statusProbeLimit(m *machine) int {
+	limit := max(tuning.MinConcurrentStatusProbes, min(len(s.machines)/tuning.MachinesPerStatusProbe, tuning.MaxConcurrentStatusProbes))
 	if m.unanswered > 0 {
-		places /= 2
+		limit /= 2
 	}
-	return places
+	return limit
 }
 
-// smallShare reports whether the process has so little of a core that work which could
+// isCPULimited reports whether the process has so little of a core that work which could
 // wait is spaced.
-func (l *Leader) smallShare() bool {
-	return l.cfg.CPUShare > 0 && l.cfg.CPUShare < tuning.UsualShare
+func (s *Scheduler) isCPULimited() bool {
+	return s.settings.CPUShare > 0 && s.settings.CPUShare < tuning.ReferenceCPUShare
 }
 
-// answersSoon reports whether the machine will report by itself before a question would
+// heartbeatExpectedSoon reports whether the machine will report by itself before a question would
 // help: it has just been answered, and with a token that it had not seen.
-func (l *Leader) answersSoon(m *machine) bool {
+func (s *Scheduler) heartbeatExpectedSoon(m *machine) bool {
 	//mutation:no-status-probe-before-heartbeat
-	return l.smallShare() && m.answeredAt > 0 && m.seenToken < l.token(m) && l.now.Mono-m.answeredAt < tuning.AnswersSoon
+	return s.isCPULimited() && m.answeredAt > 0 && m.seenToken < s.fencingToken(m) && s.now.Mono-m.answeredAt < tuning.StatusProbeHoldOff
 }
 
-// takeQuestion takes one question from the budget that a small share leaves for them.
-func (l *Leader) takeQuestion() bool {
+// takeProbeBudget takes one question from the budget that a small share leaves for them.
+func (s *Scheduler) takeProbeBudget() bool {
 	//mutation:status-probe-budget
-	if !l.smallShare() {
+	if !s.isCPULimited() {
 		return true
 	}
-	q := &l.questions
-	rate := tuning.QuestionRate * l.cfg.CPUShare
-	q.budget = min(tuning.QuestionsOut, q.budget+(l.now.Mono-q.budgetAt).Seconds()*rate)
-	q.budgetAt = l.now.Mono
-	if q.budget < 1 {
+	probes := &s.questions
+	rate := tuning.MaxStatusProbeRate * s.settings.CPUShare
+	probes.budget = min(tuning.MinConcurrentStatusProbes, probes.budget+(s.now.Mono-probes.refilledAt).Seconds()*rate)
+	probes.refilledAt = s.now.Mono
+	if probes.budget < 1 {
 		return false
 	}
-	q.budget--
+	probes.budget--
 	return true
 }
--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -7,13 +7,13 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// queue orders the jobs that wait: production first, then what fits its team's
+// schedulingQueue orders the jobs that wait: production first, then what fits its team's
 // guarantee, then by rank and by how little time is left.
-func (l *Leader) queue(total float64) []*job {
-	teams := map[string][]*job{}
-	var out []*job
-	for _, j := range l.jobs {
-		if j.pending() == 0 {
+func (s *Scheduler) schedulingQueue(totalCPUs float64) []*job {
+	jobsByTeam := map[string][]*job{}
+	var waiting []*job
+	for _, j := range s.jobs {
+		if j.pendingTasks() == 0 {
 			j.waitSince = 0
 		}
 		if j.cancelled || j.archived {
@@ -22,22 +22,22 @@
 		// What nothing has begun of for long gets its first tasks, whatever comes
 		// after it: the order by deadlines alone gives up the largest first, and
 		// under lasting overload again and again.
-		j.unbegun = !j.service && l.now.Mono-j.created > tuning.BeginBy && !l.hasBegun(j) && !l.likelyFaulty(j)
+		j.unbegun = !j.service && s.now.Mono-j.createdAt > tuning.ArrayStarvationBound && !s.isEstablished(j) && !s.likelyInvalid(j)
 		//mutation:starved-jobs-first
-		j.overdue = j.unbegun && l.beginWith(j, total) > 0
-		teams[j.spec.Team] = append(teams[j.spec.Team], j)
-		if j.pending() > 0 && l.now.Mono >= j.retryAt {
-			out = append(out, j)
+		j.overdue = j.unbegun && s.starvedTaskAllowance(j, totalCPUs) > 0
+		jobsByTeam[j.spec.Team] = append(jobsByTeam[j.spec.Team], j)
+		if j.pendingTasks() > 0 && s.now.Mono >= j.retryAt {
+			waiting = append(waiting, j)
 		}
 	}
-	for name, list := range teams {
+	for name, list := range jobsByTeam {
 		sort.Slice(list, func(a, b int) bool {
-			if list[a].spec.CreatedMilli != list[b].spec.CreatedMilli {
-				return list[a].spec.CreatedMilli < list[b].spec.CreatedMilli
+			if list[a].spec.CreatedAtMilli != list[b].spec.CreatedAtMilli {
+				return list[a].spec.CreatedAtMilli < list[b].spec.CreatedAtMilli
 			}
 			return list[a].id < list[b].id
 		})
-		team := l.cfg.Teams[name]
+		team := s.settings.Teams[name]
 		cpus, gpus := 0.0, 0.0
 		for _, j := range list {
 			n := float64(j.spec.Tasks - j.nDone)
@@ -47,18 +47,18 @@
 			gpus += n * j.spec.GPUs
 		}
 	}
-	l.planDeadlines()
-	for _, j := range out {
+	s.planDeadlines()
+	for _, j := range waiting {
 		// What misses all its deadlines is finished all the same, with a share of
 		// the cluster if nothing else is left to it for long.
-		j.old = !j.service && j.hopeless() && l.now.Mono-j.created > tuning.OldAfter
+		j.old = !j.service && j.missesAllDeadlines() && s.now.Mono-j.createdAt > tuning.AgedAfter
 		j.slack = math.Inf(1) // without a deadline, after those that have one
 		if len(j.dues) > 0 {
-			j.slack = l.due(j)
+			j.slack = s.secondsToDeadline(j)
 		}
 	}
-	sort.Slice(out, func(a, b int) bool {
-		x, y := out[a], out[b]
+	sort.Slice(waiting, func(a, b int) bool {
+		x, y := waiting[a], waiting[b]
 		if px, py := x.rank == 0, y.rank == 0; px != py {
 			return px
 		}
@@ -70,7 +70,7 @@
 		}
 		// What can still be on time goes before what is late already, even
 		// within a guarantee: of that, the start has been missed too.
-		if cx, cy := x.class(), y.class(); cx != cy {
+		if cx, cy := x.deadlineClass(), y.deadlineClass(); cx != cy {
 			return cx < cy
 		}
 		if x.rank != y.rank {
@@ -79,25 +79,25 @@
 		if x.slack != y.slack {
 			return x.slack < y.slack
 		}
-		if x.created != y.created {
-			return x.created < y.created
+		if x.createdAt != y.createdAt {
+			return x.createdAt < y.createdAt
 		}
 		return x.id < y.id
 	})
-	return out
+	return waiting
 }
 
-// likelyFaulty reports whether the job seems to be submitted with a mistake: it has failed
+// likelyInvalid reports whether the job seems to be submitted with a mistake: it has failed
 // on several machines, and nothing of it has come to stay or now runs for longer than
 // it takes to fail. A faulty machine fails others' work too, and the job's own work
 // succeeds elsewhere.
-func (l *Leader) likelyFaulty(j *job) bool {
-	if len(j.failedOn) < tuning.JobSuspectMachines || l.hasBegun(j) {
+func (s *Scheduler) likelyInvalid(j *job) bool {
+	if len(j.failedOn) < tuning.FaultyJobMachineThreshold || s.isEstablished(j) {
 		return false
 	}
 	for _, list := range j.active {
 		for _, a := range list {
-			if a.runningAt > 0 && !a.halt && l.now.Mono-a.runningAt > 2*j.failsAfter+tuning.FailsWithin {
+			if a.runningAt > 0 && !a.halt && s.now.Mono-a.runningAt > 2*j.failsAfter+tuning.FailureRuntimeMargin {
 				return false
 			}
 		}
@@ -105,16 +105,16 @@
 	return true
 }
 
-// hasBegun reports whether something of the job has come to stay: a task that is
+// isEstablished reports whether something of the job has come to stay: a task that is
 // stopped again within seconds is no beginning. Idle work of a guest would otherwise
 // begin again and again, each time for a moment.
-func (l *Leader) hasBegun(j *job) bool {
+func (s *Scheduler) isEstablished(j *job) bool {
 	if j.begun || j.nDone > 0 {
 		return true
 	}
 	for _, list := range j.active {
 		for _, a := range list {
-			if a.runningAt > 0 && !a.halt && l.now.Mono-a.runningAt >= tuning.BegunAfter {
+			if a.runningAt > 0 && !a.halt && s.now.Mono-a.runningAt >= tuning.EstablishedAfter {
 				j.begun = true
 				return true
 			}
@@ -123,23 +123,23 @@
 	return false
 }
 
-// beginWith is how many more tasks a job that is overdue gets ahead of others: a
+// starvedTaskAllowance is how many more tasks a job that is overdue gets ahead of others: a
 // part of the job, and of the cluster where these are beyond its team's guarantee.
-func (l *Leader) beginWith(j *job, total float64) int {
-	n := max(1, j.spec.Tasks/tuning.BeginPart)
+func (s *Scheduler) starvedTaskAllowance(j *job, totalCPUs float64) int {
+	n := max(1, j.spec.Tasks/tuning.StarvedArrayDivisor)
 	if !j.within && j.spec.CPUs > 0 {
-		n = min(n, max(1, int(total*tuning.BeginShare/j.spec.CPUs)))
+		n = min(n, max(1, int(totalCPUs*tuning.StarvedJobShare/j.spec.CPUs)))
 	}
-	return max(0, n-j.nActive)
+	return max(0, n-j.activeCount)
 }
 
-// beginning reports whether the attempt is of a job that has not begun for long: what
+// ofStarvedJob reports whether the attempt is of a job that has not begun for long: what
 // it got ahead of others it keeps until then.
-func (a *attempt) beginning() bool { return a.job != nil && a.job.unbegun }
+func (a *attempt) ofStarvedJob() bool { return a.job != nil && a.job.unbegun }
 
-// class orders jobs of the same standing: on time within the guarantee, on time
+// deadlineClass orders jobs of the same standing: on time within the guarantee, on time
 // beyond it, late within it, late beyond it.
-func (j *job) class() int {
+func (j *job) deadlineClass() int {
 	c := 2 * j.hope
 	if !j.within {
 		c++
--- a/internal/core/renting.go
+++ b/internal/core/renting.go
@@ -15,199 +15,201 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// slot is room on a machine that is on its way, or could be rented.
-type slot struct {
-	typ, zone       string
-	spot            bool
-	mt              *wire.MachineType
-	cpus, gpus, mem float64
+// capacitySlot is room on a machine that is on its way, or could be rented.
+type capacitySlot struct {
+	machineType, zone    string
+	spot                 bool
+	machineSpec          *wire.MachineType
+	cpus, gpus, memoryGB float64
 }
 
-func (s *slot) take(j *job) bool {
-	if !j.allows(s.typ, s.zone, s.spot) || s.cpus+epsilon < j.spec.CPUs || s.gpus+epsilon < j.spec.GPUs || s.mem+epsilon < j.spec.MemoryGB {
+func (s *capacitySlot) reserveTask(job *job) bool {
+	if !job.allowsMachine(s.machineType, s.zone, s.spot) || s.cpus+epsilon < job.spec.CPUs || s.gpus+epsilon < job.spec.GPUs || s.memoryGB+epsilon < job.spec.MemoryGB {
 		return false
 	}
-	s.cpus -= j.spec.CPUs
-	s.gpus -= j.spec.GPUs
-	s.mem -= j.spec.MemoryGB
+	s.cpus -= job.spec.CPUs
+	s.gpus -= job.spec.GPUs
+	s.memoryGB -= job.spec.MemoryGB
 	return true
 }
 
-// amounts is an amount of each resource that is scarce on every machine.
-type amounts struct{ cpus, mem float64 }
+// resourceMinimum is an amount of each resource that is scarce on every machine.
+type resourceMinimum struct{ cpus, memoryGB float64 }
 
-// leastOf is the least of each amount that any task of the jobs takes.
-func leastOf(left []unplaced) amounts {
-	least := amounts{math.Inf(1), math.Inf(1)}
-	for _, w := range left {
-		least.cpus, least.mem = min(least.cpus, w.j.spec.CPUs), min(least.mem, w.j.spec.MemoryGB)
+// minimumOf is the least of each amount that any task of the jobs takes.
+func minimumOf(unplaced []unplacedTasks) resourceMinimum {
+	minimum := resourceMinimum{math.Inf(1), math.Inf(1)}
+	for _, waiting := range unplaced {
+		minimum.cpus, minimum.memoryGB = min(minimum.cpus, waiting.job.spec.CPUs), min(minimum.memoryGB, waiting.job.spec.MemoryGB)
 	}
-	return least
+	return minimum
 }
 
-func (s *slot) fits(a amounts) bool { return s.cpus+epsilon >= a.cpus && s.mem+epsilon >= a.mem }
+func (s *capacitySlot) hasAtLeast(minimum resourceMinimum) bool {
+	return s.cpus+epsilon >= minimum.cpus && s.memoryGB+epsilon >= minimum.memoryGB
+}
 
-func newSlot(t *wire.MachineType, zone string, spot bool) *slot {
-	return &slot{t.Name, zone, spot, t, t.CPUs, t.GPUs, t.MemoryGB}
+func newCapacitySlot(machineSpec *wire.MachineType, zone string, spot bool) *capacitySlot {
+	return &capacitySlot{machineSpec.Name, zone, spot, machineSpec, machineSpec.CPUs, machineSpec.GPUs, machineSpec.MemoryGB}
 }
 
-// rentalPlan is what one look at the fleet orders.
-type rentalPlan struct {
-	l       *Leader
-	coming  []*slot // room on machines that are on their way, then on ordered ones
-	perZone map[string]int
-	count   int // machines that there are, come or are ordered
-	orders  map[offer]int
+// scaleOutPlan is what one look at the fleet orders.
+type scaleOutPlan struct {
+	scheduler      *Scheduler
+	incoming       []*capacitySlot // room on machines that are on their way, then on ordered ones
+	machinesByZone map[string]int
+	machineCount   int // machines that there are, come or are ordered
+	requests       map[offer]int
 }
 
-// rent asks for machines for what could not be placed, counting those that are
+// scaleOut asks for machines for what could not be placed, counting those that are
 // on their way, and for spare ones where price is no aim.
-func (l *Leader) rent(left []unplaced) {
-	if len(l.types) == 0 || !l.listed || !l.leads() || l.rentAt > 0 && l.now.Mono-l.rentAt < l.slowed(tuning.RentGap) {
+func (s *Scheduler) scaleOut(unplaced []unplacedTasks) {
+	if len(s.types) == 0 || !s.listed || !s.holdsLease() || s.rentAt > 0 && s.now.Mono-s.rentAt < s.scaleByCPUShare(tuning.MinScaleOutInterval) {
 		return
 	}
-	l.rentAt = l.now.Mono
-	p := l.newRentalPlan(left)
-	p.cover(left)
-	p.coverNextService()
-	p.coverSpare()
-	p.place()
+	s.rentAt = s.now.Mono
+	plan := s.newScaleOutPlan(unplaced)
+	plan.coverUnplaced(unplaced)
+	plan.coverNextService()
+	plan.coverHeadroom()
+	plan.sendRequests()
 }
 
-// newRentalPlan counts what there is and what is on its way.
-func (l *Leader) newRentalPlan(left []unplaced) *rentalPlan {
-	p := &rentalPlan{l: l, perZone: map[string]int{}, orders: map[offer]int{}}
-	late := l.lateBoots()
-	for _, m := range l.sorted() {
-		if m.phase != releasing {
-			p.perZone[m.zone]++
-			p.count++
+// newScaleOutPlan counts what there is and what is on its way.
+func (s *Scheduler) newScaleOutPlan(unplaced []unplacedTasks) *scaleOutPlan {
+	plan := &scaleOutPlan{scheduler: s, machinesByZone: map[string]int{}, requests: map[offer]int{}}
+	late := s.delayedBoots()
+	for _, m := range s.sortedMachines() {
+		if m.phase != machineReleasing {
+			plan.machinesByZone[m.zone]++
+			plan.machineCount++
 		}
-		if m.phase == booting && !m.failed && m.mt != nil && !late[m] {
-			p.coming = append(p.coming, newSlot(m.mt, m.zone, m.spot))
+		if m.phase == machineBooting && !m.failed && m.machineSpec != nil && !late[m] {
+			plan.incoming = append(plan.incoming, newCapacitySlot(m.machineSpec, m.zone, m.spot))
 		}
 	}
 	//mutation:provisioning-counts-unconfirmed-capacity
-	p.coming = append(p.coming, l.unheardRoom(leastOf(left))...)
-	for _, name := range slices.Sorted(maps.Keys(l.rentals)) {
-		p.expect(l.rentals[name])
+	plan.incoming = append(plan.incoming, s.unconfirmedCapacity(minimumOf(unplaced))...)
+	for _, name := range slices.Sorted(maps.Keys(s.rentals)) {
+		plan.addPending(s.rentals[name])
 	}
-	return p
+	return plan
 }
 
-// expect counts the machines of a rental without an answer.
-func (p *rentalPlan) expect(r *rentalState) {
-	t := p.l.types[r.offer.typ]
-	if t == nil {
+// addPending counts the machines of a rental without an answer.
+func (p *scaleOutPlan) addPending(request *pendingRequest) {
+	machineSpec := p.scheduler.types[request.offer.machineType]
+	if machineSpec == nil {
 		return
 	}
-	for range r.count {
-		p.coming = append(p.coming, newSlot(t, r.offer.zone, r.offer.spot))
+	for range request.count {
+		p.incoming = append(p.incoming, newCapacitySlot(machineSpec, request.offer.zone, request.offer.spot))
 	}
-	p.perZone[r.offer.zone] += r.count
-	p.count += r.count
+	p.machinesByZone[request.offer.zone] += request.count
+	p.machineCount += request.count
 }
 
 // order orders the machine that is best for a job, or, without one, as spare. It returns
 // nil if there is none to have.
-func (p *rentalPlan) order(j *job) *slot {
-	if most := p.l.cfg.Policy.MaxMachines; most > 0 && p.count >= most {
+func (p *scaleOutPlan) requestMachine(job *job) *capacitySlot {
+	if limit := p.scheduler.settings.Policy.MaxMachines; limit > 0 && p.machineCount >= limit {
 		return nil
 	}
-	o, ok := p.l.bestOffer(j, p.perZone)
+	o, ok := p.scheduler.bestOffer(job, p.machinesByZone)
 	if !ok {
 		return nil
 	}
-	p.orders[o]++
-	p.perZone[o.zone]++
-	p.count++
-	s := newSlot(p.l.types[o.typ], o.zone, o.spot)
-	p.coming = append(p.coming, s)
-	return s
+	p.requests[o]++
+	p.machinesByZone[o.zone]++
+	p.machineCount++
+	slot := newCapacitySlot(p.scheduler.types[o.machineType], o.zone, o.spot)
+	p.incoming = append(p.incoming, slot)
+	return slot
 }
 
-// cover finds room for tasks on what comes, and orders machines for the rest.
-func (p *rentalPlan) cover(left []unplaced) {
-	least := leastOf(left)
+// coverUnplaced finds room for tasks on what comes, and orders machines for the rest.
+func (p *scaleOutPlan) coverUnplaced(unplaced []unplacedTasks) {
+	minimum := minimumOf(unplaced)
 	full := 0 // slots at the front in which nothing of what is left fits any more
-	for _, w := range left {
-		for full < len(p.coming) && !p.coming[full].fits(least) {
+	for _, waiting := range unplaced {
+		for full < len(p.incoming) && !p.incoming[full].hasAtLeast(minimum) {
 			full++
 		}
-		n := w.n
-		for _, s := range p.coming[full:] {
-			if n = s.takeUpTo(w.j, n); n == 0 {
+		remaining := waiting.count
+		for _, slot := range p.incoming[full:] {
+			if remaining = slot.reserveUpTo(waiting.job, remaining); remaining == 0 {
 				break
 			}
 		}
-		for n > 0 {
-			s := p.order(w.j)
-			if s == nil {
+		for remaining > 0 {
+			slot := p.requestMachine(waiting.job)
+			if slot == nil {
 				break
 			}
-			rest := s.takeUpTo(w.j, n)
-			if rest == n {
+			stillRemaining := slot.reserveUpTo(waiting.job, remaining)
+			if stillRemaining == remaining {
 				break
 			}
-			n = rest
+			remaining = stillRemaining
 		}
 	}
 }
 
-// takeUpTo takes room for up to n tasks of the job, and says how many are left.
-func (s *slot) takeUpTo(j *job, n int) int {
-	for n > 0 && s.take(j) {
-		n--
+// reserveUpTo takes room for up to n tasks of the job, and says how many are left.
+func (s *capacitySlot) reserveUpTo(job *job, count int) int {
+	for count > 0 && s.reserveTask(job) {
+		count--
 	}
-	return n
+	return count
 }
 
 // coverNextService orders a machine if the next service would find no room.
-func (p *rentalPlan) coverNextService() {
-	s := p.l.newSpare()
-	if s.enough() {
+func (p *scaleOutPlan) coverNextService() {
+	headroom := p.scheduler.newFleetHeadroom()
+	if headroom.fitsNextService() {
 		return
 	}
 	fits := false
-	for _, c := range p.coming {
-		fits = fits || !c.spot && c.take(s.big)
+	for _, slot := range p.incoming {
+		fits = fits || !slot.spot && slot.reserveTask(headroom.largestService)
 	}
 	if !fits {
-		p.order(s.big)
+		p.requestMachine(headroom.largestService)
 	}
 }
 
-// coverSpare orders machines up to the spare capacity that operators want.
-func (p *rentalPlan) coverSpare() {
-	l := p.l
-	if l.cfg.Policy.SpareShare <= 0 {
+// coverHeadroom orders machines up to the spare capacity that operators want.
+func (p *scaleOutPlan) coverHeadroom() {
+	l := p.scheduler
+	if l.settings.Policy.HeadroomShare <= 0 {
 		return
 	}
-	used, total := l.capacity()
-	for _, r := range l.rentals {
-		if t := l.types[r.offer.typ]; t != nil {
-			total += t.CPUs * float64(r.count)
+	used, total := l.cpuUsage()
+	for _, request := range l.rentals {
+		if machineSpec := l.types[request.offer.machineType]; machineSpec != nil {
+			total += machineSpec.CPUs * float64(request.count)
 		}
 	}
-	for o, n := range p.orders {
-		total += l.types[o.typ].CPUs * float64(n)
+	for o, count := range p.requests {
+		total += l.types[o.machineType].CPUs * float64(count)
 	}
-	for total < used*(1+l.cfg.Policy.SpareShare) {
-		s := p.order(nil)
-		if s == nil {
+	for total < used*(1+l.settings.Policy.HeadroomShare) {
+		slot := p.requestMachine(nil)
+		if slot == nil {
 			return
 		}
-		total += s.mt.CPUs
+		total += slot.machineSpec.CPUs
 	}
 }
 
 // place sends the orders, a request for each kind of machine.
-func (p *rentalPlan) place() {
-	for _, o := range slices.SortedFunc(maps.Keys(p.orders), offer.compare) {
-		if !p.l.recovery.TakeCloudCall(p.l.now.Mono) {
+func (p *scaleOutPlan) sendRequests() {
+	for _, o := range slices.SortedFunc(maps.Keys(p.requests), offer.compare) {
+		if !p.scheduler.reconciler.TakeCloudCall(p.scheduler.now.Mono) {
 			return // the rest with a later look
 		}
-		p.l.order(o, min(p.orders[o], tuning.RentMax))
+		p.scheduler.sendProvisionRequest(o, min(p.requests[o], tuning.MaxProvisionBatch))
 	}
 }
 
@@ -220,88 +222,88 @@
 	case !o.spot && other.spot:
 		spot = -1
 	}
-	return cmp.Or(strings.Compare(o.typ, other.typ), strings.Compare(o.zone, other.zone), spot)
+	return cmp.Or(strings.Compare(o.machineType, other.machineType), strings.Compare(o.zone, other.zone), spot)
 }
 
-// lateBoots are the machines that may never come up: they are replaced at once, and
+// delayedBoots are the machines that may never come up: they are replaced at once, and
 // given back when their patience is over. Not where more are late than came up of
 // those rented in the same time: then boots are slow everywhere, more of them would
 // be as late, and renting would not end.
-func (l *Leader) lateBoots() map[*machine]bool {
-	late, came := map[*machine]bool{}, 0
-	for _, m := range l.machines {
-		boot := l.bootTime(m.typ)
-		age := l.now.Mono - m.rentedAt
+func (s *Scheduler) delayedBoots() map[*machine]bool {
+	delayed, finished := map[*machine]bool{}, 0
+	for _, m := range s.machines {
+		usual := s.bootTime(m.machineType)
+		age := s.now.Mono - m.rentedAt
 		switch {
-		case age < boot*tuning.BootLate/100 || age > 4*boot:
-		case m.phase == booting && !m.failed:
-			late[m] = true
-		case m.phase == up && m.ours:
-			came++
+		case age < usual*tuning.LateBootPercent/100 || age > 4*usual:
+		case m.phase == machineBooting && !m.failed:
+			delayed[m] = true
+		case m.phase == machineUp && m.ours:
+			finished++
 		}
 	}
-	if len(late) > came {
+	if len(delayed) > finished {
 		return nil
 	}
-	return late
+	return delayed
 }
 
-func (l *Leader) order(o offer, n int) {
-	l.nextHire++
+func (s *Scheduler) sendProvisionRequest(o offer, count int) {
+	s.nextHire++
 	// The term makes the name unlike any other leader's, the counter unlike
 	// any other of ours: a used name would rent nothing.
-	name := fmt.Sprintf("yg-%d-%d", l.term, l.nextHire)
-	l.rentals[name] = &rentalState{offer: o, count: n, at: l.now.Mono}
-	l.recovery.Ordered(l.now.Mono, recovery.Order{Kind: recovery.OrderRental})
-	l.line(false, "renting", "hire", name, "type", o.typ, "zone", o.zone, "spot", o.spot, "count", n)
-	l.out.Rent = append(l.out.Rent, Rental{wire.RentRequest{Name: name, Type: o.typ, Zone: o.zone, Spot: o.spot, Count: n}})
+	name := fmt.Sprintf("yg-%d-%d", s.term, s.nextHire)
+	s.rentals[name] = &pendingRequest{offer: o, count: count, sentAt: s.now.Mono}
+	s.reconciler.CountOperation(s.now.Mono, recovery.Operation{Kind: recovery.ProvisionOperation})
+	s.log(false, "renting", "hire", name, "type", o.machineType, "zone", o.zone, "spot", o.spot, "count", count)
+	s.effects.Provision = append(s.effects.Provision, ProvisionRequest{wire.ProvisionRequest{RequestID: name, Type: o.machineType, Zone: o.zone, Spot: o.spot, Count: count}})
 }
 
 // bestOffer chooses what to rent for a job, or, without one, as spare.
-func (l *Leader) bestOffer(j *job, perZone map[string]int) (offer, bool) {
-	var z map[string]int
-	if j != nil {
-		z = j.zones()
+func (s *Scheduler) bestOffer(job *job, machinesByZone map[string]int) (offer, bool) {
+	var attemptsByZone map[string]int
+	if job != nil {
+		attemptsByZone = job.attemptsByZone()
 	}
 	best, bestScore := offer{}, math.Inf(1)
-	for _, t := range l.sortedTypes() {
-		for _, zone := range t.Zones {
+	for _, machineSpec := range s.sortedMachineTypes() {
+		for _, zone := range machineSpec.Zones {
 			for _, spot := range []bool{false, true} {
-				o := offer{t.Name, zone, spot}
-				if l.now.Mono < l.noCap[o] || l.asked(o) || spot && !l.cfg.Policy.UseSpot {
+				o := offer{machineSpec.Name, zone, spot}
+				if s.now.Mono < s.noCap[o] || s.hasPendingRequest(o) || spot && !s.settings.Policy.UseSpot {
 					continue
 				}
-				per := 1.0
-				if j != nil {
-					if !t.Fits(&j.spec) || !j.allows(t.Name, zone, spot) || !j.zoneOpen(z, zone) {
+				tasksPerMachine := 1.0
+				if job != nil {
+					if !machineSpec.Fits(&job.spec) || !job.allowsMachine(machineSpec.Name, zone, spot) || !job.allowsZone(attemptsByZone, zone) {
 						continue
 					}
-					per = math.Inf(1) // tasks that fit on one
-					if j.spec.CPUs > 0 {
-						per = min(per, math.Floor(t.CPUs/j.spec.CPUs+epsilon))
+					tasksPerMachine = math.Inf(1) // tasks that fit on one
+					if job.spec.CPUs > 0 {
+						tasksPerMachine = min(tasksPerMachine, math.Floor(machineSpec.CPUs/job.spec.CPUs+epsilon))
 					}
-					if j.spec.MemoryGB > 0 {
-						per = min(per, math.Floor(t.MemoryGB/j.spec.MemoryGB+epsilon))
+					if job.spec.MemoryGB > 0 {
+						tasksPerMachine = min(tasksPerMachine, math.Floor(machineSpec.MemoryGB/job.spec.MemoryGB+epsilon))
 					}
-					per = max(1, min(per, 1000))
+					tasksPerMachine = max(1, min(tasksPerMachine, 1000))
 				} else {
-					per = t.CPUs
+					tasksPerMachine = machineSpec.CPUs
 				}
-				price := t.Price
+				price := machineSpec.Price
 				if spot {
-					price = t.SpotCost
+					price = machineSpec.SpotPrice
 				}
 				var score float64
-				if l.cfg.Thrifty {
-					score = price/per + 1e-4*float64(perZone[zone])
+				if s.settings.MinimizeCost {
+					score = price/tasksPerMachine + 1e-4*float64(machinesByZone[zone])
 				} else {
 					// Service first: ordinary machines stay, big ones serve
 					// more, zones are kept even.
-					score = float64(perZone[zone]) * 0.01
+					score = float64(machinesByZone[zone]) * 0.01
 					if spot {
 						score++
 					}
-					score -= 0.001 * min(per, 50)
+					score -= 0.001 * min(tasksPerMachine, 50)
 				}
 				if score < bestScore {
 					best, bestScore = o, score
@@ -315,8 +317,8 @@
 // asked reports whether a rental of the kind is unanswered. Its answer tells
 // whether there are more to have, so a second request would be a guess, and a
 // burst of them runs into the cloud's limit.
-func (l *Leader) asked(o offer) bool {
-	for _, r := range l.rentals {
+func (s *Scheduler) hasPendingRequest(o offer) bool {
+	for _, r := range s.rentals {
 		if r.offer == o {
 			return true
 		}
@@ -324,73 +326,73 @@
 	return false
 }
 
-func (l *Leader) sortedTypes() []*wire.MachineType {
-	out := make([]*wire.MachineType, 0, len(l.types))
-	for _, t := range l.types {
+func (s *Scheduler) sortedMachineTypes() []*wire.MachineType {
+	out := make([]*wire.MachineType, 0, len(s.types))
+	for _, t := range s.types {
 		out = append(out, t)
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].Name < out[b].Name })
 	return out
 }
 
-// capacityPause is how long an offer that had too few machines is not asked for
+// capacityBackoff is how long an offer that had too few machines is not asked for
 // again: as short as the cloud's rate allows for all offers together, since after a
 // wave that takes machines there are some again within seconds.
-func (l *Leader) capacityPause() time.Duration {
-	if l.cfg.CloudRate <= 0 {
-		return tuning.CapacityPause
+func (s *Scheduler) capacityBackoff() time.Duration {
+	if s.settings.CloudRate <= 0 {
+		return tuning.MaxCapacityBackoff
 	}
 	offers := 0
-	for _, t := range l.types {
+	for _, t := range s.types {
 		offers += 2 * len(t.Zones)
 	}
-	pause := time.Duration(float64(offers) / (l.cfg.CloudRate * tuning.RentShare) * float64(time.Second))
-	return min(max(pause, tuning.CapacityPauseLeast), tuning.CapacityPause)
+	pause := time.Duration(float64(offers) / (s.settings.CloudRate * tuning.CapacityRetryRateShare) * float64(time.Second))
+	return min(max(pause, tuning.MinCapacityBackoff), tuning.MaxCapacityBackoff)
 }
 
-// RentResult says what became of a rental.
-type RentResult int
+// ProvisionResult says what became of a rental.
+type ProvisionResult int
 
 // Outcomes of a rental.
 const (
-	RentUnknown RentResult = iota // machines may have been rented; the list will show them
-	RentDone                      // the named machines were rented
-	RentNone                      // no capacity
-	RentRefused                   // not carried out: trouble or too many requests
+	ProvisionUnknown    ProvisionResult = iota // machines may have been rented; the list will show them
+	ProvisionDone                              // the named machines were rented
+	ProvisionNoCapacity                        // no capacity
+	ProvisionRefused                           // not carried out: trouble or too many requests
 )
 
 // Rented takes the answer to a rental.
-func (l *Leader) Rented(now Now, name string, res RentResult, machines []string) {
-	l.now = now
-	r := l.rentals[name]
-	if r == nil {
+func (s *Scheduler) Provisioned(now Now, name string, result ProvisionResult, machines []string) {
+	s.now = now
+	request := s.rentals[name]
+	if request == nil {
 		return
 	}
-	delete(l.rentals, name)
-	switch res {
-	case RentDone:
-		l.count.Rented += uint64(len(machines))
+	delete(s.rentals, name)
+	switch result {
+	case ProvisionDone:
+		s.counters.MachinesProvisioned += uint64(len(machines))
 		for _, n := range machines {
-			if l.gone[n] {
+			if s.gone[n] {
 				continue
 			}
-			m := l.machines[n] // it may be up, and have reported, ahead of this answer
+			m := s.machines[n] // it may be up, and have reported, ahead of this answer
 			if m == nil {
-				m = l.addMachine(n, r.offer.typ, r.offer.zone, r.offer.spot, "")
+				m = s.addMachine(n, request.offer.machineType, request.offer.zone, request.offer.spot, "")
 			}
 			m.ours = true
 		}
-		if len(machines) < r.count {
-			l.noCap[r.offer] = now.Mono + l.capacityPause()
+		if len(machines) < request.count {
+			s.noCap[request.offer] = now.Mono + s.capacityBackoff()
 		}
-	case RentNone:
-		l.noCap[r.offer] = now.Mono + l.capacityPause()
-	case RentRefused:
-		l.noCap[r.offer] = now.Mono + 2*tuning.CloudRetry
-	case RentUnknown:
+	case ProvisionNoCapacity:
+		s.noCap[request.offer] = now.Mono + s.capacityBackoff()
+	case ProvisionRefused:
+		s.noCap[request.offer] = now.Mono + 2*tuning.CloudRetryDelay
+	case ProvisionUnknown:
 		// Whatever was rented is listed soon; until then nothing more of it.
-		l.noCap[r.offer] = now.Mono + l.capacityPause()
+		s.noCap[request.offer] = now.Mono + s.capacityBackoff()
 	}
-	l.line(false, "rental answered", "hire", name, "result", [...]string{"unknown", "rented", "no capacity", "refused"}[res], "machines", len(machines))
-	l.dirtyPlace = true
+	s.log(false, "rental answered", "hire", name, "result", [...]string{"unknown", "rented", "no capacity", "refused"}[result], "machines", len(machines))
+	s.dirtyPlace = true
 }
--- a/internal/core/replica.go
+++ b/internal/core/replica.go
@@ -11,99 +11,99 @@
 
 // LiveJob is a job's record as last seen.
 type LiveJob struct {
-	Record *store.JobRecord
-	Stamp  uint64
+	Record      *store.Job
+	ModRevision uint64
 }
 
 // Replica is a node's copy of the jobs in the state service. All live jobs are
 // in it; of the ended ones, as many as fit. It says what was true at Epoch and
 // is brought up to date by changes.
 type Replica struct {
-	Loaded bool
-	Epoch  uint64
-	Resets int // how often changes were passed over
-	Live   map[string]*LiveJob
-	ended  map[string]*list.Element
-	order  *list.List // of endedEntry, the most recently used first
-	absent map[string]bool
+	Loaded   bool
+	Revision uint64
+	Resets   int // how often changes were passed over
+	Live     map[string]*LiveJob
+	ended    map[string]*list.Element
+	recency  *list.List // of endedEntry, the most recently used first
+	absent   map[string]bool
 }
 
 type endedEntry struct {
-	id  string
-	rec store.EndedRecord
+	id     string
+	record store.EndedJob
 }
 
 // NewReplica makes an empty copy, which knows nothing until Reset.
 func NewReplica() *Replica {
-	return &Replica{Live: map[string]*LiveJob{}, ended: map[string]*list.Element{}, order: list.New(), absent: map[string]bool{}}
+	return &Replica{Live: map[string]*LiveJob{}, ended: map[string]*list.Element{}, recency: list.New(), absent: map[string]bool{}}
 }
 
 // Reset replaces the live jobs by a full read made at epoch. Ended jobs stay:
 // their state never changes.
-func (r *Replica) Reset(items []wire.Item, epoch uint64) (bad []string) {
+func (r *Replica) Reset(items []wire.KeyValue, epoch uint64) (bad []string) {
 	//mutation:reset-clears-absences
 	clear(r.absent) // changes were passed over
 	r.Resets++
 	r.Live = make(map[string]*LiveJob, len(items))
-	for _, it := range items {
-		rec, err := store.DecodeJob(it)
+	for _, item := range items {
+		record, err := store.DecodeJob(item)
 		if err != nil {
-			bad = append(bad, it.Key)
+			bad = append(bad, item.Key)
 			continue
 		}
-		r.Live[rec.Job.ID] = &LiveJob{Record: rec, Stamp: it.Stamp}
+		r.Live[record.Job.ID] = &LiveJob{Record: record, ModRevision: item.ModRevision}
 	}
-	r.Epoch, r.Loaded = epoch, true
+	r.Revision, r.Loaded = epoch, true
 	return bad
 }
 
-// Changed names a job that a change touched.
-type Changed struct {
+// JobChange names a job that a change touched.
+type JobChange struct {
 	ID   string
 	Live *LiveJob // nil if the job is no longer live
 }
 
-// Apply brings the copy up to date. Entries at or before the copy's epoch were
+// Then brings the copy up to date. Entries at or before the copy's epoch were
 // applied before, by another answer that overtook this one.
-func (r *Replica) Apply(c wire.Changes) (touched []Changed, bad []string) {
-	for _, e := range c.Log {
+func (r *Replica) Apply(changes wire.WatchReply) (touched []JobChange, bad []string) {
+	for _, entry := range changes.Events {
 		//mutation:change-order
-		if e.Stamp <= r.Epoch {
+		if entry.ModRevision <= r.Revision {
 			continue
 		}
 		switch {
-		case strings.HasPrefix(e.Set, store.JobPrefix):
-			rec, err := store.DecodeJob(wire.Item{Key: e.Set, Value: e.Value, Stamp: e.Stamp})
+		case strings.HasPrefix(entry.Set, store.LiveJobPrefix):
+			record, err := store.DecodeJob(wire.KeyValue{Key: entry.Set, Value: entry.Value, ModRevision: entry.ModRevision})
 			if err != nil {
-				bad = append(bad, e.Set)
+				bad = append(bad, entry.Set)
 				continue
 			}
-			lj := &LiveJob{Record: rec, Stamp: e.Stamp}
-			r.Live[rec.Job.ID] = lj
-			delete(r.absent, rec.Job.ID)
-			touched = append(touched, Changed{rec.Job.ID, lj})
-		case strings.HasPrefix(e.Set, store.EndedPrefix):
-			var rec store.EndedRecord
-			if err := wire.Unmarshal(e.Value, &rec); err != nil {
-				bad = append(bad, e.Set)
+			live := &LiveJob{Record: record, ModRevision: entry.ModRevision}
+			r.Live[record.Job.ID] = live
+			delete(r.absent, record.Job.ID)
+			touched = append(touched, JobChange{record.Job.ID, live})
+		case strings.HasPrefix(entry.Set, store.EndedJobPrefix):
+			var record store.EndedJob
+			if err := wire.Unmarshal(entry.Value, &record); err != nil {
+				bad = append(bad, entry.Set)
 				continue
 			}
-			r.Remember(store.IDOf(store.EndedPrefix, e.Set), rec)
-		case strings.HasPrefix(e.Delete, store.JobPrefix):
-			id := store.IDOf(store.JobPrefix, e.Delete)
+			r.RememberEnded(store.IDFromKey(store.EndedJobPrefix, entry.Set), record)
+		case strings.HasPrefix(entry.Delete, store.LiveJobPrefix):
+			id := store.IDFromKey(store.LiveJobPrefix, entry.Delete)
 			delete(r.Live, id)
-			touched = append(touched, Changed{id, nil})
+			touched = append(touched, JobChange{id, nil})
 		}
 	}
-	r.Epoch = max(r.Epoch, c.Epoch)
+	r.Revision = max(r.Revision, changes.Revision)
 	return touched, bad
 }
 
-// Missing notes that there is no ended job of the id, by a read sent after the copy
+// NoteAbsent notes that there is no ended job of the id, by a read sent after the copy
 // was brought up to date, and not reset since: what a reset passed over may have been the
 // job's whole life. Until a change makes one, neither is there a live one.
-func (r *Replica) Missing(id string) {
-	if len(r.absent) >= tuning.JobsCached {
+func (r *Replica) NoteAbsent(id string) {
+	if len(r.absent) >= tuning.MaxCachedEndedJobs {
 		clear(r.absent)
 	}
 	if _, ended := r.ended[id]; !ended && r.Live[id] == nil {
@@ -114,27 +114,27 @@
 // Absent reports whether there is no job of the id, as of the copy's epoch.
 func (r *Replica) Absent(id string) bool { return r.absent[id] }
 
-// Remember notes how a job ended.
-func (r *Replica) Remember(id string, rec store.EndedRecord) {
+// RememberEnded notes how a job ended.
+func (r *Replica) RememberEnded(id string, record store.EndedJob) {
 	delete(r.absent, id)
-	if el, ok := r.ended[id]; ok {
-		r.order.MoveToFront(el)
+	if element, ok := r.ended[id]; ok {
+		r.recency.MoveToFront(element)
 		return
 	}
-	r.ended[id] = r.order.PushFront(endedEntry{id, rec})
-	for r.order.Len() > tuning.JobsCached {
-		el := r.order.Back()
-		delete(r.ended, el.Value.(endedEntry).id)
-		r.order.Remove(el)
+	r.ended[id] = r.recency.PushFront(endedEntry{id, record})
+	for r.recency.Len() > tuning.MaxCachedEndedJobs {
+		element := r.recency.Back()
+		delete(r.ended, element.Value.(endedEntry).id)
+		r.recency.Remove(element)
 	}
 }
 
 // Ended tells how a job ended, if that is remembered.
-func (r *Replica) Ended(id string) (store.EndedRecord, bool) {
-	el, ok := r.ended[id]
+func (r *Replica) Ended(id string) (store.EndedJob, bool) {
+	element, ok := r.ended[id]
 	if !ok {
-		return store.EndedRecord{}, false
+		return store.EndedJob{}, false
 	}
-	r.order.MoveToFront(el)
-	return el.Value.(endedEntry).rec, true
+	r.recency.MoveToFront(element)
+	return element.Value.(endedEntry).record, true
 }
--- a/internal/core/spare.go
+++ b/internal/core/spare.go
@@ -4,95 +4,95 @@
 	"math"
 )
 
-// spare says whether enough room would be left without a machine: spare capacity
+// fleetHeadroom says whether enough room would be left without a machine: spare capacity
 // as the operators want it, and room at once for the next service, of as many
 // tasks as the largest live service job has, in its zones, on ordinary machines
 // that no other service fills (lower work there makes way). Without the latter, a
 // fleet that is economised down to what its services fill makes the next one wait
 // for a boot.
-type spare struct {
-	l           *Leader
-	used, total float64
-	big         *job // the largest service, or nil
-	room        map[string]int
-	roomOn      map[*machine]int
+type fleetHeadroom struct {
+	scheduler           *Scheduler
+	usedCPUs, totalCPUs float64
+	largestService      *job // the largest service, or nil
+	fittingByZone       map[string]int
+	fittingOn           map[*machine]int
 }
 
-func (l *Leader) newSpare() *spare {
-	s := &spare{l: l, room: map[string]int{}, roomOn: map[*machine]int{}}
-	s.used, s.total = l.capacity()
-	size := func(j *job) float64 { return float64(j.spec.Tasks) * j.spec.CPUs }
-	for _, j := range l.jobs {
-		if j.service && !j.cancelled && !j.archived && (s.big == nil || size(j) > size(s.big) || size(j) == size(s.big) && j.id < s.big.id) {
-			s.big = j
+func (s *Scheduler) newFleetHeadroom() *fleetHeadroom {
+	headroom := &fleetHeadroom{scheduler: s, fittingByZone: map[string]int{}, fittingOn: map[*machine]int{}}
+	headroom.usedCPUs, headroom.totalCPUs = s.cpuUsage()
+	size := func(service *job) float64 { return float64(service.spec.Tasks) * service.spec.CPUs }
+	for _, service := range s.jobs {
+		if service.service && !service.cancelled && !service.archived && (headroom.largestService == nil || size(service) > size(headroom.largestService) || size(service) == size(headroom.largestService) && service.id < headroom.largestService.id) {
+			headroom.largestService = service
 		}
 	}
-	if s.big == nil {
-		return s
+	if headroom.largestService == nil {
+		return headroom
 	}
-	j := s.big
-	for _, m := range l.machines {
-		if m.spot || m.phase != up || m.mt == nil || m.failed || m.leaveBy > 0 || m.unreachableSince > 0 || !j.allows(m.typ, m.zone, m.spot) {
+	service := headroom.largestService
+	for _, m := range s.machines {
+		if m.spot || m.phase != machineUp || m.machineSpec == nil || m.failed || m.leaveBy > 0 || m.unreachableSince > 0 || !service.allowsMachine(m.machineType, m.zone, m.spot) {
 			continue
 		}
-		cpus, mem := m.mt.CPUs, m.mt.MemoryGB
+		cpus, memoryGB := m.machineSpec.CPUs, m.machineSpec.MemoryGB
 		for _, a := range m.tasks {
-			if a.job != nil && a.job.rank <= j.rank {
+			if a.job != nil && a.job.rank <= service.rank {
 				cpus -= a.job.spec.CPUs
-				mem -= a.job.spec.MemoryGB
+				memoryGB -= a.job.spec.MemoryGB
 			}
 		}
-		n := 1 << 20
-		if j.spec.CPUs > 0 {
-			n = min(n, int(math.Floor(cpus/j.spec.CPUs+epsilon)))
+		fitting := 1 << 20
+		if service.spec.CPUs > 0 {
+			fitting = min(fitting, int(math.Floor(cpus/service.spec.CPUs+epsilon)))
 		}
-		if j.spec.MemoryGB > 0 {
-			n = min(n, int(math.Floor(mem/j.spec.MemoryGB+epsilon)))
+		if service.spec.MemoryGB > 0 {
+			fitting = min(fitting, int(math.Floor(memoryGB/service.spec.MemoryGB+epsilon)))
 		}
-		s.roomOn[m] = max(n, 0)
-		s.room[m.zone] += max(n, 0)
+		headroom.fittingOn[m] = max(fitting, 0)
+		headroom.fittingByZone[m.zone] += max(fitting, 0)
 	}
-	return s
+	return headroom
 }
 
-// enough reports whether the next service finds room.
-func (s *spare) enough() bool {
-	if s.big == nil {
+// fitsNextService reports whether the next service finds room.
+func (s *fleetHeadroom) fitsNextService() bool {
+	if s.largestService == nil {
 		return true
 	}
 	total := 0
-	for _, n := range s.room {
-		total += min(n, s.big.spec.ZoneCap())
+	for _, n := range s.fittingByZone {
+		total += min(n, s.largestService.spec.MaxTasksPerZone())
 	}
-	return total >= s.big.spec.Tasks
+	return total >= s.largestService.spec.Tasks
 }
 
 // without takes a machine away, if enough is left then.
-func (s *spare) without(m *machine) bool {
+func (s *fleetHeadroom) removeIfSpare(m *machine) bool {
 	cpus := 0.0
-	if m.mt != nil {
-		cpus = m.mt.CPUs
+	if m.machineSpec != nil {
+		cpus = m.machineSpec.CPUs
 	}
-	if s.total-cpus < s.used*(1+s.l.cfg.Policy.SpareShare) {
+	if s.totalCPUs-cpus < s.usedCPUs*(1+s.scheduler.settings.Policy.HeadroomShare) {
 		return false
 	}
-	s.room[m.zone] -= s.roomOn[m]
-	if !s.enough() {
-		s.room[m.zone] += s.roomOn[m]
+	s.fittingByZone[m.zone] -= s.fittingOn[m]
+	if !s.fitsNextService() {
+		s.fittingByZone[m.zone] += s.fittingOn[m]
 		return false
 	}
-	delete(s.roomOn, m)
-	s.total -= cpus
+	delete(s.fittingOn, m)
+	s.totalCPUs -= cpus
 	return true
 }
 
-// capacity sums what is in use and what there is, in CPUs.
-func (l *Leader) capacity() (used, total float64) {
-	for _, m := range l.machines {
-		if m.mt == nil || m.phase == releasing || m.failed || m.leaveBy > 0 {
+// cpuUsage sums what is in use and what there is, in CPUs.
+func (s *Scheduler) cpuUsage() (used, total float64) {
+	for _, m := range s.machines {
+		if m.machineSpec == nil || m.phase == machineReleasing || m.failed || m.leaveBy > 0 {
 			continue
 		}
-		total += m.mt.CPUs
+		total += m.machineSpec.CPUs
 		used += m.cpus
 	}
 	return used, total
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -7,57 +7,57 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Running is the number of running tasks by job, for display.
-func (l *Leader) Running() map[string]int {
+// RunningTasks is the number of running tasks by job, for display.
+func (s *Scheduler) RunningTasks() map[string]int {
 	out := map[string]int{}
-	for id, j := range l.jobs {
-		if j.running > 0 {
-			out[id] = j.running
+	for id, j := range s.jobs {
+		if j.runningCount > 0 {
+			out[id] = j.runningCount
 		}
 	}
 	return out
 }
 
 // Counters returns the running totals.
-func (l *Leader) Counters() Counters {
-	c := l.count
-	orders, traced, differences := l.recovery.Totals()
-	c.RecoveryOrders, c.RecoveryTraced, c.Differences = uint64(orders), uint64(traced), uint64(differences)
+func (s *Scheduler) Counters() Counters {
+	c := s.counters
+	orders, traced, differences := s.reconciler.Totals()
+	c.ReconcileOperations, c.ReconcileAttributed, c.Differences = uint64(orders), uint64(traced), uint64(differences)
 	return c
 }
 
 // MachineView is a machine as operators see it.
 type MachineView struct {
-	Name   string  `cbor:"name" json:"name"`
-	Type   string  `cbor:"type" json:"type"`
-	Zone   string  `cbor:"zone" json:"zone"`
-	Spot   bool    `cbor:"spot" json:"spot"`
-	State  string  `cbor:"state" json:"state"`
-	Tasks  int     `cbor:"tasks" json:"tasks"`
-	CPUs   float64 `cbor:"cpus_used" json:"cpus_used"`
-	Images int     `cbor:"images" json:"images"`
-	QuietS float64 `cbor:"quiet_s" json:"quiet_s"`
-	Avoid  bool    `cbor:"avoided" json:"avoided"`
+	Name          string  `cbor:"name" json:"name"`
+	Type          string  `cbor:"type" json:"type"`
+	Zone          string  `cbor:"zone" json:"zone"`
+	Spot          bool    `cbor:"spot" json:"spot"`
+	State         string  `cbor:"state" json:"state"`
+	Tasks         int     `cbor:"tasks" json:"tasks"`
+	CPUs          float64 `cbor:"cpus_used" json:"cpus_used"`
+	Images        int     `cbor:"images" json:"images"`
+	HeartbeatAgeS float64 `cbor:"quiet_s" json:"quiet_s"`
+	Quarantined   bool    `cbor:"avoided" json:"avoided"`
 }
 
-// Machines lists the machines by name, at most most of them after from.
-func (l *Leader) Machines(now Now, from string, most int) []MachineView {
+// MachineNames lists the machines by name, at most most of them after from.
+func (s *Scheduler) Machines(now Now, from string, limit int) []MachineView {
 	var out []MachineView
-	for _, m := range l.sorted() {
+	for _, m := range s.sortedMachines() {
 		if m.name <= from {
 			continue
 		}
-		if len(out) == most {
+		if len(out) == limit {
 			break
 		}
 		state := [...]string{"booting", "up", "releasing"}[m.phase]
-		if m.phase == up && !m.confirmed {
+		if m.phase == machineUp && !m.confirmed {
 			state = "unconfirmed"
 		}
 		if m.leaveBy > 0 {
 			state = "leaving"
 		}
-		out = append(out, MachineView{m.name, m.typ, m.zone, m.spot, state, len(m.tasks), m.cpus, len(m.images),
+		out = append(out, MachineView{m.name, m.machineType, m.zone, m.spot, state, len(m.tasks), m.cpus, len(m.images),
 			(now.Mono - m.heardAt).Seconds(), m.suspect > now.Mono})
 	}
 	return out
@@ -65,11 +65,11 @@
 
 // TaskView is an attempt as operators see it.
 type TaskView struct {
-	Task    string `cbor:"task" json:"task"`
-	Attempt uint64 `cbor:"attempt" json:"attempt"`
-	Machine string `cbor:"machine" json:"machine"`
-	State   string `cbor:"state" json:"state"`
-	Probes  int    `cbor:"probes" json:"probes"`
+	Task            string `cbor:"task" json:"task"`
+	Attempt         uint64 `cbor:"attempt" json:"attempt"`
+	Machine         string `cbor:"machine" json:"machine"`
+	State           string `cbor:"state" json:"state"`
+	DispatchRetries int    `cbor:"probes" json:"probes"`
 }
 
 // JobDetail is a job as operators see it.
@@ -82,7 +82,7 @@
 	Done     int        `cbor:"done" json:"done"`
 	Running  int        `cbor:"running" json:"running"`
 	Waiting  int        `cbor:"waiting" json:"waiting"`
-	Why      string     `cbor:"why" json:"why"`
+	Reason   string     `cbor:"why" json:"why"`
 	Failures int        `cbor:"failures" json:"failures"`
 	RetryInS float64    `cbor:"retry_in_s" json:"retry_in_s"`
 	Attempts []TaskView `cbor:"attempts" json:"attempts"`
@@ -92,25 +92,25 @@
 	switch {
 	case j.cancelled:
 		return wire.JobCancelled
-	case j.running > 0:
+	case j.runningCount > 0:
 		return wire.JobRunning
 	}
 	return wire.JobPending
 }
 
 // Job describes a live job, or returns nil.
-func (l *Leader) Job(now Now, id string) *JobDetail {
-	j := l.jobs[id]
+func (s *Scheduler) Job(now Now, id string) *JobDetail {
+	j := s.jobs[id]
 	if j == nil {
 		return nil
 	}
-	d := &JobDetail{ID: id, State: j.state(), Class: j.spec.Class, Team: j.spec.Team, Tasks: j.spec.Tasks, Done: j.nDone, Running: j.running,
-		Waiting: j.pending(), Why: j.why, Failures: j.failures, Attempts: []TaskView{}}
+	detail := &JobDetail{ID: id, State: j.state(), Class: j.spec.Class, Team: j.spec.Team, Tasks: j.spec.Tasks, Done: j.nDone, Running: j.runningCount,
+		Waiting: j.pendingTasks(), Reason: j.why, Failures: j.failures, Attempts: []TaskView{}}
 	if j.retryAt > now.Mono {
-		d.Why, d.RetryInS = "waits after failed attempts", (j.retryAt - now.Mono).Seconds()
+		detail.Reason, detail.RetryInS = "waits after failed attempts", (j.retryAt - now.Mono).Seconds()
 	}
-	for _, a := range j.attempts() {
-		if len(d.Attempts) == 200 {
+	for _, a := range j.sortedAttempts() {
+		if len(detail.Attempts) == 200 {
 			break // a page for people; counts are above
 		}
 		state := a.state
@@ -122,53 +122,53 @@
 		case state == "":
 			state = "starting"
 		}
-		d.Attempts = append(d.Attempts, TaskView{wire.TaskName(id, a.ref.index), a.number, a.m.name, state, a.probes})
+		detail.Attempts = append(detail.Attempts, TaskView{wire.TaskName(id, a.ref.index), a.number, a.machine.name, state, a.probes})
 	}
-	return d
+	return detail
 }
 
 // Failures lists failed attempts, the newest first, skipping skip of them.
-func (l *Leader) Failures(skip, most int) []Failure {
+func (s *Scheduler) Failures(skip, limit int) []Failure {
 	out := []Failure{}
-	for i := len(l.failures) - 1 - skip; i >= 0 && len(out) < most; i-- {
-		out = append(out, l.failures[i])
+	for i := len(s.failures) - 1 - skip; i >= 0 && len(out) < limit; i-- {
+		out = append(out, s.failures[i])
 	}
 	return out
 }
 
 // Waiting lists live jobs that wait, with the reason, by id after from.
-func (l *Leader) Waiting(now Now, from string, most int) []JobDetail {
+func (s *Scheduler) Waiting(now Now, from string, limit int) []JobDetail {
 	ids := []string{}
-	for id, j := range l.jobs {
-		if id > from && j.pending() > 0 {
+	for id, j := range s.jobs {
+		if id > from && j.pendingTasks() > 0 {
 			ids = append(ids, id)
 		}
 	}
 	sort.Strings(ids)
 	out := []JobDetail{}
-	for _, id := range ids[:min(len(ids), most)] {
-		d := l.Job(now, id)
-		d.Attempts = nil
-		out = append(out, *d)
+	for _, id := range ids[:min(len(ids), limit)] {
+		detail := s.Job(now, id)
+		detail.Attempts = nil
+		out = append(out, *detail)
 	}
 	return out
 }
 
-// LongestSilence is how long the quietest machine has been silent.
-func (l *Leader) LongestSilence(now Now) time.Duration {
+// LongestHeartbeatAge is how long the quietest machine has been silent.
+func (s *Scheduler) LongestHeartbeatAge(now Now) time.Duration {
 	var worst time.Duration
-	for _, m := range l.machines {
-		if m.phase == up {
+	for _, m := range s.machines {
+		if m.phase == machineUp {
 			worst = max(worst, now.Mono-m.heardAt)
 		}
 	}
 	return worst
 }
 
-// RunningOf is the number of the job's running tasks.
-func (l *Leader) RunningOf(id string) int {
-	if j := l.jobs[id]; j != nil {
-		return j.running
+// RunningTasksOf is the number of the job's running tasks.
+func (s *Scheduler) RunningTasksOf(id string) int {
+	if j := s.jobs[id]; j != nil {
+		return j.runningCount
 	}
 	return 0
 }
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -15,373 +15,373 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// world is a simulated deployment: five controller nodes that run the core, and
+// simulation is a simulated deployment: five controller nodes that run the core, and
 // stand-ins for everything else, with messages that are late, lost, repeated
 // and held back. Everything follows from the seed.
-type world struct {
+type simulation struct {
 	now   time.Duration
 	queue eventqueue.Queue
 	rng   *rand.Rand
 
-	state   *standin.State
-	rules   *standin.Rules
-	workers map[string]*standin.Worker
-	rented  map[string][]string
-	names   []string
-	nodes   []*simNode
-	types   []wire.MachineType
-	jobs    []*wire.Job
-	faulty  map[string]bool
-	cut     map[string]time.Duration // machine or node -> cut until
-	deaf    map[string]time.Duration // machine that nothing reaches until then
-	hung    map[string]time.Duration // machine that stands still until then
-	mute    map[string]time.Duration // machine that reaches no node until then, while direct calls reach it
-	times   map[string]*machineTimes
-	kept    []wire.Report            // copies of reports that arrive when somebody leads anew
-	zoneCut map[string]time.Duration // zone that is apart from the others until then
+	kvStore                *standin.KVStore
+	checker                *standin.RuleChecker
+	workers                map[string]*standin.Worker
+	provisioned            map[string][]string
+	machineNames           []string
+	controllers            []*simController
+	machineTypes           []wire.MachineType
+	jobs                   []*wire.Job
+	faultyMachines         map[string]bool
+	partitionedUntil       map[string]time.Duration // machine or node -> cut until
+	unreachableUntil       map[string]time.Duration // machine that nothing reaches until then
+	hungUntil              map[string]time.Duration // machine that stands still until then
+	heartbeatsBlockedUntil map[string]time.Duration // machine that reaches no node until then, while direct calls reach it
+	lifecycles             map[string]*machineLifecycle
+	heldHeartbeats         []wire.Heartbeat         // copies of reports that arrive when somebody leads anew
+	zonePartitionedUntil   map[string]time.Duration // zone that is apart from the others until then
 
-	size     worldSize
-	advanced time.Duration // when all workers last moved on
-	drained  int           // how often leaders settled
-	direct   int           // direct calls made
+	size        simulationSize
+	advancedAt  time.Duration // when all workers last moved on
+	settleCount int           // how often leaders settled
+	directCalls int           // direct calls made
 
-	trouble   bool // faults go on
-	lying     bool // the cloud answers releases without carrying them out
-	cloudDown bool
-	slowWatch time.Duration // the state service's answers to watches take seconds until then
-	cloudMute time.Duration // the cloud neither answers nor carries out releases until then
-	// releasesHeld is until when deletion requests are held back on their way.
-	releasesHeld time.Duration
-	lose         float64
-	hold         float64
-	repeat       float64
-	copies       float64 // of reports, seconds to well over a lease late
-	writeLag     int     // milliseconds that a leader's transaction may take longer
-	callLag      int     // milliseconds that a direct call and its answer may each take longer
-	lease        time.Duration
-	settings     core.Settings
-	trace        bool // print what the leaders log
-	without      guard
-	decisions    *decisionDigest // of all leaders; nil: not taken
+	faultsActive           bool // faults go on
+	cloudFakesReleases     bool // the cloud answers releases without carrying them out
+	cloudDown              bool
+	slowWatchUntil         time.Duration // the state service's answers to watches take seconds until then
+	cloudUnresponsiveUntil time.Duration // the cloud neither answers nor carries out releases until then
+	// releasesDelayedUntil is until when deletion requests are held back on their way.
+	releasesDelayedUntil time.Duration
+	lossRate             float64
+	delayRate            float64
+	duplicateRate        float64
+	heartbeatCopyRate    float64 // of reports, seconds to well over a lease late
+	maxWriteDelayMS      int     // milliseconds that a leader's transaction may take longer
+	maxCallDelayMS       int     // milliseconds that a direct call and its answer may each take longer
+	workerLease          time.Duration
+	settings             core.Settings
+	traceLogs            bool // print what the leaders log
+	disabled             safeguard
+	decisions            *decisionDigest // of all leaders; nil: not taken
 
-	slowLinks time.Duration // up to which links take longer
-	writes    float64       // changes a second that the state service takes; 0: any number
-	budget    float64       // changes that it takes now, as of budgeted
-	budgeted  time.Duration
-	refused   int // transactions of leaders that were over it
+	maxLinkDelay        time.Duration // up to which links take longer
+	writeRate           float64       // changes a second that the state service takes; 0: any number
+	writeBudget         float64       // changes that it takes now, as of budgeted
+	budgetRefilledAt    time.Duration
+	refusedTransactions int // transactions of leaders that were over it
 
-	changes    []int                    // that leaders asked for, by second; nil: not counted
-	acceptedAt map[string]time.Duration // when jobs were accepted; nil: not noted
+	changesBySecond []int                    // that leaders asked for, by second; nil: not counted
+	acceptedAt      map[string]time.Duration // when jobs were accepted; nil: not noted
 }
 
-// guard is what a world can do without, to show that its checker needs it.
-type guard int
+// safeguard is what a world can do without, to show that its checker needs it.
+type safeguard int
 
 const (
-	everyGuard   guard = iota
-	boundOnKnown       // leaders answer workers only while they know all cancellations
-	peersLists         // nodes tell each other of cancellations
-	seenThrough        // keeping alive counts from when cancellations are seen through
-	fromSending        // and not from when an answer is read
+	noSafeguard               safeguard = iota
+	keepaliveBoundByWatermark           // leaders answer workers only while they know all cancellations
+	peerCancellationLists               // nodes tell each other of cancellations
+	enforcedWatermark                   // keeping alive counts from when cancellations are seen through
+	watermarkAtReading                  // and not from when an answer is read
 )
 
-type simNode struct {
-	w             *world
-	name          string
-	leader        *core.Leader
-	permit        uint64
-	term          uint64
-	boot          int
-	replica       *core.Replica
-	refused       time.Duration // by the state service, until then
-	cut           time.Duration // from the state service and all peers, until then
-	alone         time.Duration // from all workers, until then
-	dead          time.Duration // until then
-	frozen        time.Duration // until then: it does nothing, and then what came meanwhile
-	born          time.Duration // its process's start
-	elected       time.Duration // when it last was
-	waits         bool          // for a slow answer to its watch
-	known         time.Duration // as of when its replica has all changes
-	confirmedAsOf map[*simNode]time.Duration
-	told          []string      // cancellations that users were told of here
-	led           time.Duration // as of when it knew all cancellations while it led
-	ledTerm       uint64
+type simController struct {
+	sim                     *simulation
+	name                    string
+	scheduler               *core.Scheduler
+	storeLease              uint64
+	term                    uint64
+	incarnation             int
+	replica                 *core.Replica
+	refusedUntil            time.Duration // by the state service, until then
+	partitionedUntil        time.Duration // from the state service and all peers, until then
+	workersUnreachableUntil time.Duration // from all workers, until then
+	downUntil               time.Duration // until then
+	pausedUntil             time.Duration // until then: it does nothing, and then what came meanwhile
+	startedAt               time.Duration // its process's start
+	electedAt               time.Duration // when it last was
+	watchInFlight           bool          // for a slow answer to its watch
+	replicaReadAt           time.Duration // as of when its replica has all changes
+	peerConfirmedAt         map[*simController]time.Duration
+	confirmedCancellations  []string      // cancellations that users were told of here
+	leaderWatermark         time.Duration // as of when it knew all cancellations while it led
+	leaderTerm              uint64
 }
 
-func (w *world) after(d time.Duration, f func()) { w.queue.Add(w.now+d, f) }
+func (sim *simulation) after(d time.Duration, f func()) { sim.queue.Add(sim.now+d, f) }
 
-func (w *world) every(d time.Duration, f func()) {
+func (sim *simulation) every(d time.Duration, f func()) {
 	var again func()
 	again = func() {
 		f()
-		w.after(d*3/4+time.Duration(w.rng.Int64N(int64(d/2)+1)), again)
+		sim.after(d*3/4+time.Duration(sim.rng.Int64N(int64(d/2)+1)), again)
 	}
-	w.after(time.Duration(w.rng.Int64N(int64(d)+1)), again)
+	sim.after(time.Duration(sim.rng.Int64N(int64(d)+1)), again)
 }
 
-func (w *world) run(until time.Duration) {
+func (sim *simulation) run(until time.Duration) {
 	for {
-		at, f, ok := w.queue.Next(until)
+		at, f, ok := sim.queue.Next(until)
 		if !ok {
 			break
 		}
-		w.now = at
+		sim.now = at
 		f()
 		// Workers also move on whenever something reaches them, so that a large
 		// world need not look at each of them with every event.
-		if w.now-w.advanced < w.size.step {
+		if sim.now-sim.advancedAt < sim.size.advanceEvery {
 			continue
 		}
-		w.advanced = w.now
-		for _, name := range w.names {
+		sim.advancedAt = sim.now
+		for _, name := range sim.machineNames {
 			// "A hanging machine does not execute its tasks, but it may resume at any
 			// time within its lease", and a task "is on its machine [...] until it
 			// exits, is killed or the machine is gone, including while it [...] cannot
 			// be reached". So on one that hangs for longer its tasks are until its
 			// worker, which kills them, resumes, or the machine is released: no end of
 			// a lease that passes meanwhile proves that they are gone.
-			if w.hung[name] <= w.now {
-				w.workers[name].Advance(w.now)
+			if sim.hungUntil[name] <= sim.now {
+				sim.workers[name].Advance(sim.now)
 			} else {
-				w.workers[name].Stand(w.now)
+				sim.workers[name].Pause(sim.now)
 			}
 		}
 	}
-	w.now = until
+	sim.now = until
 }
 
-func (w *world) chance(p float64) bool { return w.trouble && w.rng.Float64() < p }
+func (sim *simulation) chance(p float64) bool { return sim.faultsActive && sim.rng.Float64() < p }
 
-func (w *world) delay() time.Duration {
-	d := time.Duration(1+w.rng.IntN(20)) * time.Millisecond
-	if w.slowLinks > 0 {
-		d += time.Duration(w.rng.Int64N(int64(w.slowLinks)))
+func (sim *simulation) linkDelay() time.Duration {
+	d := time.Duration(1+sim.rng.IntN(20)) * time.Millisecond
+	if sim.maxLinkDelay > 0 {
+		d += time.Duration(sim.rng.Int64N(int64(sim.maxLinkDelay)))
 	}
-	if w.chance(0.03) {
-		d += time.Duration(w.rng.IntN(800)) * time.Millisecond
+	if sim.chance(0.03) {
+		d += time.Duration(sim.rng.IntN(800)) * time.Millisecond
 	}
 	return d
 }
 
-// lag draws up to that many milliseconds.
-func (w *world) lag(most int) time.Duration {
-	if most == 0 {
+// randomDelay draws up to that many milliseconds.
+func (sim *simulation) randomDelay(maxMS int) time.Duration {
+	if maxMS == 0 {
 		return 0
 	}
-	return w.between(0, most)
+	return sim.randomDuration(0, maxMS)
 }
 
-// fate decides what becomes of a message: how often it arrives, and when.
-func (w *world) fate(ends ...string) []time.Duration {
+// deliveries decides what becomes of a message: how often it arrives, and when.
+func (sim *simulation) deliveries(ends ...string) []time.Duration {
 	until := time.Duration(0)
-	for _, e := range ends {
-		until = max(until, w.cut[e])
-		for _, n := range w.nodes {
-			if n.name == e && w.workers[ends[0]] != nil {
-				until = max(until, n.alone)
+	for _, end := range ends {
+		until = max(until, sim.partitionedUntil[end])
+		for _, c := range sim.controllers {
+			if c.name == end && sim.workers[ends[0]] != nil {
+				until = max(until, c.workersUnreachableUntil)
 			}
 		}
-		if z := w.zoneOf(e); z != w.zoneOf(ends[0]) {
-			until = max(until, w.zoneCut[z], w.zoneCut[w.zoneOf(ends[0])])
+		if z := sim.zoneOf(end); z != sim.zoneOf(ends[0]) {
+			until = max(until, sim.zonePartitionedUntil[z], sim.zonePartitionedUntil[sim.zoneOf(ends[0])])
 		}
 	}
-	if until > w.now {
-		if w.chance(0.5) {
-			return []time.Duration{until - w.now + w.delay()} // held
+	if until > sim.now {
+		if sim.chance(0.5) {
+			return []time.Duration{until - sim.now + sim.linkDelay()} // held
 		}
 		return nil
 	}
-	if w.chance(w.lose) {
+	if sim.chance(sim.lossRate) {
 		return nil
 	}
-	out := []time.Duration{w.delay()}
-	if w.chance(w.hold) {
-		out[0] = time.Duration(w.rng.IntN(25000)) * time.Millisecond
-		if w.rng.IntN(8) == 0 {
+	out := []time.Duration{sim.linkDelay()}
+	if sim.chance(sim.delayRate) {
+		out[0] = time.Duration(sim.rng.IntN(25000)) * time.Millisecond
+		if sim.rng.IntN(8) == 0 {
 			out[0] *= 5 // minutes late
 		}
 	}
-	if w.chance(w.repeat) {
-		out = append(out, out[0]+time.Duration(w.rng.IntN(20000))*time.Millisecond)
+	if sim.chance(sim.duplicateRate) {
+		out = append(out, out[0]+time.Duration(sim.rng.IntN(20000))*time.Millisecond)
 	}
 	return out
 }
 
 // zoneOf is the zone of a machine or a node; of the nodes, zone a has three.
-func (w *world) zoneOf(name string) string {
-	if wk := w.workers[name]; wk != nil {
+func (sim *simulation) zoneOf(name string) string {
+	if wk := sim.workers[name]; wk != nil {
 		return wk.Zone
 	}
-	for i, n := range w.nodes {
-		if n.name == name {
+	for i, c := range sim.controllers {
+		if c.name == name {
 			return []string{"a", "b"}[i%2]
 		}
 	}
 	return ""
 }
 
-// worldSize is what makes a world small or large.
-type worldSize struct {
-	machines, most int           // at the start, and at most of a kind in a zone
-	report, cancel time.Duration // of the workers
-	limit          float64       // of a team, in CPUs
-	writes         float64       // changes a second that the state service takes
-	step           time.Duration // in which all workers move on
-	audit          int           // events between two audits of the leader's books
+// simulationSize is what makes a world small or large.
+type simulationSize struct {
+	initialMachines, maxPerKind          int           // at the start, and at most of a kind in a zone
+	heartbeatInterval, cancellationBound time.Duration // of the workers
+	teamCPUs                             float64       // of a team, in CPUs
+	writeRate                            float64       // changes a second that the state service takes
+	advanceEvery                         time.Duration // in which all workers move on
+	auditEvery                           int           // events between two audits of the leader's books
 }
 
 var (
-	smallWorld = worldSize{machines: 4, most: 3, report: 1500 * time.Millisecond, cancel: 40 * time.Second, limit: 24, writes: 40, audit: 1}
-	fleetWorld = worldSize{machines: 2400, most: 1300, report: 5 * time.Second, cancel: 40 * time.Second, limit: 14_000, writes: 70, step: 50 * time.Millisecond, audit: 5000}
+	smallSimulation = simulationSize{initialMachines: 4, maxPerKind: 3, heartbeatInterval: 1500 * time.Millisecond, cancellationBound: 40 * time.Second, teamCPUs: 24, writeRate: 40, auditEvery: 1}
+	fleetSimulation = simulationSize{initialMachines: 2400, maxPerKind: 1300, heartbeatInterval: 5 * time.Second, cancellationBound: 40 * time.Second, teamCPUs: 14_000, writeRate: 70, advanceEvery: 50 * time.Millisecond, auditEvery: 5000}
 )
 
-func newWorld(seed uint64) *world { return newWorldOf(seed, smallWorld) }
+func newSimulation(seed uint64) *simulation { return newSimulationOf(seed, smallSimulation) }
 
-func newWorldOf(seed uint64, size worldSize) *world {
-	w := &world{size: size, rng: rand.New(rand.NewPCG(seed, 7)), state: standin.NewState(12, 10000),
-		workers: map[string]*standin.Worker{}, rented: map[string][]string{}, faulty: map[string]bool{}, cut: map[string]time.Duration{}, deaf: map[string]time.Duration{}, hung: map[string]time.Duration{}, mute: map[string]time.Duration{}, times: map[string]*machineTimes{}, zoneCut: map[string]time.Duration{},
-		trouble: true, lease: 12 * time.Second}
-	w.types = []wire.MachineType{
-		{Name: "small", CPUs: 8, MemoryGB: 32, CacheGB: 20, FetchGBs: 0.5, Price: 1, SpotCost: 0.3, BootS: 5, Zones: []string{"a", "b"}},
-		{Name: "large", CPUs: 16, MemoryGB: 64, CacheGB: 20, FetchGBs: 0.5, Price: 2, SpotCost: 0.6, BootS: 5, Zones: []string{"a", "b"}},
-	}
-	w.state.Writes = size.writes + 10 // users' writes come on top of what the leader keeps to
-	w.rules = standin.NewRules(map[string]float64{"red": size.limit, "blue": size.limit}, size.cancel)
-	w.rules.Types(w.types)
-	w.settings = core.Settings{
-		Teams:  map[string]core.Team{"red": {CPUs: size.limit / 2, CPUsMax: size.limit}, "blue": {CPUs: size.limit / 2, CPUsMax: size.limit}},
-		Report: size.report, Lease: w.lease, Cancel: size.cancel, TxnOps: 12, ValueBytes: 4096, WriteRate: size.writes,
+func newSimulationOf(seed uint64, size simulationSize) *simulation {
+	sim := &simulation{size: size, rng: rand.New(rand.NewPCG(seed, 7)), kvStore: standin.NewKVStore(12, 10000),
+		workers: map[string]*standin.Worker{}, provisioned: map[string][]string{}, faultyMachines: map[string]bool{}, partitionedUntil: map[string]time.Duration{}, unreachableUntil: map[string]time.Duration{}, hungUntil: map[string]time.Duration{}, heartbeatsBlockedUntil: map[string]time.Duration{}, lifecycles: map[string]*machineLifecycle{}, zonePartitionedUntil: map[string]time.Duration{},
+		faultsActive: true, workerLease: 12 * time.Second}
+	sim.machineTypes = []wire.MachineType{
+		{Name: "small", CPUs: 8, MemoryGB: 32, CacheGB: 20, FetchGBPerS: 0.5, Price: 1, SpotPrice: 0.3, BootS: 5, Zones: []string{"a", "b"}},
+		{Name: "large", CPUs: 16, MemoryGB: 64, CacheGB: 20, FetchGBPerS: 0.5, Price: 2, SpotPrice: 0.6, BootS: 5, Zones: []string{"a", "b"}},
+	}
+	sim.kvStore.WriteRate = size.writeRate + 10 // users' writes come on top of what the leader keeps to
+	sim.checker = standin.NewRuleChecker(map[string]float64{"red": size.teamCPUs, "blue": size.teamCPUs}, size.cancellationBound)
+	sim.checker.SetMachineTypes(sim.machineTypes)
+	sim.settings = core.Settings{
+		Teams:             map[string]core.TeamQuota{"red": {CPUs: size.teamCPUs / 2, CPUsMax: size.teamCPUs}, "blue": {CPUs: size.teamCPUs / 2, CPUsMax: size.teamCPUs}},
+		HeartbeatInterval: size.heartbeatInterval, WorkerLease: sim.workerLease, CancellationBound: size.cancellationBound, MaxTransactionOps: 12, MaxValueBytes: 4096, WriteRate: size.writeRate,
 		Policy: policy.Defaults(false),
 	}
 	for i := range 5 {
-		n := &simNode{w: w, name: fmt.Sprintf("node-%d", i), replica: core.NewReplica()}
-		w.nodes = append(w.nodes, n)
-		w.every(300*time.Millisecond, n.elect)
-		w.every(100*time.Millisecond, n.watch)
-		w.every(200*time.Millisecond, n.tick)
-		w.every(700*time.Millisecond, n.hearPeers)
-	}
-	for i := range size.machines {
-		w.bootIn(0, w.types[i%2], []string{"a", "b"}[i/2%2], false)
-	}
-	w.every(time.Second, func() { w.rules.Check(w.now) })
-	w.every(3*time.Second, w.lookForWaiting)
-	return w
+		c := &simController{sim: sim, name: fmt.Sprintf("node-%d", i), replica: core.NewReplica()}
+		sim.controllers = append(sim.controllers, c)
+		sim.every(300*time.Millisecond, c.elect)
+		sim.every(100*time.Millisecond, c.watch)
+		sim.every(200*time.Millisecond, c.tick)
+		sim.every(700*time.Millisecond, c.pollPeers)
+	}
+	for i := range size.initialMachines {
+		sim.bootMachineIn(0, sim.machineTypes[i%2], []string{"a", "b"}[i/2%2], false)
+	}
+	sim.every(time.Second, func() { sim.checker.CheckCancelled(sim.now) })
+	sim.every(3*time.Second, sim.showFreeCapacity)
+	return sim
 }
 
-func (w *world) coreNow() core.Now {
-	return core.Now{Mono: w.now, Wall: w.now.Milliseconds()}
+func (sim *simulation) schedulerNow() core.Now {
+	return core.Now{Mono: sim.now, Wall: sim.now.Milliseconds()}
 }
 
-// machineTimes is what the cloud knows of a machine.
-type machineTimes struct {
-	rented time.Duration
-	up     time.Duration // when its worker begins; never is far away
-	died   time.Duration // on its own, 0: it has not
-	gone   time.Duration // deleted or taken, 0: it is not
+// machineLifecycle is what the cloud knows of a machine.
+type machineLifecycle struct {
+	provisionedAt time.Duration
+	upAt          time.Duration // when its worker begins; never is far away
+	diedAt        time.Duration // on its own, 0: it has not
+	removedAt     time.Duration // deleted or taken, 0: it is not
 }
 
 const never = 1 << 60 * time.Nanosecond
 
 // boot rents a machine: some are up at once, most after about the usual time, and while
 // there is trouble some take several times that, or never come up.
-func (w *world) boot(mt wire.MachineType, zone string, spot bool) string {
-	usual := time.Duration(mt.BootS * float64(time.Second))
-	d := time.Duration((0.6 + 0.9*w.rng.Float64()) * float64(usual))
-	switch x := w.rng.IntN(20); {
+func (sim *simulation) bootMachine(machineType wire.MachineType, zone string, spot bool) string {
+	usual := time.Duration(machineType.BootS * float64(time.Second))
+	bootTime := time.Duration((0.6 + 0.9*sim.rng.Float64()) * float64(usual))
+	switch x := sim.rng.IntN(20); {
 	case x < 6:
-		d = time.Duration(w.rng.IntN(1500)) * time.Millisecond
-	case x == 6 && w.trouble:
-		d *= 4
-	case x == 7 && w.trouble && w.rng.IntN(2) == 0:
-		d = never
+		bootTime = time.Duration(sim.rng.IntN(1500)) * time.Millisecond
+	case x == 6 && sim.faultsActive:
+		bootTime *= 4
+	case x == 7 && sim.faultsActive && sim.rng.IntN(2) == 0:
+		bootTime = never
 	}
-	return w.bootIn(d, mt, zone, spot)
+	return sim.bootMachineIn(bootTime, machineType, zone, spot)
 }
 
-// bootIn rents a machine that is up after d.
-func (w *world) bootIn(d time.Duration, mt wire.MachineType, zone string, spot bool) string {
-	name := fmt.Sprintf("n-%06d", len(w.names))
-	w.names = append(w.names, name)
-	w.times[name] = &machineTimes{rented: w.now, up: w.now + d}
-	w.faulty[name] = w.rng.Float64() < 0.1
+// bootMachineIn rents a machine that is up after d.
+func (sim *simulation) bootMachineIn(d time.Duration, machineType wire.MachineType, zone string, spot bool) string {
+	name := fmt.Sprintf("n-%06d", len(sim.machineNames))
+	sim.machineNames = append(sim.machineNames, name)
+	sim.lifecycles[name] = &machineLifecycle{provisionedAt: sim.now, upAt: sim.now + d}
+	sim.faultyMachines[name] = sim.rng.Float64() < 0.1
 	// Clocks of different machines drift apart by up to 0.05%.
-	lease := w.lease + time.Duration((w.rng.Float64()-0.5)*0.001*float64(w.lease))
-	wk := standin.NewWorker(w.now+d, lease, name, mt, zone, spot, w.rules,
+	lease := sim.workerLease + time.Duration((sim.rng.Float64()-0.5)*0.001*float64(sim.workerLease))
+	worker := standin.NewWorker(sim.now+d, lease, name, machineType, zone, spot, sim.checker,
 		func(string) time.Duration {
 			// Most tasks take seconds; some of a job end far apart from the others.
-			if w.rng.IntN(8) == 0 {
-				return time.Duration(30+w.rng.IntN(25)) * time.Second
+			if sim.rng.IntN(8) == 0 {
+				return time.Duration(30+sim.rng.IntN(25)) * time.Second
 			}
-			return time.Duration(2+w.rng.IntN(15)) * time.Second
+			return time.Duration(2+sim.rng.IntN(15)) * time.Second
 		},
-		func(string) bool { return w.trouble && w.faulty[name] && w.rng.Float64() < 0.5 })
-	w.workers[name] = wk
-	at := w.rng.IntN(len(w.nodes))
+		func(string) bool { return sim.faultsActive && sim.faultyMachines[name] && sim.rng.Float64() < 0.5 })
+	sim.workers[name] = worker
+	controllerIndex := sim.rng.IntN(len(sim.controllers))
 	var next func()
 	next = func() {
-		if wk.Gone {
+		if worker.Terminated {
 			return
 		}
-		if w.hung[name] > w.now {
-			w.after(w.hung[name]-w.now, next)
+		if sim.hungUntil[name] > sim.now {
+			sim.after(sim.hungUntil[name]-sim.now, next)
 			return
 		}
-		wk.Advance(w.now)
-		r := wk.Report(w.now)
-		sent, session := w.now, wk.Session
-		n := w.nodes[at]
+		worker.Advance(sim.now)
+		heartbeat := worker.Heartbeat(sim.now)
+		sent, session := sim.now, worker.Incarnation
+		c := sim.controllers[controllerIndex]
 		answered, early := false, false
-		if w.chance(w.copies) {
+		if sim.chance(sim.heartbeatCopyRate) {
 			// A copy comes late, to any node or to the next that leads, and nobody
 			// waits for its answer.
-			if w.rng.IntN(3) == 0 {
-				w.kept = append(w.kept, r)
+			if sim.rng.IntN(3) == 0 {
+				sim.heldHeartbeats = append(sim.heldHeartbeats, heartbeat)
 			} else {
-				w.after(time.Duration(1+w.rng.IntN(40))*time.Second, func() { w.nodes[w.rng.IntN(len(w.nodes))].checkin(&r) })
+				sim.after(time.Duration(1+sim.rng.IntN(40))*time.Second, func() { sim.controllers[sim.rng.IntN(len(sim.controllers))].heartbeat(&heartbeat) })
 			}
 		}
 		var arrivals []time.Duration
-		if w.mute[name] <= w.now {
-			arrivals = w.fate(name, n.name)
+		if sim.heartbeatsBlockedUntil[name] <= sim.now {
+			arrivals = sim.deliveries(name, c.name)
 		}
 		for _, d := range arrivals {
-			w.after(d, func() {
-				n.unfrozen(func() {
-					reply, ok := n.checkin(&r)
+			sim.after(d, func() {
+				c.afterPause(func() {
+					reply, ok := c.heartbeat(&heartbeat)
 					if !ok {
-						if n.alive() && !answered {
+						if c.alive() && !answered {
 							// Refused, or sent on: it tries the next node a second later.
 							answered, early = true, true
-							at = (at + 1) % len(w.nodes)
-							w.after(time.Second, next)
+							controllerIndex = (controllerIndex + 1) % len(sim.controllers)
+							sim.after(time.Second, next)
 						}
 						return
 					}
-					copies := w.fate(name, n.name)
-					if len(copies) == 0 || w.deaf[name] > w.now {
+					copies := sim.deliveries(name, c.name)
+					if len(copies) == 0 || sim.unreachableUntil[name] > sim.now {
 						return
 					}
 					d := copies[0] // a response is read once
-					if until := w.hung[name]; until > w.now+d {
-						d = until - w.now // it reads the answer when it resumes
+					if until := sim.hungUntil[name]; until > sim.now+d {
+						d = until - sim.now // it reads the answer when it resumes
 					}
-					w.after(d, func() {
-						if !answered && w.now-sent < 4*time.Second && w.hung[name] <= w.now {
+					sim.after(d, func() {
+						if !answered && sim.now-sent < 4*time.Second && sim.hungUntil[name] <= sim.now {
 							answered = true
-							wk.Reply(w.now, sent, session, reply)
+							worker.HandleHeartbeatReply(sim.now, sent, session, reply)
 							if len(reply.Commands) > 0 {
 								// What changes is reported at once, or nearly.
 								early = true
-								w.after(max(0, sent+500*time.Millisecond-w.now), next)
+								sim.after(max(0, sent+500*time.Millisecond-sim.now), next)
 							}
 						}
 					})
 				})
 			})
 		}
-		pause := w.size.report*3/4 + time.Duration(w.rng.Int64N(int64(w.size.report/2)))
-		w.after(pause, func() {
+		pause := sim.size.heartbeatInterval*3/4 + time.Duration(sim.rng.Int64N(int64(sim.size.heartbeatInterval/2)))
+		sim.after(pause, func() {
 			if early {
 				return
 			}
@@ -390,29 +390,29 @@
 				return
 			}
 			// One report is in flight at a time: wait for it to time out.
-			w.after(max(0, sent+4*time.Second-w.now), func() {
+			sim.after(max(0, sent+4*time.Second-sim.now), func() {
 				if !answered {
 					answered = true
-					at = (at + 1) % len(w.nodes)
+					controllerIndex = (controllerIndex + 1) % len(sim.controllers)
 				}
 				next()
 			})
 		})
 	}
 	if d < never {
-		w.after(d+time.Duration(w.rng.Int64N(int64(w.size.report*2/3))), next)
+		sim.after(d+time.Duration(sim.rng.Int64N(int64(sim.size.heartbeatInterval*2/3))), next)
 	}
 	return name
 }
 
-func (n *simNode) alive() bool { return n.w.now >= n.dead }
+func (c *simController) alive() bool { return c.sim.now >= c.downUntil }
 
-// unfrozen runs f, once the node goes on if it stands still, if it is the same process.
-func (n *simNode) unfrozen(f func()) {
-	if boot := n.boot; n.w.now < n.frozen {
-		n.w.after(n.frozen-n.w.now+n.w.delay(), func() {
-			if n.boot == boot {
-				n.unfrozen(f)
+// afterPause runs f, once the node goes on if it stands still, if it is the same process.
+func (c *simController) afterPause(f func()) {
+	if boot := c.incarnation; c.sim.now < c.pausedUntil {
+		c.sim.after(c.pausedUntil-c.sim.now+c.sim.linkDelay(), func() {
+			if c.incarnation == boot {
+				c.afterPause(f)
 			}
 		})
 		return
@@ -420,451 +420,455 @@
 	f()
 }
 
-func (n *simNode) stateOK() bool {
-	return n.alive() && n.w.now >= n.frozen && !n.w.state.Down && n.w.now >= n.refused && n.w.now >= n.cut
+func (c *simController) reachesStore() bool {
+	return c.alive() && c.sim.now >= c.pausedUntil && !c.sim.kvStore.Unavailable && c.sim.now >= c.refusedUntil && c.sim.now >= c.partitionedUntil
 }
 
-// hears reports whether the node and a peer reach each other.
-func (n *simNode) hears(p *simNode) bool {
-	w := n.w
-	for _, x := range []*simNode{n, p} {
-		if !x.alive() || w.now < x.frozen || w.now < x.cut {
+// reachesPeer reports whether the node and a peer reach each other.
+func (c *simController) reachesPeer(peer *simController) bool {
+	sim := c.sim
+	for _, x := range []*simController{c, peer} {
+		if !x.alive() || sim.now < x.pausedUntil || sim.now < x.partitionedUntil {
 			return false
 		}
 	}
-	return p != n && w.cut[n.name] <= w.now && w.cut[p.name] <= w.now &&
-		(w.zoneOf(n.name) == w.zoneOf(p.name) || w.zoneCut[w.zoneOf(n.name)] <= w.now && w.zoneCut[w.zoneOf(p.name)] <= w.now)
+	return peer != c && sim.partitionedUntil[c.name] <= sim.now && sim.partitionedUntil[peer.name] <= sim.now &&
+		(sim.zoneOf(c.name) == sim.zoneOf(peer.name) || sim.zonePartitionedUntil[sim.zoneOf(c.name)] <= sim.now && sim.zonePartitionedUntil[sim.zoneOf(peer.name)] <= sim.now)
 }
 
-// hearPeers learns what users were told at the others, as node.takeConfirmations has it, and
+// pollPeers learns what users were told at the others, as node.recordConfirmations has it, and
 // as of when the leader has seen cancellations through.
-func (n *simNode) hearPeers() {
-	for _, p := range n.w.nodes {
-		if !n.hears(p) {
+func (c *simController) pollPeers() {
+	for _, peer := range c.sim.controllers {
+		if !c.reachesPeer(peer) {
 			continue
 		}
-		if p.leader != nil && p.term >= n.ledTerm {
-			n.led, n.ledTerm = p.settled(), p.term
+		if peer.scheduler != nil && peer.term >= c.leaderTerm {
+			c.leaderWatermark, c.leaderTerm = peer.enforcedAsOf(), peer.term
 		}
-		if n.leader != nil {
-			if p.born < n.known {
-				n.confirmedAsOf[p] = n.w.now
+		if c.scheduler != nil {
+			if peer.startedAt < c.replicaReadAt {
+				c.peerConfirmedAt[peer] = c.sim.now
 			}
-			if n.outlived(p) {
-				n.leader.PeerOutlived()
+			if c.survivedFailover(peer) {
+				c.scheduler.ControllerSurvived()
 			}
-			n.leader.KnowsAsOf(n.asOf())
-			if n.w.without != peersLists {
-				n.leader.Cancelled(n.w.coreNow(), p.told)
+			c.scheduler.AdvanceCancellationWatermark(c.watermark())
+			if c.sim.disabled != peerCancellationLists {
+				c.scheduler.Cancelled(c.sim.schedulerNow(), peer.confirmedCancellations)
 			}
 		}
 	}
-	n.drain()
+	c.settle()
 }
 
-// outlived reports whether a node's process was up long before this one was elected.
-func (n *simNode) outlived(p *simNode) bool {
-	return n.elected-p.born > n.w.lease/tuning.ColdPart
+// survivedFailover reports whether a node's process was up long before this one was elected.
+func (c *simController) survivedFailover(peer *simController) bool {
+	return c.electedAt-peer.startedAt > c.sim.workerLease/tuning.ColdRestartLeaseDivisor
 }
 
-// asOf is as of when the node knows all cancellations: see node.asOf.
-func (n *simNode) asOf() time.Duration {
-	least := n.w.now
-	for _, p := range n.w.nodes {
-		if p == n {
+// watermark is as of when the node knows all cancellations: see node.watermark.
+func (c *simController) watermark() time.Duration {
+	least := c.sim.now
+	for _, peer := range c.sim.controllers {
+		if peer == c {
 			continue
 		}
-		if p.born >= n.known {
-			return n.known
+		if peer.startedAt >= c.replicaReadAt {
+			return c.replicaReadAt
 		}
-		least = min(least, n.confirmedAsOf[p])
+		least = min(least, c.peerConfirmedAt[peer])
 	}
-	return max(n.known, least)
+	return max(c.replicaReadAt, least)
 }
 
-func (n *simNode) keepalive() time.Duration {
-	return n.w.size.cancel - n.w.lease - tuning.KeepaliveMargin
+func (c *simController) keepaliveLimit() time.Duration {
+	return c.sim.size.cancellationBound - c.sim.workerLease - tuning.KeepaliveMargin
 }
 
 // stepDown ends a lead that is lost or given up.
-func (n *simNode) stepDown() {
-	n.led, n.leader = n.settled(), nil
+func (c *simController) stepDown() {
+	c.leaderWatermark, c.scheduler = c.enforcedAsOf(), nil
 }
 
-// settled is as of when the leader has seen all cancellations through.
-func (n *simNode) settled() time.Duration {
-	switch n.w.without {
-	case seenThrough:
-		return n.asOf()
-	case fromSending:
-		return n.w.now
-	}
-	return n.leader.SettledAsOf(n.asOf())
+// enforcedAsOf is as of when the leader has seen all cancellations through.
+func (c *simController) enforcedAsOf() time.Duration {
+	switch c.sim.disabled {
+	case enforcedWatermark:
+		return c.watermark()
+	case watermarkAtReading:
+		return c.sim.now
+	}
+	return c.scheduler.EnforcedCancellationWatermark(c.watermark())
 }
 
-func (n *simNode) crash(d time.Duration) {
-	n.leader, n.replica, n.ledTerm = nil, core.NewReplica(), 0
-	n.known, n.told, n.frozen, n.waits = 0, nil, 0, false
-	n.dead = n.w.now + d
-	n.born = n.dead
-	n.boot++
+func (c *simController) crash(d time.Duration) {
+	c.scheduler, c.replica, c.leaderTerm = nil, core.NewReplica(), 0
+	c.replicaReadAt, c.confirmedCancellations, c.pausedUntil, c.watchInFlight = 0, nil, 0, false
+	c.downUntil = c.sim.now + d
+	c.startedAt = c.downUntil
+	c.incarnation++
 }
 
 // elect is the election in short: take the key if it is free, renew the lease.
-func (n *simNode) elect() {
-	w := n.w
-	if w.now < n.frozen {
+func (c *simController) elect() {
+	sim := c.sim
+	if sim.now < c.pausedUntil {
 		return
 	}
-	if !n.stateOK() {
-		if n.leader != nil && w.now < n.cut && w.now-n.known > 4*time.Second {
-			n.stepDown() // as node.cutOff has it
+	if !c.reachesStore() {
+		if c.scheduler != nil && sim.now < c.partitionedUntil && sim.now-c.replicaReadAt > 4*time.Second {
+			c.stepDown() // as node.isolated has it
 		}
 		return
 	}
-	if n.leader != nil {
-		if !w.state.Renew(w.now, n.permit) {
-			n.stepDown()
+	if c.scheduler != nil {
+		if !sim.kvStore.RenewLease(sim.now, c.storeLease) {
+			c.stepDown()
 			return
 		}
-		n.leader.Held(w.now + tuning.LeaseTTL)
+		c.scheduler.LeaseHeldUntil(sim.now + tuning.LeaderLeaseTTL)
 		return
 	}
-	if it := w.state.Get(w.now, store.LeaderKey); it.Stamp != 0 {
-		var rec store.LeaderRecord
+	if it := sim.kvStore.Get(sim.now, store.LeaderKey); it.ModRevision != 0 {
+		var rec store.Leader
 		must(wire.Unmarshal(it.Value, &rec))
-		if rec.Node == n.name && rec.Boot != uint64(n.boot) {
-			w.state.Revoke(it.Permit) // left by its own earlier process
+		if rec.Node == c.name && rec.Boot != uint64(c.incarnation) {
+			sim.kvStore.RevokeLease(it.Lease) // left by its own earlier process
 		}
 		return
 	}
-	n.permit = w.state.Grant(w.now, tuning.LeaseTTL)
-	status, r := w.state.Commit(w.now, wire.Txn{
-		If:    []wire.Condition{{Key: store.LeaderKey}},
-		Apply: []wire.Change{{Set: store.LeaderKey, Value: store.LeaderRecord{Node: n.name, Boot: uint64(n.boot)}, Permit: &n.permit}},
+	c.storeLease = sim.kvStore.GrantLease(sim.now, tuning.LeaderLeaseTTL)
+	status, r := sim.kvStore.Commit(sim.now, wire.Txn{
+		If:   []wire.Compare{{Key: store.LeaderKey}},
+		Then: []wire.Op{{Set: store.LeaderKey, Value: store.Leader{Node: c.name, Boot: uint64(c.incarnation)}, Lease: &c.storeLease}},
 	})
 	if status != 200 {
 		return
 	}
-	n.term, n.elected = r.Epoch, w.now
-	boot := n.boot
-	if w.chance(0.1) {
-		n.crash(time.Duration(w.rng.IntN(500)) * time.Millisecond) // in the middle of an election
+	c.term, c.electedAt = r.Revision, sim.now
+	boot := c.incarnation
+	if sim.chance(0.1) {
+		c.crash(time.Duration(sim.rng.IntN(500)) * time.Millisecond) // in the middle of an election
 	}
-	w.after(w.delay(), func() {
-		if n.boot != boot || !n.stateOK() || !w.state.Renew(w.now, n.permit) {
+	sim.after(sim.linkDelay(), func() {
+		if c.incarnation != boot || !c.reachesStore() || !sim.kvStore.RenewLease(sim.now, c.storeLease) {
 			return
 		}
-		all := func(prefix string) []wire.Item { return w.state.Range(w.now, prefix, "", 1000).Items }
-		n.replica.Reset(all(store.JobPrefix), w.state.Epoch)
-		n.known, n.ledTerm, n.confirmedAsOf = w.now, n.term, map[*simNode]time.Duration{}
-		settings := w.settings
-		settings.ColdRestart = !slices.ContainsFunc(w.nodes, func(p *simNode) bool { return (p == n || n.hears(p)) && n.outlived(p) })
-		n.leader = core.NewLeader(w.coreNow(), settings, n.term, n.replica, all(store.BitsPrefix), all(store.BatchPrefix), w.types)
-		n.leader.Held(w.now + tuning.LeaseTTL)
-		n.drain()
-		for _, r := range w.kept {
-			w.after(time.Duration(w.rng.IntN(3000))*time.Millisecond, func() { n.checkin(&r) })
+		all := func(prefix string) []wire.KeyValue { return sim.kvStore.Range(sim.now, prefix, "", 1000).Items }
+		c.replica.Reset(all(store.LiveJobPrefix), sim.kvStore.Revision)
+		c.replicaReadAt, c.leaderTerm, c.peerConfirmedAt = sim.now, c.term, map[*simController]time.Duration{}
+		settings := sim.settings
+		settings.ColdRestart = !slices.ContainsFunc(sim.controllers, func(peer *simController) bool { return (peer == c || c.reachesPeer(peer)) && c.survivedFailover(peer) })
+		c.scheduler = core.New(sim.schedulerNow(), settings, c.term, c.replica, all(store.BitmapPrefix), all(store.BatchPrefix), sim.machineTypes)
+		c.scheduler.LeaseHeldUntil(sim.now + tuning.LeaderLeaseTTL)
+		c.settle()
+		for _, r := range sim.heldHeartbeats {
+			sim.after(time.Duration(sim.rng.IntN(3000))*time.Millisecond, func() { c.heartbeat(&r) })
 		}
-		w.kept = nil
+		sim.heldHeartbeats = nil
 	})
 }
 
-func (n *simNode) watch() {
-	if n.leader == nil || !n.stateOK() {
+func (c *simController) watch() {
+	if c.scheduler == nil || !c.reachesStore() {
 		return
 	}
-	if n.waits {
+	if c.watchInFlight {
 		return // one watch at a time
 	}
-	c, ok := n.w.state.Changes(n.w.now, store.JobsPrefix, n.replica.Epoch)
+	changes, ok := c.sim.kvStore.Changes(c.sim.now, store.JobsPrefix, c.replica.Revision)
 	if !ok {
 		panic("the stand-in forgot changes")
 	}
-	asked, l, boot, late := n.w.now, n.leader, n.boot, time.Duration(0)
+	asked, l, boot, late := c.sim.now, c.scheduler, c.incarnation, time.Duration(0)
 	switch {
-	case n.w.now < n.w.slowWatch:
-		late = n.w.between(500, 2500)
-	case n.w.chance(0.02):
-		late = n.w.between(0, 600)
+	case c.sim.now < c.sim.slowWatchUntil:
+		late = c.sim.randomDuration(500, 2500)
+	case c.sim.chance(0.02):
+		late = c.sim.randomDuration(0, 600)
 	default:
-		n.watched(c, asked)
+		c.applyWatch(changes, asked)
 		return
 	}
 	// The answer takes its time: it tells what was when it was asked.
-	n.waits = true
-	n.w.after(late, func() {
-		n.unfrozen(func() {
-			if n.boot != boot {
+	c.watchInFlight = true
+	c.sim.after(late, func() {
+		c.afterPause(func() {
+			if c.incarnation != boot {
 				return
 			}
 			// An answer that comes after a refusal began is none: the watch waits then.
-			if n.waits = false; n.leader == l && n.stateOK() {
-				n.watched(c, asked)
+			if c.watchInFlight = false; c.scheduler == l && c.reachesStore() {
+				c.applyWatch(changes, asked)
 			}
 		})
 	})
 }
 
-// watched takes a watch's answer to what was asked then.
-func (n *simNode) watched(c wire.Changes, asked time.Duration) {
-	n.leader.KnowsAsOf(n.asOf())
-	n.known = max(n.known, asked)
-	touched, bad := n.replica.Apply(c)
+// applyWatch takes a watch's answer to what was asked then.
+func (c *simController) applyWatch(changes wire.WatchReply, asked time.Duration) {
+	c.scheduler.AdvanceCancellationWatermark(c.watermark())
+	c.replicaReadAt = max(c.replicaReadAt, asked)
+	touched, bad := c.replica.Apply(changes)
 	if len(bad) > 0 {
 		panic(fmt.Sprint("unreadable records: ", bad))
 	}
-	n.leader.ReadAsOf(asked)
-	n.leader.JobsChanged(n.w.coreNow(), touched)
-	n.drain()
+	c.scheduler.JobsReadAt(asked)
+	c.scheduler.JobsChanged(c.sim.schedulerNow(), touched)
+	c.settle()
 }
 
-func (n *simNode) tick() {
-	if n.leader == nil || !n.alive() || n.w.now < n.frozen {
+func (c *simController) tick() {
+	if c.scheduler == nil || !c.alive() || c.sim.now < c.pausedUntil {
 		return
 	}
-	n.leader.Tick(n.w.coreNow())
-	if n.w.rng.IntN(10) == 0 && !n.w.cloudDown {
-		n.leader.Listed(n.w.coreNow(), n.w.list())
+	c.scheduler.Tick(c.sim.schedulerNow())
+	if c.sim.rng.IntN(10) == 0 && !c.sim.cloudDown {
+		c.scheduler.MachinesListed(c.sim.schedulerNow(), c.sim.machineList())
 	}
-	n.drain()
+	c.settle()
 }
 
-// listLag is the lag of the cloud's list.
-const listLag = 5 * time.Second
+// machineListDelay is the lag of the cloud's list.
+const machineListDelay = 5 * time.Second
 
 // list is the machine list as it was a while ago, at times twice as long, so that one may
 // be older than the one before: new machines are missing or still starting, gone ones are
 // there, and one that died shows as running for 30 s.
-func (w *world) list() []wire.ListedMachine {
-	lag := listLag
-	if w.rng.IntN(4) == 0 {
-		lag += time.Duration(w.rng.Int64N(int64(listLag)))
+func (sim *simulation) machineList() []wire.ListedMachine {
+	lag := machineListDelay
+	if sim.rng.IntN(4) == 0 {
+		lag += time.Duration(sim.rng.Int64N(int64(machineListDelay)))
 	}
-	at := w.now - lag
+	at := sim.now - lag
 	var out []wire.ListedMachine
-	for _, name := range w.names {
-		wk, t := w.workers[name], w.times[name]
-		if wk.Gone && t.gone == 0 && t.died == 0 {
-			t.died = w.now // noticed now
+	for _, name := range sim.machineNames {
+		worker, t := sim.workers[name], sim.lifecycles[name]
+		if worker.Terminated && t.removedAt == 0 && t.diedAt == 0 {
+			t.diedAt = sim.now // noticed now
 		}
-		if t.rented > max(at, 0) || t.gone > 0 && t.gone <= at {
+		if t.provisionedAt > max(at, 0) || t.removedAt > 0 && t.removedAt <= at {
 			continue
 		}
 		state := wire.MachineRunning
 		switch {
-		case t.up > max(at, 0):
+		case t.upAt > max(at, 0):
 			state = wire.MachineStarting
-		case t.died > 0 && t.died+30*time.Second <= at:
+		case t.diedAt > 0 && t.diedAt+30*time.Second <= at:
 			state = wire.MachineFailed
 		}
-		out = append(out, wire.ListedMachine{Name: name, Address: wk.Addr, Type: wk.Type, Zone: wk.Zone, Spot: wk.Spot, State: state, AgeS: max(0, at-t.rented).Seconds()})
+		out = append(out, wire.ListedMachine{Name: name, Address: worker.Address, Type: worker.Type, Zone: worker.Zone, Spot: worker.Spot, State: state, AgeS: max(0, at-t.provisionedAt).Seconds()})
 	}
 	return out
 }
 
-// remove ends a machine that is deleted or taken.
-func (w *world) remove(name string) {
-	if t := w.times[name]; t.gone == 0 {
-		t.gone = w.now
+// removeMachine ends a machine that is deleted or taken.
+func (sim *simulation) removeMachine(name string) {
+	if t := sim.lifecycles[name]; t.removedAt == 0 {
+		t.removedAt = sim.now
 	}
-	w.workers[name].Kill()
+	sim.workers[name].Terminate()
 }
 
-func (n *simNode) checkin(r *wire.Report) (wire.CheckinReply, bool) {
-	sent := false // on to the leader
-	for _, p := range n.w.nodes {
-		sent = sent || n.leader == nil && p.leader != nil && n.hears(p)
+func (c *simController) heartbeat(report *wire.Heartbeat) (wire.HeartbeatReply, bool) {
+	forwarded := false // on to the leader
+	for _, peer := range c.sim.controllers {
+		forwarded = forwarded || c.scheduler == nil && peer.scheduler != nil && c.reachesPeer(peer)
 	}
-	if n.leader == nil && n.alive() && !sent && n.ledTerm != 0 && core.Term(r.Token) == n.ledTerm {
+	if c.scheduler == nil && c.alive() && !forwarded && c.leaderTerm != 0 && core.TermOf(report.FencingToken) == c.leaderTerm {
 		// A node that is cut off keeps workers for a while: node.KeepaliveBound.
-		return wire.CheckinReply{Token: r.Token}, n.w.now-n.led < n.keepalive()
+		return wire.HeartbeatReply{FencingToken: report.FencingToken}, c.sim.now-c.leaderWatermark < c.keepaliveLimit()
 	}
-	if n.leader != nil && n.w.now-n.asOf() >= n.keepalive() && n.w.without != boundOnKnown {
-		n.stepDown()
+	if c.scheduler != nil && c.sim.now-c.watermark() >= c.keepaliveLimit() && c.sim.disabled != keepaliveBoundByWatermark {
+		c.stepDown()
 	}
-	if n.leader == nil || !n.alive() {
-		return wire.CheckinReply{}, false
+	if c.scheduler == nil || !c.alive() {
+		return wire.HeartbeatReply{}, false
 	}
-	reply, ok := n.leader.Checkin(n.w.coreNow(), r)
-	if n.w.decisions != nil {
-		n.w.decisions.addReply(n.w.now, n.name, r.Machine, reply, ok)
+	reply, ok := c.scheduler.Heartbeat(c.sim.schedulerNow(), report)
+	if c.sim.decisions != nil {
+		c.sim.decisions.addReply(c.sim.now, c.name, report.Machine, reply, ok)
 	}
-	n.drain()
+	c.settle()
 	return reply, ok
 }
 
-// drain settles the leader and carries out what it decided.
-func (n *simNode) drain() {
-	w, l := n.w, n.leader
-	if l == nil {
+// settle settles the leader and carries out what it decided.
+func (c *simController) settle() {
+	sim, sched := c.sim, c.scheduler
+	if sched == nil {
 		return
 	}
-	l.Settle(w.coreNow())
-	if w.drained++; w.drained%w.size.audit == 0 {
-		if err := l.Audit(); err != nil {
-			panic(fmt.Sprintf("%v: %v", w.now, err))
+	sched.Settle(sim.schedulerNow())
+	if sim.settleCount++; sim.settleCount%sim.size.auditEvery == 0 {
+		if err := sched.Audit(); err != nil {
+			panic(fmt.Sprintf("%v: %v", sim.now, err))
 		}
 	}
-	e := l.Take()
-	if w.decisions != nil {
-		w.decisions.addEffects(w.now, n.name, e)
+	effects := sched.TakeEffects()
+	if sim.decisions != nil {
+		sim.decisions.addEffects(sim.now, c.name, effects)
 	}
-	if w.trace {
-		for _, line := range e.Log {
-			fmt.Println(w.now, n.name, line.Msg, line.Args)
+	if sim.traceLogs {
+		for _, line := range effects.Log {
+			fmt.Println(sim.now, c.name, line.Msg, line.Args)
 		}
-		if e.Resign != "" {
-			fmt.Println(w.now, n.name, "resigns:", e.Resign)
+		if effects.Resign != "" {
+			fmt.Println(sim.now, c.name, "resigns:", effects.Resign)
 		}
 	}
-	with := func(f func()) {
-		n.unfrozen(func() {
-			if n.leader == l && n.alive() {
+	resume := func(f func()) {
+		c.afterPause(func() {
+			if c.scheduler == sched && c.alive() {
 				f()
-				n.drain()
+				c.settle()
 			}
 		})
 	}
-	for _, c := range e.Commits {
-		n.commit(c, with)
+	for _, effect := range effects.Commits {
+		c.commit(effect, resume)
 	}
-	for _, c := range e.Direct {
-		n.direct(c, with)
+	for _, effect := range effects.DirectCalls {
+		c.callWorker(effect, resume)
 	}
-	for _, r := range e.Rent {
-		w.after(w.delay(), func() {
-			if w.cloudDown {
-				with(func() { l.Rented(w.coreNow(), r.Request.Name, core.RentRefused, nil) })
+	for _, request := range effects.Provision {
+		sim.after(sim.linkDelay(), func() {
+			if sim.cloudDown {
+				resume(func() { sched.Provisioned(sim.schedulerNow(), request.Request.RequestID, core.ProvisionRefused, nil) })
 				return
 			}
 			carryOut := func() []string {
-				names, again := w.rented[r.Request.Name]
+				names, again := sim.provisioned[request.Request.RequestID]
 				if again {
 					return names
 				}
 				// As at a cloud, idle machines of one zone take no room in another:
 				// else a job that needs both would wait for what never comes.
 				live := 0
-				for name, wk := range w.workers {
-					if w.times[name].gone == 0 && !wk.Gone && wk.Zone == r.Request.Zone && wk.Spot == r.Request.Spot {
+				for name, wk := range sim.workers {
+					if sim.lifecycles[name].removedAt == 0 && !wk.Terminated && wk.Zone == request.Request.Zone && wk.Spot == request.Request.Spot {
 						live++
 					}
 				}
-				for i := 0; i < r.Request.Count && live < w.size.most; i++ {
+				for i := 0; i < request.Request.Count && live < sim.size.maxPerKind; i++ {
 					live++
-					for _, t := range w.types {
-						if t.Name == r.Request.Type {
-							names = append(names, w.boot(t, r.Request.Zone, r.Request.Spot))
+					for _, t := range sim.machineTypes {
+						if t.Name == request.Request.Type {
+							names = append(names, sim.bootMachine(t, request.Request.Zone, request.Request.Spot))
 						}
 					}
 				}
 				if len(names) > 0 {
-					w.rented[r.Request.Name] = names // after a refusal the same may be asked again
+					sim.provisioned[request.Request.RequestID] = names // after a refusal the same may be asked again
 				}
 				return names
 			}
-			if w.chance(0.05) {
+			if sim.chance(0.05) {
 				// No answer, and it is carried out late, when nobody expects it.
-				w.after(time.Duration(w.rng.IntN(40_000))*time.Millisecond, func() { carryOut() })
-				w.after(2*time.Second, func() { with(func() { l.Rented(w.coreNow(), r.Request.Name, core.RentUnknown, nil) }) })
+				sim.after(time.Duration(sim.rng.IntN(40_000))*time.Millisecond, func() { carryOut() })
+				sim.after(2*time.Second, func() {
+					resume(func() { sched.Provisioned(sim.schedulerNow(), request.Request.RequestID, core.ProvisionUnknown, nil) })
+				})
 				return
 			}
 			names := carryOut()
-			res := core.RentDone
+			result := core.ProvisionDone
 			if len(names) == 0 {
-				res = core.RentNone
+				result = core.ProvisionNoCapacity
 			}
-			if w.chance(0.1) {
-				res, names = core.RentUnknown, nil
+			if sim.chance(0.1) {
+				result, names = core.ProvisionUnknown, nil
 			}
 			// The first reports of machines that are up at once come before the answer.
-			w.after(w.delay(), func() { with(func() { l.Rented(w.coreNow(), r.Request.Name, res, names) }) })
+			sim.after(sim.linkDelay(), func() {
+				resume(func() { sched.Provisioned(sim.schedulerNow(), request.Request.RequestID, result, names) })
+			})
 		})
 	}
-	for _, names := range e.Release {
-		w.after(w.delay(), func() {
-			if w.cloudDown {
-				with(func() { l.Released(w.coreNow(), names, core.ReleaseRefused) })
+	for _, names := range effects.Release {
+		sim.after(sim.linkDelay(), func() {
+			if sim.cloudDown {
+				resume(func() { sched.Released(sim.schedulerNow(), names, core.ReleaseRefused) })
 				return
 			}
-			if w.now < w.cloudMute {
-				w.after(tuning.CloudTimeout, func() { with(func() { l.Released(w.coreNow(), names, core.ReleaseUnknown) }) })
+			if sim.now < sim.cloudUnresponsiveUntil {
+				sim.after(tuning.CloudTimeout, func() { resume(func() { sched.Released(sim.schedulerNow(), names, core.ReleaseUnknown) }) })
 				return
 			}
 			kill := func() {
 				for _, name := range names {
-					w.remove(name)
+					sim.removeMachine(name)
 				}
 			}
-			res := core.ReleaseDone
+			result := core.ReleaseDone
 			switch {
-			case w.lying:
-			case w.now < w.releasesHeld:
+			case sim.cloudFakesReleases:
+			case sim.now < sim.releasesDelayedUntil:
 				// Held back with the answers, and carried out when that ends.
-				w.after(w.releasesHeld-w.now+w.delay(), kill)
-				w.after(2*time.Second, func() { with(func() { l.Released(w.coreNow(), names, core.ReleaseUnknown) }) })
+				sim.after(sim.releasesDelayedUntil-sim.now+sim.linkDelay(), kill)
+				sim.after(2*time.Second, func() { resume(func() { sched.Released(sim.schedulerNow(), names, core.ReleaseUnknown) }) })
 				return
-			case w.chance(0.1): // no answer, and it is carried out late
-				res = core.ReleaseUnknown
-				w.after(time.Duration(w.rng.IntN(15_000))*time.Millisecond, kill)
+			case sim.chance(0.1): // no answer, and it is carried out late
+				result = core.ReleaseUnknown
+				sim.after(time.Duration(sim.rng.IntN(15_000))*time.Millisecond, kill)
 			default:
 				kill()
-				if w.chance(0.1) {
-					res = core.ReleaseUnknown
+				if sim.chance(0.1) {
+					result = core.ReleaseUnknown
 				}
 			}
-			with(func() { l.Released(w.coreNow(), names, res) })
+			resume(func() { sched.Released(sim.schedulerNow(), names, result) })
 		})
 	}
-	if e.Resign != "" && n.leader == l {
-		n.stepDown()
-		if n.stateOK() {
-			w.state.Revoke(n.permit)
+	if effects.Resign != "" && c.scheduler == sched {
+		c.stepDown()
+		if c.reachesStore() {
+			sim.kvStore.RevokeLease(c.storeLease)
 		}
 	}
 }
 
-func (n *simNode) commit(c core.Commit, with func(func())) {
-	w, l := n.w, n.leader
-	w.after(w.delay()+w.lag(w.writeLag), func() {
-		done := func(res core.CommitResult, rev uint64, failed []string) {
-			with(func() { l.CommitDone(w.coreNow(), c.ID, res, rev, failed) })
+func (c *simController) commit(commit core.Commit, resume func(func())) {
+	sim, sched := c.sim, c.scheduler
+	sim.after(sim.linkDelay()+sim.randomDelay(sim.maxWriteDelayMS), func() {
+		done := func(result core.CommitResult, rev uint64, failed []string) {
+			resume(func() { sched.CommitDone(sim.schedulerNow(), commit.ID, result, rev, failed) })
 		}
-		if !n.stateOK() {
+		if !c.reachesStore() {
 			done(core.CommitRefused, 0, nil)
 			return
 		}
-		if w.changes != nil {
-			w.changes[w.now/time.Second] += len(c.Txn.Apply)
+		if sim.changesBySecond != nil {
+			sim.changesBySecond[sim.now/time.Second] += len(commit.Txn.Then)
 		}
-		if !w.takes(len(c.Txn.Apply)) {
-			w.refused++
+		if !sim.acceptsWrites(len(commit.Txn.Then)) {
+			sim.refusedTransactions++
 			done(core.CommitRefused, 0, nil)
 			return
 		}
-		if w.chance(w.lose) {
+		if sim.chance(sim.lossRate) {
 			// No answer: carried out now, later, or not at all.
-			switch w.rng.IntN(3) {
+			switch sim.rng.IntN(3) {
 			case 0:
-				w.state.Commit(w.now, c.Txn)
+				sim.kvStore.Commit(sim.now, commit.Txn)
 			case 1:
-				w.late(c.Txn)
+				sim.commitLate(commit.Txn)
 			}
-			w.after(time.Second, func() { done(core.CommitUnknown, 0, nil) })
+			sim.after(time.Second, func() { done(core.CommitUnknown, 0, nil) })
 			return
 		}
-		status, r := w.state.Commit(w.now, c.Txn)
-		if w.chance(w.repeat) {
+		status, r := sim.kvStore.Commit(sim.now, commit.Txn)
+		if sim.chance(sim.duplicateRate) {
 			// A repeat of a request that was carried out.
-			w.after(time.Duration(w.rng.IntN(20000))*time.Millisecond, func() { w.state.Commit(w.now, c.Txn) })
+			sim.after(time.Duration(sim.rng.IntN(20000))*time.Millisecond, func() { sim.kvStore.Commit(sim.now, commit.Txn) })
 		}
-		w.after(w.delay(), func() {
+		sim.after(sim.linkDelay(), func() {
 			switch status {
 			case 200:
-				done(core.CommitDone, r.Epoch, nil)
+				done(core.CommitDone, r.Revision, nil)
 			case 409:
-				done(core.CommitConflict, 0, r.Failed)
+				done(core.CommitConflict, 0, r.FailedKeys)
 			case 429:
 				done(core.CommitRefused, 0, nil)
 			default:
@@ -874,171 +878,171 @@
 	})
 }
 
-func (n *simNode) direct(c core.DirectCall, with func(func())) {
-	w, l := n.w, n.leader
-	w.direct++
+func (c *simController) callWorker(call core.DirectCall, resume func(func())) {
+	sim, sched := c.sim, c.scheduler
+	sim.directCalls++
 	finished := false
-	finish := func(res core.CallResult, r *wire.Report) {
+	finish := func(result core.CallResult, report *wire.Heartbeat) {
 		if finished {
 			return
 		}
 		finished = true
-		with(func() { l.CallDone(w.coreNow(), c.ID, res, r) })
+		resume(func() { sched.CallDone(sim.schedulerNow(), call.ID, result, report) })
 	}
-	for _, d := range w.fate(c.Machine, n.name) {
-		w.after(d+w.lag(w.callLag), func() {
-			wk := w.workers[c.Machine]
-			if wk.Gone || w.deaf[c.Machine] > w.now || w.times[c.Machine].up > w.now {
+	for _, d := range sim.deliveries(call.Machine, c.name) {
+		sim.after(d+sim.randomDelay(sim.maxCallDelayMS), func() {
+			worker := sim.workers[call.Machine]
+			if worker.Terminated || sim.unreachableUntil[call.Machine] > sim.now || sim.lifecycles[call.Machine].upAt > sim.now {
 				return
 			}
 			var execute func()
 			execute = func() {
-				if until := w.hung[c.Machine]; until > w.now {
+				if until := sim.hungUntil[call.Machine]; until > sim.now {
 					// It takes up what came meanwhile once it goes on.
-					w.after(until-w.now, func() {
-						if !wk.Gone {
+					sim.after(until-sim.now, func() {
+						if !worker.Terminated {
 							execute()
 						}
 					})
 					return
 				}
-				status, r := wk.Commands(w.now, c.Body)
-				res := core.CallExecuted
+				status, report := worker.HandleCommands(sim.now, call.Body)
+				result := core.CallExecuted
 				if status == 409 {
-					res = core.CallRefused
+					result = core.CallRefused
 				}
-				for _, d := range w.fate(c.Machine, n.name) {
-					w.after(d+w.lag(w.callLag), func() { finish(res, &r) })
+				for _, d := range sim.deliveries(call.Machine, c.name) {
+					sim.after(d+sim.randomDelay(sim.maxCallDelayMS), func() { finish(result, &report) })
 				}
 			}
 			execute()
 		})
 	}
-	w.after(1500*time.Millisecond, func() { finish(core.CallLost, nil) })
+	sim.after(1500*time.Millisecond, func() { finish(core.CallLost, nil) })
 }
 
-// server is a node that users may come to, or nil if none can serve them.
-func (w *world) server() *simNode {
-	at := w.rng.IntN(len(w.nodes))
-	for i := range w.nodes {
-		if n := w.nodes[(at+i)%len(w.nodes)]; n.stateOK() {
-			return n
+// servingController is a node that users may come to, or nil if none can serve them.
+func (sim *simulation) servingController() *simController {
+	at := sim.rng.IntN(len(sim.controllers))
+	for i := range sim.controllers {
+		if c := sim.controllers[(at+i)%len(sim.controllers)]; c.reachesStore() {
+			return c
 		}
 	}
 	return nil
 }
 
-// late carries a transaction out seconds later, after newer ones.
-func (w *world) late(t wire.Txn) {
-	w.after(time.Duration(2000+w.rng.IntN(10_000))*time.Millisecond, func() { w.state.Commit(w.now, t) })
+// commitLate carries a transaction out seconds later, after newer ones.
+func (sim *simulation) commitLate(transaction wire.Txn) {
+	sim.after(time.Duration(2000+sim.rng.IntN(10_000))*time.Millisecond, func() { sim.kvStore.Commit(sim.now, transaction) })
 }
 
-// write runs a node's transaction for a user. It may get no answer, and be carried
+// commitForUser runs a node's transaction for a user. It may get no answer, and be carried
 // out all the same, then or later; the user comes again, by again.
-func (w *world) write(t wire.Txn, again func()) (status int) {
-	if !w.takes(len(t.Apply)) {
-		w.after(time.Second, again) // refused, with Retry-After
+func (sim *simulation) commitForUser(transaction wire.Txn, again func()) (status int) {
+	if !sim.acceptsWrites(len(transaction.Then)) {
+		sim.after(time.Second, again) // refused, with Retry-After
 		return 0
 	}
-	if !w.chance(w.lose) {
-		if status, _ = w.state.Commit(w.now, t); status == 429 {
-			w.after(time.Second, again)
+	if !sim.chance(sim.lossRate) {
+		if status, _ = sim.kvStore.Commit(sim.now, transaction); status == 429 {
+			sim.after(time.Second, again)
 			return 0
 		}
 		return status
 	}
-	switch w.rng.IntN(3) {
+	switch sim.rng.IntN(3) {
 	case 0:
-		w.state.Commit(w.now, t)
+		sim.kvStore.Commit(sim.now, transaction)
 	case 1:
-		w.late(t)
+		sim.commitLate(transaction)
 	}
-	w.after(2*time.Second, again)
+	sim.after(2*time.Second, again)
 	return 0
 }
 
-// submit stores a job as a node does for a user, who comes again until it is accepted.
-func (w *world) submit(j *wire.Job) {
-	j.CreatedMilli = w.now.Milliseconds()
-	w.rules.Submit(j)
-	var try func()
-	try = func() {
-		if w.server() == nil {
-			w.after(2*time.Second, try)
+// submitRequest stores a job as a node does for a user, who comes again until it is accepted.
+func (sim *simulation) submit(j *wire.Job) {
+	j.CreatedAtMilli = sim.now.Milliseconds()
+	sim.checker.AddJob(j)
+	var attempt func()
+	attempt = func() {
+		if sim.servingController() == nil {
+			sim.after(2*time.Second, attempt)
 			return
 		}
-		status := w.write(wire.Txn{
-			If:    []wire.Condition{{Key: store.JobKey(j.ID)}, {Key: store.EndedKey(j.ID)}},
-			Apply: []wire.Change{{Set: store.JobKey(j.ID), Value: store.JobRecord{Job: *j}}},
-		}, try)
+		status := sim.commitForUser(wire.Txn{
+			If:   []wire.Compare{{Key: store.JobKey(j.ID)}, {Key: store.EndedJobKey(j.ID)}},
+			Then: []wire.Op{{Set: store.JobKey(j.ID), Value: store.Job{Job: *j}}},
+		}, attempt)
 		if status != 0 {
-			w.jobs = append(w.jobs, j)
-			if w.acceptedAt != nil {
-				w.acceptedAt[j.ID] = w.now
+			sim.jobs = append(sim.jobs, j)
+			if sim.acceptedAt != nil {
+				sim.acceptedAt[j.ID] = sim.now
 			}
 		}
 		if status == 200 {
-			w.rules.Told(w.now, j.ID, wire.JobPending)
+			sim.checker.StateConfirmed(sim.now, j.ID, wire.JobPending)
 		}
 	}
-	try()
+	attempt()
 }
 
 // poll asks for a job's state as a node tells it; empty: no node can.
-func (w *world) poll(id string) string {
-	n := w.server()
-	w.rules.Polled(w.now, id, n != nil)
-	if n == nil {
+func (sim *simulation) pollJob(id string) string {
+	c := sim.servingController()
+	sim.checker.PollFinished(sim.now, id, c != nil)
+	if c == nil {
 		return ""
 	}
 	state := ""
-	if it := w.state.Get(w.now, store.EndedKey(id)); it.Stamp != 0 {
-		var rec store.EndedRecord
+	if it := sim.kvStore.Get(sim.now, store.EndedJobKey(id)); it.ModRevision != 0 {
+		var rec store.EndedJob
 		must(wire.Unmarshal(it.Value, &rec))
 		state = rec.State
-	} else if it := w.state.Get(w.now, store.JobKey(id)); it.Stamp != 0 {
+	} else if it := sim.kvStore.Get(sim.now, store.JobKey(id)); it.ModRevision != 0 {
 		rec, err := store.DecodeJob(it)
 		must(err)
 		state = wire.JobPending
 		if rec.Cancelled {
 			state = wire.JobCancelled
-			n.tell(id)
+			c.confirmCancellation(id)
 		}
 	}
-	w.rules.Told(w.now, id, state)
+	sim.checker.StateConfirmed(sim.now, id, state)
 	return state
 }
 
-// tell notes that a user is told here that a job is cancelled.
-func (n *simNode) tell(id string) {
-	if !slices.Contains(n.told, id) {
-		n.told = append(n.told, id)
+// confirmCancellation notes that a user is told here that a job is cancelled.
+func (c *simController) confirmCancellation(id string) {
+	if !slices.Contains(c.confirmedCancellations, id) {
+		c.confirmedCancellations = append(c.confirmedCancellations, id)
 	}
-	if n.leader != nil {
-		n.leader.KnowsAsOf(n.asOf())
-		n.leader.Cancelled(n.w.coreNow(), []string{id})
-		n.drain()
+	if c.scheduler != nil {
+		c.scheduler.AdvanceCancellationWatermark(c.watermark())
+		c.scheduler.Cancelled(c.sim.schedulerNow(), []string{id})
+		c.settle()
 	}
 }
 
-// cancel asks for a job's cancellation until it gets an answer.
-func (w *world) cancel(id string) {
-	w.rules.CancelAsked(id)
-	if n := w.server(); n != nil {
-		w.cancelAt(n, id)
+// cancellationBound asks for a job's cancellation until it gets an answer.
+func (sim *simulation) cancel(id string) {
+	sim.checker.CancelRequested(id)
+	if c := sim.servingController(); c != nil {
+		sim.cancelAt(c, id)
 		return
 	}
-	w.after(2*time.Second, func() { w.cancel(id) })
+	sim.after(2*time.Second, func() { sim.cancel(id) })
 }
 
 // cancelAt asks a node, and another one if that gives no answer.
-func (w *world) cancelAt(n *simNode, id string) {
-	w.rules.CancelAsked(id)
-	again := func() { w.cancel(id) }
-	it := w.state.Get(w.now, store.JobKey(id))
-	if it.Stamp == 0 {
-		if w.state.Get(w.now, store.EndedKey(id)).Stamp == 0 {
-			w.after(2*time.Second, again) // not accepted yet
+func (sim *simulation) cancelAt(c *simController, id string) {
+	sim.checker.CancelRequested(id)
+	again := func() { sim.cancel(id) }
+	it := sim.kvStore.Get(sim.now, store.JobKey(id))
+	if it.ModRevision == 0 {
+		if sim.kvStore.Get(sim.now, store.EndedJobKey(id)).ModRevision == 0 {
+			sim.after(2*time.Second, again) // not accepted yet
 		}
 		return
 	}
@@ -1046,35 +1050,35 @@
 	must(err)
 	if !rec.Cancelled {
 		rec.Cancelled = true
-		switch w.write(wire.Txn{
-			If:    []wire.Condition{{Key: it.Key, Stamp: it.Stamp}},
-			Apply: []wire.Change{{Set: it.Key, Value: rec}},
+		switch sim.commitForUser(wire.Txn{
+			If:   []wire.Compare{{Key: it.Key, ModRevision: it.ModRevision}},
+			Then: []wire.Op{{Set: it.Key, Value: rec}},
 		}, again) {
 		case 0:
 			return // no answer yet
 		case 409:
-			w.after(time.Second, again)
+			sim.after(time.Second, again)
 			return
 		}
 	}
-	n.tell(id)
-	w.rules.Told(w.now, id, wire.JobCancelled)
+	c.confirmCancellation(id)
+	sim.checker.StateConfirmed(sim.now, id, wire.JobCancelled)
 }
 
-// lookForWaiting shows the checker what is free, when a world has had its troubles.
-func (w *world) lookForWaiting() {
-	if w.trouble || w.size.machines > 100 {
+// showFreeCapacity shows the checker what is free, when a world has had its troubles.
+func (sim *simulation) showFreeCapacity() {
+	if sim.faultsActive || sim.size.initialMachines > 100 {
 		return
 	}
-	var free []standin.Room
-	for _, name := range w.names {
-		if wk := w.workers[name]; !wk.Gone && w.times[name].up <= w.now && !wk.Recalled() {
-			free = append(free, wk.Room())
+	var free []standin.FreeCapacity
+	for _, name := range sim.machineNames {
+		if wk := sim.workers[name]; !wk.Terminated && sim.lifecycles[name].upAt <= sim.now && !wk.InterruptionAnnounced() {
+			free = append(free, wk.FreeCapacity())
 		}
 	}
-	w.rules.Waiting(w.now, free, func(id string) bool {
-		for _, wk := range w.workers {
-			if wk.Has(id) {
+	sim.checker.CheckWaiting(sim.now, free, func(id string) bool {
+		for _, wk := range sim.workers {
+			if wk.HasJob(id) {
 				return true
 			}
 		}
@@ -1088,159 +1092,159 @@
 	}
 }
 
-// users submit, cancel and poll jobs of all kinds for the given time.
-func (w *world) users(until time.Duration) {
-	n := 0
-	w.every(2*time.Second, func() {
-		if w.now > until {
+// runUsers submit, cancel and poll jobs of all kinds for the given time.
+func (sim *simulation) runUsers(until time.Duration) {
+	submitted := 0
+	sim.every(2*time.Second, func() {
+		if sim.now > until {
 			return
 		}
-		n++
-		j := &wire.Job{ID: fmt.Sprintf("run-%06d", n), Class: "c", Team: []string{"red", "blue"}[w.rng.IntN(2)],
-			Shape: wire.ShapeArray, Rank: []string{wire.RankProduction, wire.RankUrgent, wire.RankNormal, wire.RankIdle}[w.rng.IntN(4)],
-			Tasks: 1 + w.rng.IntN(8), CPUs: float64(1 + w.rng.IntN(4)), MemoryGB: 2,
-			Image: fmt.Sprintf("img-%d", w.rng.IntN(4)), ImageGB: 1, Spot: w.rng.IntN(2) == 0, EstimateS: 8,
-			Together: w.rng.IntN(5) == 0, Scatter: w.rng.IntN(5) == 0}
-		if j.Together {
-			j.Scatter = false
+		submitted++
+		j := &wire.Job{ID: fmt.Sprintf("run-%06d", submitted), Class: "c", Team: []string{"red", "blue"}[sim.rng.IntN(2)],
+			Shape: wire.ShapeArray, Priority: []string{wire.PriorityProduction, wire.PriorityUrgent, wire.PriorityNormal, wire.PriorityIdle}[sim.rng.IntN(4)],
+			Tasks: 1 + sim.rng.IntN(8), CPUs: float64(1 + sim.rng.IntN(4)), MemoryGB: 2,
+			Image: fmt.Sprintf("img-%d", sim.rng.IntN(4)), ImageGB: 1, Spot: sim.rng.IntN(2) == 0, EstimatedRunS: 8,
+			SameZone: sim.rng.IntN(5) == 0, SpreadZones: sim.rng.IntN(5) == 0}
+		if j.SameZone {
+			j.SpreadZones = false
 		}
-		if w.rng.IntN(6) == 0 {
-			j.Shape, j.Tasks, j.EstimateS = wire.ShapeService, 1+w.rng.IntN(3), 0
+		if sim.rng.IntN(6) == 0 {
+			j.Shape, j.Tasks, j.EstimatedRunS = wire.ShapeService, 1+sim.rng.IntN(3), 0
 			id := j.ID
-			w.after(time.Duration(10+w.rng.IntN(60))*time.Second, func() { w.cancel(id) })
+			sim.after(time.Duration(10+sim.rng.IntN(60))*time.Second, func() { sim.cancel(id) })
 		}
-		if j.Shape == wire.ShapeArray && w.rng.IntN(6) == 0 {
-			j.Shape, j.Tasks = wire.ShapeGang, 1+w.rng.IntN(4)
+		if j.Shape == wire.ShapeArray && sim.rng.IntN(6) == 0 {
+			j.Shape, j.Tasks = wire.ShapeGang, 1+sim.rng.IntN(4)
 		}
-		if w.rng.IntN(5) == 0 {
-			j.CheckpointS, j.SaveS = 2, 3
+		if sim.rng.IntN(5) == 0 {
+			j.CheckpointIntervalS, j.CheckpointSaveS = 2, 3
 		}
-		if w.rng.IntN(3) == 0 {
-			due := float64(20 + w.rng.IntN(60))
-			j.DueS = &due
+		if sim.rng.IntN(3) == 0 {
+			due := float64(20 + sim.rng.IntN(60))
+			j.DeadlineS = &due
 		}
-		if w.rng.IntN(8) == 0 {
+		if sim.rng.IntN(8) == 0 {
 			id := j.ID
-			w.after(time.Duration(w.rng.IntN(20))*time.Second, func() { w.cancel(id) })
+			sim.after(time.Duration(sim.rng.IntN(20))*time.Second, func() { sim.cancel(id) })
 		}
-		if j.Shape == wire.ShapeArray && w.rng.IntN(4) == 0 {
-			w.cancelAtEnd(j)
+		if j.Shape == wire.ShapeArray && sim.rng.IntN(4) == 0 {
+			sim.cancelNearCompletion(j)
 		}
-		w.submit(j)
+		sim.submit(j)
 	})
-	w.every(time.Second, func() {
-		for _, j := range w.jobs {
-			w.poll(j.ID)
+	sim.every(time.Second, func() {
+		for _, j := range sim.jobs {
+			sim.pollJob(j.ID)
 		}
 	})
 }
 
-// cancelAtEnd cancels a job around the moment at which its last task completes: it is
+// cancelNearCompletion cancels a job around the moment at which its last task completes: it is
 // done or cancelled, whichever comes first, and stays that.
-func (w *world) cancelAtEnd(j *wire.Job) {
+func (sim *simulation) cancelNearCompletion(j *wire.Job) {
 	for i := range j.Tasks {
-		if !w.rules.Completed(wire.TaskName(j.ID, i)) {
-			w.after(100*time.Millisecond, func() { w.cancelAtEnd(j) })
+		if !sim.checker.IsCompleted(wire.TaskName(j.ID, i)) {
+			sim.after(100*time.Millisecond, func() { sim.cancelNearCompletion(j) })
 			return
 		}
 	}
-	w.after(time.Duration(w.rng.IntN(1500))*time.Millisecond, func() { w.cancel(j.ID) })
+	sim.after(time.Duration(sim.rng.IntN(1500))*time.Millisecond, func() { sim.cancel(j.ID) })
 }
 
-// troubles brings crashes, cuts, outages and refusals until the given time.
-func (w *world) troubles(until time.Duration) {
-	w.every(8*time.Second, func() {
-		if w.now > until {
+// injectFaults brings crashes, cuts, outages and refusals until the given time.
+func (sim *simulation) injectFaults(until time.Duration) {
+	sim.every(8*time.Second, func() {
+		if sim.now > until {
 			return
 		}
-		node := w.nodes[w.rng.IntN(len(w.nodes))]
-		machine := w.names[w.rng.IntN(len(w.names))]
-		long := time.Duration(1+w.rng.IntN(20)) * time.Second
-		switch w.rng.IntN(21) {
+		controller := sim.controllers[sim.rng.IntN(len(sim.controllers))]
+		machine := sim.machineNames[sim.rng.IntN(len(sim.machineNames))]
+		duration := time.Duration(1+sim.rng.IntN(20)) * time.Second
+		switch sim.rng.IntN(21) {
 		case 18:
-			w.mute[machine] = w.now + 2*long
+			sim.heartbeatsBlockedUntil[machine] = sim.now + 2*duration
 		case 19:
 			// The cloud takes a machine, most with a notice.
-			if wk := w.workers[machine]; wk.Spot && !wk.Gone {
+			if wk := sim.workers[machine]; wk.Spot && !wk.Terminated {
 				notice := time.Duration(0)
-				if w.rng.IntN(3) > 0 {
-					notice = long
-					wk.Recall(w.now + notice)
+				if sim.rng.IntN(3) > 0 {
+					notice = duration
+					wk.AnnounceInterruption(sim.now + notice)
 				}
-				w.after(notice, func() { w.remove(machine) })
+				sim.after(notice, func() { sim.removeMachine(machine) })
 			}
 		case 20:
-			if wk := w.workers[machine]; w.rng.IntN(2) == 0 {
-				wk.Kill() // it dies, and shows as running for a while
+			if wk := sim.workers[machine]; sim.rng.IntN(2) == 0 {
+				wk.Terminate() // it dies, and shows as running for a while
 			}
 		case 13, 14:
 			// A process stands still while its clocks run on, mostly the leader's.
-			for _, n := range w.nodes {
-				if n.leader != nil && w.rng.IntN(4) > 0 {
-					node = n
+			for _, c := range sim.controllers {
+				if c.scheduler != nil && sim.rng.IntN(4) > 0 {
+					controller = c
 				}
 			}
-			node.frozen = w.now + []time.Duration{long / 4, 2 * long}[w.rng.IntN(2)]
+			controller.pausedUntil = sim.now + []time.Duration{duration / 4, 2 * duration}[sim.rng.IntN(2)]
 		case 15:
-			w.hung[machine] = w.now + long
+			sim.hungUntil[machine] = sim.now + duration
 		case 16, 17:
 			// The state service refuses the leader alone, then everybody for
 			// longer than a cancellation has, while users cancel.
-			alone := time.Duration(w.rng.IntN(4000)) * time.Millisecond
-			for _, n := range w.nodes {
-				if n.leader != nil {
-					n.refused = w.now + alone
+			alone := time.Duration(sim.rng.IntN(4000)) * time.Millisecond
+			for _, c := range sim.controllers {
+				if c.scheduler != nil {
+					c.refusedUntil = sim.now + alone
 				}
 			}
-			if w.rng.IntN(2) == 0 && w.now+90*time.Second < until {
-				w.after(alone, func() { w.state.SetDown(w.now, true) })
-				w.after(alone+w.size.cancel+long, func() { w.state.SetDown(w.now, false) })
+			if sim.rng.IntN(2) == 0 && sim.now+90*time.Second < until {
+				sim.after(alone, func() { sim.kvStore.SetUnavailable(sim.now, true) })
+				sim.after(alone+sim.size.cancellationBound+duration, func() { sim.kvStore.SetUnavailable(sim.now, false) })
 			}
 		case 11, 12:
 			// Two zones are apart, or one is cut off from everything.
-			z := []string{"a", "b"}[w.rng.IntN(2)]
-			w.zoneCut[z] = w.now + 2*long
-			if w.rng.IntN(2) == 0 {
-				for _, n := range w.nodes {
-					if w.zoneOf(n.name) == z {
-						n.cut = w.now + 2*long
+			z := []string{"a", "b"}[sim.rng.IntN(2)]
+			sim.zonePartitionedUntil[z] = sim.now + 2*duration
+			if sim.rng.IntN(2) == 0 {
+				for _, c := range sim.controllers {
+					if sim.zoneOf(c.name) == z {
+						c.partitionedUntil = sim.now + 2*duration
 					}
 				}
 			}
 		case 8, 9:
-			w.deaf[machine] = w.now + 2*long
+			sim.unreachableUntil[machine] = sim.now + 2*duration
 		case 10:
 			// Whoever leads loses the state service and its peers, not its workers.
-			for _, n := range w.nodes {
-				if n.leader != nil {
-					n.cut = w.now + 2*long
+			for _, c := range sim.controllers {
+				if c.scheduler != nil {
+					c.partitionedUntil = sim.now + 2*duration
 				}
 			}
 		case 0:
-			node.crash(time.Duration(w.rng.IntN(4000)) * time.Millisecond)
+			controller.crash(time.Duration(sim.rng.IntN(4000)) * time.Millisecond)
 		case 1:
-			for _, n := range w.nodes {
-				n.crash(time.Duration(w.rng.IntN(4000)) * time.Millisecond)
+			for _, c := range sim.controllers {
+				c.crash(time.Duration(sim.rng.IntN(4000)) * time.Millisecond)
 			}
 		case 2:
-			node.refused = w.now + long
+			controller.refusedUntil = sim.now + duration
 		case 3:
-			w.cut[node.name] = w.now + long
+			sim.partitionedUntil[controller.name] = sim.now + duration
 		case 4, 5:
-			w.cut[machine] = w.now + long
+			sim.partitionedUntil[machine] = sim.now + duration
 		case 6:
-			w.state.SetDown(w.now, true)
-			w.after(long/2, func() { w.state.SetDown(w.now, false) })
+			sim.kvStore.SetUnavailable(sim.now, true)
+			sim.after(duration/2, func() { sim.kvStore.SetUnavailable(sim.now, false) })
 		case 7:
-			if w.rng.IntN(2) == 0 {
-				w.releasesHeld = w.now + 4*long
+			if sim.rng.IntN(2) == 0 {
+				sim.releasesDelayedUntil = sim.now + 4*duration
 				break
 			}
-			w.cloudDown = true
-			w.after(long, func() { w.cloudDown = false })
+			sim.cloudDown = true
+			sim.after(duration, func() { sim.cloudDown = false })
 		}
 	})
-	w.after(until, func() { w.trouble = false })
+	sim.after(until, func() { sim.faultsActive = false })
 	// What has begun before ends within this time.
-	w.after(until+time.Minute, func() { w.rules.TroublesOver(w.now) })
+	sim.after(until+time.Minute, func() { sim.checker.FaultsEnded(sim.now) })
 }
--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -9,20 +9,20 @@
 
 // Queue holds the events that are to come. The zero value is empty.
 type Queue struct {
-	events eventHeap
-	added  int
+	events      eventHeap
+	addedEvents int
 }
 
 type event struct {
-	at    time.Duration
-	order int
-	run   func()
+	at       time.Duration
+	sequence int
+	run      func()
 }
 
 // Add adds an event.
 func (q *Queue) Add(at time.Duration, run func()) {
-	q.added++
-	heap.Push(&q.events, event{at, q.added, run})
+	q.addedEvents++
+	heap.Push(&q.events, event{at, q.addedEvents, run})
 }
 
 // Next takes the first event out of the queue, unless it comes after until.
@@ -38,7 +38,7 @@
 
 func (h eventHeap) Len() int { return len(h) }
 func (h eventHeap) Less(a, b int) bool {
-	return h[a].at < h[b].at || h[a].at == h[b].at && h[a].order < h[b].order
+	return h[a].at < h[b].at || h[a].at == h[b].at && h[a].sequence < h[b].sequence
 }
 func (h eventHeap) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
 
--- a/internal/guards/faults_test.go
+++ b/internal/guards/faults_test.go
@@ -6,38 +6,38 @@
 		scenario: "a deletion is delayed while its machine runs on, and jobs there are cancelled",
 		marker:   "stops-while-releasing",
 		operator: remove(),
-		test:     "internal/core:^TestCancelledWhileItsMachineIsBeingReleased$",
+		test:     "internal/core:^TestCancellationDuringDelayedReleaseOfHungMachine$",
 	},
 	{
 		scenario: "machines hang past their lease, and their deletion is delayed",
 		marker:   "release-needs-proof",
 		// The mutation takes a call without an answer for an answer; the two are values of one type.
 		operator: replaceExpr("res == ReleaseRefused"),
-		test:     "internal/core:^TestHungMachinesTasksStartElsewhereOnlyByProof$",
+		test:     "internal/core:^TestTasksOfHungMachinesRestartOnlyAfterProof$",
 	},
 	{
 		scenario: "a provisioning request without an answer is carried out late, and its machines never come up",
 		marker:   "release-machine-that-never-came-up",
 		operator: replace(`""`),
-		test:     "internal/core:^TestUnexpectedMachinesAreReturned$",
+		test:     "internal/core:^TestUnexpectedMachinesAreAdoptedOrReleased$",
 	},
 	{
 		scenario: "a malformed retry of an accepted submission comes while the key-value store refuses",
 		marker:   "refusal-after-failed-read",
 		// The refusal is a parameter of the function.
 		operator: replaceExpr("refusal"),
-		test:     "internal/api:^TestRepeatedSubmissionIsNeverCalledMalformed$",
+		test:     "internal/api:^TestIdempotentSubmissionIsNeverInvalid$",
 	},
 	{
 		scenario: "a retry of an accepted submission has become too long",
 		marker:   "long-submission-of-known-job",
 		operator: keepArgument(2, 5),
-		test:     "internal/api:^TestRepeatedSubmissionIsNeverCalledMalformed$",
+		test:     "internal/api:^TestIdempotentSubmissionIsNeverInvalid$",
 	},
 	{
 		scenario: "one-task jobs arrive four a second and are cancelled as they start",
 		marker:   "stop-is-sent-at-once",
 		operator: remove(),
-		test:     "internal/core:^TestNothingStartsAfterAConfirmedCancellation$",
+		test:     "internal/core:^TestNoStartAfterConfirmedCancellation$",
 	},
 }
--- a/internal/guards/load_test.go
+++ b/internal/guards/load_test.go
@@ -2,7 +2,7 @@
 
 // Tests that several rows name.
 const (
-	probeBudgetTest = "internal/core:^TestQuestionsAreSpacedByTheShare$"
+	probeBudgetTest = "internal/core:^TestStatusProbesAreSpacedByCPUShare$"
 )
 
 // loadMutations are those of a failover's load: the leader's lease that outlasts it, and what
@@ -12,13 +12,13 @@
 		scenario: "all workers come to a new leader whose processor share is small",
 		marker:   "leader-lease-by-share",
 		operator: keepArgument(0, 2),
-		test:     "internal/node:^TestLeaseGrowsAsTheShareShrinks$",
+		test:     "internal/node:^TestLeaderLeaseGrowsAsCPUShareShrinks$",
 	},
 	{
 		scenario: "two leaders fail soon after each other, and the workers' leases are short",
 		marker:   "leader-lease-bound",
 		operator: keepArgument(0, 2),
-		test:     "internal/node:^TestLeaseGrowsAsTheShareShrinks$",
+		test:     "internal/node:^TestLeaderLeaseGrowsAsCPUShareShrinks$",
 	},
 	{
 		scenario: "a new leader with a small processor share probes thousands of machines",
@@ -36,36 +36,36 @@
 		scenario: "a worker that is about to send a heartbeat is probed as well",
 		marker:   "no-status-probe-before-heartbeat",
 		operator: replace("false"),
-		test:     "internal/core:^TestNoQuestionWhereAReportIsDue$",
+		test:     "internal/core:^TestNoStatusProbeWhereHeartbeatIsExpectedSoon$",
 	},
 	{
 		scenario: "more connections come than sockets or memory hold",
 		marker:   "connection-bound",
 		operator: alwaysTrue(),
-		test:     "cmd/yarrowgap:^TestConnectionsOverTheBound$",
+		test:     "cmd/yarrowgap:^TestConnectionsOverLimitAreClosed$",
 	},
 	{
 		scenario: "sockets are many and memory is small",
 		marker:   "connections-by-memory",
 		operator: remove(),
-		test:     "internal/config:^TestCapacity$",
+		test:     "internal/config:^TestCapacityLimits$",
 	},
 	{
 		scenario: "hundreds of heartbeats arrive at once, and the leader's lease is to be renewed",
 		marker:   "request-slots",
 		operator: setCondition(true),
-		test:     "internal/httpd:^TestPlaces$",
+		test:     "internal/httpd:^TestConcurrentRequestLimit$",
 	},
 	{
 		scenario: "a request's header does not end",
 		marker:   "header-size-limit",
 		operator: replace("1 << 30"),
-		test:     "internal/httpd:^TestWhatKeepsAndEndsAConnection$/a_head_without_end",
+		test:     "internal/httpd:^TestConnectionReuse$/a_head_without_end",
 	},
 	{
 		scenario: "a refused client still sends its body, and a reset overtakes the reply",
 		marker:   "linger-after-refusal",
 		operator: setCondition(false),
-		test:     "internal/httpd:^TestRefusalOfALargeBodyArrives$",
+		test:     "internal/httpd:^TestRejectionOfLargeBodyIsDelivered$",
 	},
 }
--- a/internal/httpd/conn.go
+++ b/internal/httpd/conn.go
@@ -19,37 +19,37 @@
 
 // conn is one connection.
 type conn struct {
-	server *Server
-	net    net.Conn
-	limit  io.LimitedReader // bounds what is read of the present request
-	in     *bufio.Reader
-	idle   atomic.Bool // between two requests
-	unread bool        // something of the last request was not read
+	server        *Server
+	netConn       net.Conn
+	limitedReader io.LimitedReader // bounds what is read of the present request
+	reader        *bufio.Reader
+	idle          atomic.Bool // between two requests
+	hasUnreadBody bool        // something of the last request was not read
 }
 
 func newConn(s *Server, nc net.Conn) *conn {
-	c := &conn{server: s, net: nc}
-	c.limit.R = nc
-	c.in = bufio.NewReaderSize(&c.limit, tuning.ConnBuffer)
+	c := &conn{server: s, netConn: nc}
+	c.limitedReader.R = nc
+	c.reader = bufio.NewReaderSize(&c.limitedReader, tuning.ConnReadBufferBytes)
 	return c
 }
 
 // closeIfIdle closes a connection that is between two requests.
 func (c *conn) closeIfIdle() {
 	if c.idle.Load() {
-		_ = c.net.Close()
+		_ = c.netConn.Close()
 	}
 }
 
 // serve handles one request after the other until the connection ends.
 func (c *conn) serve() {
 	defer c.server.untrack(c)
-	defer c.net.Close()
-	defer c.recover()
-	for c.await() && c.request() {
+	defer c.netConn.Close()
+	defer c.recoverPanic()
+	for c.awaitRequest() && c.serveRequest() {
 	}
 	//mutation:linger-after-refusal
-	if c.unread {
+	if c.hasUnreadBody {
 		c.linger()
 	}
 }
@@ -58,134 +58,134 @@
 // something unread is reset, and the reset may overtake the answer: the client would not
 // learn why it was refused.
 func (c *conn) linger() {
-	if c.net.SetReadDeadline(time.Now().Add(tuning.LingerFor)) == nil {
-		_, _ = io.CopyN(io.Discard, c.net, tuning.RequestBytes)
+	if c.netConn.SetReadDeadline(time.Now().Add(tuning.LingerTimeout)) == nil {
+		_, _ = io.CopyN(io.Discard, c.netConn, tuning.MaxRequestBytes)
 	}
 }
 
-func (c *conn) recover() {
+func (c *conn) recoverPanic() {
 	if v := recover(); v != nil && v != http.ErrAbortHandler {
-		c.server.log.Error("panic while a request was handled", "from", c.net.RemoteAddr().String(), "panic", fmt.Sprint(v), "stack", string(debug.Stack()))
+		c.server.log.Error("panic while a request was handled", "from", c.netConn.RemoteAddr().String(), "panic", fmt.Sprint(v), "stack", string(debug.Stack()))
 	}
 }
 
-// await waits for the first bytes of a request.
-func (c *conn) await() bool {
+// awaitRequest waits for the first bytes of a request.
+func (c *conn) awaitRequest() bool {
 	c.idle.Store(true)
 	defer c.idle.Store(false)
 	if c.server.isClosing() {
 		return false
 	}
-	if err := c.net.SetReadDeadline(time.Now().Add(tuning.IdleConn)); err != nil {
+	if err := c.netConn.SetReadDeadline(time.Now().Add(tuning.IdleConnTimeout)); err != nil {
 		return false
 	}
 	//mutation:header-size-limit
-	c.limit.N = tuning.HeadBytes
-	_, err := c.in.Peek(1)
+	c.limitedReader.N = tuning.MaxHeaderBytes
+	_, err := c.reader.Peek(1)
 	return err == nil
 }
 
-// request reads a request and answers it. It reports whether another may follow.
-func (c *conn) request() bool {
-	c.server.enter()
+// serveRequest reads a request and answers it. It reports whether another may follow.
+func (c *conn) serveRequest() bool {
+	c.server.acquireSlot()
 	inPlace := true
 	leave := func() {
 		if inPlace {
 			inPlace = false
-			c.server.leave()
+			c.server.releaseSlot()
 		}
 	}
 	defer leave()
-	req, err := c.read()
+	req, err := c.readRequest()
 	if err != nil {
-		c.refuse(err)
+		c.reject(err)
 		return false
 	}
 	//mutation:request-slots
-	if !c.server.brief(req) {
+	if !c.server.nonBlocking(req) {
 		leave()
 	}
-	w := newResponse()
-	defer w.free()
+	w := acquireResponse()
+	defer w.release()
 	c.server.handler.ServeHTTP(w, req)
-	c.unread = !drained(req.Body)
-	more := !req.Close && !w.closes() && !c.unread
-	if err := c.net.SetWriteDeadline(time.Now().Add(tuning.BodyTimeout)); err != nil {
+	c.hasUnreadBody = !drainBody(req.Body)
+	more := !req.Close && !w.closesConnection() && !c.hasUnreadBody
+	if err := c.netConn.SetWriteDeadline(time.Now().Add(tuning.BodyTimeout)); err != nil {
 		return false
 	}
-	_, err = c.net.Write(w.encode(req, more))
+	_, err = c.netConn.Write(w.encode(req, more))
 	return err == nil && more
 }
 
-var errHost = errors.New("no Host")
+var errMissingHost = errors.New("no Host")
 
-// read reads a request's head. Its body is read by the handler, within the limits.
-func (c *conn) read() (*http.Request, error) {
-	if err := c.net.SetReadDeadline(time.Now().Add(tuning.HeaderTimeout + tuning.BodyTimeout)); err != nil {
+// readRequest reads a request's head. Its body is read by the handler, within the limits.
+func (c *conn) readRequest() (*http.Request, error) {
+	if err := c.netConn.SetReadDeadline(time.Now().Add(tuning.HeaderTimeout + tuning.BodyTimeout)); err != nil {
 		return nil, err
 	}
-	req, err := http.ReadRequest(c.in)
+	req, err := http.ReadRequest(c.reader)
 	if err != nil {
 		return nil, err
 	}
 	if req.Host == "" && req.ProtoAtLeast(1, 1) {
-		return nil, errHost
+		return nil, errMissingHost
 	}
-	req.RemoteAddr = c.net.RemoteAddr().String()
-	c.limit.N = tuning.RequestBytes
+	req.RemoteAddr = c.netConn.RemoteAddr().String()
+	c.limitedReader.N = tuning.MaxRequestBytes
 	if strings.EqualFold(req.Header.Get("Expect"), "100-continue") {
-		_, err = io.WriteString(c.net, "HTTP/1.1 100 Continue\r\n\r\n")
+		_, err = io.WriteString(c.netConn, "HTTP/1.1 100 Continue\r\n\r\n")
 	}
 	return req, err
 }
 
-// refuse answers what is not a request. Where nothing more comes there is nobody to
+// reject answers what is not a request. Where nothing more comes there is nobody to
 // answer.
-func (c *conn) refuse(err error) {
+func (c *conn) reject(err error) {
 	var ne net.Error
 	status := http.StatusBadRequest
 	switch {
-	case c.limit.N <= 0:
+	case c.limitedReader.N <= 0:
 		status = http.StatusRequestHeaderFieldsTooLarge
 	case errors.Is(err, io.EOF), errors.As(err, &ne):
 		return
 	}
-	c.unread = true
-	_ = c.net.SetWriteDeadline(time.Now().Add(tuning.BodyTimeout))
-	_, _ = fmt.Fprintf(c.net, "HTTP/1.1 %d %s\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", status, http.StatusText(status))
+	c.hasUnreadBody = true
+	_ = c.netConn.SetWriteDeadline(time.Now().Add(tuning.BodyTimeout))
+	_, _ = fmt.Fprintf(c.netConn, "HTTP/1.1 %d %s\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", status, http.StatusText(status))
 }
 
-// drained reports whether nothing of a request's body is left, or so little that it was
+// drainBody reports whether nothing of a request's body is left, or so little that it was
 // read now.
-func drained(body io.ReadCloser) bool {
-	_, err := io.CopyN(io.Discard, body, tuning.DrainBytes)
+func drainBody(body io.ReadCloser) bool {
+	_, err := io.CopyN(io.Discard, body, tuning.MaxDrainBytes)
 	return errors.Is(err, io.EOF)
 }
 
 // response gathers an answer.
 type response struct {
-	header http.Header
-	status int
-	body   bytes.Buffer
-	out    bytes.Buffer
+	header  http.Header
+	status  int
+	body    bytes.Buffer
+	encoded bytes.Buffer
 }
 
-var responses = sync.Pool{New: func() any { return &response{header: http.Header{}} }}
+var responsePool = sync.Pool{New: func() any { return &response{header: http.Header{}} }}
 
-func newResponse() *response {
-	return responses.Get().(*response)
+func acquireResponse() *response {
+	return responsePool.Get().(*response)
 }
 
-// free gives the response back for another request, unless its buffers have grown large.
-func (w *response) free() {
-	if w.body.Cap()+w.out.Cap() > tuning.PooledBytes {
+// release gives the response back for another request, unless its buffers have grown large.
+func (w *response) release() {
+	if w.body.Cap()+w.encoded.Cap() > tuning.MaxPooledBytes {
 		return
 	}
 	clear(w.header)
 	w.status = 0
 	w.body.Reset()
-	w.out.Reset()
-	responses.Put(w)
+	w.encoded.Reset()
+	responsePool.Put(w)
 }
 
 // Header is what is sent before the body.
@@ -204,25 +204,25 @@
 	return w.body.Write(b)
 }
 
-func (w *response) closes() bool { return w.header.Get("Connection") == "close" }
+func (w *response) closesConnection() bool { return w.header.Get("Connection") == "close" }
 
 // encode puts the whole answer into one piece.
-func (w *response) encode(req *http.Request, more bool) []byte {
+func (w *response) encode(req *http.Request, keepAlive bool) []byte {
 	w.WriteHeader(http.StatusOK)
-	if !more {
+	if !keepAlive {
 		w.header.Set("Connection", "close")
 	}
-	fmt.Fprintf(&w.out, "HTTP/1.1 %d %s\r\n", w.status, http.StatusText(w.status))
+	fmt.Fprintf(&w.encoded, "HTTP/1.1 %d %s\r\n", w.status, http.StatusText(w.status))
 	if w.status != http.StatusNoContent && w.status != http.StatusNotModified {
-		fmt.Fprintf(&w.out, "Content-Length: %d\r\n", w.body.Len())
+		fmt.Fprintf(&w.encoded, "Content-Length: %d\r\n", w.body.Len())
 	}
-	w.out.WriteString("Date: ")
-	w.out.Write(time.Now().UTC().AppendFormat(w.out.AvailableBuffer(), http.TimeFormat))
-	w.out.WriteString("\r\n")
-	_ = w.header.Write(&w.out) // a buffer takes all
-	w.out.WriteString("\r\n")
+	w.encoded.WriteString("Date: ")
+	w.encoded.Write(time.Now().UTC().AppendFormat(w.encoded.AvailableBuffer(), http.TimeFormat))
+	w.encoded.WriteString("\r\n")
+	_ = w.header.Write(&w.encoded) // a buffer takes all
+	w.encoded.WriteString("\r\n")
 	if req.Method != http.MethodHead {
-		w.out.Write(w.body.Bytes())
+		w.encoded.Write(w.body.Bytes())
 	}
-	return w.out.Bytes()
+	return w.encoded.Bytes()
 }
--- a/internal/httpd/server.go
+++ b/internal/httpd/server.go
@@ -24,34 +24,34 @@
 
 // Server serves a handler. It is made by New.
 type Server struct {
-	handler http.Handler
-	brief   func(*http.Request) bool
-	log     *slog.Logger
+	handler     http.Handler
+	nonBlocking func(*http.Request) bool
+	log         *slog.Logger
 
-	places  chan struct{} // of requests that are worked on
-	backlog atomic.Int64  // how long the last request waited for a place, in nanoseconds
-	waiting atomic.Int64  // requests that wait for a place
+	slots          chan struct{} // of requests that are worked on
+	lastQueueDelay atomic.Int64  // how long the last request waited for a place, in nanoseconds
+	queued         atomic.Int64  // requests that wait for a place
 
 	mu       sync.Mutex
 	closing  bool
 	listener net.Listener
-	open     map[*conn]struct{}
+	conns    map[*conn]struct{}
 	serving  sync.WaitGroup
 }
 
-// New makes a server. brief tells requests whose handler does not wait for anything:
+// NewHandler makes a server. brief tells requests whose handler does not wait for anything:
 // those are handled in the place in which they were read, others leave it first.
-func New(handler http.Handler, brief func(*http.Request) bool, log *slog.Logger) *Server {
-	return &Server{handler: handler, brief: brief, log: log,
-		places: make(chan struct{}, tuning.RequestsAtOnce), open: map[*conn]struct{}{}}
+func New(handler http.Handler, nonBlocking func(*http.Request) bool, log *slog.Logger) *Server {
+	return &Server{handler: handler, nonBlocking: nonBlocking, log: log,
+		slots: make(chan struct{}, tuning.MaxConcurrentRequests), conns: map[*conn]struct{}{}}
 }
 
-// Backlog is how long requests that arrive now wait until they are read.
-func (s *Server) Backlog() time.Duration {
-	if s.waiting.Load() == 0 {
+// QueueDelay is how long requests that arrive now wait until they are read.
+func (s *Server) QueueDelay() time.Duration {
+	if s.queued.Load() == 0 {
 		return 0
 	}
-	return time.Duration(s.backlog.Load())
+	return time.Duration(s.lastQueueDelay.Load())
 }
 
 // Serve accepts connections until the listener fails, or Shutdown closes it; then it
@@ -69,14 +69,14 @@
 			}
 			return http.ErrServerClosed
 		case errors.Is(err, syscall.EMFILE), errors.Is(err, syscall.ENFILE), errors.Is(err, syscall.ECONNABORTED):
-			time.Sleep(tuning.AcceptRetry)
+			time.Sleep(tuning.AcceptRetryDelay)
 			continue
 		case err != nil:
 			return err
 		}
 		// Connections are taken no faster than requests are worked on.
-		s.enter()
-		s.leave()
+		s.acquireSlot()
+		s.releaseSlot()
 		c := newConn(s, nc)
 		s.track(c)
 		go c.serve()
@@ -91,7 +91,7 @@
 	if s.listener != nil {
 		_ = s.listener.Close()
 	}
-	for c := range s.open {
+	for c := range s.conns {
 		c.closeIfIdle()
 	}
 	s.mu.Unlock()
@@ -113,8 +113,8 @@
 	if s.listener != nil {
 		_ = s.listener.Close()
 	}
-	for c := range s.open {
-		_ = c.net.Close()
+	for c := range s.conns {
+		_ = c.netConn.Close()
 	}
 }
 
@@ -127,30 +127,30 @@
 func (s *Server) track(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open[c] = struct{}{}
+	s.conns[c] = struct{}{}
 	s.serving.Add(1)
 }
 
 func (s *Server) untrack(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.open, c)
+	delete(s.conns, c)
 	s.serving.Done()
 }
 
-// enter waits for a place.
-func (s *Server) enter() {
+// acquireSlot waits for a place.
+func (s *Server) acquireSlot() {
 	select {
-	case s.places <- struct{}{}:
-		s.backlog.Store(0)
+	case s.slots <- struct{}{}:
+		s.lastQueueDelay.Store(0)
 		return
 	default:
 	}
 	begun := time.Now()
-	s.waiting.Add(1)
-	s.places <- struct{}{}
-	s.waiting.Add(-1)
-	s.backlog.Store(int64(time.Since(begun)))
+	s.queued.Add(1)
+	s.slots <- struct{}{}
+	s.queued.Add(-1)
+	s.lastQueueDelay.Store(int64(time.Since(begun)))
 }
 
-func (s *Server) leave() { <-s.places }
+func (s *Server) releaseSlot() { <-s.slots }
--- a/internal/httpd/server_test.go
+++ b/internal/httpd/server_test.go
@@ -18,50 +18,50 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// running is a server on loopback.
-type running struct {
+// testServer is a server on loopback.
+type testServer struct {
 	*Server
-	addr  string
-	ended chan error
+	addr     string
+	serveErr chan error
 }
 
-func run(t *testing.T, h http.HandlerFunc, brief func(*http.Request) bool) *running {
+func startServer(t *testing.T, h http.HandlerFunc, nonBlocking func(*http.Request) bool) *testServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &running{New(h, brief, slog.New(slog.NewTextHandler(io.Discard, nil))), l.Addr().String(), make(chan error, 1)}
-	go func() { r.ended <- r.Serve(l) }()
+	r := &testServer{New(h, nonBlocking, slog.New(slog.NewTextHandler(io.Discard, nil))), l.Addr().String(), make(chan error, 1)}
+	go func() { r.serveErr <- r.Serve(l) }()
 	t.Cleanup(r.Close)
 	return r
 }
 
-func always(*http.Request) bool { return true }
-func never(*http.Request) bool  { return false }
+func allNonBlocking(*http.Request) bool { return true }
+func allBlocking(*http.Request) bool    { return false }
 
-type client struct {
+type testClient struct {
 	net.Conn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
-func (r *running) dial(t *testing.T) *client {
+func (r *testServer) dial(t *testing.T) *testClient {
 	t.Helper()
 	c, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	return &client{c, bufio.NewReader(c)}
+	return &testClient{c, bufio.NewReader(c)}
 }
 
-// send writes a request as it is and reads the answer.
-func (c *client) send(t *testing.T, request string) (*http.Response, string) {
+// writeMessage writes a request as it is and reads the answer.
+func (c *testClient) send(t *testing.T, request string) (*http.Response, string) {
 	t.Helper()
 	if _, err := io.WriteString(c, request); err != nil {
 		t.Fatal(err)
 	}
-	resp, err := http.ReadResponse(c.in, nil)
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,9 +74,9 @@
 }
 
 // ended reports whether the server has closed the connection.
-func (c *client) ended(t *testing.T) {
+func (c *testClient) expectClosed(t *testing.T) {
 	t.Helper()
-	if b, err := c.in.ReadByte(); err == nil {
+	if b, err := c.reader.ReadByte(); err == nil {
 		t.Errorf("the connection goes on, with %q", b)
 	}
 }
@@ -94,12 +94,12 @@
 
 // Whatever the sizes and the form of the bodies, each request of a connection gets its own
 // answer, and net/http's client understands it.
-func TestRequestsOfOneConnection(t *testing.T) {
-	r := run(t, echoBody, always)
+func TestSequentialRequestsOnOneConnection(t *testing.T) {
+	r := startServer(t, echoBody, allNonBlocking)
 	hc := &http.Client{Transport: &http.Transport{}}
 	defer hc.CloseIdleConnections()
 	rapid.Check(t, func(rt *rapid.T) {
-		size := rapid.SampledFrom([]int{0, 1, 500, tuning.ConnBuffer - 90, tuning.ConnBuffer, 5000, 64 << 10}).Draw(rt, "size")
+		size := rapid.SampledFrom([]int{0, 1, 500, tuning.ConnReadBufferBytes - 90, tuning.ConnReadBufferBytes, 5000, 64 << 10}).Draw(rt, "size")
 		body := bytes.Repeat([]byte{byte(rapid.IntRange(0, 255).Draw(rt, "fill"))}, size)
 		var reader io.Reader = bytes.NewReader(body)
 		if rapid.Bool().Draw(rt, "chunked") {
@@ -117,8 +117,8 @@
 	})
 }
 
-func TestWhatKeepsAndEndsAConnection(t *testing.T) {
-	r := run(t, func(w http.ResponseWriter, r *http.Request) {
+func TestConnectionReuse(t *testing.T) {
+	r := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
 		case "/close":
 			w.Header().Set("Connection", "close")
@@ -128,8 +128,8 @@
 			panic("in a handler")
 		}
 		echoBody(w, r)
-	}, always)
-	long := strings.Repeat("x", tuning.DrainBytes+1)
+	}, allNonBlocking)
+	long := strings.Repeat("x", tuning.MaxDrainBytes+1)
 	for _, tc := range []struct {
 		name, request string
 		status        int
@@ -144,7 +144,7 @@
 		{"no host", "GET / HTTP/1.1\r\n\r\n", 400, false},
 		{"not HTTP", "what is this\r\n\r\n", 400, false},
 		{"a length that is none", "POST / HTTP/1.1\r\nHost: n\r\nContent-Length: x\r\n\r\n", 400, false},
-		{"a head without end", "GET / HTTP/1.1\r\nHost: n\r\nX: " + strings.Repeat("x", tuning.HeadBytes), 431, false},
+		{"a head without end", "GET / HTTP/1.1\r\nHost: n\r\nX: " + strings.Repeat("x", tuning.MaxHeaderBytes), 431, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := r.dial(t)
@@ -153,7 +153,7 @@
 				t.Errorf("status %d, closes %v", resp.StatusCode, resp.Close)
 			}
 			if !tc.keeps {
-				c.ended(t)
+				c.expectClosed(t)
 			} else if resp, _ := c.send(t, "GET / HTTP/1.1\r\nHost: n\r\n\r\n"); resp.StatusCode != 202 {
 				t.Errorf("the next request: %d", resp.StatusCode)
 			}
@@ -163,7 +163,7 @@
 	if _, err := io.WriteString(c, "GET /panic HTTP/1.1\r\nHost: n\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	c.ended(t)
+	c.expectClosed(t)
 	if resp, _ := r.dial(t).send(t, "GET / HTTP/1.1\r\nHost: n\r\n\r\n"); resp.StatusCode != 202 {
 		t.Errorf("after a panic elsewhere: %d", resp.StatusCode)
 	}
@@ -172,8 +172,8 @@
 // A client that waits for leave to send its body gets it; HEAD gets no body.
 // A client that still sends its body when it is refused gets the answer: no reset
 // overtakes it.
-func TestRefusalOfALargeBodyArrives(t *testing.T) {
-	server := run(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusRequestEntityTooLarge) }, always)
+func TestRejectionOfLargeBodyIsDelivered(t *testing.T) {
+	server := startServer(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusRequestEntityTooLarge) }, allNonBlocking)
 	url := "http://" + server.addr
 	body := make([]byte, 150<<10)
 	for i := range 100 {
@@ -188,8 +188,8 @@
 	}
 }
 
-func TestContinueAndHead(t *testing.T) {
-	r := run(t, echoBody, always)
+func TestExpectContinueAndHead(t *testing.T) {
+	r := startServer(t, echoBody, allNonBlocking)
 	c := r.dial(t)
 	resp, _ := c.send(t, "POST / HTTP/1.1\r\nHost: n\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
 	if resp.StatusCode != http.StatusContinue {
@@ -211,8 +211,8 @@
 
 // No more requests are worked on at once than there are places, one that waits for
 // something gives its place up, and how long others wait can be told.
-func TestPlaces(t *testing.T) {
-	const clients = 3 * tuning.RequestsAtOnce
+func TestConcurrentRequestLimit(t *testing.T) {
+	const clients = 3 * tuning.MaxConcurrentRequests
 	entered, release := make(chan struct{}, clients), make(chan struct{})
 	hold := func(w http.ResponseWriter, _ *http.Request) {
 		entered <- struct{}{}
@@ -222,9 +222,9 @@
 	for _, tc := range []struct {
 		brief func(*http.Request) bool
 		most  int
-	}{{always, tuning.RequestsAtOnce}, {never, clients}} {
-		r := run(t, hold, tc.brief)
-		var conns []*client
+	}{{allNonBlocking, tuning.MaxConcurrentRequests}, {allBlocking, clients}} {
+		r := startServer(t, hold, tc.brief)
+		var conns []*testClient
 		for range clients {
 			conns = append(conns, r.dial(t))
 		}
@@ -234,7 +234,7 @@
 			}
 			<-entered
 		}
-		if got := len(r.places) == cap(r.places); got != (tc.most == tuning.RequestsAtOnce) {
+		if got := len(r.slots) == cap(r.slots); got != (tc.most == tuning.MaxConcurrentRequests) {
 			t.Errorf("all places taken: %v", got)
 		}
 		for _, c := range conns[tc.most:] {
@@ -250,23 +250,23 @@
 			release <- struct{}{}
 		}
 		for _, c := range conns {
-			if resp, err := http.ReadResponse(c.in, nil); err != nil || resp.StatusCode != http.StatusNoContent {
+			if resp, err := http.ReadResponse(c.reader, nil); err != nil || resp.StatusCode != http.StatusNoContent {
 				t.Fatalf("%v %v", resp, err)
 			}
 		}
-		if len(entered) != 0 || r.Backlog() != 0 {
-			t.Errorf("%d entered, a backlog of %v with nobody waiting", len(entered), r.Backlog())
+		if len(entered) != 0 || r.QueueDelay() != 0 {
+			t.Errorf("%d entered, a backlog of %v with nobody waiting", len(entered), r.QueueDelay())
 		}
 	}
 }
 
 // Shutdown lets what is being handled end, and closes what is idle.
-func TestShutdown(t *testing.T) {
+func TestShutdownWaitsForRequests(t *testing.T) {
 	entered, release := make(chan struct{}), make(chan struct{})
-	r := run(t, func(w http.ResponseWriter, _ *http.Request) {
+	r := startServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		close(entered)
 		<-release
-	}, never)
+	}, allBlocking)
 	idle, busy := r.dial(t), r.dial(t)
 	if _, err := io.WriteString(busy, "GET / HTTP/1.1\r\nHost: n\r\n\r\n"); err != nil {
 		t.Fatal(err)
@@ -274,12 +274,12 @@
 	<-entered
 	done := make(chan error, 1)
 	go func() { done <- r.Shutdown(context.Background()) }()
-	if err := <-r.ended; err != http.ErrServerClosed {
+	if err := <-r.serveErr; err != http.ErrServerClosed {
 		t.Errorf("Serve ended with %v", err)
 	}
-	idle.ended(t)
+	idle.expectClosed(t)
 	close(release)
-	if resp, err := http.ReadResponse(busy.in, nil); err != nil || resp.StatusCode != http.StatusOK {
+	if resp, err := http.ReadResponse(busy.reader, nil); err != nil || resp.StatusCode != http.StatusOK {
 		t.Errorf("%v %v", resp, err)
 	}
 	if err := <-done; err != nil {
@@ -289,25 +289,25 @@
 
 // What an open connection holds between two requests stays under what limits are
 // derived from. Both ends are in this process, so the server's is less.
-func TestConnectionMemory(t *testing.T) {
-	r := run(t, echoBody, always)
+func TestIdleConnectionMemory(t *testing.T) {
+	r := startServer(t, echoBody, allNonBlocking)
 	const conns = 500
 	request := "POST / HTTP/1.1\r\nHost: n\r\nContent-Length: 300\r\n\r\n" + strings.Repeat("x", 300)
 	r.dial(t).send(t, request)
-	before := held()
+	before := heapAndStackBytes()
 	for range conns {
 		r.dial(t).send(t, request)
 	}
 	// The clients' readers are dropped; their sockets stay open.
-	if each := (held() - before) / conns; each > tuning.ConnBytes {
-		t.Errorf("%d bytes a connection, over %d", each, tuning.ConnBytes)
+	if each := (heapAndStackBytes() - before) / conns; each > tuning.BytesPerConn {
+		t.Errorf("%d bytes a connection, over %d", each, tuning.BytesPerConn)
 	} else {
 		t.Logf("%d bytes a connection, both ends", each)
 	}
 }
 
-// held is what the heap and the stacks hold.
-func held() uint64 {
+// heapAndStackBytes is what the heap and the stacks hold.
+func heapAndStackBytes() uint64 {
 	for range 3 {
 		runtime.GC() // stacks shrink by half each time
 	}
--- a/internal/mesh/golden_test.go
+++ b/internal/mesh/golden_test.go
@@ -11,8 +11,8 @@
 	messages := map[string]any{
 		"ping":          &mesh.Ping{},
 		"ping-reply":    &mesh.Pong{},
-		"forward":       &mesh.Forward{},
-		"forward-reply": &mesh.Forwarded{},
+		"forward":       &mesh.ForwardRequest{},
+		"forward-reply": &mesh.ForwardReply{},
 	}
 	var all []any
 	for name, message := range messages {
@@ -26,8 +26,8 @@
 // of bytes.
 func TestWordsOfTheProtocolMatchGoldenFile(t *testing.T) {
 	golden.CheckLines(t, "words.txt",
-		mesh.PingPath, mesh.ForwardPath, mesh.HoldPath,
-		mesh.Submit, mesh.Query, mesh.Cancel,
-		mesh.Text([]byte{0x00, 'a', 0x7f, 0x80, 0xff}),
+		mesh.PingPath, mesh.ForwardPath, mesh.WatchProcessPath,
+		mesh.KindSubmit, mesh.KindQuery, mesh.KindCancel,
+		mesh.EncodeBytes([]byte{0x00, 'a', 0x7f, 0x80, 0xff}),
 	)
 }
