--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -16,150 +16,150 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// carryOut starts the I/O that the core asked for.
-func (n *Node) carryOut(l *core.Leader, e core.Effects) {
-	for _, line := range e.Log {
+// execute starts the I/O that the core asked for.
+func (c *Controller) execute(sched *core.Scheduler, effects core.Effects) {
+	for _, entry := range effects.Log {
 		level := slog.LevelInfo
-		if line.Debug {
+		if entry.Debug {
 			level = slog.LevelDebug
 		}
-		n.log.Log(context.Background(), level, line.Msg, line.Args...)
+		c.log.Log(context.Background(), level, entry.Msg, entry.Args...)
 	}
-	n.tracer.Recovery(n.start, e.Recovery)
-	for _, c := range e.Commits {
-		go n.commit(l, c)
+	c.tracer.ReconcileEvents(c.startedAt, effects.Reconciliation)
+	for _, item := range effects.Commits {
+		go c.commit(sched, item)
 	}
-	for _, c := range e.Direct {
-		go n.direct(l, c)
+	for _, item := range effects.DirectCalls {
+		go c.callWorker(sched, item)
 	}
-	for _, r := range e.Rent {
-		go n.rent(l, r.Request)
+	for _, request := range effects.Provision {
+		go c.provision(sched, request.Request)
 	}
-	for _, names := range e.Release {
-		go n.release(l, names)
+	for _, names := range effects.Release {
+		go c.releaseMachines(sched, names)
 	}
-	if e.Resign != "" {
-		n.stepDown(l, e.Resign)
+	if effects.Resign != "" {
+		c.stepDown(sched, effects.Resign)
 	}
 }
 
-// trouble logs a failed call: at debug if its like is to be expected, as an error
+// logCallFailure logs a failed call: at debug if its like is to be expected, as an error
 // if the other side does not keep to the protocol.
-func (n *Node) trouble(msg string, err error, args ...any) {
+func (c *Controller) logCallFailure(msg string, err error, args ...any) {
 	level := slog.LevelDebug
-	if errors.Is(err, rpc.ErrDecode) {
+	if errors.Is(err, rpc.ErrMalformedAnswer) {
 		level = slog.LevelError
 	}
-	n.log.Log(context.Background(), level, msg, append([]any{"err", err}, args...)...)
+	c.log.Log(context.Background(), level, msg, append([]any{"err", err}, args...)...)
 }
 
-func (n *Node) commit(l *core.Leader, c core.Commit) {
-	rev, failed, err := n.state.Commit(context.Background(), store.First, c.Txn)
-	res := core.CommitUnknown
+func (c *Controller) commit(sched *core.Scheduler, request core.Commit) {
+	revision, failed, err := c.store.Commit(context.Background(), store.PriorityLeader, request.Txn)
+	result := core.CommitUnknown
 	switch {
 	case err == nil:
-		res = core.CommitDone
+		result = core.CommitDone
 	case errors.Is(err, store.ErrConflict):
-		res = core.CommitConflict
-	case errors.Is(err, store.ErrRefused), errors.Is(err, store.ErrLimited):
-		res = core.CommitRefused
+		result = core.CommitConflict
+	case errors.Is(err, store.ErrUnavailable), errors.Is(err, store.ErrRateLimited):
+		result = core.CommitRefused
 	}
 	if err != nil {
-		n.trouble("commit", err, "failed", failed)
+		c.logCallFailure("commit", err, "failed", failed)
 	}
-	if errors.Is(err, store.ErrMalformed) {
-		n.log.Error("the state service calls our write malformed", "err", err)
+	if errors.Is(err, store.ErrMalformedRequest) {
+		c.log.Error("the state service calls our write malformed", "err", err)
 	}
-	n.withLeader(l, func(now core.Now) { l.CommitDone(now, c.ID, res, rev, failed) })
+	c.updateScheduler(sched, func(now core.Now) { sched.CommitDone(now, request.ID, result, revision, failed) })
 }
 
-// directCalls is how many direct calls there may be at once: a round of placement
+// directCallLimit is how many direct calls there may be at once: a round of placement
 // may have something for every machine, and sockets do not reach for all of them.
-func directCalls(cfg *config.Settings) int {
-	_, calls := cfg.Sockets()
-	return min(calls, tuning.DirectMost)
+func directCallLimit(cfg *config.Settings) int {
+	_, sockets := cfg.SocketLimits()
+	return min(sockets, tuning.MaxWorkerCalls)
 }
 
-func (n *Node) direct(l *core.Leader, c core.DirectCall) {
-	n.calls <- struct{}{}
-	defer func() { <-n.calls }()
-	out, rep, err := n.workers.Commands(context.Background(), c.Addr, c.Body)
+func (c *Controller) callWorker(sched *core.Scheduler, call core.DirectCall) {
+	c.calls <- struct{}{}
+	defer func() { <-c.calls }()
+	outcome, heartbeat, err := c.workers.SendCommands(context.Background(), call.Addr, call.Body)
 	if err != nil {
-		n.trouble("direct call", err, "machine", c.Machine)
+		c.logCallFailure("direct call", err, "machine", call.Machine)
 	}
-	res := core.CallLost
-	switch out {
+	result := core.CallLost
+	switch outcome {
 	case worker.Executed:
-		res = core.CallExecuted
-	case worker.Refused:
-		res = core.CallRefused
+		result = core.CallExecuted
+	case worker.Rejected:
+		result = core.CallRefused
 	}
-	n.withLeader(l, func(now core.Now) { l.CallDone(now, c.ID, res, rep) })
+	c.updateScheduler(sched, func(now core.Now) { sched.CallDone(now, call.ID, result, heartbeat) })
 }
 
-// holds reports whether the leader's lease lasts for certain at this moment: the cloud
+// holdsLease reports whether the leader's lease lasts for certain at this moment: the cloud
 // checks neither conditions nor tokens, and the process may have stood still since the
 // core decided.
-func (n *Node) holds(l *core.Leader) bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.leader == l && time.Now().Before(n.heldTo)
+func (c *Controller) holdsLease(sched *core.Scheduler) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.leader == sched && time.Now().Before(c.heldTo)
 }
 
-func (n *Node) rent(l *core.Leader, r wire.RentRequest) {
+func (c *Controller) provision(sched *core.Scheduler, request wire.ProvisionRequest) {
 	var names []string
-	err := cloud.ErrRefused
-	if n.holds(l) {
-		names, err = n.cloud.Rent(context.Background(), r)
+	err := cloud.ErrRejected
+	if c.holdsLease(sched) {
+		names, err = c.cloud.Provision(context.Background(), request)
 	}
-	res := core.RentUnknown
+	result := core.ProvisionUnknown
 	switch {
 	case err == nil:
-		res = core.RentDone
-	case errors.Is(err, cloud.ErrCapacity):
-		res = core.RentNone
-	case errors.Is(err, cloud.ErrTrouble), errors.Is(err, cloud.ErrLimited), errors.Is(err, cloud.ErrRefused):
-		res = core.RentRefused
+		result = core.ProvisionDone
+	case errors.Is(err, cloud.ErrNoCapacity):
+		result = core.ProvisionNoCapacity
+	case errors.Is(err, cloud.ErrUnavailable), errors.Is(err, cloud.ErrRateLimited), errors.Is(err, cloud.ErrRejected):
+		result = core.ProvisionRefused
 	}
-	n.withLeader(l, func(now core.Now) { l.Rented(now, r.Name, res, names) })
+	c.updateScheduler(sched, func(now core.Now) { sched.Provisioned(now, request.RequestID, result, names) })
 }
 
-func (n *Node) release(l *core.Leader, names []string) {
-	err := cloud.ErrRefused
-	if n.holds(l) {
-		err = n.cloud.Release(context.Background(), names)
+func (c *Controller) releaseMachines(sched *core.Scheduler, names []string) {
+	err := cloud.ErrRejected
+	if c.holdsLease(sched) {
+		err = c.cloud.Release(context.Background(), names)
 	}
-	res := core.ReleaseUnknown
+	result := core.ReleaseUnknown
 	switch {
 	case err == nil:
-		res = core.ReleaseDone
-	case errors.Is(err, cloud.ErrTrouble), errors.Is(err, cloud.ErrLimited), errors.Is(err, cloud.ErrRefused):
-		res = core.ReleaseRefused
+		result = core.ReleaseDone
+	case errors.Is(err, cloud.ErrUnavailable), errors.Is(err, cloud.ErrRateLimited), errors.Is(err, cloud.ErrRejected):
+		result = core.ReleaseRefused
 	}
 	if err != nil {
-		n.log.Info("release failed", "machines", names, "err", err)
+		c.log.Info("release failed", "machines", names, "err", err)
 	}
-	n.withLeader(l, func(now core.Now) { l.Released(now, names, res) })
+	c.updateScheduler(sched, func(now core.Now) { sched.Released(now, names, result) })
 }
 
-// listMachines reads the cloud's list while this node leads.
-func (n *Node) listMachines(ctx context.Context, l *core.Leader) {
+// pollMachineList reads the cloud's list while this node leads.
+func (c *Controller) pollMachineList(ctx context.Context, sched *core.Scheduler) {
 	wait := time.Duration(0)
 	for sleep(ctx, wait) {
-		list, err := n.cloud.List(ctx)
+		list, err := c.cloud.ListMachines(ctx)
 		if err != nil {
-			wait = min(max(wait, tuning.CloudRetry)*2, tuning.CloudRetryMax)
-			n.trouble("machine list", err)
+			wait = min(max(wait, tuning.CloudRetryDelay)*2, tuning.MaxCloudRetryDelay)
+			c.logCallFailure("machine list", err)
 			continue
 		}
 		// A long list takes several calls; three quarters of the rate are kept
 		// for rentals and releases.
-		pages := float64(1 + len(list)/tuning.ListPage)
-		wait = max(tuning.ListEvery, config.Seconds(pages/(n.cfg.Deployment.Cloud.RPS*tuning.ListShare)))
-		n.withLeader(l, func(now core.Now) { l.Listed(now, list) })
-		if short := n.cfg.FleetShortfalls(len(list)); len(short) > 0 && len(list) > n.shortOf {
-			n.shortOf = 2 * len(list)
-			n.log.Error("settings fall short of the fleet", "what", short)
+		pages := float64(1 + len(list)/tuning.MachineListPageSize)
+		wait = max(tuning.MachineListInterval, config.Seconds(pages/(c.cfg.Deployment.Cloud.RPS*tuning.MachineListRateShare)))
+		c.updateScheduler(sched, func(now core.Now) { sched.MachinesListed(now, list) })
+		if shortfalls := c.cfg.FleetShortfalls(len(list)); len(shortfalls) > 0 && len(list) > c.shortOf {
+			c.shortOf = 2 * len(list)
+			c.log.Error("settings fall short of the fleet", "what", shortfalls)
 		}
 	}
 }
--- a/internal/node/confirmations.go
+++ b/internal/node/confirmations.go
@@ -7,35 +7,35 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// confirmations lists of which cancellations users were told here, each once. A leader that
+// confirmationLog lists of which cancellations users were told here, each once. A leader that
 // the state service does not serve learns of them by its pings, and may keep workers
 // alive through an outage that is longer than the time for a cancellation.
-type confirmations struct {
-	cut  uint64 // entries that are no longer kept
-	list []string
-	has  map[string]struct{} // those in the list
+type confirmationLog struct {
+	dropped uint64 // entries that are no longer kept
+	ids     []string
+	kept    map[string]struct{} // those in the list
 }
 
-func (t *confirmations) add(id string) {
-	if _, ok := t.has[id]; ok {
+func (l *confirmationLog) add(id string) {
+	if _, ok := l.kept[id]; ok {
 		return
 	}
-	if t.has == nil {
-		t.has = map[string]struct{}{}
+	if l.kept == nil {
+		l.kept = map[string]struct{}{}
 	}
-	t.has[id] = struct{}{}
-	t.list = append(t.list, id)
-	if len(t.list) > tuning.ConfirmationsKept {
-		delete(t.has, t.list[0])
-		t.list = t.list[1:] // append moves the rest when the room behind it is used up
-		t.cut++
+	l.kept[id] = struct{}{}
+	l.ids = append(l.ids, id)
+	if len(l.ids) > tuning.MaxListedConfirmations {
+		delete(l.kept, l.ids[0])
+		l.ids = l.ids[1:] // append moves the rest when the room behind it is used up
+		l.dropped++
 	}
 }
 
-// after gives the entries after the first have, or those still kept.
-func (t *confirmations) after(have uint64) (from uint64, ids []string) {
-	from = min(max(have, t.cut), t.cut+uint64(len(t.list)))
-	return from, t.list[from-t.cut:]
+// withRecovery gives the entries after the first have, or those still kept.
+func (l *confirmationLog) after(seen uint64) (from uint64, ids []string) {
+	from = min(max(seen, l.dropped), l.dropped+uint64(len(l.ids)))
+	return from, l.ids[from-l.dropped:]
 }
 
 func later(a, b time.Time) time.Time {
@@ -45,67 +45,69 @@
 	return b
 }
 
-// cancelled takes note of a job that is durably cancelled and whose user is told
+// confirmCancellation takes note of a job that is durably cancelled and whose user is told
 // right after this. Called with the lock held.
-func (n *Node) cancelled(id string) {
-	n.confirmed.add(id)
-	n.leaderKnows()
-	if n.leader != nil {
-		n.leader.Cancelled(n.now(), []string{id})
+func (c *Controller) confirmCancellation(id string) {
+	c.confirmed.add(id)
+	c.updateWatermark()
+	if c.leader != nil {
+		c.leader.Cancelled(c.now(), []string{id})
 	}
 }
 
-// takeConfirmations takes a peer's list of cancellations, asked for at asked. What an earlier
+// recordConfirmations takes a peer's list of cancellations, asked for at asked. What an earlier
 // process of the peer told, or entries that are no longer kept, the list has not: it
 // counts only for whoever knows by the state service what was before.
-func (p *peer) takeConfirmations(pong mesh.Pong, asked, now time.Time) {
-	if pong.UpMilli == 0 {
+func (p *peerState) recordConfirmations(pong mesh.Pong, askedAt, now time.Time) {
+	if pong.UptimeMilli == 0 {
 		return // of a version that keeps no list
 	}
-	if pong.Boot != p.boot {
-		p.boot, p.have = pong.Boot, 0
-		p.begun = now.Add(-time.Duration(pong.UpMilli-1) * time.Millisecond)
+	if pong.BootID != p.bootID {
+		p.bootID, p.confirmationsSeen = pong.BootID, 0
+		p.confirmationsCompleteFrom = now.Add(-time.Duration(pong.UptimeMilli-1) * time.Millisecond)
 	}
-	if pong.From > p.have {
-		p.begun = now
+	if pong.ConfirmedFrom > p.confirmationsSeen {
+		p.confirmationsCompleteFrom = now
 	}
-	p.have = pong.From + uint64(len(pong.Confirmed))
-	p.confirmedAsOf = later(p.confirmedAsOf, asked)
+	p.confirmationsSeen = pong.ConfirmedFrom + uint64(len(pong.Confirmed))
+	p.confirmationsAsOf = later(p.confirmationsAsOf, askedAt)
 }
 
-// asOf is the moment as of which this node knows of every cancellation that users
+// cancellationWatermark is the moment as of which this node knows of every cancellation that users
 // were told of: by the state service, or because every peer has listed its own
 // since then. Called with the lock held.
-func (n *Node) asOf() time.Time {
-	confirmedAsOf := time.Now()
-	for _, p := range n.peers {
+func (c *Controller) cancellationWatermark() time.Time {
+	listedAsOf := time.Now()
+	for _, p := range c.peers {
 		//mutation:peer-restart-bounds-watermark
-		if !p.begun.Before(n.knownAt) {
-			return n.knownAt
+		if !p.confirmationsCompleteFrom.Before(c.knownAt) {
+			return c.knownAt
 		}
-		if p.confirmedAsOf.Before(confirmedAsOf) {
-			confirmedAsOf = p.confirmedAsOf
+		if p.confirmationsAsOf.Before(listedAsOf) {
+			listedAsOf = p.confirmationsAsOf
 		}
 	}
-	return later(n.knownAt, confirmedAsOf)
+	return later(c.knownAt, listedAsOf)
 }
 
-// leaderKnows tells the leader as of when it has been told of all cancellations: what
+// updateWatermark tells the leader as of when it has been told of all cancellations: what
 // comes to it next may be later ones. Called with the lock held.
-func (n *Node) leaderKnows() {
-	if n.leader != nil {
-		n.leader.KnowsAsOf(n.asOf().Sub(n.start))
+func (c *Controller) updateWatermark() {
+	if c.leader != nil {
+		c.leader.AdvanceCancellationWatermark(c.cancellationWatermark().Sub(c.startedAt))
 	}
 }
 
-// settledAsOf is the moment as of which this leader has seen all cancellations through.
+// enforcedWatermark is the moment as of which this leader has seen all cancellations through.
 // Called with the lock held, by the leader.
-func (n *Node) settledAsOf() time.Time {
-	return n.start.Add(n.leader.SettledAsOf(n.asOf().Sub(n.start)))
+func (c *Controller) enforcedWatermark() time.Time {
+	return c.startedAt.Add(c.leader.EnforcedCancellationWatermark(c.cancellationWatermark().Sub(c.startedAt)))
 }
 
 // mayRenewLeases reports whether the leader may renew its workers' leases: for no longer
 // after that moment than leaves time for a cancellation it does not know of. It
 // holds whatever became of the process meanwhile, and whoever else leads.
 // Called with the lock held.
-func (n *Node) mayRenewLeases() bool { return time.Since(n.asOf()) < n.KeepaliveBound() }
+func (c *Controller) mayRenewLeases() bool {
+	return time.Since(c.cancellationWatermark()) < c.KeepaliveBound()
+}
--- a/internal/node/election.go
+++ b/internal/node/election.go
@@ -13,175 +13,175 @@
 
 // campaign watches the leader's key and takes it when it is free. The key hangs
 // on a short lease; its stamp is the term, which only grows.
-func (n *Node) campaign(ctx context.Context) {
+func (c *Controller) campaign(ctx context.Context) {
 	for ctx.Err() == nil {
-		it, err := n.state.Get(ctx, store.First, store.LeaderKey)
+		leaderKey, err := c.store.Get(ctx, store.PriorityLeader, store.LeaderKey)
 		if err != nil {
-			sleep(ctx, jitter(tuning.StateRetry))
+			sleep(ctx, jitter(tuning.StoreRetryDelay))
 			continue
 		}
-		if it.Stamp != 0 {
-			var rec store.LeaderRecord
-			if err := wire.Unmarshal(it.Value, &rec); err != nil {
-				n.log.Error("leader's record unreadable", "err", err)
+		if leaderKey.ModRevision != 0 {
+			var record store.Leader
+			if err := wire.Unmarshal(leaderKey.Value, &record); err != nil {
+				c.log.Error("leader's record unreadable", "err", err)
 			}
-			if rec.Node == n.cfg.Node && it.Permit != 0 {
+			if record.Node == c.cfg.Node && leaderKey.Lease != 0 {
 				// Left by our own predecessor, which is dead, since only one process
 				// runs under a node's name; or by a write of our own that was carried
 				// out late. Nobody leads by it: ending its lease spares the wait.
-				n.log.Info("ending a lease of this node that nobody leads by", "term", it.Stamp)
-				_ = n.state.Revoke(ctx, it.Permit)
+				c.log.Info("ending a lease of this node that nobody leads by", "term", leaderKey.ModRevision)
+				_ = c.store.RevokeLease(ctx, leaderKey.Lease)
 				continue
 			}
-			n.do(func() {
-				if it.Stamp >= n.lead.term {
-					n.setLead(rec.Node, it.Stamp)
-					n.lead.permit = it.Permit
+			c.update(func() {
+				if leaderKey.ModRevision >= c.lead.term {
+					c.setLeader(record.Node, leaderKey.ModRevision)
+					c.lead.storeLease = leaderKey.Lease
 				}
 			})
-			n.awaitVacancy(ctx, it.Stamp)
+			c.awaitVacancy(ctx, leaderKey.ModRevision)
 			continue
 		}
-		n.mu.Lock()
-		wait := time.Until(n.barred)
-		if n.leader == nil {
-			n.lead.name = ""
+		c.mu.Lock()
+		wait := time.Until(c.barred)
+		if c.leader == nil {
+			c.lead.name = ""
 		}
-		n.mu.Unlock()
+		c.mu.Unlock()
 		if wait > 0 {
-			sleep(ctx, min(wait, tuning.CampaignWait))
+			sleep(ctx, min(wait, tuning.CampaignInterval))
 			continue
 		}
-		if !n.runForLead(ctx) {
-			sleep(ctx, jitter(tuning.CampaignWait))
+		if !c.tryToLead(ctx) {
+			sleep(ctx, jitter(tuning.CampaignInterval))
 		}
 	}
 }
 
 // awaitVacancy returns when the leader's key may have changed after stamp.
-func (n *Node) awaitVacancy(ctx context.Context, stamp uint64) {
-	if _, err := n.state.Changes(ctx, store.First, store.LeaderPrefix, stamp, tuning.WatchBlock); err != nil {
+func (c *Controller) awaitVacancy(ctx context.Context, modRevision uint64) {
+	if _, err := c.store.Watch(ctx, store.PriorityLeader, store.LeaderPrefix, modRevision, tuning.WatchTimeout); err != nil {
 		// The key may be older than what the service keeps, or the service is in
 		// trouble. Reading the key again is right in both cases.
-		sleep(ctx, jitter(n.leaseTTL()/2))
+		sleep(ctx, jitter(c.leaseTTL()/2))
 	}
 }
 
-// runForLead tries to take the free key, and leads until the lead is lost.
-func (n *Node) runForLead(ctx context.Context) bool {
-	asked := time.Now()
-	permit, err := n.state.Grant(ctx, n.leaseTTL())
+// tryToLead tries to take the free key, and leads until the lead is lost.
+func (c *Controller) tryToLead(ctx context.Context) bool {
+	askedAt := time.Now()
+	storeLease, err := c.store.GrantLease(ctx, c.leaseTTL())
 	if err != nil {
-		n.trouble("lease", err)
+		c.logCallFailure("lease", err)
 		return false
 	}
-	rec := store.LeaderRecord{Node: n.cfg.Node, Addr: n.cfg.MeshAddr, Boot: n.boot}
-	term, _, err := n.state.Commit(ctx, store.First, wire.Txn{
-		If:    []wire.Condition{{Key: store.LeaderKey}},
-		Apply: []wire.Change{{Set: store.LeaderKey, Value: rec, Permit: &permit}},
+	record := store.Leader{Node: c.cfg.Node, Addr: c.cfg.PeerAddr, Boot: c.bootID}
+	term, _, err := c.store.Commit(ctx, store.PriorityLeader, wire.Txn{
+		If:   []wire.Compare{{Key: store.LeaderKey}},
+		Then: []wire.Op{{Set: store.LeaderKey, Value: record, Lease: &storeLease}},
 	})
-	if errors.Is(err, store.ErrUnknown) {
+	if errors.Is(err, store.ErrOutcomeUnknown) {
 		// The answer was lost: the key tells whether we have it. Should the
 		// write be carried out later still, the lease lets it die.
-		it, gerr := n.state.Get(ctx, store.First, store.LeaderKey)
-		var have store.LeaderRecord
-		if gerr == nil && it.Stamp != 0 && it.Permit == permit && wire.Unmarshal(it.Value, &have) == nil && have.Boot == n.boot {
-			term, err = it.Stamp, nil
+		item, getErr := c.store.Get(ctx, store.PriorityLeader, store.LeaderKey)
+		var stored store.Leader
+		if getErr == nil && item.ModRevision != 0 && item.Lease == storeLease && wire.Unmarshal(item.Value, &stored) == nil && stored.Boot == c.bootID {
+			term, err = item.ModRevision, nil
 		}
 	}
 	if err != nil {
-		_ = n.state.Revoke(ctx, permit)
+		_ = c.store.RevokeLease(ctx, storeLease)
 		return false
 	}
-	n.serveTerm(ctx, permit, term, asked)
+	c.serveTerm(ctx, storeLease, term, askedAt)
 	return true
 }
 
 // leaseTTL is the leader's lease, longer where the process has a small share of the
 // processor and the workers' leases outlast it. No rule depends on its length, only for
 // how long nobody leads after a leader has fallen silent.
-func (n *Node) leaseTTL() time.Duration {
-	share := n.cfg.Deployment.Quota.CPUShare
-	if share <= 0 || share >= tuning.UsualShare {
-		return tuning.LeaseTTL
+func (c *Controller) leaseTTL() time.Duration {
+	share := c.cfg.Deployment.Quota.CPUShare
+	if share <= 0 || share >= tuning.ReferenceCPUShare {
+		return tuning.LeaderLeaseTTL
 	}
 	//mutation:leader-lease-bound
-	longest := min(tuning.LeaseTTLMost, config.Seconds(n.cfg.Deployment.Workers.LeaseS)/tuning.LeaseTTLPart)
+	longest := min(tuning.MaxLeaderLeaseTTL, config.Seconds(c.cfg.Deployment.Workers.LeaseS)/tuning.WorkerLeaseDivisor)
 	//mutation:leader-lease-by-share
-	return max(tuning.LeaseTTL, min(time.Duration(float64(tuning.LeaseTTL)*tuning.UsualShare/share), longest))
+	return max(tuning.LeaderLeaseTTL, min(time.Duration(float64(tuning.LeaderLeaseTTL)*tuning.ReferenceCPUShare/share), longest))
 }
 
 // serveTerm recovers the records and leads until the lead is lost.
-func (n *Node) serveTerm(ctx context.Context, permit, term uint64, asked time.Time) {
-	n.log.Info("elected", "term", term, "took_ms", time.Since(asked).Milliseconds())
+func (c *Controller) serveTerm(ctx context.Context, storeLease, term uint64, askedAt time.Time) {
+	c.log.Info("elected", "term", term, "took_ms", time.Since(askedAt).Milliseconds())
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	lost := make(chan struct{})
-	n.mu.Lock()
-	n.permit, n.heldTo, n.electedAt = permit, asked.Add(n.leaseTTL()), asked
-	n.setLead(n.cfg.Node, term)
-	n.mu.Unlock()
+	c.mu.Lock()
+	c.permit, c.heldTo, c.electedAt = storeLease, askedAt.Add(c.leaseTTL()), askedAt
+	c.setLeader(c.cfg.Node, term)
+	c.mu.Unlock()
 
 	renewed := make(chan struct{})
 	go func() {
 		defer close(renewed)
-		n.renew(ctx, permit, lost)
+		c.renewLease(ctx, storeLease, lost)
 	}()
-	leader := n.recover(ctx, term, lost)
-	if leader != nil {
-		n.log.Info("leading", "term", term, "after_ms", time.Since(asked).Milliseconds())
-		go n.listMachines(ctx, leader)
-		go n.watchJobs(ctx, leader)
+	sched := c.loadScheduler(ctx, term, lost)
+	if sched != nil {
+		c.log.Info("leading", "term", term, "after_ms", time.Since(askedAt).Milliseconds())
+		go c.pollMachineList(ctx, sched)
+		go c.watchJobs(ctx, sched)
 		select {
 		case <-lost:
 		case <-ctx.Done():
 		}
-		n.do(func() {
-			if n.leader == leader {
-				n.log.Info("lead lost", "term", term)
-				n.endTerm()
-				n.lead.name = ""
+		c.update(func() {
+			if c.leader == sched {
+				c.log.Info("lead lost", "term", term)
+				c.endTerm()
+				c.lead.name = ""
 			}
 		})
 	}
 	cancel()
 	<-renewed
-	rctx, done := context.WithTimeout(context.Background(), tuning.StateTimeout)
-	defer done()
-	_ = n.state.Revoke(rctx, permit)
+	revokeCtx, cancelRevoke := context.WithTimeout(context.Background(), tuning.StoreTimeout)
+	defer cancelRevoke()
+	_ = c.store.RevokeLease(revokeCtx, storeLease)
 }
 
-// renew keeps the lease until it is lost. That the service refuses us for a
+// renewLease keeps the lease until it is lost. That the service refuses us for a
 // while is no proof of that: in an outage the lease keeps its full time.
-func (n *Node) renew(ctx context.Context, permit uint64, lost chan struct{}) {
-	for sleep(ctx, tuning.RenewEvery) {
+func (c *Controller) renewLease(ctx context.Context, storeLease uint64, lost chan struct{}) {
+	for sleep(ctx, tuning.LeaseRenewInterval) {
 		select {
 		case <-lost:
 			return
 		default:
 		}
-		begun := time.Now()
-		err := n.state.Renew(ctx, permit)
+		sentAt := time.Now()
+		err := c.store.RenewLease(ctx, storeLease)
 		if err == nil {
-			n.do(func() {
-				if n.permit == permit {
-					n.heldTo = begun.Add(n.leaseTTL())
-					if n.leader != nil {
-						n.leader.Held(n.heldTo.Sub(n.start))
+			c.update(func() {
+				if c.permit == storeLease {
+					c.heldTo = sentAt.Add(c.leaseTTL())
+					if c.leader != nil {
+						c.leader.LeaseHeldUntil(c.heldTo.Sub(c.startedAt))
 					}
 				}
 			})
 		}
-		if errors.Is(err, store.ErrNoLease) {
-			n.mu.Lock()
-			defer n.mu.Unlock()
+		if errors.Is(err, store.ErrLeaseNotFound) {
+			c.mu.Lock()
+			defer c.mu.Unlock()
 			select {
 			case <-lost:
 			default:
-				if n.leader != nil {
-					n.log.Info("lead lost: the lease has ended", "term", n.lead.term)
-					n.endTerm()
-					n.lead.name = ""
+				if c.leader != nil {
+					c.log.Info("lead lost: the lease has ended", "term", c.lead.term)
+					c.endTerm()
+					c.lead.name = ""
 				} else {
 					close(lost)
 				}
@@ -189,7 +189,7 @@
 			return
 		}
 		if err != nil {
-			n.trouble("renewal", err)
+			c.logCallFailure("renewal", err)
 		}
 	}
 }
--- a/internal/node/forwarding.go
+++ b/internal/node/forwarding.go
@@ -9,70 +9,70 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// pass hands a request that this node cannot serve to a peer, once. If that
+// forwardOrRefuse hands a request that this node cannot serve to a peer, once. If that
 // fails too, the user is told at once when to come back.
-func (n *Node) pass(forwarded bool, f mesh.Forward, cause error) Answer {
-	n.log.Debug("cannot serve", "kind", f.Kind, "id", f.ID, "err", cause)
+func (c *Controller) forwardOrRefuse(forwarded bool, request mesh.ForwardRequest, cause error) Answer {
+	c.log.Debug("cannot serve", "kind", request.Kind, "id", request.ID, "err", cause)
 	if !forwarded {
-		if a, ok := n.passOn(f); ok {
-			return a
+		if answer, ok := c.forward(request); ok {
+			return answer
 		}
 	}
 	return refuse(http.StatusServiceUnavailable, "cannot be decided now")
 }
 
-// passOn hands a request to the peers, one after the other, until one decides.
+// forward hands a request to the peers, one after the other, until one decides.
 // A peer that could not decide a moment ago is not asked again for a while: in
 // an outage, three nodes would only pass everything around.
-func (n *Node) passOn(f mesh.Forward) (Answer, bool) {
-	for _, p := range n.livePeers() {
-		out, err := n.mesh.Forward(context.Background(), p.Addr, f, tuning.ForwardTimeout)
-		if err != nil || out.Status == http.StatusServiceUnavailable || out.Status == http.StatusTooManyRequests {
-			n.mu.Lock()
-			p.unable = time.Now()
-			n.mu.Unlock()
+func (c *Controller) forward(request mesh.ForwardRequest) (Answer, bool) {
+	for _, p := range c.forwardTargets() {
+		reply, err := c.peerClient.Forward(context.Background(), p.Addr, request, tuning.ForwardTimeout)
+		if err != nil || reply.Status == http.StatusServiceUnavailable || reply.Status == http.StatusTooManyRequests {
+			c.mu.Lock()
+			p.declinedAt = time.Now()
+			c.mu.Unlock()
 			continue
 		}
-		return Answer{Status: out.Status, View: out.View, State: out.State, Error: out.Error}, true
+		return Answer{Status: reply.Status, View: reply.View, State: reply.State, Error: reply.Error}, true
 	}
 	return Answer{}, false
 }
 
-// livePeers are the peers that were heard of lately, the leader first.
-func (n *Node) livePeers() []*peer {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	var out []*peer
-	for _, p := range n.peers {
-		if time.Since(p.heard) > tuning.PeerDead || time.Since(p.unable) < tuning.PeerUnable {
+// forwardTargets are the peers that were heard of lately, the leader first.
+func (c *Controller) forwardTargets() []*peerState {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var targets []*peerState
+	for _, p := range c.peers {
+		if time.Since(p.lastHeardAt) > tuning.PeerUnreachableAfter || time.Since(p.declinedAt) < tuning.UnablePeerBackoff {
 			continue
 		}
-		if p.Name == n.lead.name {
-			out = append([]*peer{p}, out...)
+		if p.Name == c.lead.name {
+			targets = append([]*peerState{p}, targets...)
 		} else {
-			out = append(out, p)
+			targets = append(targets, p)
 		}
 	}
-	return out
+	return targets
 }
 
-// Forwarded serves a peer's request.
-func (n *Node) Forwarded(ctx context.Context, f mesh.Forward) mesh.Forwarded {
-	var a Answer
-	switch f.Kind {
-	case mesh.Submit:
-		body, ok := mesh.Bytes(f.Body)
+// HandleForward serves a peer's request.
+func (c *Controller) HandleForward(ctx context.Context, request mesh.ForwardRequest) mesh.ForwardReply {
+	var answer Answer
+	switch request.Kind {
+	case mesh.KindSubmit:
+		body, ok := mesh.DecodeBytes(request.Body)
 		if !ok {
-			a = refuse(http.StatusBadRequest, "malformed forward")
+			answer = refuse(http.StatusBadRequest, "malformed forward")
 			break
 		}
-		a = n.Submit(ctx, body, true)
-	case mesh.Query:
-		a = n.Query(ctx, f.ID, true)
-	case mesh.Cancel:
-		a = n.Cancel(ctx, f.ID, true)
+		answer = c.Submit(ctx, body, true)
+	case mesh.KindQuery:
+		answer = c.Query(ctx, request.ID, true)
+	case mesh.KindCancel:
+		answer = c.Cancel(ctx, request.ID, true)
 	default:
-		a = refuse(http.StatusBadRequest, "unknown kind")
+		answer = refuse(http.StatusBadRequest, "unknown kind")
 	}
-	return mesh.Forwarded{Status: a.Status, View: a.View, State: a.State, Error: a.Error}
+	return mesh.ForwardReply{Status: answer.Status, View: answer.View, State: answer.State, Error: answer.Error}
 }
--- a/internal/node/lease_test.go
+++ b/internal/node/lease_test.go
@@ -15,29 +15,29 @@
 
 // A leader with a small share of the processor asks for a lease that outlasts the load
 // of a failover, and that the workers' leases outlast, and relies on no more than that.
-func TestLeaseGrowsAsTheShareShrinks(t *testing.T) {
+func TestLeaderLeaseGrowsAsCPUShareShrinks(t *testing.T) {
 	for _, tc := range []struct {
 		share   float64
 		workers float64 // their lease, in seconds
 		ttl     time.Duration
 	}{
-		{0, 45, tuning.LeaseTTL},
-		{0.24, 45, tuning.LeaseTTL},
-		{tuning.UsualShare / 2, 45, 2 * tuning.LeaseTTL},
-		{0.072, 45, tuning.LeaseTTLMost},
-		{0.001, 45, tuning.LeaseTTLMost},
+		{0, 45, tuning.LeaderLeaseTTL},
+		{0.24, 45, tuning.LeaderLeaseTTL},
+		{tuning.ReferenceCPUShare / 2, 45, 2 * tuning.LeaderLeaseTTL},
+		{0.072, 45, tuning.MaxLeaderLeaseTTL},
+		{0.001, 45, tuning.MaxLeaderLeaseTTL},
 		{0.072, 12, 3 * time.Second},
-		{0.072, 4, tuning.LeaseTTL},
+		{0.072, 4, tuning.LeaderLeaseTTL},
 	} {
-		var asked wire.LeaseRequest
+		var requested wire.LeaseRequest
 		service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			answer := any(wire.TxnReply{Epoch: 7})
+			answer := any(wire.TxnReply{Revision: 7})
 			if r.URL.Path == "/holds" {
 				body, err := io.ReadAll(r.Body)
-				if err != nil || wire.Unmarshal(body, &asked) != nil {
+				if err != nil || wire.Unmarshal(body, &requested) != nil {
 					t.Errorf("lease request %x: %v", body, err)
 				}
-				answer = wire.Lease{Permit: 3}
+				answer = wire.LeaseReply{ID: 3}
 			}
 			raw, err := wire.Marshal(answer)
 			if err != nil {
@@ -45,20 +45,20 @@
 			}
 			_, _ = w.Write(raw)
 		}))
-		n := quietNode(t)
-		n.cfg.Deployment.Quota.CPUShare, n.cfg.Deployment.Workers.LeaseS = tc.share, tc.workers
-		n.state = store.New(service.Listener.Addr().String(), 1000)
+		c := newTestController(t)
+		c.cfg.Deployment.Quota.CPUShare, c.cfg.Deployment.Workers.LeaseS = tc.share, tc.workers
+		c.store = store.New(service.Listener.Addr().String(), 1000)
 		ctx, cancel := context.WithCancel(context.Background())
-		time.AfterFunc(tuning.StateRetry, cancel) // ends the term once it has begun
+		time.AfterFunc(tuning.StoreRetryDelay, cancel) // ends the term once it has begun
 		before := time.Now()
-		n.runForLead(ctx)
+		c.tryToLead(ctx)
 		after := time.Now()
 		service.Close()
-		if got := time.Duration(asked.TTLMilli) * time.Millisecond; got != tc.ttl {
+		if got := time.Duration(requested.TTLMilli) * time.Millisecond; got != tc.ttl {
 			t.Errorf("share %v, workers %v: a lease of %v, not %v", tc.share, tc.workers, got, tc.ttl)
 		}
-		if n.heldTo.Before(before.Add(tc.ttl)) || n.heldTo.After(after.Add(tc.ttl)) {
-			t.Errorf("share %v: the lead is relied on until %v after the request", tc.share, n.heldTo.Sub(before))
+		if c.heldTo.Before(before.Add(tc.ttl)) || c.heldTo.After(after.Add(tc.ttl)) {
+			t.Errorf("share %v: the lead is relied on until %v after the request", tc.share, c.heldTo.Sub(before))
 		}
 	}
 }
--- a/internal/node/machine_types.go
+++ b/internal/node/machine_types.go
@@ -10,52 +10,52 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// learnTypes keeps the machine types: from the cloud, or, while that is down,
+// refreshMachineTypes keeps the machine types: from the cloud, or, while that is down,
 // from the state service, where the leader keeps a copy.
-func (n *Node) learnTypes(ctx context.Context) {
+func (c *Controller) refreshMachineTypes(ctx context.Context) {
 	var stored []wire.MachineType // what the state service has, as far as known
-	var due time.Time             // when the cloud is to be asked
-	pause, fromCloud := tuning.CloudRetry, false
-	for wait := time.Millisecond; sleep(ctx, jitter(wait)); wait = tuning.CloudRetry {
-		if !time.Now().Before(due) {
-			types, err := n.cloud.Types(ctx)
+	var nextFetchAt time.Time     // when the cloud is to be asked
+	pause, fromCloud := tuning.CloudRetryDelay, false
+	for wait := time.Millisecond; sleep(ctx, jitter(wait)); wait = tuning.CloudRetryDelay {
+		if !time.Now().Before(nextFetchAt) {
+			types, err := c.cloud.MachineTypes(ctx)
 			if err != nil {
-				n.trouble("machine types", err)
-				pause = min(pause*2, tuning.CloudRetryMax)
-				due = time.Now().Add(pause)
-				if types = n.knownTypes(); len(types) == 0 {
-					types, _ = n.storedTypes(ctx) // an error leaves them unknown: asked again
+				c.logCallFailure("machine types", err)
+				pause = min(pause*2, tuning.MaxCloudRetryDelay)
+				nextFetchAt = time.Now().Add(pause)
+				if types = c.knownMachineTypes(); len(types) == 0 {
+					types, _ = c.storedMachineTypes(ctx) // an error leaves them unknown: asked again
 					stored = types
 				}
 			} else {
-				pause, fromCloud = tuning.CloudRetry, true
-				due = time.Now().Add(tuning.TypesEvery)
+				pause, fromCloud = tuning.CloudRetryDelay, true
+				nextFetchAt = time.Now().Add(tuning.MachineTypeInterval)
 			}
-			n.do(func() {
-				n.types = types
-				if n.leader != nil {
-					n.leader.SetTypes(n.now(), types)
+			c.update(func() {
+				c.machineTypes = types
+				if c.leader != nil {
+					c.leader.SetMachineTypes(c.now(), types)
 				}
 			})
 		}
-		types := n.knownTypes()
-		n.mu.Lock()
-		lead := n.leader != nil
-		n.mu.Unlock()
-		if lead && fromCloud && !sameTypes(stored, types) && n.storeTypes(ctx, types) == nil {
+		types := c.knownMachineTypes()
+		c.mu.Lock()
+		leading := c.leader != nil
+		c.mu.Unlock()
+		if leading && fromCloud && !sameMachineTypes(stored, types) && c.storeMachineTypes(ctx, types) == nil {
 			stored = types
 		}
 	}
 }
 
-func (n *Node) knownTypes() []wire.MachineType {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.types
+func (c *Controller) knownMachineTypes() []wire.MachineType {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.machineTypes
 }
 
-func (n *Node) storedTypes(ctx context.Context) ([]wire.MachineType, error) {
-	items, _, err := n.state.All(ctx, store.Second, store.TypesPrefix)
+func (c *Controller) storedMachineTypes(ctx context.Context) ([]wire.MachineType, error) {
+	items, _, err := c.store.RangeAll(ctx, store.PriorityUser, store.MachineTypePrefix)
 	if err != nil {
 		return nil, err
 	}
@@ -63,7 +63,7 @@
 	for _, it := range items {
 		var t wire.MachineType
 		if err := wire.Unmarshal(it.Value, &t); err != nil || t.Name == "" {
-			n.log.Error("stored machine type unreadable", "key", it.Key)
+			c.log.Error("stored machine type unreadable", "key", it.Key)
 			continue
 		}
 		types = append(types, t)
@@ -71,28 +71,28 @@
 	return types, nil
 }
 
-func (n *Node) storeTypes(ctx context.Context, types []wire.MachineType) error {
+func (c *Controller) storeMachineTypes(ctx context.Context, types []wire.MachineType) error {
 	for i, t := range types {
 		// One at a time and unhurried: starts have the writes' rate first.
-		_, _, err := n.state.Commit(ctx, store.Third, wire.Txn{Apply: []wire.Change{{Set: store.TypesPrefix + t.Name, Value: t}}})
+		_, _, err := c.store.Commit(ctx, store.PriorityBackground, wire.Txn{Then: []wire.Op{{Set: store.MachineTypePrefix + t.Name, Value: t}}})
 		if err != nil {
 			return err
 		}
-		if i > 0 && !sleep(ctx, tuning.StateRetry) {
+		if i > 0 && !sleep(ctx, tuning.StoreRetryDelay) {
 			return ctx.Err()
 		}
 	}
 	return nil
 }
 
-// sameTypes compares all but prices, which move.
-func sameTypes(a, b []wire.MachineType) bool {
+// sameMachineTypes compares all but prices, which move.
+func sameMachineTypes(a, b []wire.MachineType) bool {
 	if len(a) != len(b) {
 		return false
 	}
 	for i := range a {
 		x, y := a[i], b[i]
-		x.Price, x.SpotCost, y.Price, y.SpotCost = 0, 0, 0, 0
+		x.Price, x.SpotPrice, y.Price, y.SpotPrice = 0, 0, 0, 0
 		if !reflect.DeepEqual(x, y) {
 			return false
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -28,141 +28,141 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Node is one controller.
-type Node struct {
-	cfg    *config.Settings
-	policy policy.Settings
-	log    *slog.Logger
-	boot   uint64 // tells this process from its predecessors
-	start  time.Time
+// Controller is one controller.
+type Controller struct {
+	cfg       *config.Settings
+	policy    policy.Settings
+	log       *slog.Logger
+	bootID    uint64 // tells this process from its predecessors
+	startedAt time.Time
 
-	tracer  *tracing.Tracer // nil: nothing is traced
-	state   *store.Client
-	cloud   *cloud.Client
-	workers *worker.Client
-	mesh    *mesh.Client
+	tracer     *tracing.Tracer // nil: nothing is traced
+	store      *store.Client
+	cloud      *cloud.Client
+	workers    *worker.Client
+	peerClient *mesh.Client
 
-	mu        sync.Mutex
-	replica   *core.Replica
-	types     []wire.MachineType
-	leader    *core.Leader // nil unless this node leads
-	permit    uint64       // the lease of our lead
-	heldTo    time.Time    // until then that lease lasts, if it is not renewed
-	lost      chan struct{}
-	lead      leadInfo
-	electedAt time.Time // when this node last asked for the lead that it got
+	mu           sync.Mutex
+	replica      *core.Replica
+	machineTypes []wire.MachineType
+	leader       *core.Scheduler // nil unless this node leads
+	permit       uint64          // the lease of our lead
+	heldTo       time.Time       // until then that lease lasts, if it is not renewed
+	lost         chan struct{}
+	lead         leaderInfo
+	electedAt    time.Time // when this node last asked for the lead that it got
 	// loadingSince is since when this node, elected, reads the records; zero: it does not.
 	loadingSince time.Time
 	barred       time.Time // no candidate until then
-	peers        map[string]*peer
+	peers        map[string]*peerState
 	without      func() time.Duration // for how long the state service has not served us
 	led          time.Time            // as of when all cancellations were seen through, by the leader of the term known
 	knownAt      time.Time            // as of when the replica has all changes
-	confirmed    confirmations
+	confirmed    confirmationLog
 	settling     bool
 	totals       core.Counters // of earlier terms
 	ack          *hdrhistogram.Histogram
 	answers      *hdrhistogram.Histogram
 
 	syncMu sync.Mutex
-	next   *syncCall
+	next   *refreshCall
 	active bool
 
 	lag                    atomic.Int64         // how late the last tick came, in nanoseconds
-	backlog                func() time.Duration // see WatchBacklog
+	backlog                func() time.Duration // see SetRequestBacklog
 	submissions, decisions chan struct{}
 	calls                  chan struct{} // places of direct calls
 	shortOf                int           // machines, when settings were last said to fall short of them
 }
 
-// New makes a node. Run starts it.
-func New(cfg *config.Settings, pol policy.Settings, log *slog.Logger) *Node {
-	n := &Node{
-		cfg: cfg, policy: pol, log: log, boot: rand.Uint64() >> 1, start: time.Now(),
-		state:       store.New(cfg.Outside.State, cfg.Deployment.State.RPS*tuning.ReadShare),
-		cloud:       cloud.New(cfg.Outside.Cloud),
+// NewHandler makes a node. Run starts it.
+func New(cfg *config.Settings, schedulingPolicy policy.Settings, log *slog.Logger) *Controller {
+	c := &Controller{
+		cfg: cfg, policy: schedulingPolicy, log: log, bootID: rand.Uint64() >> 1, startedAt: time.Now(),
+		store:       store.New(cfg.Endpoints.State, cfg.Deployment.State.RPS*tuning.StoreReadRateShare),
+		cloud:       cloud.New(cfg.Endpoints.Cloud),
 		workers:     worker.New(),
-		mesh:        mesh.New(),
+		peerClient:  mesh.New(),
 		replica:     core.NewReplica(),
-		peers:       map[string]*peer{},
+		peers:       map[string]*peerState{},
 		ack:         hdrhistogram.New(1, 600_000, 2),
 		answers:     hdrhistogram.New(1, 600_000, 2),
-		submissions: make(chan struct{}, tuning.SubmissionsInFlight),
-		decisions:   make(chan struct{}, tuning.DecisionsInFlight),
-		calls:       make(chan struct{}, directCalls(cfg)),
+		submissions: make(chan struct{}, tuning.MaxSubmissionsInFlight),
+		decisions:   make(chan struct{}, tuning.MaxDecisionsInFlight),
+		calls:       make(chan struct{}, directCallLimit(cfg)),
 	}
-	n.without = n.state.Without
-	n.backlog = func() time.Duration { return 0 }
+	c.without = c.store.UnservedFor
+	c.backlog = func() time.Duration { return 0 }
 	for _, p := range cfg.Peers {
-		n.peers[p.Name] = &peer{Peer: p}
+		c.peers[p.Name] = &peerState{Peer: p}
 	}
-	return n
+	return c
 }
 
-// WatchBacklog tells the node how to learn for how long requests wait before they are
+// SetRequestBacklog tells the node how to learn for how long requests wait before they are
 // read. It is called before Run.
-func (n *Node) WatchBacklog(backlog func() time.Duration) { n.backlog = backlog }
+func (c *Controller) SetRequestBacklog(backlog func() time.Duration) { c.backlog = backlog }
 
-// Trace has the node make spans. It is called before Run.
-func (n *Node) Trace(tracer *tracing.Tracer) { n.tracer = tracer }
+// SetTracer has the node make spans. It is called before Run.
+func (c *Controller) SetTracer(tracer *tracing.Tracer) { c.tracer = tracer }
 
 // Run works until ctx ends.
-func (n *Node) Run(ctx context.Context) {
+func (c *Controller) Run(ctx context.Context) {
 	var wg sync.WaitGroup
-	for _, f := range []func(context.Context){n.campaign, n.learnTypes, n.pingPeers, n.follow, n.ticker, n.watchLeader} {
+	for _, f := range []func(context.Context){c.campaign, c.refreshMachineTypes, c.pingPeers, c.followJobs, c.runTicker, c.watchLeaderProcess} {
 		wg.Add(1)
 		go func() { defer wg.Done(); f(ctx) }()
 	}
 	wg.Wait()
 }
 
-func (n *Node) now() core.Now {
+func (c *Controller) now() core.Now {
 	t := time.Now()
-	return core.Now{Mono: t.Sub(n.start), Wall: t.UnixMilli()}
+	return core.Now{Mono: t.Sub(c.startedAt), Wall: t.UnixMilli()}
 }
 
-// do runs one input under the lock and carries out what came of it.
-func (n *Node) do(f func()) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+// update runs one input under the lock and carries out what came of it.
+func (c *Controller) update(f func()) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	f()
-	n.settle()
+	c.settle()
 }
 
-// withLeader feeds the leader of the given term, if it still leads.
-func (n *Node) withLeader(l *core.Leader, f func(core.Now)) {
-	n.do(func() {
-		if n.leader == l {
-			f(n.now())
+// updateScheduler feeds the leader of the given term, if it still leads.
+func (c *Controller) updateScheduler(sched *core.Scheduler, f func(core.Now)) {
+	c.update(func() {
+		if c.leader == sched {
+			f(c.now())
 		}
 	})
 }
 
 // settle lets the leader act on what changed. Placement keeps its own pace; if
 // it has to wait, settle comes again.
-func (n *Node) settle() {
-	l := n.leader
-	if l == nil {
+func (c *Controller) settle() {
+	sched := c.leader
+	if sched == nil {
 		return
 	}
-	n.round(l)
-	n.carryOut(l, l.Take())
-	if n.leader == l && l.Unsettled() && !n.settling {
-		n.settling = true
-		time.AfterFunc(tuning.PlaceGap, func() { n.do(func() { n.settling = false }) })
+	c.settleScheduler(sched)
+	c.execute(sched, sched.TakeEffects())
+	if c.leader == sched && sched.PlacementPending() && !c.settling {
+		c.settling = true
+		time.AfterFunc(tuning.MinPlacementInterval, func() { c.update(func() { c.settling = false }) })
 	}
 }
 
-// round has the leader settle, which may be a round of placement.
-func (n *Node) round(l *core.Leader) {
-	if !n.tracer.Enabled() {
-		l.Settle(n.now())
+// settleScheduler has the leader settle, which may be a round of placement.
+func (c *Controller) settleScheduler(sched *core.Scheduler) {
+	if !c.tracer.Enabled() {
+		sched.Settle(c.now())
 		return
 	}
-	before, begun := l.Rounds(), time.Now()
-	l.Settle(n.now())
-	if l.Rounds() != before {
-		n.tracer.Round(begun, time.Now())
+	roundsBefore, startedAt := sched.PlacementRounds(), time.Now()
+	sched.Settle(c.now())
+	if sched.PlacementRounds() != roundsBefore {
+		c.tracer.PlacementRound(startedAt, time.Now())
 	}
 }
 
@@ -181,95 +181,95 @@
 	return d/2 + time.Duration(rand.Int64N(int64(d)))
 }
 
-// ticker drives the leader's housekeeping. How late its ticks come shows how far
+// runTicker drives the leader's housekeeping. How late its ticks come shows how far
 // the process is behind its share of the processor.
-func (n *Node) ticker(ctx context.Context) {
+func (c *Controller) runTicker(ctx context.Context) {
 	for {
-		begun := time.Now()
-		if !sleep(ctx, tuning.TickEvery) {
+		startedAt := time.Now()
+		if !sleep(ctx, tuning.TickInterval) {
 			return
 		}
-		n.lag.Store(int64(time.Since(begun) - tuning.TickEvery))
-		n.do(func() {
-			if n.leader == nil {
+		c.lag.Store(int64(time.Since(startedAt) - tuning.TickInterval))
+		c.update(func() {
+			if c.leader == nil {
 				return
 			}
-			if n.cutOff() {
+			if c.isolated() {
 				// Whoever leads by now cannot tell us, and our workers would
 				// stay with us. Their leases are kept as followers keep them.
-				n.stepDown(n.leader, "cut off from the state service and most peers")
+				c.stepDown(c.leader, "cut off from the state service and most peers")
 				return
 			}
-			if !n.mayRenewLeases() {
-				n.stepDown(n.leader, "cancellations may have passed it by for too long")
+			if !c.mayRenewLeases() {
+				c.stepDown(c.leader, "cancellations may have passed it by for too long")
 				return
 			}
-			n.leader.Tick(n.now())
+			c.leader.Tick(c.now())
 		})
 	}
 }
 
-// served reports whether the state service has served this node lately.
-func (n *Node) served() bool { return n.without() < tuning.CutAfter }
+// storeAvailable reports whether the state service has served this node lately.
+func (c *Controller) storeAvailable() bool { return c.without() < tuning.IsolatedAfter }
 
-// cutOff reports whether this node, and those that it still hears, if any, may be on
+// isolated reports whether this node, and those that it still hears, if any, may be on
 // the wrong side of a cut: the state service has served none of them for a while,
 // and they are no more than half of all. More of them without it are rather an
 // outage, in which the leader goes on for as long as it is entitled to.
 // Called with the lock held.
-func (n *Node) cutOff() bool {
-	if len(n.peers) == 0 || n.served() {
+func (c *Controller) isolated() bool {
+	if len(c.peers) == 0 || c.storeAvailable() {
 		return false
 	}
-	near := 1
-	for _, p := range n.peers {
-		if time.Since(p.heard) < tuning.CutAfter {
-			if p.served {
+	reachable := 1
+	for _, p := range c.peers {
+		if time.Since(p.lastHeardAt) < tuning.IsolatedAfter {
+			if p.storeAvailable {
 				return false
 			}
-			near++
+			reachable++
 		}
 	}
-	return 2*near <= 1+len(n.peers)
+	return 2*reachable <= 1+len(c.peers)
 }
 
 // Healthy reports whether users had better come here than elsewhere: unless cut
 // off, this node can answer them or pass them to a peer that can. A node whose
 // trouble all share stays healthy, since its return would be held up.
-func (n *Node) Healthy() bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return !n.cutOff()
+func (c *Controller) Healthy() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return !c.isolated()
 }
 
 // stepDown gives up the lead. The lease is ended, so that the others need not
 // wait for it to run out.
-func (n *Node) stepDown(l *core.Leader, why string) {
-	if n.leader != l {
+func (c *Controller) stepDown(sched *core.Scheduler, reason string) {
+	if c.leader != sched {
 		return
 	}
-	n.log.Info("lead given up", "term", n.lead.term, "why", why)
-	n.led = later(n.led, n.settledAsOf())
-	n.endTerm()
-	n.lead.name = ""
-	if why == core.NoWorkerReports {
+	c.log.Info("lead given up", "term", c.lead.term, "why", reason)
+	c.led = later(c.led, c.enforcedWatermark())
+	c.endTerm()
+	c.lead.name = ""
+	if reason == core.ResignNoHeartbeats {
 		// Whoever is in a better place goes first. After other ends nobody is
 		// barred: five nodes that depose each other would leave no candidate.
-		n.barred = time.Now().Add(tuning.ResignPause)
+		c.barred = time.Now().Add(tuning.ResignBackoff)
 	}
 }
 
-func (n *Node) endTerm() {
-	c := n.leader.Counters()
-	addCounters(&n.totals, c)
-	n.leader = nil
-	n.tracer.TermEnded(time.Now())
-	close(n.lost)
+func (c *Controller) endTerm() {
+	counters := c.leader.Counters()
+	addCounters(&c.totals, counters)
+	c.leader = nil
+	c.tracer.TermEnded(time.Now())
+	close(c.lost)
 }
 
-func addCounters(to *core.Counters, c core.Counters) {
-	a, b := reflect.ValueOf(to).Elem(), reflect.ValueOf(c)
-	for i := range a.NumField() {
-		a.Field(i).SetUint(a.Field(i).Uint() + b.Field(i).Uint())
+func addCounters(total *core.Counters, term core.Counters) {
+	totalFields, termFields := reflect.ValueOf(total).Elem(), reflect.ValueOf(term)
+	for i := range totalFields.NumField() {
+		totalFields.Field(i).SetUint(totalFields.Field(i).Uint() + termFields.Field(i).Uint())
 	}
 }
--- a/internal/node/overload_test.go
+++ b/internal/node/overload_test.go
@@ -22,7 +22,7 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-func quietNode(t *testing.T) *Node {
+func newTestController(t *testing.T) *Controller {
 	b, err := os.ReadFile("../../examples/local.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -35,37 +35,37 @@
 }
 
 // Under overload, reports outrank decisions, and decisions submissions.
-func TestRanksUnderOverload(t *testing.T) {
-	n := quietNode(t)
-	n.replica.Remember("run-000001", store.EndedRecord{State: wire.JobDone, Done: 1, Tasks: 1})
-	report := &wire.Report{Machine: "n-1", Address: "a:1", Session: 1, Tick: 1}
+func TestOverloadShedsSubmissionsBeforeQueriesBeforeHeartbeats(t *testing.T) {
+	c := newTestController(t)
+	c.replica.RememberEnded("run-000001", store.EndedJob{State: wire.JobDone, Done: 1, Tasks: 1})
+	heartbeat := &wire.Heartbeat{Machine: "n-1", Address: "a:1", Incarnation: 1, Sequence: 1}
 	for _, tc := range []struct {
 		lag           time.Duration
 		submit, query int
 	}{
 		{0, http.StatusBadRequest, http.StatusOK},
-		{tuning.LagSubmissions + 1, http.StatusServiceUnavailable, http.StatusOK},
-		{tuning.LagDecisions + 1, http.StatusServiceUnavailable, http.StatusServiceUnavailable},
+		{tuning.MaxSubmissionTickLag + 1, http.StatusServiceUnavailable, http.StatusOK},
+		{tuning.MaxDecisionTickLag + 1, http.StatusServiceUnavailable, http.StatusServiceUnavailable},
 	} {
-		n.lag.Store(int64(tc.lag))
-		if a := n.Submit(context.Background(), []byte{0xa0}, false); a.Status != tc.submit {
+		c.lag.Store(int64(tc.lag))
+		if a := c.Submit(context.Background(), []byte{0xa0}, false); a.Status != tc.submit {
 			t.Errorf("lag %v: submission %d", tc.lag, a.Status)
 		}
-		if a := n.Query(context.Background(), "run-000001", false); a.Status != tc.query {
+		if a := c.Query(context.Background(), "run-000001", false); a.Status != tc.query {
 			t.Errorf("lag %v: poll %d", tc.lag, a.Status)
 		}
-		if a := n.Checkin(report); a.Status != http.StatusServiceUnavailable { // nobody leads
+		if a := c.Heartbeat(heartbeat); a.Status != http.StatusServiceUnavailable { // nobody leads
 			t.Errorf("lag %v: report %d", tc.lag, a.Status)
 		}
 	}
-	n.lag.Store(0)
-	for range tuning.SubmissionsInFlight {
-		n.submissions <- struct{}{}
+	c.lag.Store(0)
+	for range tuning.MaxSubmissionsInFlight {
+		c.submissions <- struct{}{}
 	}
-	if a := n.Submit(context.Background(), []byte{0xa0}, false); a.Status != http.StatusServiceUnavailable {
+	if a := c.Submit(context.Background(), []byte{0xa0}, false); a.Status != http.StatusServiceUnavailable {
 		t.Errorf("a submission over the bound: %d", a.Status)
 	}
-	if a := n.Query(context.Background(), "run-000001", false); a.Status != http.StatusOK {
+	if a := c.Query(context.Background(), "run-000001", false); a.Status != http.StatusOK {
 		t.Errorf("a poll while submissions are full: %d", a.Status)
 	}
 }
@@ -73,48 +73,48 @@
 // A follower sends workers to a leader in reach. In a cut it renews their leases
 // with the token they hold, only of the last known term, gives no commands, and
 // stops in time for a cancellation.
-func TestFollowerInACut(t *testing.T) {
-	n := quietNode(t)
-	n.peers["drover-1"] = &peer{Peer: config.Peer{Name: "drover-1", Addr: "b:1"}, heard: time.Now()}
-	n.setLead("drover-1", 9)
-	n.led = time.Now()
-	token := uint64(9)<<tuning.FenceBits | 3
-	report := func(token uint64) WorkerAnswer {
-		return n.Checkin(&wire.Report{Machine: "n-1", Address: "a:1", Session: 1, Tick: 1, Token: token})
-	}
-	if a := report(token); a.Status != http.StatusMisdirectedRequest || a.Redirect.Leader != "drover-1" {
+func TestFollowerKeepsWorkersAliveWhilePartitioned(t *testing.T) {
+	c := newTestController(t)
+	c.peers["drover-1"] = &peerState{Peer: config.Peer{Name: "drover-1", Addr: "b:1"}, lastHeardAt: time.Now()}
+	c.setLeader("drover-1", 9)
+	c.led = time.Now()
+	token := uint64(9)<<tuning.FencingBits | 3
+	heartbeat := func(token uint64) HeartbeatAnswer {
+		return c.Heartbeat(&wire.Heartbeat{Machine: "n-1", Address: "a:1", Incarnation: 1, Sequence: 1, FencingToken: token})
+	}
+	if a := heartbeat(token); a.Status != http.StatusMisdirectedRequest || a.Redirect.Leader != "drover-1" {
 		t.Errorf("leader in reach: %+v", a)
 	}
-	n.peers["drover-1"].heard = time.Now().Add(-2 * tuning.PeerDead)
-	if a := report(token); a.Status != http.StatusOK || a.Reply.Token != token || len(a.Reply.Commands) != 0 {
+	c.peers["drover-1"].lastHeardAt = time.Now().Add(-2 * tuning.PeerUnreachableAfter)
+	if a := heartbeat(token); a.Status != http.StatusOK || a.Reply.FencingToken != token || len(a.Reply.Commands) != 0 {
 		t.Errorf("in a cut: %+v", a)
 	}
-	if a := report(uint64(8) << tuning.FenceBits); a.Status == http.StatusOK {
+	if a := heartbeat(uint64(8) << tuning.FencingBits); a.Status == http.StatusOK {
 		t.Errorf("a token of an earlier term was kept alive: %+v", a)
 	}
-	n.led = time.Now().Add(-n.KeepaliveBound())
-	if a := report(token); a.Status == http.StatusOK {
+	c.led = time.Now().Add(-c.KeepaliveBound())
+	if a := heartbeat(token); a.Status == http.StatusOK {
 		t.Errorf("kept alive for longer than a cancellation leaves time for: %+v", a)
 	}
-	w := n.cfg.Deployment.Workers
-	if n.KeepaliveBound() > config.Seconds(w.CancelS-w.LeaseS) {
-		t.Errorf("bound %v", n.KeepaliveBound())
+	w := c.cfg.Deployment.Workers
+	if c.KeepaliveBound() > config.Seconds(w.CancelS-w.LeaseS) {
+		t.Errorf("bound %v", c.KeepaliveBound())
 	}
 }
 
 // A node without the state service is cut off, and unhealthy, unless a peer that is
 // served is in reach, or so many share its trouble that it is an outage. Once in
 // touch again it is healthy at once.
-func TestCutOff(t *testing.T) {
-	n := quietNode(t)
-	heard := func(served bool, near int) {
-		clear(n.peers)
+func TestIsolatedControllerIsUnhealthy(t *testing.T) {
+	c := newTestController(t)
+	setPeers := func(storeAvailable bool, reachable int) {
+		clear(c.peers)
 		for i := range 4 {
-			p := &peer{Peer: config.Peer{Name: "drover-" + string(rune('1'+i))}, served: served}
-			if i < near {
-				p.heard = time.Now()
+			p := &peerState{Peer: config.Peer{Name: "drover-" + string(rune('1'+i))}, storeAvailable: storeAvailable}
+			if i < reachable {
+				p.lastHeardAt = time.Now()
 			}
-			n.peers[p.Name] = p
+			c.peers[p.Name] = p
 		}
 	}
 	for _, tc := range []struct {
@@ -129,18 +129,18 @@
 		{time.Minute, true, 1, false},  // a peer answers for us
 		{time.Minute, false, 4, false}, // an outage
 		// Three of five without the other two: an outage with two nodes down, or a
-		// zone that is cut off. Others may cancel jobs: see TestKnowledge.
+		// zone that is cut off. Others may cancel jobs: see TestCancellationWatermarkIsNeverAheadOfConfirmations.
 		{time.Minute, false, 2, false},
 	} {
-		n.without = func() time.Duration { return tc.without }
-		heard(tc.served, tc.near)
-		if n.Healthy() == tc.cut {
+		c.without = func() time.Duration { return tc.without }
+		setPeers(tc.served, tc.near)
+		if c.Healthy() == tc.cut {
 			t.Errorf("%+v: healthy %v", tc, !tc.cut)
 		}
 	}
-	n.without = func() time.Duration { return 0 }
-	heard(false, 0)
-	if !n.Healthy() {
+	c.without = func() time.Duration { return 0 }
+	setPeers(false, 0)
+	if !c.Healthy() {
 		t.Error("unhealthy though served")
 	}
 }
@@ -148,26 +148,26 @@
 // Where the leader refuses connections from here, it is there for workers: they
 // are sent to it and not held here. A node that never knew the lead to work keeps
 // nobody alive.
-func TestFollowerThatIsRefused(t *testing.T) {
-	n := quietNode(t)
-	p := &peer{Peer: config.Peer{Name: "drover-1", Addr: "b:1"}, refused: time.Now()}
-	n.peers["drover-1"] = p
-	n.setLead("drover-1", 9)
-	n.led = time.Now()
-	r := &wire.Report{Machine: "n-1", Address: "a:1", Session: 1, Tick: 1, Token: 9 << tuning.FenceBits}
-	if a := n.Checkin(r); a.Status != http.StatusMisdirectedRequest || a.Redirect.Leader != "drover-1" {
+func TestFollowerRedirectsWhenLeaderRefusesConnections(t *testing.T) {
+	c := newTestController(t)
+	p := &peerState{Peer: config.Peer{Name: "drover-1", Addr: "b:1"}, connectionRefusedAt: time.Now()}
+	c.peers["drover-1"] = p
+	c.setLeader("drover-1", 9)
+	c.led = time.Now()
+	heartbeat := &wire.Heartbeat{Machine: "n-1", Address: "a:1", Incarnation: 1, Sequence: 1, FencingToken: 9 << tuning.FencingBits}
+	if a := c.Heartbeat(heartbeat); a.Status != http.StatusMisdirectedRequest || a.Redirect.Leader != "drover-1" {
 		t.Errorf("leader refuses connections: %+v", a)
 	}
-	p.refused, n.led = time.Time{}, time.Time{}
-	if a := n.Checkin(r); a.Status == http.StatusOK {
+	p.connectionRefusedAt, c.led = time.Time{}, time.Time{}
+	if a := c.Heartbeat(heartbeat); a.Status == http.StatusOK {
 		t.Errorf("kept alive by a node that has just started: %+v", a)
 	}
 }
 
 // Answers of watches that overtake each other never take the copy back.
-func TestReplicaKeepsTheLatest(t *testing.T) {
+func TestReplicaIgnoresOlderWatchAnswers(t *testing.T) {
 	raw := func(cancelled bool) wire.Raw {
-		b, err := wire.Marshal(store.JobRecord{Job: wire.Job{ID: "run-000001", Tasks: 1}, Cancelled: cancelled})
+		b, err := wire.Marshal(store.Job{Job: wire.Job{ID: "run-000001", Tasks: 1}, Cancelled: cancelled})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -175,41 +175,41 @@
 	}
 	r := core.NewReplica()
 	r.Reset(nil, 10)
-	set := wire.LogEntry{Set: store.JobKey("run-000001"), Value: raw(false), Stamp: 11}
-	cancel := wire.LogEntry{Set: store.JobKey("run-000001"), Value: raw(true), Stamp: 12}
-	r.Apply(wire.Changes{Epoch: 12, Log: []wire.LogEntry{set, cancel}})
-	if touched, _ := r.Apply(wire.Changes{Epoch: 11, Log: []wire.LogEntry{set}}); len(touched) != 0 || !r.Live["run-000001"].Record.Cancelled {
+	set := wire.WatchEvent{Set: store.JobKey("run-000001"), Value: raw(false), ModRevision: 11}
+	cancel := wire.WatchEvent{Set: store.JobKey("run-000001"), Value: raw(true), ModRevision: 12}
+	r.Apply(wire.WatchReply{Revision: 12, Events: []wire.WatchEvent{set, cancel}})
+	if touched, _ := r.Apply(wire.WatchReply{Revision: 11, Events: []wire.WatchEvent{set}}); len(touched) != 0 || !r.Live["run-000001"].Record.Cancelled {
 		t.Error("an older answer undid a cancellation")
 	}
-	r.Apply(wire.Changes{Epoch: 13, Log: []wire.LogEntry{{Delete: store.JobKey("run-000001"), Stamp: 13}}})
-	if touched, _ := r.Apply(wire.Changes{Epoch: 12, Log: []wire.LogEntry{set, cancel}}); len(touched) != 0 || r.Live["run-000001"] != nil {
+	r.Apply(wire.WatchReply{Revision: 13, Events: []wire.WatchEvent{{Delete: store.JobKey("run-000001"), ModRevision: 13}}})
+	if touched, _ := r.Apply(wire.WatchReply{Revision: 12, Events: []wire.WatchEvent{set, cancel}}); len(touched) != 0 || r.Live["run-000001"] != nil {
 		t.Error("an older answer brought a job back to life")
 	}
-	if _, bad := r.Apply(wire.Changes{Epoch: 14, Log: []wire.LogEntry{{Set: store.JobKey("run-000002"), Value: raw(false), Stamp: 14}}}); len(bad) != 1 {
+	if _, bad := r.Apply(wire.WatchReply{Revision: 14, Events: []wire.WatchEvent{{Set: store.JobKey("run-000002"), Value: raw(false), ModRevision: 14}}}); len(bad) != 1 {
 		t.Error("a record under another job's key was trusted")
 	}
 }
 
 // That there is no job of an id costs one read, until a change makes one: questions
 // about jobs that nobody submitted must not cost the state service a read each.
-func TestReplicaKnowsWhatIsMissing(t *testing.T) {
-	raw, err := wire.Marshal(store.JobRecord{Job: wire.Job{ID: "run-000001", Tasks: 1}})
+func TestReplicaCachesAbsentJobs(t *testing.T) {
+	raw, err := wire.Marshal(store.Job{Job: wire.Job{ID: "run-000001", Tasks: 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := wire.LogEntry{Set: store.JobKey("run-000001"), Value: raw, Stamp: 11}
+	set := wire.WatchEvent{Set: store.JobKey("run-000001"), Value: raw, ModRevision: 11}
 	r := core.NewReplica()
 	r.Reset(nil, 10)
-	r.Missing("run-000001")
-	r.Missing("run-000002")
+	r.NoteAbsent("run-000001")
+	r.NoteAbsent("run-000002")
 	if !r.Absent("run-000001") || r.Absent("run-000003") {
 		t.Error("what is missing was not noted, or more than that")
 	}
-	r.Apply(wire.Changes{Epoch: 11, Log: []wire.LogEntry{set}})
+	r.Apply(wire.WatchReply{Revision: 11, Events: []wire.WatchEvent{set}})
 	if r.Absent("run-000001") || !r.Absent("run-000002") {
 		t.Error("missing though submitted")
 	}
-	r.Missing("run-000001") // by a read that was sent before the job came
+	r.NoteAbsent("run-000001") // by a read that was sent before the job came
 	if r.Absent("run-000001") {
 		t.Error("missing though live")
 	}
@@ -221,34 +221,34 @@
 
 // A rental or release that the process stood still before it could send is not sent
 // once the lead may be another's: it would take machines that work for that one.
-func TestNoLateDealingsWithTheCloud(t *testing.T) {
-	asked := 0
+func TestNoCloudRequestAfterLeaseExpiry(t *testing.T) {
+	requests := 0
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		asked++
+		requests++
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
 	defer srv.Close()
-	n := quietNode(t)
-	n.cloud = cloud.New(srv.Listener.Addr().String())
-	n.leader, n.lost = core.NewLeader(n.now(), n.coreSettings(), 9, core.NewReplica(), nil, nil, nil), make(chan struct{})
-	deal := func() {
-		n.release(n.leader, []string{"n-000001"})
-		n.rent(n.leader, wire.RentRequest{Name: "r-1", Count: 1})
+	c := newTestController(t)
+	c.cloud = cloud.New(srv.Listener.Addr().String())
+	c.leader, c.lost = core.New(c.now(), c.schedulerSettings(), 9, core.NewReplica(), nil, nil, nil), make(chan struct{})
+	callCloud := func() {
+		c.releaseMachines(c.leader, []string{"n-000001"})
+		c.provision(c.leader, wire.ProvisionRequest{RequestID: "r-1", Count: 1})
 	}
-	n.heldTo = time.Now().Add(-time.Second)
-	if deal(); asked != 0 {
-		t.Errorf("%d requests after the lease", asked)
+	c.heldTo = time.Now().Add(-time.Second)
+	if callCloud(); requests != 0 {
+		t.Errorf("%d requests after the lease", requests)
 	}
-	n.heldTo = time.Now().Add(time.Hour)
-	if deal(); asked != 2 {
-		t.Errorf("%d requests within the lease", asked)
+	c.heldTo = time.Now().Add(time.Hour)
+	if callCloud(); requests != 2 {
+		t.Errorf("%d requests within the lease", requests)
 	}
 }
 
 // What was read before the process stood still is not told as fresh.
-func TestReadBeforeAStandstillIsReadAgain(t *testing.T) {
+func TestReadBeforeProcessPauseIsRepeated(t *testing.T) {
 	reads := 0
-	err := readFresh(func() (time.Time, error) {
+	err := readUntilFresh(func() (time.Time, error) {
 		if reads++; reads < 3 {
 			return time.Now().Add(-time.Minute), nil
 		}
@@ -257,7 +257,7 @@
 	if err != nil || reads != 3 {
 		t.Errorf("read %d times: %v", reads, err)
 	}
-	if err := readFresh(func() (time.Time, error) { return time.Time{}, context.DeadlineExceeded }); err == nil {
+	if err := readUntilFresh(func() (time.Time, error) { return time.Time{}, context.DeadlineExceeded }); err == nil {
 		t.Error("a read that failed was told")
 	}
 }
@@ -265,34 +265,34 @@
 // However many machines have something coming, direct calls keep within the sockets
 // that are left for them.
 func TestDirectCallsAreBounded(t *testing.T) {
-	n := quietNode(t)
-	n.cfg.Deployment.Quota.FDLimit = 300
-	if got := directCalls(n.cfg); got != tuning.DirectLeast {
+	c := newTestController(t)
+	c.cfg.Deployment.Quota.FDLimit = 300
+	if got := directCallLimit(c.cfg); got != tuning.MinWorkerCalls {
 		t.Errorf("%d places with few sockets", got)
 	}
-	n.calls = make(chan struct{}, 3)
-	var out, most atomic.Int64
+	c.calls = make(chan struct{}, 3)
+	var concurrent, maxConcurrent atomic.Int64
 	handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		for now := out.Add(1); ; {
-			was := most.Load()
-			if now <= was || most.CompareAndSwap(was, now) {
+		for now := concurrent.Add(1); ; {
+			previous := maxConcurrent.Load()
+			if now <= previous || maxConcurrent.CompareAndSwap(previous, now) {
 				break
 			}
 		}
 		for range 100 {
 			runtime.Gosched() // lets others in, if anything does
 		}
-		out.Add(-1)
+		concurrent.Add(-1)
 		w.WriteHeader(http.StatusTeapot)
 	})
 	var wg sync.WaitGroup
 	for range 24 {
 		srv := httptest.NewServer(handler) // a machine each: the client bounds one host's connections itself
 		defer srv.Close()
-		wg.Go(func() { n.direct(&core.Leader{}, core.DirectCall{Addr: srv.Listener.Addr().String()}) })
+		wg.Go(func() { c.callWorker(&core.Scheduler{}, core.DirectCall{Addr: srv.Listener.Addr().String()}) })
 	}
 	wg.Wait()
-	if got := most.Load(); got == 0 || got > 3 {
+	if got := maxConcurrent.Load(); got == 0 || got > 3 {
 		t.Errorf("%d calls at once, of 3 places", got)
 	}
 }
--- a/internal/node/queries.go
+++ b/internal/node/queries.go
@@ -12,124 +12,124 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// known tells a job's state as of a moment after the call; found is false for one that
+// lookUpJob tells a job's state as of a moment after the call; found is false for one that
 // was never accepted, and an error says that this cannot be told now. What was read
 // before this process stood still for a while is read again: others may have told the
 // user something newer meanwhile.
-func (n *Node) known(ctx context.Context, id string) (v wire.JobView, found bool, err error) {
-	err = readFresh(func() (at time.Time, err error) {
-		v, found, at, err = n.readState(ctx, id)
-		return at, err
+func (c *Controller) lookUpJob(ctx context.Context, id string) (view wire.JobView, found bool, err error) {
+	err = readUntilFresh(func() (readAt time.Time, err error) {
+		view, found, readAt, err = c.readJob(ctx, id)
+		return readAt, err
 	})
-	return v, found, err
+	return view, found, err
 }
 
-// readFresh looks until what was read is as fresh as an answer has to be.
-func readFresh(look func() (at time.Time, err error)) error {
+// readUntilFresh looks until what was read is as fresh as an answer has to be.
+func readUntilFresh(read func() (readAt time.Time, err error)) error {
 	for {
 		//mutation:reply-staleness
-		if at, err := look(); err != nil || time.Since(at) < tuning.AnswerWithin {
+		if readAt, err := read(); err != nil || time.Since(readAt) < tuning.MaxAnswerAge {
 			return err
 		}
 	}
 }
 
-// readState is one try of known. It also says when what it tells was read.
-func (n *Node) readState(ctx context.Context, id string) (v wire.JobView, found bool, at time.Time, err error) {
-	n.mu.Lock()
-	rec, ok := n.replica.Ended(id)
-	n.mu.Unlock()
+// readJob is one try of known. It also says when what it tells was read.
+func (c *Controller) readJob(ctx context.Context, id string) (view wire.JobView, found bool, readAt time.Time, err error) {
+	c.mu.Lock()
+	record, ok := c.replica.Ended(id)
+	c.mu.Unlock()
 	if ok {
-		return endedView(id, rec), true, time.Now(), nil // for good
+		return endedView(id, record), true, time.Now(), nil // for good
 	}
 	//mutation:query-reads-fresh
-	if at, err = n.fresh(ctx); err != nil {
-		return v, false, at, err
+	if readAt, err = c.refresh(ctx); err != nil {
+		return view, false, readAt, err
 	}
-	n.mu.Lock()
-	live := n.replica.Live[id]
-	rec, ended := n.replica.Ended(id)
-	absent, resets := n.replica.Absent(id), n.replica.Resets
+	c.mu.Lock()
+	live := c.replica.Live[id]
+	record, ended := c.replica.Ended(id)
+	absent, resets := c.replica.Absent(id), c.replica.Resets
 	if live != nil {
-		v = n.liveView(id, live)
+		view = c.liveView(id, live)
 	}
-	n.mu.Unlock()
+	c.mu.Unlock()
 	if ended {
-		return endedView(id, rec), true, at, nil
+		return endedView(id, record), true, readAt, nil
 	}
 	if live != nil || absent {
-		return v, live != nil, at, nil
+		return view, live != nil, readAt, nil
 	}
 	// Once for each id, and behind what others wait for: whoever asks about many
 	// that nobody submitted must not take the reads of those that somebody did.
-	it, err := n.state.Get(ctx, store.Third, store.EndedKey(id))
-	at = time.Now()
+	item, err := c.store.Get(ctx, store.PriorityBackground, store.EndedJobKey(id))
+	readAt = time.Now()
 	if err != nil {
-		return v, false, at, err
+		return view, false, readAt, err
 	}
-	if it.Stamp == 0 {
-		n.mu.Lock()
+	if item.ModRevision == 0 {
+		c.mu.Lock()
 		// While the read was out, the job may have come and ended in changes that a
 		// reset passed over: it would be unknown here for good.
 		//mutation:absence-across-reset
-		if n.replica.Resets == resets {
-			n.replica.Missing(id)
+		if c.replica.Resets == resets {
+			c.replica.NoteAbsent(id)
 		}
-		n.mu.Unlock()
-		return v, false, at, nil
+		c.mu.Unlock()
+		return view, false, readAt, nil
 	}
-	if err := wire.Unmarshal(it.Value, &rec); err != nil {
-		return v, false, at, err
+	if err := wire.Unmarshal(item.Value, &record); err != nil {
+		return view, false, readAt, err
 	}
-	n.mu.Lock()
-	n.replica.Remember(id, rec)
-	n.mu.Unlock()
-	return endedView(id, rec), true, at, nil
+	c.mu.Lock()
+	c.replica.RememberEnded(id, record)
+	c.mu.Unlock()
+	return endedView(id, record), true, readAt, nil
 }
 
-func endedView(id string, rec store.EndedRecord) wire.JobView {
-	return wire.JobView{ID: id, State: rec.State, Done: rec.Done}
+func endedView(id string, record store.EndedJob) wire.JobView {
+	return wire.JobView{ID: id, State: record.State, Done: record.Done}
 }
 
 // liveView describes a live job. Called with the lock held.
-func (n *Node) liveView(id string, live *core.LiveJob) wire.JobView {
-	v := wire.JobView{ID: id, State: wire.JobPending}
-	bits := store.NewBitmap(live.Record.Job.Tasks)
-	if bits.Merge(0, live.Record.Done) == nil {
-		v.Done = bits.Count()
+func (c *Controller) liveView(id string, live *core.LiveJob) wire.JobView {
+	view := wire.JobView{ID: id, State: wire.JobPending}
+	done := store.NewBitmap(live.Record.Job.Tasks)
+	if done.MergeChunk(0, live.Record.Done) == nil {
+		view.Done = done.Count()
 	}
-	if n.leader != nil {
-		v.Running = n.leader.RunningOf(id)
-	} else if p := n.peers[n.lead.name]; p != nil {
-		v.Running = p.running[id]
+	if c.leader != nil {
+		view.Running = c.leader.RunningTasksOf(id)
+	} else if p := c.peers[c.lead.name]; p != nil {
+		view.Running = p.runningTasks[id]
 	}
 	if live.Record.Cancelled {
-		n.cancelled(id)
-		v.State, v.Running = wire.JobCancelled, 0
-	} else if v.Running > 0 {
-		v.State = wire.JobRunning
+		c.confirmCancellation(id)
+		view.State, view.Running = wire.JobCancelled, 0
+	} else if view.Running > 0 {
+		view.State = wire.JobRunning
 	}
-	return v
+	return view
 }
 
-// Query answers GET /v2/runs/{id}.
-func (n *Node) Query(ctx context.Context, id string, forwarded bool) Answer {
-	if !wire.ValidID(id) {
+// KindQuery answers GET /v2/runs/{id}.
+func (c *Controller) Query(ctx context.Context, id string, forwarded bool) Answer {
+	if !wire.ValidJobID(id) {
 		return refuse(http.StatusNotFound, "no such job")
 	}
-	leave, ok := n.enter(n.decisions, tuning.LagDecisions)
+	release, ok := c.admit(c.decisions, tuning.MaxDecisionTickLag)
 	if !ok {
-		return busy
+		return overloaded
 	}
-	defer leave()
-	ctx, cancel := context.WithTimeout(ctx, tuning.QueryPatience)
+	defer release()
+	ctx, cancel := context.WithTimeout(ctx, tuning.LocalQueryTimeout)
 	defer cancel()
-	v, found, err := n.known(ctx, id)
+	view, found, err := c.lookUpJob(ctx, id)
 	switch {
 	case err != nil:
-		return n.pass(forwarded, mesh.Forward{Kind: mesh.Query, ID: id}, err)
+		return c.forwardOrRefuse(forwarded, mesh.ForwardRequest{Kind: mesh.KindQuery, ID: id}, err)
 	case !found:
 		return refuse(http.StatusNotFound, "no such job")
 	}
-	return Answer{Status: http.StatusOK, View: &v}
+	return Answer{Status: http.StatusOK, View: &view}
 }
--- a/internal/node/recover.go
+++ b/internal/node/recover.go
@@ -13,10 +13,10 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// recover reads all records and installs the leader, or returns nil.
-func (n *Node) recover(ctx context.Context, term uint64, lost chan struct{}) *core.Leader {
-	n.do(func() { n.loadingSince = time.Now() })
-	defer n.do(func() { n.loadingSince = time.Time{} })
+// loadScheduler reads all records and installs the leader, or returns nil.
+func (c *Controller) loadScheduler(ctx context.Context, term uint64, lost chan struct{}) *core.Scheduler {
+	c.update(func() { c.loadingSince = time.Now() })
+	defer c.update(func() { c.loadingSince = time.Time{} })
 	for {
 		select {
 		case <-lost:
@@ -25,111 +25,113 @@
 			return nil
 		default:
 		}
-		var bits, records, earlier, jobs []wire.Item
-		var epoch uint64
+		var bitmaps, batches, legacyMachines, jobs []wire.KeyValue
+		var revision uint64
 		var errs [4]error
-		begun := time.Now()
+		readAt := time.Now()
 		var wg sync.WaitGroup
-		wg.Go(func() { bits, _, errs[0] = n.state.All(ctx, store.First, store.BitsPrefix) })
-		wg.Go(func() { records, _, errs[1] = n.state.All(ctx, store.First, store.BatchPrefix) })
-		wg.Go(func() { earlier, _, errs[2] = n.state.All(ctx, store.First, store.MachinePrefix) })
-		wg.Go(func() { jobs, epoch, errs[3] = n.state.All(ctx, store.First, store.JobPrefix) })
+		wg.Go(func() { bitmaps, _, errs[0] = c.store.RangeAll(ctx, store.PriorityLeader, store.BitmapPrefix) })
+		wg.Go(func() { batches, _, errs[1] = c.store.RangeAll(ctx, store.PriorityLeader, store.BatchPrefix) })
+		wg.Go(func() {
+			legacyMachines, _, errs[2] = c.store.RangeAll(ctx, store.PriorityLeader, store.LegacyMachinePrefix)
+		})
+		wg.Go(func() { jobs, revision, errs[3] = c.store.RangeAll(ctx, store.PriorityLeader, store.LiveJobPrefix) })
 		wg.Wait()
 		err := errors.Join(errs[:]...)
 		if err != nil {
-			n.trouble("recovery", err)
-			if !sleep(ctx, tuning.StateRetry) {
+			c.logCallFailure("recovery", err)
+			if !sleep(ctx, tuning.StoreRetryDelay) {
 				return nil
 			}
 			continue
 		}
-		var leader *core.Leader
-		n.do(func() {
+		var sched *core.Scheduler
+		c.update(func() {
 			select {
 			case <-lost:
 				return
 			default:
 			}
-			if n.lead.term > term {
+			if c.lead.term > term {
 				return // somebody leads after us already
 			}
-			if epoch >= n.replica.Epoch {
-				n.reportBad(n.replica.Reset(jobs, epoch))
+			if revision >= c.replica.Revision {
+				c.logUnreadableRecords(c.replica.Reset(jobs, revision))
 			}
-			n.knownAt = later(n.knownAt, begun)
-			leader = core.NewLeader(n.now(), n.coreSettings(), term, n.replica, bits, append(records, earlier...), n.types)
-			for _, p := range n.peers {
+			c.knownAt = later(c.knownAt, readAt)
+			sched = core.New(c.now(), c.schedulerSettings(), term, c.replica, bitmaps, append(batches, legacyMachines...), c.machineTypes)
+			for _, p := range c.peers {
 				// What came of their lists while nobody here led is gone: all again.
-				p.have, p.confirmedAsOf = 0, time.Time{}
+				p.confirmationsSeen, p.confirmationsAsOf = 0, time.Time{}
 			}
 			// Our own list is told to no one who asks: what users were told here between
 			// the read above and now, no answer of the watch may bring for long.
 			//mutation:recovery-applies-own-cancellations
-			leader.Cancelled(n.now(), n.confirmed.list)
-			leader.AckLatency = func(d time.Duration) { _ = n.ack.RecordValue(min(max(1, d.Milliseconds()), 600_000)) }
-			leader.Held(n.heldTo.Sub(n.start))
-			for _, p := range n.peers {
-				if !p.heard.IsZero() {
-					leader.ZoneHeard(p.Zone, p.heard.Sub(n.start))
+			sched.Cancelled(c.now(), c.confirmed.ids)
+			sched.ObserveAckLatency = func(d time.Duration) { _ = c.ack.RecordValue(min(max(1, d.Milliseconds()), 600_000)) }
+			sched.LeaseHeldUntil(c.heldTo.Sub(c.startedAt))
+			for _, p := range c.peers {
+				if !p.lastHeardAt.IsZero() {
+					sched.ZoneLastSeen(p.Zone, p.lastHeardAt.Sub(c.startedAt))
 				}
 			}
-			leader.ZoneHeard(n.cfg.Zone, n.now().Mono)
-			n.tracer.Loaded(term, n.loadingSince, time.Now(), len(jobs), len(records)+len(earlier))
-			n.leader, n.lost = leader, lost
+			sched.ZoneLastSeen(c.cfg.Zone, c.now().Mono)
+			c.tracer.RecordsLoaded(term, c.loadingSince, time.Now(), len(jobs), len(batches)+len(legacyMachines))
+			c.leader, c.lost = sched, lost
 		})
-		return leader
+		return sched
 	}
 }
 
-func (n *Node) reportBad(keys []string) {
+func (c *Controller) logUnreadableRecords(keys []string) {
 	for _, k := range keys {
-		n.log.Error("job record unreadable", "key", k)
+		c.log.Error("job record unreadable", "key", k)
 	}
 }
 
-func (n *Node) coreSettings() core.Settings {
-	d := &n.cfg.Deployment
-	s := core.Settings{
-		Teams:  map[string]core.Team{},
-		Report: config.Seconds(d.Workers.ReportS), Lease: config.Seconds(d.Workers.LeaseS), Cancel: config.Seconds(d.Workers.CancelS),
-		TxnOps: d.State.TxnOps, ValueBytes: int(d.State.ValueKB * 1024), WriteRate: d.State.WriteRPS,
-		ColdRestart: n.coldRestart(), TraceOrders: n.tracer.Enabled(),
-		Aims: map[string]core.Aim{}, Thrifty: n.cfg.Thrifty(), GuaranteeWithin: n.cfg.GuaranteeWithin(),
-		CloudRate: d.Cloud.RPS, CPUShare: d.Quota.CPUShare, ListLag: config.Seconds(d.Cloud.ListLagS), Policy: n.policy,
+func (c *Controller) schedulerSettings() core.Settings {
+	deployment := &c.cfg.Deployment
+	settings := core.Settings{
+		Teams:             map[string]core.TeamQuota{},
+		HeartbeatInterval: config.Seconds(deployment.Workers.ReportS), WorkerLease: config.Seconds(deployment.Workers.LeaseS), CancellationBound: config.Seconds(deployment.Workers.CancelS),
+		MaxTransactionOps: deployment.State.TxnOps, MaxValueBytes: int(deployment.State.ValueKB * 1024), WriteRate: deployment.State.WriteRPS,
+		ColdRestart: c.coldRestart(), TraceOperations: c.tracer.Enabled(),
+		Objectives: map[string]core.Objective{}, MinimizeCost: c.cfg.CostSensitive(), GuaranteedStartWithin: c.cfg.GuaranteeStartTarget(),
+		CloudRate: deployment.Cloud.RPS, CPUShare: deployment.Quota.CPUShare, CloudListLag: config.Seconds(deployment.Cloud.ListLagS), Policy: c.policy,
 	}
-	for _, o := range d.Objectives {
-		aim := s.Aims[o.Class]
-		switch o.Kind {
+	for _, configured := range deployment.Objectives {
+		objective := settings.Objectives[configured.Class]
+		switch configured.Kind {
 		case "deadline":
-			aim.Times = append(aim.Times, max(o.Times, 1))
+			objective.DeadlineMultiples = append(objective.DeadlineMultiples, max(configured.DeadlineMultiple, 1))
 		case "finished":
-			aim.Within = o.WithinS
+			objective.WithinS = configured.WithinS
 		}
-		s.Aims[o.Class] = aim
+		settings.Objectives[configured.Class] = objective
 	}
-	for _, t := range d.Teams {
-		s.Teams[t.Name] = core.Team{CPUs: t.CPUs, CPUsMax: t.CPUsMax, GPUs: t.GPUs, GPUsMax: t.GPUsMax}
+	for _, t := range deployment.Teams {
+		settings.Teams[t.Name] = core.TeamQuota{CPUs: t.GuaranteedCPUs, CPUsMax: t.MaxCPUs, GPUs: t.GuaranteedGPUs, GPUsMax: t.MaxGPUs}
 	}
-	return s
+	return settings
 }
 
-// outlived reports whether a process that began then was up long before this node was
+// survivedFailover reports whether a process that began then was up long before this node was
 // elected, so that workers could be answered until the change of leader. What it was up
 // since says nothing. Called with the lock held.
-func (n *Node) outlived(born time.Time) bool {
-	lease := config.Seconds(n.cfg.Deployment.Workers.LeaseS)
+func (c *Controller) survivedFailover(processStartedAt time.Time) bool {
+	lease := config.Seconds(c.cfg.Deployment.Workers.LeaseS)
 	//mutation:survived-from-election
-	return !born.IsZero() && n.electedAt.Sub(born) > lease/tuning.ColdPart
+	return !processStartedAt.IsZero() && c.electedAt.Sub(processStartedAt) > lease/tuning.ColdRestartLeaseDivisor
 }
 
 // coldRestart reports whether no controller that this node has heard outlived the leader
 // before. Called with the lock held.
-func (n *Node) coldRestart() bool {
-	if n.outlived(n.start) {
+func (c *Controller) coldRestart() bool {
+	if c.survivedFailover(c.startedAt) {
 		return false
 	}
-	for _, p := range n.peers {
-		if n.outlived(p.born) {
+	for _, p := range c.peers {
+		if c.survivedFailover(p.processStartedAt) {
 			return false
 		}
 	}
--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -12,152 +12,152 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// syncCall is one read of the changes since the replica's epoch. Whoever came
+// refreshCall is one read of the changes since the replica's epoch. Whoever came
 // before it was sent may rely on what it finds.
-type syncCall struct {
-	done chan struct{}
-	err  error
-	at   time.Time // when it was answered
+type refreshCall struct {
+	done       chan struct{}
+	err        error
+	answeredAt time.Time // when it was answered
 }
 
-// fresh brings the replica up to a moment after the call. Concurrent callers
+// refresh brings the replica up to a moment after the call. Concurrent callers
 // share a read, but never one that was sent before they came. It says when that was
 // answered.
-func (n *Node) fresh(ctx context.Context) (time.Time, error) {
-	n.syncMu.Lock()
-	c := n.next
-	if c == nil {
-		c = &syncCall{done: make(chan struct{})}
-		n.next = c
-		if !n.active {
-			n.active = true
-			go n.syncLoop()
+func (c *Controller) refresh(ctx context.Context) (time.Time, error) {
+	c.syncMu.Lock()
+	call := c.next
+	if call == nil {
+		call = &refreshCall{done: make(chan struct{})}
+		c.next = call
+		if !c.active {
+			c.active = true
+			go c.refreshLoop()
 		}
 	}
-	n.syncMu.Unlock()
+	c.syncMu.Unlock()
 	select {
-	case <-c.done:
-		return c.at, c.err
+	case <-call.done:
+		return call.answeredAt, call.err
 	case <-ctx.Done():
 		return time.Time{}, ctx.Err()
 	}
 }
 
-// syncLoop serves waiting calls one after the other and ends when none waits.
-func (n *Node) syncLoop() {
+// refreshLoop serves waiting calls one after the other and ends when none waits.
+func (c *Controller) refreshLoop() {
 	for {
-		n.syncMu.Lock()
-		c := n.next
+		c.syncMu.Lock()
+		call := c.next
 		//mutation:query-joins-no-earlier-read
-		n.next = nil
-		if c == nil {
-			n.active = false
-			n.syncMu.Unlock()
+		c.next = nil
+		if call == nil {
+			c.active = false
+			c.syncMu.Unlock()
 			return
 		}
-		n.syncMu.Unlock()
-		c.err = n.syncOnce()
-		c.at = time.Now()
-		close(c.done)
-		time.Sleep(n.syncGap())
+		c.syncMu.Unlock()
+		call.err = c.refreshOnce()
+		call.answeredAt = time.Now()
+		close(call.done)
+		time.Sleep(c.refreshInterval())
 	}
 }
 
-// syncGap spaces the reads so that all nodes together stay within their share of
+// refreshInterval spaces the reads so that all nodes together stay within their share of
 // the state service's rate.
-func (n *Node) syncGap() time.Duration {
-	return max(tuning.SyncGap, config.Seconds(float64(1+len(n.peers))/(n.cfg.Deployment.State.RPS*tuning.SyncShare)))
+func (c *Controller) refreshInterval() time.Duration {
+	return max(tuning.MinSyncInterval, config.Seconds(float64(1+len(c.peers))/(c.cfg.Deployment.State.RPS*tuning.SyncRateShare)))
 }
 
-func (n *Node) syncOnce() error {
+func (c *Controller) refreshOnce() error {
 	ctx := context.Background()
-	n.mu.Lock()
-	loaded, from := n.replica.Loaded, n.replica.Epoch
-	n.mu.Unlock()
+	c.mu.Lock()
+	loaded, from := c.replica.Loaded, c.replica.Revision
+	c.mu.Unlock()
 	if !loaded {
-		return n.reload(ctx)
+		return c.reloadJobs(ctx)
 	}
-	begun := time.Now()
-	c, err := n.state.Changes(ctx, store.Second, store.JobsPrefix, from, 0)
-	if errors.Is(err, store.ErrTooOld) {
-		return n.reload(ctx)
+	sentAt := time.Now()
+	changes, err := c.store.Watch(ctx, store.PriorityUser, store.JobsPrefix, from, 0)
+	if errors.Is(err, store.ErrCompacted) {
+		return c.reloadJobs(ctx)
 	}
 	if err != nil {
 		return err
 	}
-	n.applyChanges(c, begun)
+	c.applyChanges(changes, sentAt)
 	return nil
 }
 
-// follow keeps a follower's replica from falling behind what watches reach, and
+// followJobs keeps a follower's replica from falling behind what watches reach, and
 // the leader's as fresh as its right to answer workers asks for.
-func (n *Node) follow(ctx context.Context) {
-	for pause := tuning.FollowEvery; sleep(ctx, jitter(pause)); {
-		_, _ = n.fresh(ctx) // failing that, the next round or a poll will do
-		pause = tuning.FollowEvery
-		n.mu.Lock()
-		if n.leader != nil {
-			pause = tuning.LeaderFresh
+func (c *Controller) followJobs(ctx context.Context) {
+	for pause := tuning.FollowerSyncInterval; sleep(ctx, jitter(pause)); {
+		_, _ = c.refresh(ctx) // failing that, the next round or a poll will do
+		pause = tuning.FollowerSyncInterval
+		c.mu.Lock()
+		if c.leader != nil {
+			pause = tuning.LeaderSyncInterval
 		}
-		n.mu.Unlock()
+		c.mu.Unlock()
 	}
 }
 
 // watchJobs keeps the leader's picture of the jobs fresh.
-func (n *Node) watchJobs(ctx context.Context, l *core.Leader) {
+func (c *Controller) watchJobs(ctx context.Context, sched *core.Scheduler) {
 	for ctx.Err() == nil {
-		n.mu.Lock()
-		from := n.replica.Epoch
-		n.mu.Unlock()
-		begun := time.Now()
-		c, err := n.state.Changes(ctx, store.First, store.JobsPrefix, from, tuning.WatchBlock)
+		c.mu.Lock()
+		from := c.replica.Revision
+		c.mu.Unlock()
+		sentAt := time.Now()
+		changes, err := c.store.Watch(ctx, store.PriorityLeader, store.JobsPrefix, from, tuning.WatchTimeout)
 		switch {
-		case errors.Is(err, store.ErrTooOld):
-			n.reload(ctx)
+		case errors.Is(err, store.ErrCompacted):
+			c.reloadJobs(ctx)
 		case err != nil:
-			n.trouble("watch", err)
-			sleep(ctx, jitter(tuning.StateRetry))
+			c.logCallFailure("watch", err)
+			sleep(ctx, jitter(tuning.StoreRetryDelay))
 		default:
-			n.applyChanges(c, begun)
-			sleep(ctx, tuning.WatchGap)
+			c.applyChanges(changes, sentAt)
+			sleep(ctx, tuning.MinWatchInterval)
 		}
 	}
 }
 
 // applyChanges takes an answer to a question sent at begun.
-func (n *Node) applyChanges(c wire.Changes, begun time.Time) {
-	n.do(func() {
-		n.leaderKnows()
-		n.knownAt = later(n.knownAt, begun)
-		touched, bad := n.replica.Apply(c)
-		n.reportBad(bad)
-		if n.leader != nil {
-			n.leader.ReadAsOf(begun.Sub(n.start))
+func (c *Controller) applyChanges(changes wire.WatchReply, sentAt time.Time) {
+	c.update(func() {
+		c.updateWatermark()
+		c.knownAt = later(c.knownAt, sentAt)
+		touched, unreadable := c.replica.Apply(changes)
+		c.logUnreadableRecords(unreadable)
+		if c.leader != nil {
+			c.leader.JobsReadAt(sentAt.Sub(c.startedAt))
 		}
-		if n.leader != nil && len(touched) > 0 {
-			n.leader.JobsChanged(n.now(), touched)
+		if c.leader != nil && len(touched) > 0 {
+			c.leader.JobsChanged(c.now(), touched)
 		}
 	})
 }
 
-// reload reads all live jobs again.
-func (n *Node) reload(ctx context.Context) error {
-	begun := time.Now()
-	items, epoch, err := n.state.All(ctx, store.Second, store.JobPrefix)
+// reloadJobs reads all live jobs again.
+func (c *Controller) reloadJobs(ctx context.Context) error {
+	sentAt := time.Now()
+	items, revision, err := c.store.RangeAll(ctx, store.PriorityUser, store.LiveJobPrefix)
 	if err != nil {
 		return err
 	}
-	n.do(func() {
+	c.update(func() {
 		//mutation:full-read-order
-		if epoch < n.replica.Epoch {
+		if revision < c.replica.Revision {
 			return
 		}
-		n.leaderKnows()
-		n.knownAt = later(n.knownAt, begun)
-		n.reportBad(n.replica.Reset(items, epoch))
-		if n.leader != nil {
-			n.leader.ReadAsOf(begun.Sub(n.start))
-			n.leader.JobsReset(n.now(), n.replica)
+		c.updateWatermark()
+		c.knownAt = later(c.knownAt, sentAt)
+		c.logUnreadableRecords(c.replica.Reset(items, revision))
+		if c.leader != nil {
+			c.leader.JobsReadAt(sentAt.Sub(c.startedAt))
+			c.leader.JobsReset(c.now(), c.replica)
 		}
 	})
 	return nil
--- a/internal/node/submissions.go
+++ b/internal/node/submissions.go
@@ -13,80 +13,80 @@
 )
 
 // Submit answers POST /v2/runs.
-func (n *Node) Submit(ctx context.Context, body []byte, forwarded bool) Answer {
-	leave, ok := n.enter(n.submissions, tuning.LagSubmissions)
+func (c *Controller) Submit(ctx context.Context, body []byte, forwarded bool) Answer {
+	release, ok := c.admit(c.submissions, tuning.MaxSubmissionTickLag)
 	if !ok {
-		return busy
+		return overloaded
 	}
-	defer leave()
-	begun := time.Now()
+	defer release()
+	receivedAt := time.Now()
 	defer func() {
-		n.mu.Lock()
-		_ = n.answers.RecordValue(min(max(1, time.Since(begun).Milliseconds()), 600_000))
-		n.mu.Unlock()
+		c.mu.Lock()
+		_ = c.answers.RecordValue(min(max(1, time.Since(receivedAt).Milliseconds()), 600_000))
+		c.mu.Unlock()
 	}()
-	ctx, cancel := context.WithTimeout(ctx, tuning.SubmitPatience)
+	ctx, cancel := context.WithTimeout(ctx, tuning.SubmissionTimeout)
 	defer cancel()
-	fwd := mesh.Forward{Kind: mesh.Submit, Body: mesh.Text(body)}
+	forwardRequest := mesh.ForwardRequest{Kind: mesh.KindSubmit, Body: mesh.EncodeBytes(body)}
 	job, err := wire.ParseJob(body)
 	if err != nil {
 		refusal := refuse(http.StatusBadRequest, err.Error())
-		if id := wire.IDOf(body); id != "" {
-			return n.unlessKnown(ctx, id, refusal, fwd, forwarded)
+		if id := wire.JobIDOf(body); id != "" {
+			return c.refuseUnlessKnown(ctx, id, refusal, forwardRequest, forwarded)
 		}
-		n.log.Info("submission refused", "status", refusal.Status, "why", refusal.Error)
+		c.log.Info("submission refused", "status", refusal.Status, "why", refusal.Error)
 		return refusal
 	}
-	n.mu.Lock()
-	types := n.types
-	n.mu.Unlock()
-	if verdict := n.judge(job, types); verdict.Status != 0 {
+	c.mu.Lock()
+	types := c.machineTypes
+	c.mu.Unlock()
+	if refusal := c.checkFeasible(job, types); refusal.Status != 0 {
 		//mutation:unfit-submission-of-known-job
-		return n.unlessKnown(ctx, job.ID, verdict, fwd, forwarded)
+		return c.refuseUnlessKnown(ctx, job.ID, refusal, forwardRequest, forwarded)
 	}
-	job.CreatedMilli = time.Now().UnixMilli()
-	rec := store.JobRecord{Job: *job}
-	if float64(wire.JSONSize(rec)) > n.cfg.Deployment.State.ValueKB*1024*(1-tuning.ValueSlack)-float64(tuning.BitmapTasks)/6 {
+	job.CreatedAtMilli = time.Now().UnixMilli()
+	record := store.Job{Job: *job}
+	if float64(wire.JSONSize(record)) > c.cfg.Deployment.State.ValueKB*1024*(1-tuning.ValueSizeMargin)-float64(tuning.TasksPerBitmap)/6 {
 		//mutation:long-submission-of-known-job
-		return n.unlessKnown(ctx, job.ID, refuse(http.StatusBadRequest, "the job's description is too long"), fwd, forwarded)
+		return c.refuseUnlessKnown(ctx, job.ID, refuse(http.StatusBadRequest, "the job's description is too long"), forwardRequest, forwarded)
 	}
-	t := wire.Txn{
+	txn := wire.Txn{
 		//mutation:submission-conditions
-		If:    []wire.Condition{{Key: store.JobKey(job.ID)}, {Key: store.EndedKey(job.ID)}},
-		Apply: []wire.Change{{Set: store.JobKey(job.ID), Value: rec}},
+		If:   []wire.Compare{{Key: store.JobKey(job.ID)}, {Key: store.EndedJobKey(job.ID)}},
+		Then: []wire.Op{{Set: store.JobKey(job.ID), Value: record}},
 	}
 	repeated := false // an earlier try, here or at a peer, may have been carried out
 	type outcome struct{ err error }
-	tried := make(chan outcome, 1)
-	attempt := func() {
-		_, _, err := n.state.Commit(ctx, store.Second, t)
-		tried <- outcome{err}
+	committed := make(chan outcome, 1)
+	commit := func() {
+		_, _, err := c.store.Commit(ctx, store.PriorityUser, txn)
+		committed <- outcome{err}
 	}
-	go attempt()
-	hedge := time.NewTimer(tuning.HedgeAfter)
+	go commit()
+	hedge := time.NewTimer(tuning.HedgeDelay)
 	defer hedge.Stop()
-	asked := forwarded
-	passed := make(chan Answer, 1) // a peer's answer, if it decides
-	ask := func() {
-		if asked {
+	forwardTried := forwarded
+	peerAnswers := make(chan Answer, 1) // a peer's answer, if it decides
+	askPeer := func() {
+		if forwardTried {
 			return
 		}
-		asked, repeated = true, true
+		forwardTried, repeated = true, true
 		go func() {
 			// A peer that refuses the job for good knows other machine types, or came
 			// too early to know it. Our own try may have been carried out: a user who
 			// is told 422 gives up a job that runs.
 			//mutation:peer-refusal
-			if a, ok := n.passOn(fwd); ok && a.State != nil {
-				passed <- a
+			if answer, ok := c.forward(forwardRequest); ok && answer.State != nil {
+				peerAnswers <- answer
 			}
 		}()
 	}
 	for waiting := true; waiting; {
 		select {
-		case o := <-tried:
-			err = o.err
-			if !errors.Is(err, store.ErrUnknown) {
+		case result := <-committed:
+			err = result.err
+			if !errors.Is(err, store.ErrOutcomeUnknown) {
 				waiting = false
 				break
 			}
@@ -94,72 +94,72 @@
 			// let it happen once. But not in a hot loop, and a peer may be in a
 			// better place.
 			repeated = true
-			ask()
-			time.AfterFunc(tuning.StateRetry, attempt)
+			askPeer()
+			time.AfterFunc(tuning.StoreRetryDelay, commit)
 		case <-hedge.C:
-			ask()
-		case a := <-passed:
-			return a
+			askPeer()
+		case answer := <-peerAnswers:
+			return answer
 		case <-ctx.Done():
 			err, waiting = ctx.Err(), false
 		}
 	}
 	switch {
 	case err == nil:
-		return Answer{Status: http.StatusCreated, State: &wire.JobState{ID: job.ID, State: wire.JobPending}}
+		return Answer{Status: http.StatusCreated, State: &wire.JobStateReply{ID: job.ID, State: wire.JobPending}}
 	case errors.Is(err, store.ErrConflict):
-		v, found, err := n.known(ctx, job.ID)
+		view, found, err := c.lookUpJob(ctx, job.ID)
 		if err != nil || !found {
-			return n.pass(forwarded, fwd, errors.Join(err, errors.New("known, state not read")))
+			return c.forwardOrRefuse(forwarded, forwardRequest, errors.Join(err, errors.New("known, state not read")))
 		}
 		status := http.StatusOK
 		if repeated {
 			status = http.StatusCreated
 		}
-		return Answer{Status: status, State: &wire.JobState{ID: job.ID, State: v.State}}
+		return Answer{Status: status, State: &wire.JobStateReply{ID: job.ID, State: view.State}}
 	}
-	return n.pass(asked, fwd, err)
+	return c.forwardOrRefuse(forwardTried, forwardRequest, err)
 }
 
-// unlessKnown refuses a submission, whatever the reason, unless its job is known: a
+// refuseUnlessKnown refuses a submission, whatever the reason, unless its job is known: a
 // repeated submission is answered with the job's state, even if the body has changed for
 // the worse. Where it cannot be told now whether the job is known, nothing is refused for
 // good: users do not retry after 400 and 422, and an accepted job would be forgotten.
-func (n *Node) unlessKnown(ctx context.Context, id string, refusal Answer, fwd mesh.Forward, forwarded bool) Answer {
-	v, found, err := n.known(ctx, id)
+func (c *Controller) refuseUnlessKnown(ctx context.Context, id string, refusal Answer, forwardRequest mesh.ForwardRequest, forwarded bool) Answer {
+	view, found, err := c.lookUpJob(ctx, id)
 	switch {
 	//mutation:refusal-needs-read
 	case err != nil:
 		//mutation:refusal-after-failed-read
-		return n.pass(forwarded, fwd, err)
+		return c.forwardOrRefuse(forwarded, forwardRequest, err)
 	case found:
-		return Answer{Status: http.StatusOK, State: &wire.JobState{ID: id, State: v.State}}
+		return Answer{Status: http.StatusOK, State: &wire.JobStateReply{ID: id, State: view.State}}
 	case refusal.Status == http.StatusServiceUnavailable && !forwarded:
-		return n.pass(false, fwd, errors.New(refusal.Error))
+		return c.forwardOrRefuse(false, forwardRequest, errors.New(refusal.Error))
 	}
-	n.log.Info("submission refused", "job", id, "status", refusal.Status, "why", refusal.Error)
+	c.log.Info("submission refused", "job", id, "status", refusal.Status, "why", refusal.Error)
 	return refusal
 }
 
-// judge says whether a job can ever run. A zero status means that it can.
-func (n *Node) judge(j *wire.Job, types []wire.MachineType) Answer {
+// checkFeasible says whether a job can ever run. A zero status means that it can.
+func (c *Controller) checkFeasible(job *wire.Job, types []wire.MachineType) Answer {
 	never := func(why string) Answer { return refuse(http.StatusUnprocessableEntity, why) }
-	d := &n.cfg.Deployment
+	deployment := &c.cfg.Deployment
 	tasks := 1.0
-	if j.Service() || j.Gang() {
-		tasks = float64(j.Tasks)
+	if job.Service() || job.Gang() {
+		tasks = float64(job.Tasks)
 	}
-	known := false
-	for _, t := range d.Teams {
-		if t.Name != j.Team {
+	teamKnown := false
+	for _, t := range deployment.Teams {
+		if t.Name != job.Team {
 			continue
 		}
-		known = true
-		if tasks*j.CPUs > t.CPUsMax+1e-6 || tasks*j.GPUs > t.GPUsMax+1e-6 {
+		teamKnown = true
+		if tasks*job.CPUs > t.MaxCPUs+1e-6 || tasks*job.GPUs > t.MaxGPUs+1e-6 {
 			return never("needs more than the team's limit")
 		}
 	}
-	if !known {
+	if !teamKnown {
 		return never("unknown team")
 	}
 	if len(types) == 0 {
@@ -167,7 +167,7 @@
 	}
 	for i := range types {
 		t := &types[i]
-		if !t.Fits(j) || j.Types != nil && !contains(j.Types, t.Name) || j.Zone != "" && !contains(t.Zones, j.Zone) {
+		if !t.Fits(job) || job.MachineTypes != nil && !containsString(job.MachineTypes, t.Name) || job.Zone != "" && !containsString(t.Zones, job.Zone) {
 			continue
 		}
 		return Answer{}
@@ -175,7 +175,7 @@
 	return never("a task fits no allowed machine type")
 }
 
-func contains(list []string, s string) bool {
+func containsString(list []string, s string) bool {
 	for _, x := range list {
 		if x == s {
 			return true
--- a/internal/node/users.go
+++ b/internal/node/users.go
@@ -16,19 +16,19 @@
 type Answer struct {
 	Status int
 	View   *wire.JobView
-	State  *wire.JobState
+	State  *wire.JobStateReply
 	Error  string
 }
 
-func refuse(status int, why string) Answer { return Answer{Status: status, Error: why} }
+func refuse(status int, reason string) Answer { return Answer{Status: status, Error: reason} }
 
-var busy = refuse(http.StatusServiceUnavailable, "too many requests at this node")
+var overloaded = refuse(http.StatusServiceUnavailable, "too many requests at this node")
 
-// enter takes a place among the bounded requests, or says that there is none.
+// admit takes a place among the bounded requests, or says that there is none.
 // When the process falls behind, work is refused by rank: submissions first,
 // then polls and cancellations; workers' reports are always taken.
-func (n *Node) enter(slots chan struct{}, lag time.Duration) (leave func(), ok bool) {
-	if max(time.Duration(n.lag.Load()), n.backlog()) > lag {
+func (c *Controller) admit(slots chan struct{}, maxLag time.Duration) (release func(), ok bool) {
+	if max(time.Duration(c.lag.Load()), c.backlog()) > maxLag {
 		return nil, false
 	}
 	select {
@@ -40,51 +40,51 @@
 }
 
 // Cancel answers POST /v2/runs/{id}/withdraw.
-func (n *Node) Cancel(ctx context.Context, id string, forwarded bool) Answer {
-	if !wire.ValidID(id) {
+func (c *Controller) Cancel(ctx context.Context, id string, forwarded bool) Answer {
+	if !wire.ValidJobID(id) {
 		return refuse(http.StatusNotFound, "no such job")
 	}
-	leave, ok := n.enter(n.decisions, tuning.LagDecisions)
+	release, ok := c.admit(c.decisions, tuning.MaxDecisionTickLag)
 	if !ok {
-		return busy
+		return overloaded
 	}
-	defer leave()
-	ctx, cancel := context.WithTimeout(ctx, tuning.SubmitPatience)
+	defer release()
+	ctx, cancel := context.WithTimeout(ctx, tuning.SubmissionTimeout)
 	defer cancel()
 	state := func(s string) Answer {
-		return Answer{Status: http.StatusOK, State: &wire.JobState{ID: id, State: s}}
+		return Answer{Status: http.StatusOK, State: &wire.JobStateReply{ID: id, State: s}}
 	}
-	fwd := mesh.Forward{Kind: mesh.Cancel, ID: id}
+	forwardRequest := mesh.ForwardRequest{Kind: mesh.KindCancel, ID: id}
 	for {
-		v, found, err := n.known(ctx, id)
+		view, found, err := c.lookUpJob(ctx, id)
 		switch {
 		case err != nil:
-			return n.pass(forwarded, fwd, err)
+			return c.forwardOrRefuse(forwarded, forwardRequest, err)
 		case !found:
 			return refuse(http.StatusNotFound, "no such job")
-		case v.State == wire.JobCancelled || v.State == wire.JobDone:
-			return state(v.State)
+		case view.State == wire.JobCancelled || view.State == wire.JobDone:
+			return state(view.State)
 		}
-		n.mu.Lock()
-		live := n.replica.Live[id]
-		n.mu.Unlock()
+		c.mu.Lock()
+		live := c.replica.Live[id]
+		c.mu.Unlock()
 		if live == nil {
 			continue
 		}
-		rec := *live.Record
-		rec.Cancelled = true
-		_, _, err = n.state.Commit(ctx, store.Second, wire.Txn{
+		record := *live.Record
+		record.Cancelled = true
+		_, _, err = c.store.Commit(ctx, store.PriorityUser, wire.Txn{
 			//mutation:cancellation-conditions
-			If:    []wire.Condition{{Key: store.JobKey(id), Stamp: live.Stamp}},
-			Apply: []wire.Change{{Set: store.JobKey(id), Value: rec}},
+			If:   []wire.Compare{{Key: store.JobKey(id), ModRevision: live.ModRevision}},
+			Then: []wire.Op{{Set: store.JobKey(id), Value: record}},
 		})
 		switch {
 		case err == nil:
-			n.do(func() { n.cancelled(id) })
+			c.update(func() { c.confirmCancellation(id) })
 			return state(wire.JobCancelled)
-		case errors.Is(err, store.ErrConflict), errors.Is(err, store.ErrUnknown) && ctx.Err() == nil:
+		case errors.Is(err, store.ErrConflict), errors.Is(err, store.ErrOutcomeUnknown) && ctx.Err() == nil:
 			continue // read again: it moved on, or our own write went through
 		}
-		return n.pass(forwarded, fwd, err)
+		return c.forwardOrRefuse(forwarded, forwardRequest, err)
 	}
 }
--- a/internal/node/views.go
+++ b/internal/node/views.go
@@ -22,52 +22,52 @@
 }
 
 // LeaderView says who leads, as far as this node knows.
-func (n *Node) LeaderView() LeaderView {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return LeaderView{n.cfg.Node, n.lead.name, n.lead.term, n.leader != nil, time.Since(n.start).Seconds()}
+func (c *Controller) LeaderView() LeaderView {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return LeaderView{c.cfg.Node, c.lead.name, c.lead.term, c.leader != nil, time.Since(c.startedAt).Seconds()}
 }
 
-// ask runs f on the leader's state; ok is false where this node does not lead.
-func ask[T any](n *Node, f func(*core.Leader, core.Now) T) (out T, ok bool) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.leader == nil {
+// queryScheduler runs f on the leader's state; ok is false where this node does not lead.
+func queryScheduler[T any](c *Controller, read func(*core.Scheduler, core.Now) T) (out T, ok bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.leader == nil {
 		return out, false
 	}
-	return f(n.leader, n.now()), true
+	return read(c.leader, c.now()), true
 }
 
 // MachinesView lists machines.
-func (n *Node) MachinesView(from string, most int) ([]core.MachineView, bool) {
-	return ask(n, func(l *core.Leader, now core.Now) []core.MachineView { return l.Machines(now, from, most) })
+func (c *Controller) MachinesView(from string, most int) ([]core.MachineView, bool) {
+	return queryScheduler(c, func(sched *core.Scheduler, now core.Now) []core.MachineView { return sched.Machines(now, from, most) })
 }
 
 // JobView describes a job: in full while it is live and this node leads, else
 // by what is remembered of it. found is false for a job that nobody submitted;
 // an error says that it cannot be told here and now.
-func (n *Node) JobView(ctx context.Context, id string) (d *core.JobDetail, found bool, err error) {
-	d, _ = ask(n, func(l *core.Leader, now core.Now) *core.JobDetail { return l.Job(now, id) })
-	if d != nil {
-		return d, true, nil
+func (c *Controller) JobView(ctx context.Context, id string) (detail *core.JobDetail, found bool, err error) {
+	detail, _ = queryScheduler(c, func(sched *core.Scheduler, now core.Now) *core.JobDetail { return sched.Job(now, id) })
+	if detail != nil {
+		return detail, true, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, tuning.QueryPatience)
+	ctx, cancel := context.WithTimeout(ctx, tuning.LocalQueryTimeout)
 	defer cancel()
-	v, found, err := n.known(ctx, id)
+	view, found, err := c.lookUpJob(ctx, id)
 	if err != nil || !found {
 		return nil, found, err
 	}
-	return &core.JobDetail{ID: id, State: v.State, Done: v.Done, Running: v.Running, Attempts: []core.TaskView{}}, true, nil
+	return &core.JobDetail{ID: id, State: view.State, Done: view.Done, Running: view.Running, Attempts: []core.TaskView{}}, true, nil
 }
 
 // WaitingView lists jobs that wait, with the reason.
-func (n *Node) WaitingView(from string, most int) ([]core.JobDetail, bool) {
-	return ask(n, func(l *core.Leader, now core.Now) []core.JobDetail { return l.Waiting(now, from, most) })
+func (c *Controller) WaitingView(from string, most int) ([]core.JobDetail, bool) {
+	return queryScheduler(c, func(sched *core.Scheduler, now core.Now) []core.JobDetail { return sched.Waiting(now, from, most) })
 }
 
 // FailuresView lists failed attempts of this term, the newest first.
-func (n *Node) FailuresView(skip, most int) ([]core.Failure, bool) {
-	return ask(n, func(l *core.Leader, now core.Now) []core.Failure { return l.Failures(skip, most) })
+func (c *Controller) FailuresView(skip, most int) ([]core.Failure, bool) {
+	return queryScheduler(c, func(sched *core.Scheduler, now core.Now) []core.Failure { return sched.Failures(skip, most) })
 }
 
 // ErrNoRecovery says that there has been no recovery to show, as far as the node knows.
@@ -75,24 +75,24 @@
 
 // RecoveryView describes the recovery of the present term. ok is false where this node
 // does not lead; the error says that nobody has led yet.
-func (n *Node) RecoveryView() (status recovery.Status, ok bool, err error) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+func (c *Controller) RecoveryView() (status recovery.Status, ok bool, err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	switch {
-	case n.leader != nil:
-		return n.leader.RecoveryStatus(n.now()), true, nil
-	case n.loadingSince.IsZero() && n.lead.term == 0:
+	case c.leader != nil:
+		return c.leader.ReconciliationStatus(c.now()), true, nil
+	case c.loadingSince.IsZero() && c.lead.term == 0:
 		return status, false, ErrNoRecovery
-	case n.loadingSince.IsZero():
+	case c.loadingSince.IsZero():
 		return status, false, nil
 	}
-	return recovery.Status{Phase: recovery.Loading.String(), Enabled: n.policy.Recovery, AgeS: time.Since(n.loadingSince).Seconds()}, true, nil
+	return recovery.Status{Phase: recovery.Loading.String(), Enabled: c.policy.ReconcileRestarts, AgeS: time.Since(c.loadingSince).Seconds()}, true, nil
 }
 
 // DifferencesView lists what the recovery of the present term found.
-func (n *Node) DifferencesView(class recovery.Class, skip, most int) ([]recovery.DifferenceView, bool) {
-	return ask(n, func(l *core.Leader, _ core.Now) []recovery.DifferenceView {
-		return l.RecoveryDifferences(class, skip, most)
+func (c *Controller) DifferencesView(class recovery.Class, skip, most int) ([]recovery.DifferenceView, bool) {
+	return queryScheduler(c, func(sched *core.Scheduler, _ core.Now) []recovery.DifferenceView {
+		return sched.ReconciliationDifferences(class, skip, most)
 	})
 }
 
@@ -104,35 +104,35 @@
 	Max   int64 `json:"max_ms"`
 }
 
-func latency(h *hdrhistogram.Histogram) Latency {
-	return Latency{h.TotalCount(), h.ValueAtQuantile(50), h.ValueAtQuantile(99), h.Max()}
+func summarize(histogram *hdrhistogram.Histogram) Latency {
+	return Latency{histogram.TotalCount(), histogram.ValueAtQuantile(50), histogram.ValueAtQuantile(99), histogram.Max()}
 }
 
 // Metrics are this process's signals since it started.
 type Metrics struct {
-	ProbeRetry     uint64  `json:"start_probes_total_retry"`
-	ProbeGiveUp    uint64  `json:"start_probes_total_giveup"`
-	Retried        uint64  `json:"attempts_retried_total"`
-	Started        uint64  `json:"tasks_started_total"`
-	Finished       uint64  `json:"tasks_finished_total"`
-	Preempted      uint64  `json:"tasks_preempted_total"`
-	Rented         uint64  `json:"machines_rented_total"`
-	Returned       uint64  `json:"machines_returned_total"`
-	RecoveryOrders uint64  `json:"recovery_orders_total"`
-	RecoveryTraced uint64  `json:"recovery_orders_total_traced"`
-	Differences    uint64  `json:"recovery_differences_total"`
-	StartToAck     Latency `json:"start_to_ack"`
-	SubmitToAnswer Latency `json:"submit_to_answer"`
+	DispatchRetries      uint64  `json:"start_probes_total_retry"`
+	DispatchGiveUps      uint64  `json:"start_probes_total_giveup"`
+	Retried              uint64  `json:"attempts_retried_total"`
+	Started              uint64  `json:"tasks_started_total"`
+	Finished             uint64  `json:"tasks_finished_total"`
+	Preempted            uint64  `json:"tasks_preempted_total"`
+	Provisioned          uint64  `json:"machines_rented_total"`
+	Released             uint64  `json:"machines_returned_total"`
+	RecoveryOrders       uint64  `json:"recovery_orders_total"`
+	RecoveryOrdersTraced uint64  `json:"recovery_orders_total_traced"`
+	Differences          uint64  `json:"recovery_differences_total"`
+	StartToAck           Latency `json:"start_to_ack"`
+	SubmitToAnswer       Latency `json:"submit_to_answer"`
 }
 
 // MetricsView returns the signals.
-func (n *Node) MetricsView() Metrics {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	c := n.totals
-	if n.leader != nil {
-		addCounters(&c, n.leader.Counters())
+func (c *Controller) MetricsView() Metrics {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	counters := c.totals
+	if c.leader != nil {
+		addCounters(&counters, c.leader.Counters())
 	}
-	return Metrics{c.ProbeRetry, c.ProbeGiveUp, c.Retried, c.Started, c.Finished, c.Preempted, c.Rented, c.Returned,
-		c.RecoveryOrders, c.RecoveryTraced, c.Differences, latency(n.ack), latency(n.answers)}
+	return Metrics{counters.DispatchRetries, counters.DispatchGiveUps, counters.TaskRetries, counters.Started, counters.Finished, counters.Preempted, counters.MachinesProvisioned, counters.MachinesReleased,
+		counters.ReconcileOperations, counters.ReconcileAttributed, counters.Differences, summarize(c.ack), summarize(c.answers)}
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -8,12 +8,12 @@
 	"github.com/yarrowgap/yarrowgap/internal/policy"
 )
 
-func TestExample(t *testing.T) {
+func TestExampleScript(t *testing.T) {
 	s, err := policy.Load("../../examples/operators.star", policy.Defaults(true))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.DefaultBudget != 2*time.Minute || s.MaxMachines != 64 || s.SpareShare != 0.5 || !s.Preempt {
+	if s.DefaultDispatchBudget != 2*time.Minute || s.MaxMachines != 64 || s.HeadroomShare != 0.5 || !s.Preempt {
 		t.Errorf("read as %+v", s)
 	}
 	if _, err := policy.Load("../../examples/none.star", policy.Defaults(true)); err == nil {
@@ -23,18 +23,18 @@
 
 // The file that switches the recovery on says what it is meant to, and without a script
 // it is off.
-func TestRecoverySettings(t *testing.T) {
+func TestReconcileSettings(t *testing.T) {
 	s, err := policy.Load("../../deploy/recovery.star", policy.Defaults(false))
-	if err != nil || !s.Recovery || s.RecoveryWait != 0 || s.TraceFile != "" {
+	if err != nil || !s.ReconcileRestarts || s.ReconcileWait != 0 || s.TraceFile != "" {
 		t.Errorf("read as %+v, %v", s, err)
 	}
 	s, err = policy.Eval("m.star", "recovery_wait_s = 7.5\ntrace_file = \"-\"", policy.Defaults(false))
-	if err != nil || s.Recovery || s.RecoveryWait != 7500*time.Millisecond || s.TraceFile != "-" {
+	if err != nil || s.ReconcileRestarts || s.ReconcileWait != 7500*time.Millisecond || s.TraceFile != "-" {
 		t.Errorf("read as %+v, %v", s, err)
 	}
 }
 
-func TestDefaultsStayWithoutAScript(t *testing.T) {
+func TestEmptyScriptKeepsDefaults(t *testing.T) {
 	want := policy.Defaults(false)
 	got, err := policy.Eval("empty.star", "", want)
 	if err != nil || got != want {
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestMistakesAreNamedWithTheirLine(t *testing.T) {
+func TestScriptErrorsNameTheLine(t *testing.T) {
 	for _, tc := range []struct{ src, want string }{
 		{"\nack_wait = 1", "m.star:2"},
 		{"ack_wait_s = \"1\"", "wants a number"},
--- a/internal/recovery/class.go
+++ b/internal/recovery/class.go
@@ -10,9 +10,9 @@
 	MissingUnproven
 	// MissingProven is expected and proven to be gone.
 	MissingProven
-	// Confirmed is expected, and its machine reports it.
+	// ConfirmAttempt is expected, and its machine reports it.
 	Confirmed
-	// Failed is expected, and has ended without completing.
+	// FailedKeys is expected, and has ended without completing.
 	Failed
 	// FinishedUnrecorded has completed, and its task was not recorded as done.
 	FinishedUnrecorded
@@ -80,34 +80,34 @@
 
 func (a Action) String() string { return actionNames[a] }
 
-// Sighting is how a machine's report mentions an attempt.
-type Sighting uint8
+// Observation is how a machine's report mentions an attempt.
+type Observation uint8
 
 // Sightings.
 const (
 	// Unheard means that no report tells of the attempt yet.
-	Unheard Sighting = iota
+	Unreported Observation = iota
 	// Absent means that a report, or the machine's release, proves it gone.
 	Absent
 	// Active means that it fetches its image, runs or saves.
 	Active
-	// Completed means that it has ended with its task done.
+	// IsCompleted means that it has ended with its task done.
 	Completed
 	// Ended means that it has ended otherwise.
 	Ended
 
-	sightingCount
+	observationCount
 )
 
 // Evidence is what is known of an attempt from before the term.
 type Evidence struct {
-	Sighting  Sighting
-	Recorded  bool // a record names the attempt
-	JobLive   bool // its job has a live record and is not cancelled
-	TaskDone  bool // its task is recorded as done
-	Duplicate bool // another attempt of its task counts as being on a machine
-	Allowed   bool // its job allows the machine
-	OverLimit bool // its team is over its limit by what machines have reported
+	Observation    Observation
+	Recorded       bool // a record names the attempt
+	JobIsLive      bool // its job has a live record and is not cancelled
+	TaskIsDone     bool // its task is recorded as done
+	HasDuplicate   bool // another attempt of its task counts as being on a machine
+	MachineAllowed bool // its job allows the machine
+	OverQuota      bool // its team is over its limit by what machines have reported
 }
 
 // Verdict is an attempt's class and what follows from it.
@@ -119,15 +119,15 @@
 // Classify gives the one verdict on an attempt. It never starts a second copy of what
 // may still be there: Replace needs the proof that Absent and Ended are.
 func Classify(e Evidence) Verdict {
-	needed := e.JobLive && !e.TaskDone
-	switch e.Sighting {
-	case Unheard:
-		if !e.JobLive {
+	needed := e.JobIsLive && !e.TaskIsDone
+	switch e.Observation {
+	case Unreported:
+		if !e.JobIsLive {
 			return Verdict{Obsolete, Stop} // the record alone says so
 		}
 		return Verdict{MissingUnproven, Await}
 	case Absent:
-		return Verdict{MissingProven, replaceIf(needed && !e.Duplicate)}
+		return Verdict{MissingProven, replaceIf(needed && !e.HasDuplicate)}
 	case Completed:
 		if needed {
 			return Verdict{FinishedUnrecorded, RecordDone}
@@ -135,7 +135,7 @@
 		return Verdict{Obsolete, Drop}
 	case Ended:
 		if e.Recorded {
-			return Verdict{Failed, replaceIf(needed && !e.Duplicate)}
+			return Verdict{Failed, replaceIf(needed && !e.HasDuplicate)}
 		}
 		return Verdict{Obsolete, Drop}
 	}
@@ -153,11 +153,11 @@
 	switch {
 	case !needed:
 		return Verdict{Obsolete, Stop}
-	case e.Duplicate:
+	case e.HasDuplicate:
 		return Verdict{Superseded, Stop}
 	case e.Recorded:
 		return Verdict{Confirmed, Keep}
-	case e.Allowed && !e.OverLimit:
+	case e.MachineAllowed && !e.OverQuota:
 		return Verdict{Unrecorded, Adopt}
 	}
 	return Verdict{Unrecorded, Stop}
--- a/internal/recovery/golden_test.go
+++ b/internal/recovery/golden_test.go
@@ -11,7 +11,7 @@
 	answers := map[string]any{
 		"status":      &Status{},
 		"phase-time":  &PhaseTime{},
-		"order-count": &OrderCount{},
+		"order-count": &OperationCount{},
 		"difference":  &DifferenceView{},
 		"attempt":     &Attempt{},
 	}
@@ -29,7 +29,7 @@
 	golden.CheckLines(t, "words.txt",
 		None, MissingUnproven, MissingProven, Confirmed, Failed, FinishedUnrecorded, Unrecorded, Superseded, Obsolete,
 		Keep, Await, Replace, Drop, Adopt, Stop, RecordDone,
-		OrderStart, OrderStop, OrderForget, OrderRental, OrderRelease,
+		StartOperation, StopOperation, ForgetOperation, ProvisionOperation, ReleaseOperation,
 		Loading, Collecting, Reconciling, Settled,
 	)
 }
--- a/internal/recovery/ledger.go
+++ b/internal/recovery/ledger.go
@@ -23,37 +23,37 @@
 	At       time.Duration
 }
 
-// OrderKind is a kind of order.
-type OrderKind uint8
+// OperationKind is a kind of order.
+type OperationKind uint8
 
 // Kinds of orders.
 const (
-	OrderStart OrderKind = iota
-	OrderStop
-	OrderForget
-	OrderRental
-	OrderRelease
+	StartOperation OperationKind = iota
+	StopOperation
+	ForgetOperation
+	ProvisionOperation
+	ReleaseOperation
 
-	orderKindCount
+	operationKindCount
 )
 
-var orderKindNames = [orderKindCount]string{"start", "stop", "forget", "rental", "release"}
+var operationKindNames = [operationKindCount]string{"start", "stop", "forget", "rental", "release"}
 
-func (k OrderKind) String() string { return orderKindNames[k] }
+func (k OperationKind) String() string { return operationKindNames[k] }
 
-// Order is a first order of its kind about a task, a machine or a rental. Repeats of an
+// Operation is a first order of its kind about a task, a machine or a rental. Repeats of an
 // order whose answer was lost are none.
-type Order struct {
-	Kind    OrderKind
+type Operation struct {
+	Kind    OperationKind
 	Machine string // empty for rentals
 	Task    string // empty for rentals and releases
 	Number  uint64 // the attempt
 }
 
-// OrderCount counts orders: all, and those that a difference asked for.
-type OrderCount struct {
-	Total  int `json:"total"`
-	Traced int `json:"traced"`
+// OperationCount counts orders: all, and those that a difference asked for.
+type OperationCount struct {
+	Total      int `json:"total"`
+	Attributed int `json:"traced"`
 }
 
 // EventKind is a kind of event.
@@ -62,99 +62,99 @@
 // Kinds of events.
 const (
 	PhaseEntered EventKind = iota
-	MachineHeard
-	OrderGiven
+	MachineConfirmed
+	OperationCounted
 )
 
 // Event is something that a trace or a log tells.
 type Event struct {
-	Kind   EventKind
-	At     time.Duration
-	Phase  Phase // of PhaseEntered
-	Order  Order // of OrderGiven; of MachineHeard the machine
-	Traced bool  // a difference asked for the order
+	Kind       EventKind
+	At         time.Duration
+	Phase      Phase     // of PhaseEntered
+	Operation  Operation // of OperationCounted; of MachineConfirmed the machine
+	Attributed bool      // a difference asked for the order
 }
 
 // ledger finds the difference that an order follows from.
-type ledger struct {
-	counts  [orderKindCount]OrderCount
-	stop    map[Attempt]bool // attempts that differences have to stop
-	replace map[string]bool  // tasks that differences have to start anew
+type operationLedger struct {
+	counts         [operationKindCount]OperationCount
+	expectedStops  map[Attempt]bool // attempts that differences have to stop
+	expectedStarts map[string]bool  // tasks that differences have to start anew
 }
 
-func newLedger() ledger {
-	return ledger{stop: map[Attempt]bool{}, replace: map[string]bool{}}
+func newOperationLedger() operationLedger {
+	return operationLedger{expectedStops: map[Attempt]bool{}, expectedStarts: map[string]bool{}}
 }
 
-// expect notes the orders that a difference leads to.
-func (l *ledger) expect(d Difference) {
+// addPending notes the orders that a difference leads to.
+func (l *operationLedger) expect(d Difference) {
 	switch d.Action {
 	case Stop:
-		l.stop[d.Attempt] = true
+		l.expectedStops[d.Attempt] = true
 	case Replace:
-		l.replace[d.Task] = true
+		l.expectedStarts[d.Task] = true
 	}
 }
 
-// traced reports whether a difference asked for the order, which it does once.
-func (l *ledger) traced(o Order) bool {
+// attribute reports whether a difference asked for the order, which it does once.
+func (l *operationLedger) attribute(o Operation) bool {
 	switch o.Kind {
-	case OrderStart:
-		asked := l.replace[o.Task]
-		delete(l.replace, o.Task)
-		return asked
-	case OrderStop:
+	case StartOperation:
+		expected := l.expectedStarts[o.Task]
+		delete(l.expectedStarts, o.Task)
+		return expected
+	case StopOperation:
 		key := Attempt{o.Machine, o.Task, o.Number}
-		asked := l.stop[key]
-		delete(l.stop, key)
-		return asked
+		expected := l.expectedStops[key]
+		delete(l.expectedStops, key)
+		return expected
 	}
 	return false
 }
 
-// keep keeps a difference for the operators, and the orders it leads to.
-func (r *Reconciler) keep(d Difference) {
+// recordDifference keeps a difference for the operators, and the orders it leads to.
+func (r *Reconciler) recordDifference(d Difference) {
 	if !d.Late {
-		r.ledger.expect(d)
+		r.operations.expect(d)
 	}
-	if len(r.differences) == tuning.DifferencesKept {
-		r.unkept++
+	if len(r.differences) == tuning.MaxListedDifferences {
+		r.droppedDifferences++
 		return
 	}
 	r.differences = append(r.differences, d)
 }
 
-// Ordered counts an order that the leader gives. A settled recovery counts none.
-func (r *Reconciler) Ordered(now time.Duration, o Order) {
+// CountOperation counts an order that the leader gives. A settled recovery counts none.
+func (r *Reconciler) CountOperation(now time.Duration, o Operation) {
 	if r.phase == Settled {
 		return
 	}
-	traced := r.ledger.traced(o)
+	attributed := r.operations.attribute(o)
 	switch m := r.machines[o.Machine]; o.Kind {
-	case OrderRelease:
+	case ReleaseOperation:
 		// A machine that holds attempts without proof: its release is that proof.
-		traced = m != nil && m.open > 0
-	case OrderForget:
-		traced = m != nil
+		attributed = m != nil && m.unproven > 0
+	case ForgetOperation:
+		attributed = m != nil
 	}
-	count := &r.ledger.counts[o.Kind]
+	count := &r.operations.counts[o.Kind]
 	count.Total++
-	if traced {
-		count.Traced++
+	if attributed {
+		count.Attributed++
 	}
 	if r.config.Trace {
-		r.events = append(r.events, Event{Kind: OrderGiven, At: now, Order: o, Traced: traced})
+		r.events = append(r.events, Event{Kind: OperationCounted, At: now, Operation: o, Attributed: attributed})
 	}
 }
 
 // Totals counts the orders until the recovery was settled, those of them that a
 // difference asked for, and all differences.
-func (r *Reconciler) Totals() (orders, traced, differences int) {
-	for _, c := range r.ledger.counts {
-		orders += c.Total
-		traced += c.Traced
+func (r *Reconciler) Totals() (operations, attributed, differences int) {
+	for _, c := range r.operations.counts {
+		operations += c.Total
+		attributed += c.Attributed
 	}
-	return orders, traced, len(r.differences) + r.unkept
+	return operations, attributed, len(r.differences) + r.droppedDifferences
 }
 
 // TakeEvents returns the events since the last call.
--- a/internal/recovery/reconciler.go
+++ b/internal/recovery/reconciler.go
@@ -39,198 +39,200 @@
 	Enabled bool
 	// Cold is whether all controllers were away: machines are then late for a reason
 	// that is not theirs.
-	Cold          bool
-	Report, Lease time.Duration
-	// Wait bounds the collecting phase; 0: it follows from Report and Lease.
-	Wait      time.Duration
-	CloudRate float64 // requests a second that the cloud takes; 0: not known
-	Trace     bool    // have an event for each machine that is heard and each order
+	Cold                           bool
+	HeartbeatInterval, WorkerLease time.Duration
+	// CollectTimeout bounds the collecting phase; 0: it follows from Report and Lease.
+	CollectTimeout time.Duration
+	CloudRate      float64 // requests a second that the cloud takes; 0: not known
+	Trace          bool    // have an event for each machine that is heard and each order
 }
 
-// CollectWait is how long after the records are read machines may take to report: a
+// CollectBound is how long after the records are read machines may take to report: a
 // report that hangs at a dead controller until it times out, the pause before the next
 // try, a report interval, and the report that follows a new token.
-func (c Config) CollectWait() time.Duration {
-	if c.Wait > 0 {
-		return min(c.Wait, c.Lease)
+func (c Config) CollectBound() time.Duration {
+	if c.CollectTimeout > 0 {
+		return min(c.CollectTimeout, c.WorkerLease)
 	}
-	return min(c.Report*5/4+tuning.WorkerTimeout+2*tuning.WorkerRetry, c.Lease)
+	return min(c.HeartbeatInterval*5/4+tuning.WorkerHeartbeatTimeout+2*tuning.WorkerRetryDelay, c.WorkerLease)
 }
 
 // machineState is what is known of a machine from before the term.
 type machineState struct {
-	heard bool
-	open  int // attempts in class MissingUnproven
+	confirmed bool
+	unproven  int // attempts in class MissingUnproven
 }
 
 // Reconciler is the state of one recovery, that of one term.
 type Reconciler struct {
-	config  Config
-	started time.Duration
-	phase   Phase
-	since   [phaseCount]time.Duration // when each phase began
-
-	machines   map[string]*machineState
-	unheard    int              // machines that have not reported under this term's token
-	listed     bool             // the cloud's list was read in this term
-	open       int              // attempts in class MissingUnproven
-	stops      int              // attempts to be stopped that are not proven gone yet
-	unrecorded map[Attempt]bool // attempts without a record that were found
-	incomplete bool             // a task ran that no record named: there may be more
-
-	counts      [classCount]int
-	differences []Difference
-	unkept      int // differences beyond tuning.DifferencesKept
-	ledger      ledger
-	cloud       *rate.Limiter // nil: not bounded
-	events      []Event
+	config         Config
+	startedAt      time.Duration
+	phase          Phase
+	phaseStartedAt [phaseCount]time.Duration // when each phase began
+
+	machines           map[string]*machineState
+	unconfirmed        int              // machines that have not reported under this term's token
+	cloudListed        bool             // the cloud's list was read in this term
+	unproven           int              // attempts in class MissingUnproven
+	pendingStops       int              // attempts to be stopped that are not proven gone yet
+	unrecordedAttempts map[Attempt]bool // attempts without a record that were found
+	recordsIncomplete  bool             // a task ran that no record named: there may be more
+
+	counts             [classCount]int
+	differences        []Difference
+	droppedDifferences int // differences beyond tuning.MaxListedDifferences
+	operations         operationLedger
+	cloudLimiter       *rate.Limiter // nil: not bounded
+	events             []Event
 }
 
-// New begins a recovery, when the records have been read.
+// NewHandler begins a recovery, when the records have been read.
 func New(now time.Duration, config Config) *Reconciler {
-	r := &Reconciler{config: config, started: now, phase: Collecting, machines: map[string]*machineState{},
-		unrecorded: map[Attempt]bool{}, ledger: newLedger()}
-	r.since[Collecting] = now
+	r := &Reconciler{config: config, startedAt: now, phase: Collecting, machines: map[string]*machineState{},
+		unrecordedAttempts: map[Attempt]bool{}, operations: newOperationLedger()}
+	r.phaseStartedAt[Collecting] = now
 	if config.CloudRate > 0 {
-		r.cloud = rate.NewLimiter(rate.Limit(config.CloudRate*tuning.RecoveryCloudShare), tuning.RecoveryCloudBurst)
+		r.cloudLimiter = rate.NewLimiter(rate.Limit(config.CloudRate*tuning.ReconcileCloudRateShare), tuning.ReconcileCloudBurst)
 	}
 	return r
 }
 
-// SetWarm takes note that some controller outlived the change of leader, so that silent
+// ControllerSurvived takes note that some controller outlived the change of leader, so that silent
 // machines are silent on their own account.
-func (r *Reconciler) SetWarm() { r.config.Cold = false }
+func (r *Reconciler) ControllerSurvived() { r.config.Cold = false }
 
 // ExpectMachine adds a machine from before the term, by a record or the cloud's list.
 func (r *Reconciler) ExpectMachine(machine string) {
 	if r.machines[machine] == nil {
 		r.machines[machine] = &machineState{}
-		r.unheard++
+		r.unconfirmed++
 	}
 }
 
 // ExpectAttempt adds an attempt that a record names.
 func (r *Reconciler) ExpectAttempt(machine string) {
 	r.ExpectMachine(machine)
-	r.machines[machine].open++
-	r.open++
+	r.machines[machine].unproven++
+	r.unproven++
 	r.counts[MissingUnproven]++
 }
 
-// Listed takes note that the cloud's list was read, with all its machines expected.
-func (r *Reconciler) Listed(now time.Duration) {
-	r.listed = true
+// CloudListed takes note that the cloud's list was read, with all its machines expected.
+func (r *Reconciler) CloudListed(now time.Duration) {
+	r.cloudListed = true
 	r.Advance(now)
 }
 
-// Unexpect takes an attempt back that a later record of the same machine replaces.
-func (r *Reconciler) Unexpect(machine string) {
-	r.close(machine)
+// UnexpectAttempt takes an attempt back that a later record of the same machine replaces.
+func (r *Reconciler) UnexpectAttempt(machine string) {
+	r.resolveAttempt(machine)
 	r.counts[MissingUnproven]--
 }
 
-func (r *Reconciler) close(machine string) {
-	r.open--
+func (r *Reconciler) resolveAttempt(machine string) {
+	r.unproven--
 	if m := r.machines[machine]; m != nil {
-		m.open--
+		m.unproven--
 	}
 }
 
-// Heard takes note that a machine has reported under this term's token.
-func (r *Reconciler) Heard(now time.Duration, machine string) {
-	if m := r.machines[machine]; m != nil && !m.heard {
-		m.heard = true
-		r.unheard--
+// ConfirmMachine takes note that a machine has reported under this term's token.
+func (r *Reconciler) ConfirmMachine(now time.Duration, machine string) {
+	if m := r.machines[machine]; m != nil && !m.confirmed {
+		m.confirmed = true
+		r.unconfirmed--
 		if r.config.Trace {
-			r.events = append(r.events, Event{Kind: MachineHeard, At: now, Order: Order{Machine: machine}})
+			r.events = append(r.events, Event{Kind: MachineConfirmed, At: now, Operation: Operation{Machine: machine}})
 		}
 		r.Advance(now)
 	}
 }
 
-// Gone takes note that a machine is released: nothing is awaited from it.
-func (r *Reconciler) Gone(now time.Duration, machine string) { r.Heard(now, machine) }
+// MachineReleased takes note that a machine is released: nothing is awaited from it.
+func (r *Reconciler) MachineReleased(now time.Duration, machine string) {
+	r.ConfirmMachine(now, machine)
+}
 
-// Found takes the verdict on an attempt, one for each: of a recorded one it is the first
+// AddDifference takes the verdict on an attempt, one for each: of a recorded one it is the first
 // that is not MissingUnproven, and one without a record is found when it is first
 // reported. It says whether the attempt is new.
-func (r *Reconciler) Found(now time.Duration, d Difference) bool {
+func (r *Reconciler) AddDifference(now time.Duration, d Difference) bool {
 	d.At = now
 	d.Late = r.phase == Settled
 	switch {
 	case d.Recorded:
-		r.close(d.Machine)
+		r.resolveAttempt(d.Machine)
 		r.counts[MissingUnproven]--
 	//mutation:duplicate-inventory
-	case r.unrecorded[d.Attempt]:
+	case r.unrecordedAttempts[d.Attempt]:
 		return false
 	default:
-		r.unrecorded[d.Attempt] = true
+		r.unrecordedAttempts[d.Attempt] = true
 	}
 	r.counts[d.Class]++
 	if d.Class == Unrecorded {
-		r.incomplete = true
+		r.recordsIncomplete = true
 	}
-	r.keep(d)
+	r.recordDifference(d)
 	r.Advance(now)
 	return true
 }
 
-// Confirmed takes note that a recorded attempt was reported: as Found would, without a
+// ConfirmAttempt takes note that a recorded attempt was reported: as Found would, without a
 // difference to keep. That is most of them, and thousands come in the seconds in which a
 // new leader has most to do.
-func (r *Reconciler) Confirmed(now time.Duration, machine string) {
-	r.close(machine)
+func (r *Reconciler) ConfirmAttempt(now time.Duration, machine string) {
+	r.resolveAttempt(machine)
 	r.counts[MissingUnproven]--
 	r.counts[Confirmed]++
-	if r.open == 0 {
+	if r.unproven == 0 {
 		r.Advance(now)
 	}
 }
 
-// Plan takes note of the orders that a difference leads to, for an attempt that is found
+// ExpectOperations takes note of the orders that a difference leads to, for an attempt that is found
 // only later.
-func (r *Reconciler) Plan(d Difference) {
+func (r *Reconciler) ExpectOperations(d Difference) {
 	if r.phase != Settled {
-		r.ledger.expect(d)
+		r.operations.expect(d)
 	}
 }
 
 // AwaitStop takes note that an attempt is being stopped for a difference, and Stopped
 // that it is proven gone.
-func (r *Reconciler) AwaitStop() { r.stops++ }
+func (r *Reconciler) AwaitStop() { r.pendingStops++ }
 
-// Stopped is the end of an AwaitStop.
-func (r *Reconciler) Stopped(now time.Duration) {
-	r.stops--
+// StopProven is the end of an AwaitStop.
+func (r *Reconciler) StopProven(now time.Duration) {
+	r.pendingStops--
 	r.Advance(now)
 }
 
 // Advance moves on to the phase that is due.
 func (r *Reconciler) Advance(now time.Duration) {
-	if r.phase == Collecting && (r.unheard == 0 && r.listed || now >= r.collectUntil()) {
-		r.enter(now, Reconciling)
+	if r.phase == Collecting && (r.unconfirmed == 0 && r.cloudListed || now >= r.collectUntil()) {
+		r.enterPhase(now, Reconciling)
 	}
-	if r.phase == Reconciling && (r.unheard == 0 && r.open == 0 && r.stops == 0 || now >= r.settleUntil()) {
-		r.enter(now, Settled)
+	if r.phase == Reconciling && (r.unconfirmed == 0 && r.unproven == 0 && r.pendingStops == 0 || now >= r.settleUntil()) {
+		r.enterPhase(now, Settled)
 	}
 }
 
-func (r *Reconciler) enter(now time.Duration, phase Phase) {
-	r.phase, r.since[phase] = phase, now
+func (r *Reconciler) enterPhase(now time.Duration, phase Phase) {
+	r.phase, r.phaseStartedAt[phase] = phase, now
 	if phase == Settled {
-		r.ledger.stop, r.ledger.replace = nil, nil
+		r.operations.expectedStops, r.operations.expectedStarts = nil, nil
 	}
 	r.events = append(r.events, Event{Kind: PhaseEntered, At: now, Phase: phase})
 }
 
 // collectUntil bounds the collecting phase.
-func (r *Reconciler) collectUntil() time.Duration { return r.started + r.config.CollectWait() }
+func (r *Reconciler) collectUntil() time.Duration { return r.startedAt + r.config.CollectBound() }
 
 // settleUntil bounds the recovery: by then leases that nobody renewed have ended, and
 // the machines have been given back. What is open then is ordinary business.
 func (r *Reconciler) settleUntil() time.Duration {
-	return r.started + r.config.Lease + tuning.SettleGrace
+	return r.startedAt + r.config.WorkerLease + tuning.SettleGrace
 }
 
 // Config is what the recovery depends on.
@@ -239,76 +241,76 @@
 // Phase is how far the recovery is.
 func (r *Reconciler) Phase() Phase { return r.phase }
 
-// MayHaveRoom reports whether a machine may yet report with room for work, so that none
+// MayHaveCapacity reports whether a machine may yet report with room for work, so that none
 // is rented and nothing stopped for that work. One that left a question unanswered
 // counts only where all machines are late.
-func (r *Reconciler) MayHaveRoom(machine string, unanswered bool) bool {
+func (r *Reconciler) MayHaveCapacity(machine string, unanswered bool) bool {
 	if !r.config.Enabled || r.phase != Collecting || unanswered && !r.config.Cold {
 		return false
 	}
 	m := r.machines[machine]
-	return m != nil && !m.heard
+	return m != nil && !m.confirmed
 }
 
-// AwaitsRoom reports whether MayHaveRoom can hold for any machine.
-func (r *Reconciler) AwaitsRoom() bool {
-	return r.config.Enabled && r.phase == Collecting && r.unheard > 0
+// AwaitsCapacity reports whether MayHaveCapacity can hold for any machine.
+func (r *Reconciler) AwaitsCapacity() bool {
+	return r.config.Enabled && r.phase == Collecting && r.unconfirmed > 0
 }
 
-// HoldsReturn reports whether a machine is kept although questions to it stay
+// HoldsRelease reports whether a machine is kept although questions to it stay
 // unanswered: after a cold restart it is late, and only its lease tells that it is gone.
-func (r *Reconciler) HoldsReturn(now time.Duration, machine string) bool {
-	if !r.config.Enabled || !r.config.Cold || now >= r.started+r.config.Lease-tuning.ReleaseAhead {
+func (r *Reconciler) HoldsRelease(now time.Duration, machine string) bool {
+	if !r.config.Enabled || !r.config.Cold || now >= r.startedAt+r.config.WorkerLease-tuning.EarlyReleaseMargin {
 		return false
 	}
 	m := r.machines[machine]
-	return m != nil && !m.heard
+	return m != nil && !m.confirmed
 }
 
-// HoldsIdleReturns reports whether idle machines are kept: what they may be needed for
+// HoldsIdleReleases reports whether idle machines are kept: what they may be needed for
 // is not known before the others are heard.
-func (r *Reconciler) HoldsIdleReturns() bool { return r.config.Enabled && r.phase == Collecting }
+func (r *Reconciler) HoldsIdleReleases() bool { return r.config.Enabled && r.phase == Collecting }
 
 // HoldsTeamLimits reports whether nobody is stopped for room under a team's limit: after
 // a cold restart, part of what counts there may turn out to be gone.
 func (r *Reconciler) HoldsTeamLimits() bool {
-	return r.config.Enabled && r.config.Cold && r.phase == Collecting && r.open > 0
+	return r.config.Enabled && r.config.Cold && r.phase == Collecting && r.unproven > 0
 }
 
 // HoldsRecoveredWork reports whether tasks from before the term that no record places
 // have to wait: a machine has reported a task without a record, so that unheard ones may
 // have others.
 func (r *Reconciler) HoldsRecoveredWork() bool {
-	return r.config.Enabled && r.incomplete && r.phase == Collecting
+	return r.config.Enabled && r.recordsIncomplete && r.phase == Collecting
 }
 
 // CloudCallReady reports whether a call to the cloud may be made now. Until the recovery
 // is settled they are paced, since half of a fleet may need to be replaced.
 func (r *Reconciler) CloudCallReady(now time.Duration) bool {
-	return !r.paced() || r.cloud.TokensAt(limiterTime(now)) >= 1
+	return !r.pacesCloudCalls() || r.cloudLimiter.TokensAt(limiterTime(now)) >= 1
 }
 
 // TakeCloudCall takes the place of one call to the cloud, if there is one now.
 func (r *Reconciler) TakeCloudCall(now time.Duration) bool {
-	return !r.paced() || r.cloud.AllowN(limiterTime(now), 1)
+	return !r.pacesCloudCalls() || r.cloudLimiter.AllowN(limiterTime(now), 1)
 }
 
-func (r *Reconciler) paced() bool {
+func (r *Reconciler) pacesCloudCalls() bool {
 	//mutation:replacement-pace
-	return r.config.Enabled && r.phase != Settled && r.cloud != nil
+	return r.config.Enabled && r.phase != Settled && r.cloudLimiter != nil
 }
 
 // limiterTime puts a time since the process's start onto the limiter's scale.
 func limiterTime(now time.Duration) time.Time { return time.Unix(0, 0).Add(now) }
 
-// Waiting lists the machines that have not reported, by name after from.
-func (r *Reconciler) Waiting(from string, most int) []string {
+// UnconfirmedMachines lists the machines that have not reported, by name after from.
+func (r *Reconciler) UnconfirmedMachines(from string, limit int) []string {
 	var names []string
 	for name, m := range r.machines {
-		if !m.heard && name > from {
+		if !m.confirmed && name > from {
 			names = append(names, name)
 		}
 	}
 	slices.SortFunc(names, strings.Compare)
-	return names[:min(len(names), most)]
+	return names[:min(len(names), limit)]
 }
--- a/internal/recovery/status.go
+++ b/internal/recovery/status.go
@@ -10,50 +10,50 @@
 
 // Status is a recovery as operators see it.
 type Status struct {
-	Phase       string                `json:"phase"`
-	Enabled     bool                  `json:"enabled"`
-	Cold        bool                  `json:"cold"`
-	AgeS        float64               `json:"age_s"`
-	History     []PhaseTime           `json:"history"`
-	WaitsUntilS float64               `json:"waits_until_s"` // after the start; 0: nothing is waited for
-	Machines    int                   `json:"machines"`
-	Unheard     int                   `json:"unheard"`
-	Unproven    int                   `json:"unproven"`
-	OpenStops   int                   `json:"open_stops"`
-	Classes     map[string]int        `json:"classes"`
-	Orders      map[string]OrderCount `json:"orders"`
-	Differences int                   `json:"differences"`
-	NotKept     int                   `json:"differences_not_kept"`
-	Waiting     []string              `json:"waiting"` // the first machines that are waited for
+	Phase               string                    `json:"phase"`
+	Enabled             bool                      `json:"enabled"`
+	Cold                bool                      `json:"cold"`
+	AgeS                float64                   `json:"age_s"`
+	History             []PhaseTime               `json:"history"`
+	WaitsUntilS         float64                   `json:"waits_until_s"` // after the start; 0: nothing is waited for
+	Machines            int                       `json:"machines"`
+	Unconfirmed         int                       `json:"unheard"`
+	Unproven            int                       `json:"unproven"`
+	PendingStops        int                       `json:"open_stops"`
+	Classes             map[string]int            `json:"classes"`
+	Operations          map[string]OperationCount `json:"orders"`
+	Differences         int                       `json:"differences"`
+	DifferencesDropped  int                       `json:"differences_not_kept"`
+	UnconfirmedMachines []string                  `json:"waiting"` // the first machines that are waited for
 }
 
-// waitingShown is how many machines a Status names.
-const waitingShown = 20
+// maxMachinesShown is how many machines a Status names.
+const maxMachinesShown = 20
 
 // Status describes the recovery.
 func (r *Reconciler) Status(now time.Duration) Status {
-	s := Status{
-		Phase: r.phase.String(), Enabled: r.config.Enabled, Cold: r.config.Cold, AgeS: (now - r.started).Seconds(),
-		Machines: len(r.machines), Unheard: r.unheard, Unproven: r.open, OpenStops: r.stops,
-		Classes: map[string]int{}, Orders: map[string]OrderCount{},
-		Differences: len(r.differences) + r.unkept, NotKept: r.unkept, Waiting: r.Waiting("", waitingShown),
+	status := Status{
+		Phase: r.phase.String(), Enabled: r.config.Enabled, Cold: r.config.Cold, AgeS: (now - r.startedAt).Seconds(),
+		Machines: len(r.machines), Unconfirmed: r.unconfirmed, Unproven: r.unproven, PendingStops: r.pendingStops,
+		Classes: map[string]int{}, Operations: map[string]OperationCount{},
+		Differences: len(r.differences) + r.droppedDifferences, DifferencesDropped: r.droppedDifferences, UnconfirmedMachines: r.UnconfirmedMachines("", maxMachinesShown),
 	}
 	for p := Collecting; p <= r.phase; p++ {
-		s.History = append(s.History, PhaseTime{p.String(), (r.since[p] - r.started).Seconds()})
+		status.History = append(status.History, PhaseTime{p.String(), (r.phaseStartedAt[p] - r.startedAt).Seconds()})
 	}
 	switch r.phase {
 	case Collecting:
-		s.WaitsUntilS = r.config.CollectWait().Seconds()
+		status.WaitsUntilS = r.config.CollectBound().Seconds()
 	case Reconciling:
-		s.WaitsUntilS = (r.settleUntil() - r.started).Seconds()
+		status.WaitsUntilS = (r.settleUntil() - r.startedAt).Seconds()
 	}
 	for c := MissingUnproven; c < classCount; c++ {
-		s.Classes[c.String()] = r.counts[c]
+		status.Classes[c.String()] = r.counts[c]
 	}
-	for k := OrderStart; k < orderKindCount; k++ {
-		s.Orders[k.String()] = r.ledger.counts[k]
+	for k := StartOperation; k < operationKindCount; k++ {
+		status.Operations[k.String()] = r.operations.counts[k]
 	}
-	return s
+	return status
 }
 
 // DifferenceView is a difference as operators see it.
@@ -67,7 +67,7 @@
 
 // Differences lists differences of a class, or of all for None, in the order in which
 // they were found, skipping skip of them.
-func (r *Reconciler) Differences(class Class, skip, most int) []DifferenceView {
+func (r *Reconciler) Differences(class Class, skip, limit int) []DifferenceView {
 	views := []DifferenceView{}
 	for _, d := range r.differences {
 		if class != None && d.Class != class {
@@ -77,10 +77,10 @@
 			skip--
 			continue
 		}
-		if len(views) == most {
+		if len(views) == limit {
 			break
 		}
-		views = append(views, DifferenceView{d.Attempt, d.Class.String(), d.Action.String(), d.Late, (d.At - r.started).Seconds()})
+		views = append(views, DifferenceView{d.Attempt, d.Class.String(), d.Action.String(), d.Late, (d.At - r.startedAt).Seconds()})
 	}
 	return views
 }
--- a/internal/restartsim/fleet.go
+++ b/internal/restartsim/fleet.go
@@ -20,109 +20,109 @@
 
 // The deployment that is played.
 const (
-	reportEvery  = 5 * time.Second
-	lease        = 30 * time.Second
-	cancelWithin = 60 * time.Second
-	listEvery    = 2 * time.Second
-	listLag      = 3 * time.Second
-	writeRate    = 100.0
-	cloudRate    = 10.0
-	taskCPUs     = 2.0
-	machineCPUs  = 8.0
-	jobTasks     = 20
-	teamCount    = 4
-	bootTime     = 10 * time.Second
+	heartbeatInterval = 5 * time.Second
+	leaseDuration     = 30 * time.Second
+	cancelGrace       = 60 * time.Second
+	listInterval      = 2 * time.Second
+	listLag           = 3 * time.Second
+	writeRate         = 100.0
+	cloudRate         = 10.0
+	taskCPUs          = 2.0
+	machineCPUs       = 8.0
+	jobTasks          = 20
+	teamCount         = 4
+	bootTime          = 10 * time.Second
 )
 
 // machine is a stand-in machine and what it went through.
 type machine struct {
 	*standin.Worker
-	rentedAt time.Duration
-	upAt     time.Duration
-	gone     bool
-	silentTo time.Duration // neither sends nor takes anything before then
-	heardAt  time.Duration // first answered by the second leader
+	provisionedAt    time.Duration
+	bootedAt         time.Duration
+	terminated       bool
+	partitionedUntil time.Duration // neither sends nor takes anything before then
+	firstAnsweredAt  time.Duration // first answered by the second leader
 }
 
-// fleet is the whole simulated deployment with one controller.
-type fleet struct {
+// cluster is the whole simulated deployment with one controller.
+type cluster struct {
 	now    time.Duration
-	queue  eventqueue.Queue
+	events eventqueue.Queue
 	random *rand.Rand
 
-	settings core.Settings
-	types    []wire.MachineType
-	state    *standin.State
-	rules    *standin.Rules
-	machines map[string]*machine
-	names    []string
-	rented   map[string][]string
+	settings             core.Settings
+	types                []wire.MachineType
+	kvStore              *standin.KVStore
+	checker              *standin.RuleChecker
+	machines             map[string]*machine
+	machineNames         []string
+	provisionedByRequest map[string][]string
 
-	leader  *core.Leader
-	replica *core.Replica
-	counts  counts
+	scheduler *core.Scheduler
+	replica   *core.Replica
+	counts    counts
 }
 
 // counts are the orders and calls since the restart.
 type counts struct {
-	starts, stops, releases, rentedMachines int
-	state, cloud, direct                    int
-	started, stopped                        map[string]bool // attempts, so that repeats count once
-	released                                map[string]bool
-	firstStart                              time.Duration
+	starts, stops, releases, provisioned  int
+	kvStoreCalls, cloudCalls, directCalls int
+	startedAttempts, stoppedAttempts      map[string]bool // attempts, so that repeats count once
+	releasedMachines                      map[string]bool
+	firstStart                            time.Duration
 }
 
 func newCounts() counts {
-	return counts{started: map[string]bool{}, stopped: map[string]bool{}, released: map[string]bool{}}
+	return counts{startedAttempts: map[string]bool{}, stoppedAttempts: map[string]bool{}, releasedMachines: map[string]bool{}}
 }
 
 func teamName(i int) string { return fmt.Sprintf("team-%d", i%teamCount) }
 
-func newFleet(plan Plan) *fleet {
-	f := &fleet{random: rand.New(rand.NewPCG(plan.Seed, 3)), state: standin.NewState(12, 10000),
-		machines: map[string]*machine{}, rented: map[string][]string{}, counts: newCounts()}
-	f.types = []wire.MachineType{{Name: "box", CPUs: machineCPUs, MemoryGB: 64, CacheGB: 50, FetchGBs: 5, Price: 1, SpotCost: 0.4,
+func newCluster(plan Plan) *cluster {
+	f := &cluster{random: rand.New(rand.NewPCG(plan.Seed, 3)), kvStore: standin.NewKVStore(12, 10000),
+		machines: map[string]*machine{}, provisionedByRequest: map[string][]string{}, counts: newCounts()}
+	f.types = []wire.MachineType{{Name: "box", CPUs: machineCPUs, MemoryGB: 64, CacheGB: 50, FetchGBPerS: 5, Price: 1, SpotPrice: 0.4,
 		BootS: bootTime.Seconds(), Zones: []string{"a", "b"}}}
-	limits, teams := map[string]float64{}, map[string]core.Team{}
+	limits, teams := map[string]float64{}, map[string]core.TeamQuota{}
 	for i := range teamCount {
 		limits[teamName(i)] = 1e6
-		teams[teamName(i)] = core.Team{CPUs: 1e5, CPUsMax: 1e6}
+		teams[teamName(i)] = core.TeamQuota{CPUs: 1e5, CPUsMax: 1e6}
 	}
-	limits[strayTeam] = 1e6
-	f.rules = standin.NewRules(limits, cancelWithin)
+	limits[unknownJobTeam] = 1e6
+	f.checker = standin.NewRuleChecker(limits, cancelGrace)
 	operators := policy.Defaults(false)
-	operators.SpareShare = 0
-	operators.Recovery = plan.Recovery
-	f.settings = core.Settings{Teams: teams, Report: reportEvery, Lease: lease, Cancel: cancelWithin, TxnOps: 12, ValueBytes: 32 << 10,
-		WriteRate: writeRate, CloudRate: cloudRate, ListLag: listLag, GuaranteeWithin: 5 * time.Second, Policy: operators}
+	operators.HeadroomShare = 0
+	operators.ReconcileRestarts = plan.Recovery
+	f.settings = core.Settings{Teams: teams, HeartbeatInterval: heartbeatInterval, WorkerLease: leaseDuration, CancellationBound: cancelGrace, MaxTransactionOps: 12, MaxValueBytes: 32 << 10,
+		WriteRate: writeRate, CloudRate: cloudRate, CloudListLag: listLag, GuaranteedStartWithin: 5 * time.Second, Policy: operators}
 	for i := range plan.Machines {
-		f.boot([]string{"a", "b"}[i%2], 0)
+		f.bootMachine([]string{"a", "b"}[i%2], 0)
 	}
-	f.every(tuning.TickEvery, func() {
-		if f.leader != nil {
-			f.leader.Held(f.now + time.Minute)
-			f.leader.Tick(f.clock())
-			f.drain()
+	f.every(tuning.TickInterval, func() {
+		if f.scheduler != nil {
+			f.scheduler.LeaseHeldUntil(f.now + time.Minute)
+			f.scheduler.Tick(f.schedulerNow())
+			f.applyEffects()
 		}
 	})
-	f.every(listEvery, f.list)
+	f.every(listInterval, f.sendMachineList)
 	return f
 }
 
-func (f *fleet) clock() core.Now { return core.Now{Mono: f.now, Wall: f.now.Milliseconds()} }
+func (f *cluster) schedulerNow() core.Now { return core.Now{Mono: f.now, Wall: f.now.Milliseconds()} }
 
-func (f *fleet) after(d time.Duration, run func()) { f.queue.Add(f.now+d, run) }
+func (f *cluster) after(d time.Duration, run func()) { f.events.Add(f.now+d, run) }
 
-func (f *fleet) every(d time.Duration, run func()) {
+func (f *cluster) every(d time.Duration, run func()) {
 	f.after(d, func() {
 		run()
 		f.every(d, run)
 	})
 }
 
-func (f *fleet) run(until time.Duration) {
+func (f *cluster) run(until time.Duration) {
 	for {
-		at, run, ok := f.queue.Next(until)
+		at, run, ok := f.events.Next(until)
 		if !ok {
 			f.now = until
 			return
@@ -132,215 +132,217 @@
 	}
 }
 
-// latency is a message's way.
-func (f *fleet) latency() time.Duration { return f.upTo(20 * time.Millisecond) }
+// summarize is a message's way.
+func (f *cluster) latency() time.Duration { return f.randomUpTo(20 * time.Millisecond) }
 
-func (f *fleet) upTo(d time.Duration) time.Duration {
+func (f *cluster) randomUpTo(d time.Duration) time.Duration {
 	return time.Duration(1 + f.random.Int64N(int64(d)))
 }
 
-func (f *fleet) boot(zone string, boot time.Duration) string {
-	name := fmt.Sprintf("n-%06d", len(f.names)+1)
+func (f *cluster) bootMachine(zone string, boot time.Duration) string {
+	name := fmt.Sprintf("n-%06d", len(f.machineNames)+1)
 	up := f.now + boot
-	worker := standin.NewWorker(up, lease, name, f.types[0], zone, false, f.rules,
+	worker := standin.NewWorker(up, leaseDuration, name, f.types[0], zone, false, f.checker,
 		func(string) time.Duration { return 24 * time.Hour }, func(string) bool { return false })
-	f.names = append(f.names, name)
-	f.machines[name] = &machine{Worker: worker, rentedAt: f.now, upAt: up}
-	f.after(boot+f.upTo(reportEvery), func() { f.report(f.machines[name]) })
+	f.machineNames = append(f.machineNames, name)
+	f.machines[name] = &machine{Worker: worker, provisionedAt: f.now, bootedAt: up}
+	f.after(boot+f.randomUpTo(heartbeatInterval), func() { f.sendHeartbeat(f.machines[name]) })
 	return name
 }
 
-// report sends a machine's report. Without a controller that answers it tries again a
+// sendHeartbeat sends a machine's report. Without a controller that answers it tries again a
 // second later, as the protocol has it.
-func (f *fleet) report(m *machine) {
-	if m.gone {
+func (f *cluster) sendHeartbeat(m *machine) {
+	if m.terminated {
 		return
 	}
-	if f.now < m.silentTo {
-		f.after(m.silentTo-f.now, func() { f.report(m) })
+	if f.now < m.partitionedUntil {
+		f.after(m.partitionedUntil-f.now, func() { f.sendHeartbeat(m) })
 		return
 	}
 	m.Advance(f.now)
-	if f.leader == nil {
-		f.after(tuning.WorkerRetry*3/4+f.upTo(tuning.WorkerRetry/2), func() { f.report(m) })
+	if f.scheduler == nil {
+		f.after(tuning.WorkerRetryDelay*3/4+f.randomUpTo(tuning.WorkerRetryDelay/2), func() { f.sendHeartbeat(m) })
 		return
 	}
-	report, sent, session := m.Report(f.now), f.now, m.Session
+	report, sent, session := m.Heartbeat(f.now), f.now, m.Incarnation
 	f.after(f.latency(), func() {
-		if f.leader == nil {
-			f.after(tuning.WorkerRetry, func() { f.report(m) })
+		if f.scheduler == nil {
+			f.after(tuning.WorkerRetryDelay, func() { f.sendHeartbeat(m) })
 			return
 		}
-		reply, ok := f.leader.Checkin(f.clock(), &report)
-		f.drain()
-		if ok && m.heardAt == 0 {
-			m.heardAt = f.now
+		reply, ok := f.scheduler.Heartbeat(f.schedulerNow(), &report)
+		f.applyEffects()
+		if ok && m.firstAnsweredAt == 0 {
+			m.firstAnsweredAt = f.now
 		}
 		f.after(f.latency(), func() {
-			pause := reportEvery*3/4 + f.upTo(reportEvery/2)
-			if ok && f.now >= m.silentTo && m.Reply(f.now, sent, session, reply) && len(reply.Commands) > 0 {
+			pause := heartbeatInterval*3/4 + f.randomUpTo(heartbeatInterval/2)
+			if ok && f.now >= m.partitionedUntil && m.HandleHeartbeatReply(f.now, sent, session, reply) && len(reply.Commands) > 0 {
 				pause = 500 * time.Millisecond
 			}
-			f.order(m.Name, reply.Commands)
-			f.after(pause, func() { f.report(m) })
+			f.countOrders(m.Name, reply.Commands)
+			f.after(pause, func() { f.sendHeartbeat(m) })
 		})
 	})
 }
 
-// order counts commands, each attempt once.
-func (f *fleet) order(name string, commands []wire.Command) {
+// countOrders counts commands, each attempt once.
+func (f *cluster) countOrders(name string, commands []wire.Command) {
 	for _, c := range commands {
 		key := fmt.Sprint(name, c.Task, c.Attempt)
 		switch {
-		case c.Verb == wire.VerbRun && !f.counts.started[key]:
-			f.counts.started[key] = true
+		case c.Verb == wire.VerbRun && !f.counts.startedAttempts[key]:
+			f.counts.startedAttempts[key] = true
 			f.counts.starts++
 			if f.counts.firstStart == 0 {
 				f.counts.firstStart = f.now
 			}
-		case c.Verb == wire.VerbHalt && !f.counts.stopped[key]:
-			f.counts.stopped[key] = true
+		case c.Verb == wire.VerbStop && !f.counts.stoppedAttempts[key]:
+			f.counts.stoppedAttempts[key] = true
 			f.counts.stops++
 		}
 	}
 }
 
-func (f *fleet) list() {
-	l := f.leader
+func (f *cluster) sendMachineList() {
+	l := f.scheduler
 	if l == nil {
 		return
 	}
-	f.counts.cloud += 1 + len(f.names)/tuning.ListPage
+	f.counts.cloudCalls += 1 + len(f.machineNames)/tuning.MachineListPageSize
 	var machines []wire.ListedMachine
-	for _, name := range f.names {
+	for _, name := range f.machineNames {
 		m := f.machines[name]
-		if m.gone || m.rentedAt > f.now-listLag && m.rentedAt > 0 {
+		if m.terminated || m.provisionedAt > f.now-listLag && m.provisionedAt > 0 {
 			continue
 		}
 		state := wire.MachineRunning
-		if m.upAt > f.now {
+		if m.bootedAt > f.now {
 			state = wire.MachineStarting
 		}
-		machines = append(machines, wire.ListedMachine{Name: name, Address: m.Addr, Type: m.Type, Zone: m.Zone, State: state, AgeS: (f.now - m.rentedAt).Seconds()})
+		machines = append(machines, wire.ListedMachine{Name: name, Address: m.Address, Type: m.Type, Zone: m.Zone, State: state, AgeS: (f.now - m.provisionedAt).Seconds()})
 	}
 	f.after(f.latency(), func() {
-		if f.leader == l {
-			l.Listed(f.clock(), machines)
-			f.drain()
+		if f.scheduler == l {
+			l.MachinesListed(f.schedulerNow(), machines)
+			f.applyEffects()
 		}
 	})
 }
 
-// drain settles the leader and carries out what it decided.
-func (f *fleet) drain() {
-	l := f.leader
-	l.Settle(f.clock())
-	effects := l.Take()
+// applyEffects settles the leader and carries out what it decided.
+func (f *cluster) applyEffects() {
+	l := f.scheduler
+	l.Settle(f.schedulerNow())
+	effects := l.TakeEffects()
 	with := func(run func()) {
-		if f.leader == l {
+		if f.scheduler == l {
 			run()
-			f.drain()
+			f.applyEffects()
 		}
 	}
 	for _, c := range effects.Commits {
-		f.counts.state++
+		f.counts.kvStoreCalls++
 		f.after(f.latency(), func() {
-			status, reply := f.state.Commit(f.now, c.Txn)
+			status, reply := f.kvStore.Commit(f.now, c.Txn)
 			result := core.CommitDone
 			if status != 200 {
 				result = core.CommitConflict
 			}
-			f.after(f.latency(), func() { with(func() { l.CommitDone(f.clock(), c.ID, result, reply.Epoch, reply.Failed) }) })
+			f.after(f.latency(), func() {
+				with(func() { l.CommitDone(f.schedulerNow(), c.ID, result, reply.Revision, reply.FailedKeys) })
+			})
 		})
 	}
-	for _, c := range effects.Direct {
-		f.counts.direct++
-		f.order(c.Machine, c.Body.Commands)
-		f.call(c, with, l)
+	for _, c := range effects.DirectCalls {
+		f.counts.directCalls++
+		f.countOrders(c.Machine, c.Body.Commands)
+		f.sendCommands(c, with, l)
 	}
-	for _, r := range effects.Rent {
-		f.counts.cloud++
+	for _, r := range effects.Provision {
+		f.counts.cloudCalls++
 		f.after(f.latency(), func() {
-			names := f.rented[r.Request.Name]
+			names := f.provisionedByRequest[r.Request.RequestID]
 			for range r.Request.Count {
-				names = append(names, f.boot(r.Request.Zone, bootTime*3/4+f.upTo(bootTime/2)))
+				names = append(names, f.bootMachine(r.Request.Zone, bootTime*3/4+f.randomUpTo(bootTime/2)))
 			}
-			f.rented[r.Request.Name] = names
-			f.counts.rentedMachines += len(names)
-			with(func() { l.Rented(f.clock(), r.Request.Name, core.RentDone, names) })
+			f.provisionedByRequest[r.Request.RequestID] = names
+			f.counts.provisioned += len(names)
+			with(func() { l.Provisioned(f.schedulerNow(), r.Request.RequestID, core.ProvisionDone, names) })
 		})
 	}
 	for _, names := range effects.Release {
-		f.counts.cloud++
+		f.counts.cloudCalls++
 		f.after(f.latency(), func() {
 			for _, name := range names {
-				f.remove(name)
-				if !f.counts.released[name] {
-					f.counts.released[name] = true
+				f.terminate(name)
+				if !f.counts.releasedMachines[name] {
+					f.counts.releasedMachines[name] = true
 					f.counts.releases++
 				}
 			}
-			with(func() { l.Released(f.clock(), names, core.ReleaseDone) })
+			with(func() { l.Released(f.schedulerNow(), names, core.ReleaseDone) })
 		})
 	}
 }
 
-func (f *fleet) call(c core.DirectCall, with func(func()), l *core.Leader) {
+func (f *cluster) sendCommands(c core.DirectCall, with func(func()), l *core.Scheduler) {
 	answered := false
-	finish := func(result core.CallResult, report *wire.Report) {
+	finish := func(result core.CallResult, report *wire.Heartbeat) {
 		if !answered {
 			answered = true
-			with(func() { l.CallDone(f.clock(), c.ID, result, report) })
+			with(func() { l.CallDone(f.schedulerNow(), c.ID, result, report) })
 		}
 	}
 	f.after(f.latency(), func() {
 		m := f.machines[c.Machine]
-		if m.gone || f.now < m.silentTo || f.now < m.upAt {
+		if m.terminated || f.now < m.partitionedUntil || f.now < m.bootedAt {
 			return
 		}
-		status, report := m.Commands(f.now, c.Body)
+		status, report := m.HandleCommands(f.now, c.Body)
 		result := core.CallExecuted
 		if status != 200 {
 			result = core.CallRefused
 		}
-		if m.heardAt == 0 {
-			m.heardAt = f.now
+		if m.firstAnsweredAt == 0 {
+			m.firstAnsweredAt = f.now
 		}
 		f.after(f.latency(), func() { finish(result, &report) })
 	})
 	f.after(tuning.CommandTimeout, func() { finish(core.CallLost, nil) })
 }
 
-func (f *fleet) remove(name string) {
+func (f *cluster) terminate(name string) {
 	m := f.machines[name]
-	m.gone = true
-	m.Kill()
+	m.terminated = true
+	m.Terminate()
 }
 
-// submit accepts a job, as any node does.
-func (f *fleet) submit(number, tasks int) *wire.Job {
-	j := &wire.Job{ID: fmt.Sprintf("run-%06d", number), Class: "c", Team: teamName(number), Shape: wire.ShapeArray, Rank: wire.RankNormal,
-		Tasks: tasks, CPUs: taskCPUs, MemoryGB: 4, Image: fmt.Sprintf("img-%d", number%3), ImageGB: 1, EstimateS: 3600, CreatedMilli: f.now.Milliseconds()}
-	f.rules.Submit(j)
-	f.state.Commit(f.now, wire.Txn{Apply: []wire.Change{{Set: store.JobKey(j.ID), Value: store.JobRecord{Job: *j}}}})
+// submitRequest accepts a job, as any node does.
+func (f *cluster) submit(number, tasks int) *wire.Job {
+	j := &wire.Job{ID: fmt.Sprintf("run-%06d", number), Class: "c", Team: teamName(number), Shape: wire.ShapeArray, Priority: wire.PriorityNormal,
+		Tasks: tasks, CPUs: taskCPUs, MemoryGB: 4, Image: fmt.Sprintf("img-%d", number%3), ImageGB: 1, EstimatedRunS: 3600, CreatedAtMilli: f.now.Milliseconds()}
+	f.checker.AddJob(j)
+	f.kvStore.Commit(f.now, wire.Txn{Then: []wire.Op{{Set: store.JobKey(j.ID), Value: store.Job{Job: *j}}}})
 	return j
 }
 
-// watch brings the leader's jobs up to date.
-func (f *fleet) watch() {
-	changes, _ := f.state.Changes(f.now, store.JobsPrefix, f.replica.Epoch)
+// applyChanges brings the leader's jobs up to date.
+func (f *cluster) applyChanges() {
+	changes, _ := f.kvStore.Changes(f.now, store.JobsPrefix, f.replica.Revision)
 	touched, _ := f.replica.Apply(changes)
-	f.leader.JobsChanged(f.clock(), touched)
-	f.drain()
+	f.scheduler.JobsChanged(f.schedulerNow(), touched)
+	f.applyEffects()
 }
 
 // readAll reads a prefix page by page.
-func (f *fleet) readAll(prefix string) []wire.Item {
-	var items []wire.Item
+func (f *cluster) readAll(prefix string) []wire.KeyValue {
+	var items []wire.KeyValue
 	from := ""
 	for {
-		f.counts.state++
-		page := f.state.Range(f.now, prefix, from, tuning.ReadPage)
+		f.counts.kvStoreCalls++
+		page := f.kvStore.Range(f.now, prefix, from, tuning.StorePageSize)
 		items = append(items, page.Items...)
 		if !page.More {
 			return items
@@ -349,14 +351,14 @@
 	}
 }
 
-// lead begins a term from what is recorded.
-func (f *fleet) lead() {
-	_, reply := f.state.Commit(f.now, wire.Txn{Apply: []wire.Change{{Set: store.LeaderKey, Value: store.LeaderRecord{Node: "node"}}}})
+// startTerm begins a term from what is recorded.
+func (f *cluster) startTerm() {
+	_, reply := f.kvStore.Commit(f.now, wire.Txn{Then: []wire.Op{{Set: store.LeaderKey, Value: store.Leader{Node: "node"}}}})
 	f.replica = core.NewReplica()
-	f.replica.Reset(f.readAll(store.JobPrefix), f.state.Epoch)
+	f.replica.Reset(f.readAll(store.LiveJobPrefix), f.kvStore.Revision)
 	settings := f.settings
 	settings.ColdRestart = true
-	f.leader = core.NewLeader(f.clock(), settings, reply.Epoch, f.replica, f.readAll(store.BitsPrefix), f.readAll(store.BatchPrefix), f.types)
-	f.leader.Held(f.now + time.Minute)
-	f.drain()
+	f.scheduler = core.New(f.schedulerNow(), settings, reply.Revision, f.replica, f.readAll(store.BitmapPrefix), f.readAll(store.BatchPrefix), f.types)
+	f.scheduler.LeaseHeldUntil(f.now + time.Minute)
+	f.applyEffects()
 }
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -17,23 +17,23 @@
 
 // Client calls one kind of server.
 type Client struct {
-	hc    *http.Client
-	limit int64
+	httpClient     *http.Client
+	maxAnswerBytes int64
 }
 
-// New makes a client with at most conns connections per host that reads at
+// NewHandler makes a client with at most conns connections per host that reads at
 // most limit bytes of an answer. Of connections without a call, at most idle are
 // kept, to all hosts together.
-func New(conns, idle int, dialTimeout time.Duration, limit int64) *Client {
-	d := &net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
+func New(connsPerHost, maxIdleConns int, dialTimeout time.Duration, maxAnswerBytes int64) *Client {
+	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	return &Client{
-		limit: limit,
-		hc: &http.Client{
+		maxAnswerBytes: maxAnswerBytes,
+		httpClient: &http.Client{
 			Transport: &http.Transport{
-				DialContext:           d.DialContext,
-				MaxConnsPerHost:       conns,
-				MaxIdleConnsPerHost:   conns,
-				MaxIdleConns:          idle,
+				DialContext:           dialer.DialContext,
+				MaxConnsPerHost:       connsPerHost,
+				MaxIdleConnsPerHost:   connsPerHost,
+				MaxIdleConns:          maxIdleConns,
 				IdleConnTimeout:       20 * time.Second,
 				DisableCompression:    true,
 				ResponseHeaderTimeout: 0,
@@ -45,55 +45,55 @@
 	}
 }
 
-// ErrDecode is returned for an answer that is not what the protocol says.
-var ErrDecode = errors.New("malformed answer")
+// ErrMalformedAnswer is returned for an answer that is not what the protocol says.
+var ErrMalformedAnswer = errors.New("malformed answer")
 
-// ErrTooLarge is returned for an answer over the limit.
-var ErrTooLarge = errors.New("answer too large")
+// ErrAnswerTooLarge is returned for an answer over the limit.
+var ErrAnswerTooLarge = errors.New("answer too large")
 
 // Call sends in (nil for no body) and decodes the answer into out, whatever
 // its status. An error means that there was no usable answer: the request may
 // or may not have been carried out.
-func (c *Client) Call(ctx context.Context, method, url string, in any, out any) (int, error) {
+func (c *Client) Call(ctx context.Context, method, url string, request any, answer any) (int, error) {
 	var body io.Reader
-	if in != nil {
-		b, err := wire.Marshal(in)
+	if request != nil {
+		b, err := wire.Marshal(request)
 		if err != nil {
 			return 0, fmt.Errorf("encode: %w", err)
 		}
 		body = bytes.NewReader(b)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, url, body)
+	httpRequest, err := http.NewRequestWithContext(ctx, method, url, body)
 	if err != nil {
 		return 0, err
 	}
-	if in != nil {
-		req.Header.Set("Content-Type", wire.ContentType)
+	if request != nil {
+		httpRequest.Header.Set("Content-Type", wire.ContentType)
 		// A request that may have been carried out is repeated by our callers,
 		// who know whether that is safe, and never by the transport.
-		req.GetBody = nil
+		httpRequest.GetBody = nil
 	}
-	resp, err := c.hc.Do(req)
+	response, err := c.httpClient.Do(httpRequest)
 	if err != nil {
 		return 0, err
 	}
-	defer resp.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, c.limit+1))
+	defer response.Body.Close()
+	b, err := io.ReadAll(io.LimitReader(response.Body, c.maxAnswerBytes+1))
 	if err != nil {
 		return 0, err
 	}
-	if int64(len(b)) > c.limit {
-		return 0, ErrTooLarge
+	if int64(len(b)) > c.maxAnswerBytes {
+		return 0, ErrAnswerTooLarge
 	}
-	if raw, ok := out.(*wire.Raw); ok {
+	if raw, ok := answer.(*wire.Raw); ok {
 		*raw = b
-	} else if out != nil && len(b) > 0 {
-		if err := wire.Unmarshal(b, out); err != nil {
-			return 0, fmt.Errorf("%w: %v", ErrDecode, err)
+	} else if answer != nil && len(b) > 0 {
+		if err := wire.Unmarshal(b, answer); err != nil {
+			return 0, fmt.Errorf("%w: %v", ErrMalformedAnswer, err)
 		}
 	}
-	return resp.StatusCode, nil
+	return response.StatusCode, nil
 }
 
-// CloseIdle drops idle connections, so that the next call dials anew.
-func (c *Client) CloseIdle() { c.hc.CloseIdleConnections() }
+// CloseIdleConnections drops idle connections, so that the next call dials anew.
+func (c *Client) CloseIdleConnections() { c.httpClient.CloseIdleConnections() }
--- a/internal/standin/changes.go
+++ b/internal/standin/changes.go
@@ -11,11 +11,11 @@
 // OrderCounts are the orders that a site's machines and cloud were given. Of a start, a
 // stop and a release repeats count once.
 type OrderCounts struct {
-	Starts, Stops, Rented, Releases int
+	Starts, Stops, Provisioned, Releases int
 }
 
-// Orders are the orders since the last call.
-func (s *Site) Orders() OrderCounts {
+// TakeOrders are the orders since the last call.
+func (s *Deployment) TakeOrders() OrderCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	orders := s.orders
@@ -24,32 +24,32 @@
 }
 
 // countOnce counts an order, unless the same was counted before.
-func (s *Site) countOnce(count *int, key string) {
-	if !s.counted[key] {
-		s.counted[key] = true
+func (s *Deployment) countOnce(count *int, key string) {
+	if !s.countedOrders[key] {
+		s.countedOrders[key] = true
 		*count++
 	}
 }
 
-func (s *Site) countCommands(machine string, commands []wire.Command) {
+func (s *Deployment) countCommands(machine string, commands []wire.Command) {
 	for _, c := range commands {
 		key := fmt.Sprint(c.Verb, machine, c.Task, c.Attempt)
 		switch c.Verb {
 		case wire.VerbRun:
 			s.countOnce(&s.orders.Starts, key)
-		case wire.VerbHalt:
+		case wire.VerbStop:
 			s.countOnce(&s.orders.Stops, key)
 		}
 	}
 }
 
-// Machines lists the machines that are there, by name.
-func (s *Site) Machines() []string {
+// MachineNames lists the machines that are there, by name.
+func (s *Deployment) MachineNames() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var names []string
 	for name, wk := range s.workers {
-		if !wk.Gone {
+		if !wk.Terminated {
 			names = append(names, name)
 		}
 	}
@@ -57,39 +57,39 @@
 	return names
 }
 
-// Running is how many attempts are on a machine.
-func (s *Site) Running(machine string) int {
+// ActiveAttempts is how many attempts are on a machine.
+func (s *Deployment) ActiveAttempts(machine string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.workers[machine].Running())
+	return len(s.workers[machine].ActiveAttempts())
 }
 
-// Lose ends a machine on its own, as the cloud's list tells at once.
-func (s *Site) Lose(machine string) {
+// TerminateMachine ends a machine on its own, as the cloud's list tells at once.
+func (s *Deployment) TerminateMachine(machine string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.workers[machine].Kill()
+	s.workers[machine].Terminate()
 }
 
-// Restart ends all tasks of a machine with its session.
-func (s *Site) Restart(machine string) {
+// RestartMachine ends all tasks of a machine with its session.
+func (s *Deployment) RestartMachine(machine string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.workers[machine].Restart(s.now())
 }
 
-// Silence keeps a machine from sending and taking anything for a while.
-func (s *Site) Silence(machine string, d time.Duration) {
+// PartitionMachine keeps a machine from sending and taking anything for a while.
+func (s *Deployment) PartitionMachine(machine string, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.silentTo[machine] = s.now() + d
+	s.partitionedUntil[machine] = s.now() + d
 }
 
-// Start starts a task on a machine, as a command of an earlier leader would.
-func (s *Site) Start(machine, task string, attempt uint64) {
+// StartTask starts a task on a machine, as a command of an earlier leader would.
+func (s *Deployment) StartTask(machine, task string, attempt uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	wk := s.workers[machine]
 	start := wire.Command{Verb: wire.VerbRun, Task: task, Attempt: attempt}
-	wk.Commands(s.now(), wire.DirectCommands{Token: wk.Token, Session: wk.Session, Commands: []wire.Command{start}})
+	wk.HandleCommands(s.now(), wire.DirectCommands{FencingToken: wk.FencingToken, Incarnation: wk.Incarnation, Commands: []wire.Command{start}})
 }
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -14,115 +14,115 @@
 )
 
 // State is a stand-in for the state service.
-type State struct {
-	Epoch  uint64
-	Down   bool // refuses everything, and no lease ends
-	TxnOps int
-	// Writes is how many puts and deletes a second it takes, with a burst of one
+type KVStore struct {
+	Revision    uint64
+	Unavailable bool // refuses everything, and no lease ends
+	MaxTxnOps   int
+	// WriteRate is how many puts and deletes a second it takes, with a burst of one
 	// second's worth; 0: any number.
-	Writes float64
-
-	room   float64       // puts and deletes that it takes now
-	roomAt time.Duration // when room was counted
-	items  map[string]wire.Item
-	leases map[uint64]*lease
-	nextID uint64
-	log    []wire.LogEntry
-	keep   int
+	WriteRate float64
+
+	writeBudget   float64       // puts and deletes that it takes now
+	writeBudgetAt time.Duration // when room was counted
+	items         map[string]wire.KeyValue
+	leases        map[uint64]*lease
+	lastLeaseID   uint64
+	log           []wire.WatchEvent
+	maxLogEntries int
 }
 
 type lease struct {
-	ttl time.Duration
-	end time.Duration
+	ttl       time.Duration
+	expiresAt time.Duration
 }
 
-// NewState makes an empty service that remembers keep changes.
-func NewState(txnOps, keep int) *State {
-	return &State{TxnOps: txnOps, items: map[string]wire.Item{}, leases: map[uint64]*lease{}, keep: keep}
+// NewKVStore makes an empty service that remembers keep changes.
+func NewKVStore(maxTxnOps, maxLogEntries int) *KVStore {
+	return &KVStore{MaxTxnOps: maxTxnOps, items: map[string]wire.KeyValue{}, leases: map[uint64]*lease{}, maxLogEntries: maxLogEntries}
 }
 
-// SetDown starts or ends an outage. After it, every lease has its full time.
-func (s *State) SetDown(now time.Duration, down bool) {
-	if s.Down && !down {
+// SetUnavailable starts or ends an outage. After it, every lease has its full time.
+func (s *KVStore) SetUnavailable(now time.Duration, unavailable bool) {
+	if s.Unavailable && !unavailable {
 		for _, l := range s.leases {
-			l.end = now + l.ttl
+			l.expiresAt = now + l.ttl
 		}
 	}
-	s.Down = down
+	s.Unavailable = unavailable
 }
 
-// Expire ends the leases whose time is over.
-func (s *State) Expire(now time.Duration) {
-	if s.Down {
+// ExpireLeases ends the leases whose time is over.
+func (s *KVStore) ExpireLeases(now time.Duration) {
+	if s.Unavailable {
 		return
 	}
-	var over []uint64
+	var expired []uint64
 	for id, l := range s.leases {
 		// It may end up to 100 ms late, but never early.
-		if now > l.end+time.Duration(id*37%101)*time.Millisecond {
-			over = append(over, id)
+		if now > l.expiresAt+time.Duration(id*37%101)*time.Millisecond {
+			expired = append(expired, id)
 		}
 	}
-	slices.Sort(over)
-	for _, id := range over {
-		s.Revoke(id)
+	slices.Sort(expired)
+	for _, id := range expired {
+		s.RevokeLease(id)
 	}
 }
 
-// Grant makes a lease.
-func (s *State) Grant(now, ttl time.Duration) uint64 {
-	s.nextID++
-	s.leases[s.nextID] = &lease{ttl, now + ttl}
-	return s.nextID
+// GrantLease makes a lease.
+func (s *KVStore) GrantLease(now, ttl time.Duration) uint64 {
+	s.lastLeaseID++
+	s.leases[s.lastLeaseID] = &lease{ttl, now + ttl}
+	return s.lastLeaseID
 }
 
-// Renew renews a lease, if it has not ended.
-func (s *State) Renew(now time.Duration, id uint64) bool {
-	s.Expire(now)
+// RenewLease renews a lease, if it has not ended.
+func (s *KVStore) RenewLease(now time.Duration, id uint64) bool {
+	s.ExpireLeases(now)
 	l := s.leases[id]
 	if l == nil {
 		return false
 	}
-	l.end = now + l.ttl
+	l.expiresAt = now + l.ttl
 	return true
 }
 
-// Revoke ends a lease and removes its keys.
-func (s *State) Revoke(id uint64) {
+// RevokeLease ends a lease and removes its keys.
+func (s *KVStore) RevokeLease(id uint64) {
 	delete(s.leases, id)
-	var gone []string
+	var deleted []string
 	for k, it := range s.items {
-		if it.Permit == id && id != 0 {
-			gone = append(gone, k)
+		if it.Lease == id && id != 0 {
+			deleted = append(deleted, k)
 		}
 	}
-	if len(gone) == 0 {
+	if len(deleted) == 0 {
 		return
 	}
-	sort.Strings(gone)
-	s.Epoch++
-	for _, k := range gone {
+	sort.Strings(deleted)
+	s.Revision++
+	for _, k := range deleted {
 		delete(s.items, k)
-		s.note(wire.LogEntry{Delete: k, Stamp: s.Epoch})
+		s.appendLog(wire.WatchEvent{Delete: k, ModRevision: s.Revision})
 	}
 }
 
-func (s *State) note(e wire.LogEntry) {
+func (s *KVStore) appendLog(e wire.WatchEvent) {
 	s.log = append(s.log, e)
-	if len(s.log) > s.keep {
-		s.log = s.log[len(s.log)-s.keep:]
+	if len(s.log) > s.maxLogEntries {
+		s.log = s.log[len(s.log)-s.maxLogEntries:]
 	}
 }
 
 // Get reads a key; a missing one has stamp 0.
-func (s *State) Get(now time.Duration, key string) wire.Item {
-	s.Expire(now)
+func (s *KVStore) Get(now time.Duration, key string) wire.KeyValue {
+	s.ExpireLeases(now)
 	return s.items[key]
 }
 
 // Range reads up to most keys with the prefix after from.
-func (s *State) Range(now time.Duration, prefix, from string, most int) wire.Page {
-	s.Expire(now)
+func (s *KVStore) Range(now time.Duration, prefix, from string, limit int) wire.RangeReply {
+	s.ExpireLeases(now)
 	var keys []string
 	for k := range s.items {
 		if strings.HasPrefix(k, prefix) && k > from {
@@ -130,9 +130,9 @@
 		}
 	}
 	sort.Strings(keys)
-	p := wire.Page{Items: []wire.Item{}, Epoch: s.Epoch}
+	p := wire.RangeReply{Items: []wire.KeyValue{}, Revision: s.Revision}
 	for _, k := range keys {
-		if len(p.Items) == most {
+		if len(p.Items) == limit {
 			p.More = true
 			break
 		}
@@ -142,47 +142,47 @@
 }
 
 // Commit runs a transaction. status is the protocol's.
-func (s *State) Commit(now time.Duration, t wire.Txn) (status int, r wire.TxnReply) {
-	s.Expire(now)
-	if len(t.Apply) > s.TxnOps || len(t.If) > 4*s.TxnOps {
+func (s *KVStore) Commit(now time.Duration, t wire.Txn) (status int, r wire.TxnReply) {
+	s.ExpireLeases(now)
+	if len(t.Then) > s.MaxTxnOps || len(t.If) > 4*s.MaxTxnOps {
 		return 400, wire.TxnReply{Error: "too many operations"}
 	}
-	if s.Writes > 0 {
-		s.room = min(s.Writes, s.room+s.Writes*(now-s.roomAt).Seconds())
-		if s.roomAt == 0 {
-			s.room = s.Writes
+	if s.WriteRate > 0 {
+		s.writeBudget = min(s.WriteRate, s.writeBudget+s.WriteRate*(now-s.writeBudgetAt).Seconds())
+		if s.writeBudgetAt == 0 {
+			s.writeBudget = s.WriteRate
 		}
-		s.roomAt = now
-		if float64(len(t.Apply)) > s.room {
+		s.writeBudgetAt = now
+		if float64(len(t.Then)) > s.writeBudget {
 			return 429, wire.TxnReply{Error: "too many writes"}
 		}
 		// Those of transactions whose conditions fail count as well.
-		s.room -= float64(len(t.Apply))
+		s.writeBudget -= float64(len(t.Then))
 	}
-	for _, c := range t.Apply {
-		if c.Set != "" && c.Permit != nil && s.leases[*c.Permit] == nil {
+	for _, c := range t.Then {
+		if c.Set != "" && c.Lease != nil && s.leases[*c.Lease] == nil {
 			return 400, wire.TxnReply{Error: "no such lease"}
 		}
 	}
 	for _, c := range t.If {
-		if s.items[c.Key].Stamp != c.Stamp {
-			r.Failed = append(r.Failed, c.Key)
+		if s.items[c.Key].ModRevision != c.ModRevision {
+			r.FailedKeys = append(r.FailedKeys, c.Key)
 		}
 	}
-	r.Epoch = s.Epoch
-	if len(r.Failed) > 0 {
+	r.Revision = s.Revision
+	if len(r.FailedKeys) > 0 {
 		return 409, r
 	}
-	if len(t.Apply) == 0 {
+	if len(t.Then) == 0 {
 		return 200, r
 	}
-	s.Epoch++
-	r.Epoch = s.Epoch
-	for _, c := range t.Apply {
+	s.Revision++
+	r.Revision = s.Revision
+	for _, c := range t.Then {
 		if c.Delete != "" {
 			if _, ok := s.items[c.Delete]; ok {
 				delete(s.items, c.Delete)
-				s.note(wire.LogEntry{Delete: c.Delete, Stamp: s.Epoch})
+				s.appendLog(wire.WatchEvent{Delete: c.Delete, ModRevision: s.Revision})
 			}
 			continue
 		}
@@ -190,27 +190,27 @@
 		if err != nil {
 			panic(err) // a test handed in what has no CBOR form
 		}
-		it := wire.Item{Key: c.Set, Value: raw, Stamp: s.Epoch}
-		if c.Permit != nil {
-			it.Permit = *c.Permit
+		it := wire.KeyValue{Key: c.Set, Value: raw, ModRevision: s.Revision}
+		if c.Lease != nil {
+			it.Lease = *c.Lease
 		}
 		s.items[c.Set] = it
-		s.note(wire.LogEntry{Set: c.Set, Value: raw, Stamp: s.Epoch})
+		s.appendLog(wire.WatchEvent{Set: c.Set, Value: raw, ModRevision: s.Revision})
 	}
 	return 200, r
 }
 
 // Changes lists the changes with the prefix after from; ok is false if they are
 // no longer kept.
-func (s *State) Changes(now time.Duration, prefix string, from uint64) (c wire.Changes, ok bool) {
-	s.Expire(now)
-	c = wire.Changes{Epoch: s.Epoch, Log: []wire.LogEntry{}}
-	if len(s.log) == s.keep && from+1 < s.log[0].Stamp {
+func (s *KVStore) Changes(now time.Duration, prefix string, from uint64) (c wire.WatchReply, ok bool) {
+	s.ExpireLeases(now)
+	c = wire.WatchReply{Revision: s.Revision, Events: []wire.WatchEvent{}}
+	if len(s.log) == s.maxLogEntries && from+1 < s.log[0].ModRevision {
 		return c, false
 	}
 	for _, e := range s.log {
-		if e.Stamp > from && (strings.HasPrefix(e.Set, prefix) && e.Set != "" || strings.HasPrefix(e.Delete, prefix) && e.Delete != "") {
-			c.Log = append(c.Log, e)
+		if e.ModRevision > from && (strings.HasPrefix(e.Set, prefix) && e.Set != "" || strings.HasPrefix(e.Delete, prefix) && e.Delete != "") {
+			c.Events = append(c.Events, e)
 		}
 	}
 	return c, true
