--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -19,259 +19,259 @@
 
 // What can become of a request besides an answer.
 var (
-	// ErrRefused means that the request was not executed: the service is down
+	// ErrUnavailable means that the request was not executed: the service is down
 	// or refuses this node.
-	ErrRefused = errors.New("state service refused")
-	// ErrLimited means that the request was not executed: too many requests.
-	ErrLimited = errors.New("state service limits requests")
-	// ErrUnknown means that there was no usable answer: the request may have
+	ErrUnavailable = errors.New("state service refused")
+	// ErrRateLimited means that the request was not executed: too many requests.
+	ErrRateLimited = errors.New("state service limits requests")
+	// ErrOutcomeUnknown means that there was no usable answer: the request may have
 	// been executed, or may yet be executed later.
-	ErrUnknown = errors.New("state service did not answer")
+	ErrOutcomeUnknown = errors.New("state service did not answer")
 	// ErrConflict means that a condition of a transaction did not hold.
 	ErrConflict = errors.New("conflict")
-	// ErrNoLease means that the lease of a write has ended.
-	ErrNoLease = errors.New("no such lease")
-	// ErrTooOld means that a watch's start is no longer kept.
-	ErrTooOld = errors.New("revision too old")
-	// ErrMalformed means that the service called the request malformed.
-	ErrMalformed = errors.New("state service calls the request malformed")
+	// ErrLeaseNotFound means that the lease of a write has ended.
+	ErrLeaseNotFound = errors.New("no such lease")
+	// ErrCompacted means that a watch's start is no longer kept.
+	ErrCompacted = errors.New("revision too old")
+	// ErrMalformedRequest means that the service called the request malformed.
+	ErrMalformedRequest = errors.New("state service calls the request malformed")
 )
 
-// Rank orders requests under the rate limit.
-type Rank int
+// Priority orders requests under the rate limit.
+type Priority int
 
 // Ranks, highest first: the lease and the leader's writes, then what users
 // wait for, then the rest.
 const (
-	First Rank = iota
-	Second
-	Third
+	PriorityLeader Priority = iota
+	PriorityUser
+	PriorityBackground
 )
 
 // Client talks to the state service.
 type Client struct {
-	base  string
-	rpc   *rpc.Client
-	mu    sync.Mutex
-	level float64 // requests that may be sent now
-	at    time.Time
-	rate  float64
+	baseURL           string
+	rpc               *rpc.Client
+	mu                sync.Mutex
+	availableRequests float64 // requests that may be sent now
+	refilledAt        time.Time
+	requestsPerSecond float64
 
 	// When the last request that the service answered was sent, and the last that it
 	// did not, in nanoseconds since epoch. Not when the answer was read: a process
 	// that stood still reads answers of long ago.
-	epoch          time.Time
-	served, failed atomic.Int64
+	createdAt                  time.Time
+	lastServedAt, lastFailedAt atomic.Int64
 }
 
-// New makes a client for the service at addr; rps is the request rate that
+// NewHandler makes a client for the service at addr; rps is the request rate that
 // this node allows itself.
-func New(addr string, rps float64) *Client {
+func New(addr string, requestsPerSecond float64) *Client {
 	c := &Client{
-		base:  "http://" + addr,
-		rpc:   rpc.New(tuning.StateConns, tuning.StateConns, tuning.StateTimeout, tuning.StateAnswer),
-		level: rps, rate: rps, at: time.Now(),
+		baseURL:           "http://" + addr,
+		rpc:               rpc.New(tuning.MaxStoreConns, tuning.MaxStoreConns, tuning.StoreTimeout, tuning.MaxStoreResponseBytes),
+		availableRequests: requestsPerSecond, requestsPerSecond: requestsPerSecond, refilledAt: time.Now(),
 	}
-	c.epoch = c.at
+	c.createdAt = c.refilledAt
 	return c
 }
 
-// Without says for how long the service has not served this node; 0 if it has
+// UnservedFor says for how long the service has not served this node; 0 if it has
 // since it last did not.
-func (c *Client) Without() time.Duration {
-	served, failed := c.served.Load(), c.failed.Load()
-	if failed <= served {
+func (c *Client) UnservedFor() time.Duration {
+	servedAt, failedAt := c.lastServedAt.Load(), c.lastFailedAt.Load()
+	if failedAt <= servedAt {
 		return 0
 	}
-	return time.Since(c.epoch) - time.Duration(served)
+	return time.Since(c.createdAt) - time.Duration(servedAt)
 }
 
-// raise notes a moment, unless a later one is noted.
-func (c *Client) raise(to *atomic.Int64, at time.Time) {
-	for now := int64(at.Sub(c.epoch)); ; {
-		was := to.Load()
-		if now <= was || to.CompareAndSwap(was, now) {
+// advance notes a moment, unless a later one is noted.
+func (c *Client) advance(to *atomic.Int64, at time.Time) {
+	for now := int64(at.Sub(c.createdAt)); ; {
+		previous := to.Load()
+		if now <= previous || to.CompareAndSwap(previous, now) {
 			return
 		}
 	}
 }
 
-// take asks the node's own budget for one request. The first rank always gets
+// takeRequest asks the node's own budget for one request. The first rank always gets
 // it; the others find it refused while the level is under their reserve.
-func (c *Client) take(r Rank) error {
+func (c *Client) takeRequest(priority Priority) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	c.level = min(c.rate, c.level+now.Sub(c.at).Seconds()*c.rate)
-	c.at = now
-	reserve := []float64{-c.rate, 0.1 * c.rate, 0.3 * c.rate}[r]
-	if c.level-1 < reserve {
-		return ErrLimited
+	c.availableRequests = min(c.requestsPerSecond, c.availableRequests+now.Sub(c.refilledAt).Seconds()*c.requestsPerSecond)
+	c.refilledAt = now
+	reserve := []float64{-c.requestsPerSecond, 0.1 * c.requestsPerSecond, 0.3 * c.requestsPerSecond}[priority]
+	if c.availableRequests-1 < reserve {
+		return ErrRateLimited
 	}
-	c.level--
+	c.availableRequests--
 	return nil
 }
 
-func (c *Client) call(ctx context.Context, r Rank, timeout time.Duration, method, path string, in, out any) (int, error) {
-	if err := c.take(r); err != nil {
+func (c *Client) call(ctx context.Context, priority Priority, timeout time.Duration, method, path string, request, answer any) (int, error) {
+	if err := c.takeRequest(priority); err != nil {
 		return 0, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	begun := time.Now()
-	code, err := c.rpc.Call(ctx, method, c.base+path, in, out)
-	if err == nil && method == http.MethodGet && time.Since(begun) > timeout {
+	sentAt := time.Now()
+	code, err := c.rpc.Call(ctx, method, c.baseURL+path, request, answer)
+	if err == nil && method == http.MethodGet && time.Since(sentAt) > timeout {
 		// The process stood still meanwhile: what the answer says was true long ago.
 		err = context.DeadlineExceeded
 	}
 	if err != nil {
-		c.raise(&c.failed, begun)
-		return 0, fmt.Errorf("%w: %w", ErrUnknown, err)
+		c.advance(&c.lastFailedAt, sentAt)
+		return 0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	if code == http.StatusServiceUnavailable {
-		c.raise(&c.failed, begun)
-		return code, ErrRefused
+		c.advance(&c.lastFailedAt, sentAt)
+		return code, ErrUnavailable
 	}
-	c.raise(&c.served, begun)
+	c.advance(&c.lastServedAt, sentAt)
 	switch code {
 	case http.StatusTooManyRequests:
-		return code, ErrLimited
+		return code, ErrRateLimited
 	}
 	return code, nil
 }
 
 // Get reads a key. A missing one has stamp 0.
-func (c *Client) Get(ctx context.Context, r Rank, key string) (wire.Item, error) {
-	var it wire.Item
-	code, err := c.call(ctx, r, tuning.StateTimeout, http.MethodGet, "/kv/"+key, nil, &it)
+func (c *Client) Get(ctx context.Context, priority Priority, key string) (wire.KeyValue, error) {
+	var item wire.KeyValue
+	code, err := c.call(ctx, priority, tuning.StoreTimeout, http.MethodGet, "/kv/"+key, nil, &item)
 	switch {
 	case err != nil:
-		return wire.Item{}, err
+		return wire.KeyValue{}, err
 	case code == http.StatusNotFound:
-		return wire.Item{Key: key}, nil
-	case code != http.StatusOK || it.Stamp == 0:
-		return wire.Item{}, fmt.Errorf("%w: status %d", ErrUnknown, code)
+		return wire.KeyValue{Key: key}, nil
+	case code != http.StatusOK || item.ModRevision == 0:
+		return wire.KeyValue{}, fmt.Errorf("%w: status %d", ErrOutcomeUnknown, code)
 	}
-	return it, nil
+	return item, nil
 }
 
-// Page reads one page of the keys that start with prefix, after the key from.
-func (c *Client) Page(ctx context.Context, r Rank, prefix, from string, most int) (wire.Page, error) {
-	q := url.Values{"starts": {prefix}, "most": {fmt.Sprint(most)}}
+// Range reads one page of the keys that start with prefix, after the key from.
+func (c *Client) Range(ctx context.Context, priority Priority, prefix, from string, limit int) (wire.RangeReply, error) {
+	query := url.Values{"starts": {prefix}, "most": {fmt.Sprint(limit)}}
 	if from != "" {
-		q.Set("from", from)
+		query.Set("from", from)
 	}
-	var p wire.Page
-	code, err := c.call(ctx, r, 2*tuning.StateTimeout, http.MethodGet, "/kv?"+q.Encode(), nil, &p)
+	var reply wire.RangeReply
+	code, err := c.call(ctx, priority, 2*tuning.StoreTimeout, http.MethodGet, "/kv?"+query.Encode(), nil, &reply)
 	if err != nil {
-		return p, err
+		return reply, err
 	}
 	if code != http.StatusOK {
-		return p, fmt.Errorf("%w: status %d", ErrUnknown, code)
+		return reply, fmt.Errorf("%w: status %d", ErrOutcomeUnknown, code)
 	}
-	return p, nil
+	return reply, nil
 }
 
-// All reads every key that starts with prefix. The epoch is that of the first
+// RangeAll reads every key that starts with prefix. The epoch is that of the first
 // page: a watch from there misses nothing.
-func (c *Client) All(ctx context.Context, r Rank, prefix string) ([]wire.Item, uint64, error) {
-	var items []wire.Item
-	var epoch uint64
+func (c *Client) RangeAll(ctx context.Context, priority Priority, prefix string) ([]wire.KeyValue, uint64, error) {
+	var items []wire.KeyValue
+	var revision uint64
 	from := ""
 	for {
-		p, err := c.Page(ctx, r, prefix, from, tuning.ReadPage)
+		page, err := c.Range(ctx, priority, prefix, from, tuning.StorePageSize)
 		if err != nil {
 			return nil, 0, err
 		}
 		if from == "" {
-			epoch = p.Epoch
+			revision = page.Revision
 		}
-		items = append(items, p.Items...)
-		if !p.More || len(p.Items) == 0 {
-			return items, epoch, nil
+		items = append(items, page.Items...)
+		if !page.More || len(page.Items) == 0 {
+			return items, revision, nil
 		}
-		from = p.Items[len(p.Items)-1].Key
+		from = page.Items[len(page.Items)-1].Key
 	}
 }
 
 // Commit runs a transaction and returns the revision of its changes. With
 // ErrConflict it also returns the keys that had another stamp.
-func (c *Client) Commit(ctx context.Context, r Rank, t wire.Txn) (uint64, []string, error) {
-	var out wire.TxnReply
-	code, err := c.call(ctx, r, tuning.StateTimeout, http.MethodPost, "/commit", t, &out)
+func (c *Client) Commit(ctx context.Context, priority Priority, txn wire.Txn) (uint64, []string, error) {
+	var reply wire.TxnReply
+	code, err := c.call(ctx, priority, tuning.StoreTimeout, http.MethodPost, "/commit", txn, &reply)
 	if err != nil {
 		return 0, nil, err
 	}
 	switch code {
 	case http.StatusOK:
-		if out.Epoch == 0 {
-			return 0, nil, fmt.Errorf("%w: no epoch", ErrUnknown)
+		if reply.Revision == 0 {
+			return 0, nil, fmt.Errorf("%w: no epoch", ErrOutcomeUnknown)
 		}
-		return out.Epoch, nil, nil
+		return reply.Revision, nil, nil
 	case http.StatusConflict:
-		return out.Epoch, out.Failed, ErrConflict
+		return reply.Revision, reply.FailedKeys, ErrConflict
 	case http.StatusBadRequest:
-		if out.Error == "no such lease" {
-			return 0, nil, ErrNoLease
+		if reply.Error == "no such lease" {
+			return 0, nil, ErrLeaseNotFound
 		}
-		return 0, nil, fmt.Errorf("%w: %s", ErrMalformed, out.Error)
+		return 0, nil, fmt.Errorf("%w: %s", ErrMalformedRequest, reply.Error)
 	}
-	return 0, nil, fmt.Errorf("%w: status %d", ErrUnknown, code)
+	return 0, nil, fmt.Errorf("%w: status %d", ErrOutcomeUnknown, code)
 }
 
-// Grant makes a lease.
-func (c *Client) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
-	var out wire.Lease
-	code, err := c.call(ctx, First, tuning.StateTimeout, http.MethodPost, "/holds", wire.LeaseRequest{TTLMilli: ttl.Milliseconds()}, &out)
+// GrantLease makes a lease.
+func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
+	var reply wire.LeaseReply
+	code, err := c.call(ctx, PriorityLeader, tuning.StoreTimeout, http.MethodPost, "/holds", wire.LeaseRequest{TTLMilli: ttl.Milliseconds()}, &reply)
 	if err != nil {
 		return 0, err
 	}
-	if code != http.StatusOK || out.Permit == 0 {
-		return 0, fmt.Errorf("%w: status %d", ErrUnknown, code)
+	if code != http.StatusOK || reply.ID == 0 {
+		return 0, fmt.Errorf("%w: status %d", ErrOutcomeUnknown, code)
 	}
-	return out.Permit, nil
+	return reply.ID, nil
 }
 
-// Renew renews a lease; ErrNoLease says that it has ended.
-func (c *Client) Renew(ctx context.Context, permit uint64) error {
-	code, err := c.call(ctx, First, tuning.StateTimeout, http.MethodPost, fmt.Sprintf("/holds/%d/renew", permit), struct{}{}, nil)
+// RenewLease renews a lease; ErrLeaseNotFound says that it has ended.
+func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
+	code, err := c.call(ctx, PriorityLeader, tuning.StoreTimeout, http.MethodPost, fmt.Sprintf("/holds/%d/renew", lease), struct{}{}, nil)
 	switch {
 	case err != nil:
 		return err
 	case code == http.StatusNotFound:
-		return ErrNoLease
+		return ErrLeaseNotFound
 	case code != http.StatusOK:
-		return fmt.Errorf("%w: status %d", ErrUnknown, code)
+		return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, code)
 	}
 	return nil
 }
 
-// Revoke ends a lease.
-func (c *Client) Revoke(ctx context.Context, permit uint64) error {
-	_, err := c.call(ctx, First, tuning.StateTimeout, http.MethodDelete, fmt.Sprintf("/holds/%d", permit), nil, nil)
+// RevokeLease ends a lease.
+func (c *Client) RevokeLease(ctx context.Context, lease uint64) error {
+	_, err := c.call(ctx, PriorityLeader, tuning.StoreTimeout, http.MethodDelete, fmt.Sprintf("/holds/%d", lease), nil, nil)
 	return err
 }
 
-// Changes waits up to block for changes of keys with the prefix after from.
-func (c *Client) Changes(ctx context.Context, r Rank, prefix string, from uint64, block time.Duration) (wire.Changes, error) {
-	q := url.Values{"starts": {prefix}, "from": {fmt.Sprint(from)}, "block_ms": {fmt.Sprint(block.Milliseconds())}}
-	timeout := tuning.StateTimeout
+// Watch waits up to block for changes of keys with the prefix after from.
+func (c *Client) Watch(ctx context.Context, priority Priority, prefix string, from uint64, block time.Duration) (wire.WatchReply, error) {
+	query := url.Values{"starts": {prefix}, "from": {fmt.Sprint(from)}, "block_ms": {fmt.Sprint(block.Milliseconds())}}
+	timeout := tuning.StoreTimeout
 	if block > 0 {
-		timeout = block + tuning.WatchSlack
+		timeout = block + tuning.WatchTimeoutMargin
 	}
-	var out wire.Changes
-	code, err := c.call(ctx, r, timeout, http.MethodGet, "/changes?"+q.Encode(), nil, &out)
+	var reply wire.WatchReply
+	code, err := c.call(ctx, priority, timeout, http.MethodGet, "/changes?"+query.Encode(), nil, &reply)
 	switch {
-	case errors.Is(err, rpc.ErrTooLarge):
+	case errors.Is(err, rpc.ErrAnswerTooLarge):
 		// This answer alone has no size limit. Whoever was away for thousands of
 		// changes reads the keys again, in pages; else it would never catch up.
-		return out, ErrTooOld
+		return reply, ErrCompacted
 	case err != nil:
-		return out, err
+		return reply, err
 	case code == http.StatusGone:
-		return out, ErrTooOld
+		return reply, ErrCompacted
 	case code != http.StatusOK:
-		return out, fmt.Errorf("%w: status %d", ErrUnknown, code)
+		return reply, fmt.Errorf("%w: status %d", ErrOutcomeUnknown, code)
 	}
-	return out, nil
+	return reply, nil
 }
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -12,14 +12,14 @@
 // earlier version has stored stays readable.
 func TestRecordEncodingsMatchGoldenFiles(t *testing.T) {
 	records := map[string]any{
-		"leader":        &store.LeaderRecord{},
-		"live-job":      &store.JobRecord{},
-		"ended-job":     &store.EndedRecord{},
-		"done-bits":     &store.BitsRecord{},
-		"batch":         &store.BatchRecord{},
+		"leader":        &store.Leader{},
+		"live-job":      &store.Job{},
+		"ended-job":     &store.EndedJob{},
+		"done-bits":     &store.BitmapChunk{},
+		"batch":         &store.Batch{},
 		"batch-machine": &store.BatchMachine{},
-		"machine":       &store.MachineRecord{}, // the layout before batches
-		"machine-task":  &store.Assigned{},
+		"machine":       &store.LegacyMachine{}, // the layout before batches
+		"machine-task":  &store.AssignedTask{},
 		"machine-type":  &wire.MachineType{},
 	}
 	var all []any
@@ -34,10 +34,10 @@
 func TestKeysMatchGoldenFile(t *testing.T) {
 	const job = "run-000412"
 	golden.CheckLines(t, "keys.txt",
-		store.JobsPrefix, store.JobPrefix, store.EndedPrefix, store.BitsPrefix, store.BatchPrefix,
-		store.MachinePrefix, store.LeaderKey, store.LeaderPrefix, store.TypesPrefix,
-		store.JobKey(job), store.EndedKey(job), store.BitsKey(job, 3),
-		store.MachineKey("machine-7"), store.BatchKey(5, 11),
+		store.JobsPrefix, store.LiveJobPrefix, store.EndedJobPrefix, store.BitmapPrefix, store.BatchPrefix,
+		store.LegacyMachinePrefix, store.LeaderKey, store.LeaderPrefix, store.MachineTypePrefix,
+		store.JobKey(job), store.EndedJobKey(job), store.BitmapKey(job, 3),
+		store.LegacyMachineKey("machine-7"), store.BatchKey(5, 11),
 	)
 }
 
@@ -48,8 +48,8 @@
 		done.Add(task)
 	}
 	var chunks []any
-	for chunk := range done.Chunks() {
-		chunks = append(chunks, done.Encode(chunk))
+	for chunk := range done.ChunkCount() {
+		chunks = append(chunks, done.EncodeChunk(chunk))
 	}
 	golden.CheckLines(t, "bitmap.txt", chunks...)
 }
--- a/internal/store/records_test.go
+++ b/internal/store/records_test.go
@@ -14,7 +14,7 @@
 func TestMain(m *testing.M) { os.Exit(fixedseed.Run(m)) }
 
 // Done bits survive their chunks, and a chunk fits the smallest value limit.
-func TestBitmapChunks(t *testing.T) {
+func TestBitmapChunksRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, wire.MaxTasks).Draw(t, "tasks")
 		b := store.NewBitmap(n)
@@ -25,12 +25,12 @@
 			want[i] = true
 		}
 		got := store.NewBitmap(n)
-		for k := 0; k < b.Chunks(); k++ {
-			s := b.Encode(k)
+		for k := 0; k < b.ChunkCount(); k++ {
+			s := b.EncodeChunk(k)
 			if len(s) > 1500 {
 				t.Fatalf("chunk %d takes %d bytes", k, len(s))
 			}
-			if err := got.Merge(k, s); err != nil {
+			if err := got.MergeChunk(k, s); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -46,17 +46,17 @@
 }
 
 // A record that does not fit its job is refused, not trusted.
-func TestBitmapRefusesWhatIsTooLong(t *testing.T) {
+func TestDecodingRejectsInconsistentRecords(t *testing.T) {
 	big := store.NewBitmap(5000)
 	big.Add(4999)
 	small := store.NewBitmap(16)
-	if err := small.Merge(0, big.Encode(0)); err == nil {
+	if err := small.MergeChunk(0, big.EncodeChunk(0)); err == nil {
 		t.Error("a bitmap of 5000 tasks was merged into one of 16")
 	}
-	if err := small.Merge(0, "not base64!"); err == nil {
+	if err := small.MergeChunk(0, "not base64!"); err == nil {
 		t.Error("what is not base64 was merged")
 	}
-	if _, err := store.DecodeJob(wire.Item{Key: store.JobKey("run-000001"), Value: wire.Raw{0xa0}}); err == nil {
+	if _, err := store.DecodeJob(wire.KeyValue{Key: store.JobKey("run-000001"), Value: wire.Raw{0xa0}}); err == nil {
 		t.Error("an empty job record was accepted")
 	}
 }
--- a/internal/tracing/rotate.go
+++ b/internal/tracing/rotate.go
@@ -5,22 +5,22 @@
 	"os"
 )
 
-// olderSuffix marks the file that was full last.
-const olderSuffix = ".1"
+// rotatedSuffix marks the file that was full last.
+const rotatedSuffix = ".1"
 
 // rotatingFile appends to a file up to a size, and then begins it anew beside the one that
 // was full, so that both together stay under twice the size. Whoever runs unwatched must
 // not fill a disk.
 type rotatingFile struct {
-	path string
-	most int64
-	file *os.File
-	size int64
+	path     string
+	maxBytes int64
+	file     *os.File
+	size     int64
 }
 
 // openRotating opens a file for appending.
-func openRotating(path string, most int64) (*rotatingFile, error) {
-	r := &rotatingFile{path: path, most: most}
+func openRotating(path string, maxBytes int64) (*rotatingFile, error) {
+	r := &rotatingFile{path: path, maxBytes: maxBytes}
 	return r, r.open()
 }
 
@@ -40,7 +40,7 @@
 
 // Write appends whole spans: one is never divided between two files.
 func (r *rotatingFile) Write(b []byte) (int, error) {
-	if r.size > 0 && r.size+int64(len(b)) > r.most {
+	if r.size > 0 && r.size+int64(len(b)) > r.maxBytes {
 		if err := r.rotate(); err != nil {
 			return 0, err
 		}
@@ -53,7 +53,7 @@
 // rotate puts the full file aside. If that fails the file stays as it is, and the next
 // write tries again.
 func (r *rotatingFile) rotate() error {
-	if err := os.Rename(r.path, r.path+olderSuffix); err != nil {
+	if err := os.Rename(r.path, r.path+rotatedSuffix); err != nil {
 		return fmt.Errorf("trace_file: %w", err)
 	}
 	full := r.file
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -50,9 +50,9 @@
 	tracer   trace.Tracer
 	file     io.Closer
 
-	context context.Context // that of the recovery's span; nil: there is none
-	phase   trace.Span      // the phase that goes on
-	term    uint64
+	reconcileContext context.Context // that of the recovery's span; nil: there is none
+	phaseSpan        trace.Span      // the phase that goes on
+	term             uint64
 }
 
 // Open makes a tracer that writes to the target: a file, which is appended to and rotated,
@@ -65,7 +65,7 @@
 	if target == Stdout {
 		return newTracer(os.Stdout, nil, node)
 	}
-	file, err := openRotating(target, tuning.TraceFileBytes)
+	file, err := openRotating(target, tuning.MaxTraceFileBytes)
 	if err != nil {
 		return nil, fmt.Errorf("trace_file: %w", err)
 	}
@@ -78,7 +78,7 @@
 		return nil, err
 	}
 	about := resource.NewSchemaless(keyService.String("yarrowgap"), keyNode.String(node))
-	provider := sdktrace.NewTracerProvider(sdktrace.WithBatcher(exporter, sdktrace.WithMaxQueueSize(tuning.TraceQueue)), sdktrace.WithResource(about))
+	provider := sdktrace.NewTracerProvider(sdktrace.WithBatcher(exporter, sdktrace.WithMaxQueueSize(tuning.TraceQueueSpans)), sdktrace.WithResource(about))
 	return &Tracer{provider: provider, tracer: provider.Tracer("yarrowgap"), file: file}, nil
 }
 
@@ -99,84 +99,84 @@
 	return err
 }
 
-// Loaded begins a recovery's span with the reading of its records.
-func (t *Tracer) Loaded(term uint64, begun, ended time.Time, jobs, records int) {
+// RecordsLoaded begins a recovery's span with the reading of its records.
+func (t *Tracer) RecordsLoaded(term uint64, startedAt, endedAt time.Time, jobs, records int) {
 	if t == nil {
 		return
 	}
-	t.TermEnded(ended)
+	t.TermEnded(endedAt)
 	t.term = term
-	t.context, _ = t.tracer.Start(context.Background(), "recovery", trace.WithTimestamp(begun), trace.WithAttributes(keyTerm.Int64(int64(term))))
-	_, loading := t.start("recovery."+recovery.Loading.String(), begun, keyJobs.Int(jobs), keyRecords.Int(records))
-	loading.End(trace.WithTimestamp(ended))
-	_, t.phase = t.start("recovery."+recovery.Collecting.String(), ended)
+	t.reconcileContext, _ = t.tracer.Start(context.Background(), "recovery", trace.WithTimestamp(startedAt), trace.WithAttributes(keyTerm.Int64(int64(term))))
+	_, loading := t.startSpan("recovery."+recovery.Loading.String(), startedAt, keyJobs.Int(jobs), keyRecords.Int(records))
+	loading.End(trace.WithTimestamp(endedAt))
+	_, t.phaseSpan = t.startSpan("recovery."+recovery.Collecting.String(), endedAt)
 }
 
-// start begins a span in the recovery's.
-func (t *Tracer) start(name string, at time.Time, attributes ...attribute.KeyValue) (context.Context, trace.Span) {
-	return t.tracer.Start(t.context, name, trace.WithTimestamp(at), trace.WithAttributes(attributes...))
+// startSpan begins a span in the recovery's.
+func (t *Tracer) startSpan(name string, at time.Time, attributes ...attribute.KeyValue) (context.Context, trace.Span) {
+	return t.tracer.Start(t.reconcileContext, name, trace.WithTimestamp(at), trace.WithAttributes(attributes...))
 }
 
-// Recovery takes events of the recovery. start is when the times of events count from.
-func (t *Tracer) Recovery(start time.Time, events []recovery.Event) {
-	if t == nil || t.context == nil {
+// ReconcileEvents takes events of the recovery. start is when the times of events count from.
+func (t *Tracer) ReconcileEvents(start time.Time, events []recovery.Event) {
+	if t == nil || t.reconcileContext == nil {
 		return
 	}
 	for _, e := range events {
 		at := start.Add(e.At)
 		switch e.Kind {
 		case recovery.PhaseEntered:
-			t.enter(e.Phase, at)
-		case recovery.MachineHeard:
-			t.instant("recovery.heard", at, keyMachine.String(e.Order.Machine))
-		case recovery.OrderGiven:
-			t.instant("recovery.order", at, keyKind.String(e.Order.Kind.String()), keyMachine.String(e.Order.Machine),
-				keyTask.String(e.Order.Task), keyAttempt.Int64(int64(e.Order.Number)), keyTraced.Bool(e.Traced))
+			t.enterPhase(e.Phase, at)
+		case recovery.MachineConfirmed:
+			t.recordInstant("recovery.heard", at, keyMachine.String(e.Operation.Machine))
+		case recovery.OperationCounted:
+			t.recordInstant("recovery.order", at, keyKind.String(e.Operation.Kind.String()), keyMachine.String(e.Operation.Machine),
+				keyTask.String(e.Operation.Task), keyAttempt.Int64(int64(e.Operation.Number)), keyTraced.Bool(e.Attributed))
 		}
 	}
 }
 
-func (t *Tracer) instant(name string, at time.Time, attributes ...attribute.KeyValue) {
-	if t.context == nil {
+func (t *Tracer) recordInstant(name string, at time.Time, attributes ...attribute.KeyValue) {
+	if t.reconcileContext == nil {
 		return // after the recovery was settled
 	}
-	_, span := t.start(name, at, attributes...)
+	_, span := t.startSpan(name, at, attributes...)
 	span.End(trace.WithTimestamp(at))
 }
 
-func (t *Tracer) enter(phase recovery.Phase, at time.Time) {
-	if t.context == nil {
+func (t *Tracer) enterPhase(phase recovery.Phase, at time.Time) {
+	if t.reconcileContext == nil {
 		return
 	}
-	t.phase.End(trace.WithTimestamp(at))
+	t.phaseSpan.End(trace.WithTimestamp(at))
 	if phase == recovery.Settled {
-		t.finish(at, outcomeSettled)
+		t.finishReconcile(at, outcomeSettled)
 		return
 	}
-	_, t.phase = t.start("recovery."+phase.String(), at)
+	_, t.phaseSpan = t.startSpan("recovery."+phase.String(), at)
 }
 
-func (t *Tracer) finish(at time.Time, outcome string) {
-	span := trace.SpanFromContext(t.context)
+func (t *Tracer) finishReconcile(at time.Time, outcome string) {
+	span := trace.SpanFromContext(t.reconcileContext)
 	span.SetAttributes(keyOutcome.String(outcome))
 	span.End(trace.WithTimestamp(at))
-	t.context = nil
+	t.reconcileContext = nil
 }
 
 // TermEnded ends the span of a recovery that was not settled.
 func (t *Tracer) TermEnded(at time.Time) {
-	if t == nil || t.context == nil {
+	if t == nil || t.reconcileContext == nil {
 		return
 	}
-	t.phase.End(trace.WithTimestamp(at))
-	t.finish(at, outcomeEnded)
+	t.phaseSpan.End(trace.WithTimestamp(at))
+	t.finishReconcile(at, outcomeEnded)
 }
 
-// Round makes a span of a round of placement.
-func (t *Tracer) Round(begun, ended time.Time) {
+// PlacementRound makes a span of a round of placement.
+func (t *Tracer) PlacementRound(startedAt, endedAt time.Time) {
 	if t == nil {
 		return
 	}
-	_, span := t.tracer.Start(context.Background(), "leader.round", trace.WithTimestamp(begun), trace.WithAttributes(keyTerm.Int64(int64(t.term))))
-	span.End(trace.WithTimestamp(ended))
+	_, span := t.tracer.Start(context.Background(), "leader.round", trace.WithTimestamp(startedAt), trace.WithAttributes(keyTerm.Int64(int64(t.term))))
+	span.End(trace.WithTimestamp(endedAt))
 }
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -27,7 +27,7 @@
 
 // A recovery is one trace: its phases, the machines that were heard and the orders are in
 // its span; rounds have spans of their own, and nothing comes after the end of the term.
-func TestRecoveryIsOneTrace(t *testing.T) {
+func TestReconciliationIsOneTrace(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "spans.json")
 	tracer, err := Open(path, "node-1")
 	if err != nil {
@@ -35,18 +35,18 @@
 	}
 	start := time.Unix(1000, 0)
 	events := []recovery.Event{
-		{Kind: recovery.MachineHeard, At: time.Second, Order: recovery.Order{Machine: "n-1"}},
-		{Kind: recovery.OrderGiven, At: time.Second, Order: recovery.Order{Kind: recovery.OrderStop, Machine: "n-1", Task: "run-000001/0", Number: 7}, Traced: true},
+		{Kind: recovery.MachineConfirmed, At: time.Second, Operation: recovery.Operation{Machine: "n-1"}},
+		{Kind: recovery.OperationCounted, At: time.Second, Operation: recovery.Operation{Kind: recovery.StopOperation, Machine: "n-1", Task: "run-000001/0", Number: 7}, Attributed: true},
 		{Kind: recovery.PhaseEntered, At: 2 * time.Second, Phase: recovery.Reconciling},
 		{Kind: recovery.PhaseEntered, At: 3 * time.Second, Phase: recovery.Settled},
-		{Kind: recovery.OrderGiven, At: 4 * time.Second},
+		{Kind: recovery.OperationCounted, At: 4 * time.Second},
 	}
-	tracer.Loaded(9, start, start.Add(time.Second), 3, 2)
-	tracer.Recovery(start, events)
-	tracer.Round(start, start.Add(time.Millisecond))
-	tracer.Loaded(10, start, start.Add(time.Second), 3, 2)
+	tracer.RecordsLoaded(9, start, start.Add(time.Second), 3, 2)
+	tracer.ReconcileEvents(start, events)
+	tracer.PlacementRound(start, start.Add(time.Millisecond))
+	tracer.RecordsLoaded(10, start, start.Add(time.Second), 3, 2)
 	tracer.TermEnded(start.Add(2 * time.Second))
-	tracer.Recovery(start, events)
+	tracer.ReconcileEvents(start, events)
 	if err := tracer.Close(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -111,7 +111,7 @@
 		if err := file.Close(); err != nil {
 			t.Fatal(err)
 		}
-		for _, name := range []string{path, path + olderSuffix} {
+		for _, name := range []string{path, path + rotatedSuffix} {
 			raw, err := os.ReadFile(name)
 			if len(raw) > most || len(raw)%len(line) != 0 || err != nil && (name == path || i > 3) {
 				t.Fatalf("after %d: %s has %d bytes, %v", i, name, len(raw), err)
@@ -121,21 +121,21 @@
 }
 
 // Without a target nothing is allocated, neither for spans nor for events of orders.
-func TestNoCostWhenOff(t *testing.T) {
+func TestDisabledTracerAllocatesNothing(t *testing.T) {
 	tracer, err := Open("", "node-1")
 	if err != nil || tracer.Enabled() {
 		t.Fatalf("%v, %v", tracer, err)
 	}
 	now := time.Unix(1000, 0)
-	r := recovery.New(0, recovery.Config{Report: time.Second, Lease: time.Minute})
+	r := recovery.New(0, recovery.Config{HeartbeatInterval: time.Second, WorkerLease: time.Minute})
 	r.ExpectAttempt("n-1")
-	events := []recovery.Event{{Kind: recovery.OrderGiven}}
+	events := []recovery.Event{{Kind: recovery.OperationCounted}}
 	if n := testing.AllocsPerRun(100, func() {
-		tracer.Loaded(1, now, now, 1, 1)
-		tracer.Recovery(now, events)
-		tracer.Round(now, now)
+		tracer.RecordsLoaded(1, now, now, 1, 1)
+		tracer.ReconcileEvents(now, events)
+		tracer.PlacementRound(now, now)
 		tracer.TermEnded(now)
-		r.Ordered(time.Second, recovery.Order{Kind: recovery.OrderStart, Machine: "n-1", Task: "run-000001/0"})
+		r.CountOperation(time.Second, recovery.Operation{Kind: recovery.StartOperation, Machine: "n-1", Task: "run-000001/0"})
 		_ = r.TakeEvents()
 	}); n != 0 {
 		t.Errorf("%v allocations", n)
--- a/internal/tuning/machines.go
+++ b/internal/tuning/machines.go
@@ -6,73 +6,73 @@
 const (
 	// CommandTimeout bounds one direct command.
 	CommandTimeout = 1500 * time.Millisecond
-	// WorkerConnsIdle is how many connections to workers are kept without a call,
+	// MaxIdleWorkerConns is how many connections to workers are kept without a call,
 	// to all together: hundreds of them would take the platform's sockets.
-	WorkerConnsIdle = 64
-	// QuestionPause is the least time between two direct questions to a machine that
+	MaxIdleWorkerConns = 64
+	// MinStatusProbeInterval is the least time between two direct questions to a machine that
 	// does not answer.
-	QuestionPause = 2 * time.Second
-	// QuestionRate is how many questions a second there may be at the most for a whole
-	// core, where the process has less than UsualShare of one. A question costs some
+	MinStatusProbeInterval = 2 * time.Second
+	// MaxStatusProbeRate is how many questions a second there may be at the most for a whole
+	// core, where the process has less than ReferenceCPUShare of one. A question costs some
 	// 0.4 ms (a connection of its own, its system calls and packets), and all of them
 	// together may take a fifth of the share: asking two thousand machines at once takes
 	// 7% of a core twelve seconds, in which the leader's own lease runs out.
-	QuestionRate = 500.0
-	// AnswersSoon is how long after our answer to a worker no question is asked there
+	MaxStatusProbeRate = 500.0
+	// StatusProbeHoldOff is how long after our answer to a worker no question is asked there
 	// where they are bounded: a token that is new to it is news, which it reports within
 	// half a second.
-	AnswersSoon = 1500 * time.Millisecond
-	// QuestionsOut is how many machines are asked for their reports at once: each
+	StatusProbeHoldOff = 1500 * time.Millisecond
+	// MinConcurrentStatusProbes is how many machines are asked for their reports at once: each
 	// costs a connection, and a new leader has hundreds to ask. Large fleets get a
-	// place for each QuestionsPart machines, up to QuestionsMost: of two thousand,
+	// place for each MachinesPerStatusProbe machines, up to MaxConcurrentStatusProbes: of two thousand,
 	// a tenth may fall silent together, and each holds its place until it times out.
-	QuestionsOut  = 32
-	QuestionsPart = 8
-	QuestionsMost = 256
-	// AskedInVain is how many questions in a row a silent machine has to leave
-	// unanswered before it is given back ahead of its lease's end, and ReportSlack
+	MinConcurrentStatusProbes = 32
+	MachinesPerStatusProbe    = 8
+	MaxConcurrentStatusProbes = 256
+	// UnansweredProbeThreshold is how many questions in a row a silent machine has to leave
+	// unanswered before it is given back ahead of its lease's end, and HeartbeatGrace
 	// how much later than the protocol allows a report may come before the first.
-	AskedInVain = 2
-	ReportSlack = 500 * time.Millisecond
-	// UnreachableAfter is how long after a start a report that does not show it says
+	UnansweredProbeThreshold = 2
+	HeartbeatGrace           = 500 * time.Millisecond
+	// StartUnreceivedAfter is how long after a start a report that does not show it says
 	// that the start did not arrive, where a probe is due as well.
-	UnreachableAfter = 1 * time.Second
-	// ReleaseAhead is how long before its lease must have ended a silent
+	StartUnreceivedAfter = 1 * time.Second
+	// EarlyReleaseMargin is how long before its lease must have ended a silent
 	// machine is given back: about as long as the call takes. Its tasks end
 	// themselves then in any case; the answer proves it.
-	ReleaseAhead = 300 * time.Millisecond
-	// ZoneSilence is how many leases long a zone may be silent as a whole
+	EarlyReleaseMargin = 300 * time.Millisecond
+	// ZonePartitionLeases is how many leases long a zone may be silent as a whole
 	// before its machines are given back; a node in it may keep them alive.
-	ZoneSilence = 2.5
-	// SilentShare is which share of a zone's machines has to be silent for that.
+	ZonePartitionLeases = 2.5
+	// ZonePartitionShare is which share of a zone's machines has to be silent for that.
 	// Waves in which cheap machines are taken stay below it.
-	SilentShare = 2.0 / 3
-	// BootPatience is how many times its usual boot time a machine may take
-	// before it is given back; BootPatienceMin is the least, in seconds, since
+	ZonePartitionShare = 2.0 / 3
+	// BootTimeoutFactor is how many times its usual boot time a machine may take
+	// before it is given back; MinBootTimeout is the least, in seconds, since
 	// some machines take several times as long.
-	BootPatience    = 3.0
-	BootPatienceMin = 60 * time.Second
-	// BootLate is from which part of its usual boot time on, in percent, a machine is
+	BootTimeoutFactor = 3.0
+	MinBootTimeout    = 60 * time.Second
+	// LateBootPercent is from which part of its usual boot time on, in percent, a machine is
 	// late: most take up to one and a half times as long.
-	BootLate = 160
-	// NewcomerGrace is how long a new leader waits for the report of a machine
+	LateBootPercent = 160
+	// FirstHeartbeatGrace is how long a new leader waits for the report of a machine
 	// that, by its age, should have come up before.
-	NewcomerGrace = 20 * time.Second
-	// IdleRelease is how long an ordinary machine may stand idle where renting
+	FirstHeartbeatGrace = 20 * time.Second
+	// CostSensitiveIdleTimeout is how long an ordinary machine may stand idle where renting
 	// economises; a cheap one longer, by the ratio of the prices. It is about
 	// the time of a boot, which is paid for too. Shorter trades deadlines for
 	// price one for one (docs/limits.md).
-	IdleRelease = 30 * time.Second
-	// IdleReleaseFree is the same where neither is an aim.
-	IdleReleaseFree = 20 * time.Minute
-	// SpareShare is the spare capacity kept where price is no aim, as a share
+	CostSensitiveIdleTimeout = 30 * time.Second
+	// IdleTimeout is the same where neither is an aim.
+	IdleTimeout = 20 * time.Minute
+	// HeadroomShare is the spare capacity kept where price is no aim, as a share
 	// of what is in use.
-	SpareShare = 0.5
-	// LooseShare is the share of starts in time under which an aim on starts
+	HeadroomShare = 0.5
+	// LooseStartShare is the share of starts in time under which an aim on starts
 	// counts as loose, and spare capacity is not kept for it.
-	LooseShare = 0.9
-	// PatientStart is from which time allowed such an aim counts as loose too.
-	PatientStart = 10 * time.Second
-	// SpareShareThrift is the same where it is one.
-	SpareShareThrift = 0.0
+	LooseStartShare = 0.9
+	// LooseStartDelay is from which time allowed such an aim counts as loose too.
+	LooseStartDelay = 10 * time.Second
+	// CostSensitiveHeadroomShare is the same where it is one.
+	CostSensitiveHeadroomShare = 0.0
 )
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -14,9 +14,9 @@
 // Client talks to workers.
 type Client struct{ rpc *rpc.Client }
 
-// New makes a client.
+// NewHandler makes a client.
 func New() *Client {
-	return &Client{rpc: rpc.New(2, tuning.WorkerConnsIdle, tuning.CommandTimeout, 1<<20)}
+	return &Client{rpc: rpc.New(2, tuning.MaxIdleWorkerConns, tuning.CommandTimeout, 1<<20)}
 }
 
 // Outcome is what became of a direct call.
@@ -25,28 +25,28 @@
 // Executed and Refused come with the worker's report; Lost means that the
 // commands may have been executed, or may yet be executed later.
 const (
-	Lost Outcome = iota
+	OutcomeUnknown Outcome = iota
 	Executed
-	Refused
+	Rejected
 )
 
-// Commands sends commands.
-func (c *Client) Commands(ctx context.Context, addr string, d wire.DirectCommands) (Outcome, *wire.Report, error) {
+// SendCommands sends commands.
+func (c *Client) SendCommands(ctx context.Context, addr string, commands wire.DirectCommands) (Outcome, *wire.Heartbeat, error) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.CommandTimeout)
 	defer cancel()
-	var r wire.Report
-	code, err := c.rpc.Call(ctx, http.MethodPost, "http://"+addr+"/commands", d, &r)
+	var heartbeat wire.Heartbeat
+	code, err := c.rpc.Call(ctx, http.MethodPost, "http://"+addr+"/commands", commands, &heartbeat)
 	if err != nil {
-		return Lost, nil, err
+		return OutcomeUnknown, nil, err
 	}
 	if code != http.StatusOK && code != http.StatusConflict {
-		return Lost, nil, fmt.Errorf("status %d", code)
+		return OutcomeUnknown, nil, fmt.Errorf("status %d", code)
 	}
-	if err := r.Check(); err != nil {
-		return Lost, nil, fmt.Errorf("%w: %v", rpc.ErrDecode, err)
+	if err := heartbeat.Validate(); err != nil {
+		return OutcomeUnknown, nil, fmt.Errorf("%w: %v", rpc.ErrMalformedAnswer, err)
 	}
 	if code == http.StatusConflict {
-		return Refused, &r, nil
+		return Rejected, &heartbeat, nil
 	}
-	return Executed, &r, nil
+	return Executed, &heartbeat, nil
 }
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -2,16 +2,16 @@
 
 // MachineType is one type of machine that the cloud rents.
 type MachineType struct {
-	Name     string   `cbor:"sku" json:"sku"`
-	CPUs     float64  `cbor:"cpus" json:"cpus"`
-	GPUs     float64  `cbor:"gpus" json:"gpus"`
-	MemoryGB float64  `cbor:"memory_gb" json:"memory_gb"`
-	CacheGB  float64  `cbor:"local_gb" json:"local_gb"`
-	FetchGBs float64  `cbor:"fetch_gb_per_s" json:"fetch_gb_per_s"`
-	Price    float64  `cbor:"price" json:"price"`
-	SpotCost float64  `cbor:"low_price" json:"low_price"`
-	BootS    float64  `cbor:"boot_s" json:"boot_s"`
-	Zones    []string `cbor:"pastures" json:"pastures"`
+	Name        string   `cbor:"sku" json:"sku"`
+	CPUs        float64  `cbor:"cpus" json:"cpus"`
+	GPUs        float64  `cbor:"gpus" json:"gpus"`
+	MemoryGB    float64  `cbor:"memory_gb" json:"memory_gb"`
+	CacheGB     float64  `cbor:"local_gb" json:"local_gb"`
+	FetchGBPerS float64  `cbor:"fetch_gb_per_s" json:"fetch_gb_per_s"`
+	Price       float64  `cbor:"price" json:"price"`
+	SpotPrice   float64  `cbor:"low_price" json:"low_price"`
+	BootS       float64  `cbor:"boot_s" json:"boot_s"`
+	Zones       []string `cbor:"pastures" json:"pastures"`
 }
 
 // Fits reports whether one task of the job fits an empty machine of the type.
@@ -19,18 +19,18 @@
 	return j.CPUs <= t.CPUs && j.GPUs <= t.GPUs && j.MemoryGB <= t.MemoryGB
 }
 
-// TypeList is the answer to GET /flavors.
-type TypeList struct {
+// MachineTypeList is the answer to GET /flavors.
+type MachineTypeList struct {
 	Types []MachineType `cbor:"breeds" json:"breeds"`
 }
 
-// RentRequest is the body of POST /rentals.
-type RentRequest struct {
-	Name  string `cbor:"hire" json:"hire"`
-	Type  string `cbor:"breed" json:"breed"`
-	Zone  string `cbor:"pasture" json:"pasture"`
-	Spot  bool   `cbor:"loaners" json:"loaners"`
-	Count int    `cbor:"how_many" json:"how_many"`
+// ProvisionRequest is the body of POST /rentals.
+type ProvisionRequest struct {
+	RequestID string `cbor:"hire" json:"hire"`
+	Type      string `cbor:"breed" json:"breed"`
+	Zone      string `cbor:"pasture" json:"pasture"`
+	Spot      bool   `cbor:"loaners" json:"loaners"`
+	Count     int    `cbor:"how_many" json:"how_many"`
 }
 
 // MachineNames is the answer to a rental and the body of a release.
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -17,30 +17,30 @@
 }{
 	{"job", &wire.Job{}, true},
 	{"job-view", &wire.JobView{}, true},
-	{"job-state", &wire.JobState{}, true},
-	{"error", &wire.Error{}, true},
-	{"heartbeat", &wire.Report{}, true},
-	{"heartbeat-task", &wire.TaskReport{}, true},
-	{"heartbeat-reply", &wire.CheckinReply{}, true},
+	{"job-state", &wire.JobStateReply{}, true},
+	{"error", &wire.ErrorReply{}, true},
+	{"heartbeat", &wire.Heartbeat{}, true},
+	{"heartbeat-task", &wire.TaskStatus{}, true},
+	{"heartbeat-reply", &wire.HeartbeatReply{}, true},
 	{"command", &wire.Command{}, true},
 	{"direct-commands", &wire.DirectCommands{}, true},
 	{"redirect", &wire.Redirect{}, true},
 	{"machine-type", &wire.MachineType{}, true},
-	{"machine-type-list", &wire.TypeList{}, true},
-	{"provision-request", &wire.RentRequest{}, true},
+	{"machine-type-list", &wire.MachineTypeList{}, true},
+	{"provision-request", &wire.ProvisionRequest{}, true},
 	{"machine-names", &wire.MachineNames{}, true},
 	{"listed-machine", &wire.ListedMachine{}, true},
 	{"machine-list", &wire.MachineList{}, true},
-	{"kv-item", &wire.Item{}, false},
-	{"kv-page", &wire.Page{}, false},
-	{"kv-condition", &wire.Condition{}, false},
-	{"kv-change", &wire.Change{}, false},
+	{"kv-item", &wire.KeyValue{}, false},
+	{"kv-page", &wire.RangeReply{}, false},
+	{"kv-condition", &wire.Compare{}, false},
+	{"kv-change", &wire.Op{}, false},
 	{"kv-transaction", &wire.Txn{}, false},
 	{"kv-transaction-reply", &wire.TxnReply{}, false},
 	{"kv-lease-request", &wire.LeaseRequest{}, false},
-	{"kv-lease", &wire.Lease{}, false},
-	{"kv-log-entry", &wire.LogEntry{}, false},
-	{"kv-changes", &wire.Changes{}, false},
+	{"kv-lease", &wire.LeaseReply{}, false},
+	{"kv-log-entry", &wire.WatchEvent{}, false},
+	{"kv-changes", &wire.WatchReply{}, false},
 }
 
 func TestMessageEncodingsMatchGoldenFiles(t *testing.T) {
@@ -60,10 +60,10 @@
 func TestSubmissionMatchesGoldenFile(t *testing.T) {
 	deadline := 900.5
 	job := &wire.Job{
-		ID: "run-000412", Class: "train", Team: "vision", Shape: wire.ShapeGang, Rank: wire.RankUrgent, Tasks: 16,
-		CPUs: 8.5, GPUs: 1.5, MemoryGB: 64.5, Image: "img-07", ImageGB: 6.5, Types: []string{"g8", "g16"},
-		Zone: "zone-a", Together: true, Scatter: true, Spot: true,
-		EstimateS: 240.5, CheckpointS: 30.5, SaveS: 4.5, DueS: &deadline,
+		ID: "run-000412", Class: "train", Team: "vision", Shape: wire.ShapeGang, Priority: wire.PriorityUrgent, Tasks: 16,
+		CPUs: 8.5, GPUs: 1.5, MemoryGB: 64.5, Image: "img-07", ImageGB: 6.5, MachineTypes: []string{"g8", "g16"},
+		Zone: "zone-a", SameZone: true, SpreadZones: true, Spot: true,
+		EstimatedRunS: 240.5, CheckpointIntervalS: 30.5, CheckpointSaveS: 4.5, DeadlineS: &deadline,
 	}
 	submission := golden.CheckBytes(t, "submission.cbor", encode(t, job))
 	parsed, err := wire.ParseJob(submission)
@@ -73,7 +73,7 @@
 	if !reflect.DeepEqual(parsed, job) {
 		t.Errorf("parsed as %+v, want %+v", parsed, job)
 	}
-	if id := wire.IDOf(submission); id != job.ID {
+	if id := wire.JobIDOf(submission); id != job.ID {
 		t.Errorf("the id in the submission is read as %q, want %q", id, job.ID)
 	}
 }
@@ -83,12 +83,12 @@
 	golden.CheckLines(t, "words.txt",
 		wire.ContentType, wire.MaxBody, wire.MaxTasks,
 		wire.ShapeArray, wire.ShapeService, wire.ShapeGang,
-		wire.RankProduction, wire.RankUrgent, wire.RankNormal, wire.RankIdle,
+		wire.PriorityProduction, wire.PriorityUrgent, wire.PriorityNormal, wire.PriorityIdle,
 		wire.JobPending, wire.JobRunning, wire.JobDone, wire.JobCancelled,
 		wire.MachineStarting, wire.MachineRunning, wire.MachineFailed,
-		wire.TaskFetching, wire.TaskRunning, wire.TaskSaving, wire.TaskExited,
-		wire.CauseDone, wire.CauseHalted, wire.CauseError, wire.CauseFull, wire.CauseInUse, wire.CauseUnknown,
-		wire.VerbRun, wire.VerbHalt, wire.VerbForget,
+		wire.TaskFetching, wire.TaskRunning, wire.TaskCheckpointing, wire.TaskExited,
+		wire.CauseDone, wire.CauseStopped, wire.CauseError, wire.CauseNoCapacity, wire.CauseDuplicate, wire.CauseUnknown,
+		wire.VerbRun, wire.VerbStop, wire.VerbForget,
 		wire.TaskName("run-000412", 3),
 	)
 }
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -15,8 +15,8 @@
 
 func TestMain(m *testing.M) { os.Exit(fixedseed.Run(m)) }
 
-// fields is a submission with every field, as a map that tests can spoil.
-func fields() map[string]any {
+// validSubmission is a submission with every field, as a map that tests can spoil.
+func validSubmission() map[string]any {
 	return map[string]any{
 		"uid": "run-000412", "docket": "train", "crew": "vision", "shape": "batch", "rank": "urgent", "shifts": 16,
 		"cpus": 8.0, "gpus": 1.0, "memory_gb": 64.0, "kit": "img-07", "pull_gb": 6.2, "breeds": []string{"g8"},
@@ -33,10 +33,10 @@
 	return b
 }
 
-func TestJobSurvivesTheWire(t *testing.T) {
+func TestJobRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		amount := rapid.Float64Range(0, 1e6)
-		f := fields()
+		f := validSubmission()
 		f["shifts"] = rapid.IntRange(1, wire.MaxTasks).Draw(t, "tasks")
 		for _, k := range []string{"cpus", "gpus", "memory_gb", "pull_gb", "reckon_s", "tally_s", "stow_s", "due_s"} {
 			f[k] = amount.Draw(t, k)
@@ -60,13 +60,13 @@
 		if err := wire.Unmarshal(encode(t, j), again); err != nil || !reflect.DeepEqual(j, again) {
 			t.Fatalf("%v: %+v became %+v", err, j, again)
 		}
-		if j.Tasks != f["shifts"].(int) || j.Class != f["docket"] || (j.DueS == nil) != (f["due_s"] == nil) {
+		if j.Tasks != f["shifts"].(int) || j.Class != f["docket"] || (j.DeadlineS == nil) != (f["due_s"] == nil) {
 			t.Fatalf("%v was read as %+v", f, j)
 		}
 	})
 }
 
-func TestInvalidJobsAreNamed(t *testing.T) {
+func TestInvalidJobErrorNamesField(t *testing.T) {
 	for field, values := range map[string][]any{
 		"uid":       {nil, "", "run-1", "run-00041x", "job-000412", "run-000412/3", 7},
 		"docket":    {nil, "", strings.Repeat("x", 300)},
@@ -81,7 +81,7 @@
 		"due_s":     {-5, math.NaN()},
 	} {
 		for _, v := range values {
-			f := fields()
+			f := validSubmission()
 			f[field] = v
 			if j, err := wire.ParseJob(encode(t, f)); err == nil {
 				t.Errorf("%s = %v is accepted: %+v", field, v, j)
@@ -92,8 +92,8 @@
 	}
 }
 
-func TestDuplicateAndTrailingBytesAreRefused(t *testing.T) {
-	b := encode(t, fields())
+func TestUnmarshalRejectsDuplicateKeysAndTrailingBytes(t *testing.T) {
+	b := encode(t, validSubmission())
 	if _, err := wire.ParseJob(append(b[:len(b):len(b)], 0xf6)); err == nil {
 		t.Error("trailing bytes are accepted")
 	}
@@ -103,7 +103,7 @@
 }
 
 func FuzzParseJob(f *testing.F) {
-	f.Add(encode(f, fields()))
+	f.Add(encode(f, validSubmission()))
 	f.Add([]byte{0xa0})
 	f.Add([]byte{0xbf, 0xff})
 	f.Add([]byte{0xbb, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})
@@ -112,31 +112,31 @@
 		if err != nil {
 			return
 		}
-		if !wire.ValidID(j.ID) || j.Tasks < 1 || j.Tasks > wire.MaxTasks || !(j.CPUs >= 0) || wire.RankOrder(j.Rank) < 0 {
+		if !wire.ValidJobID(j.ID) || j.Tasks < 1 || j.Tasks > wire.MaxTasks || !(j.CPUs >= 0) || wire.PriorityOrder(j.Priority) < 0 {
 			t.Errorf("accepted: %+v", j)
 		}
-		if wire.IDOf(b) != j.ID {
-			t.Errorf("id of the same body: %q and %q", wire.IDOf(b), j.ID)
+		if wire.JobIDOf(b) != j.ID {
+			t.Errorf("id of the same body: %q and %q", wire.JobIDOf(b), j.ID)
 		}
 	})
 }
 
-func FuzzReport(f *testing.F) {
-	r := wire.Report{Machine: "n-000231", Address: "10.1.0.232:9000", Session: 1, Tick: 88,
-		Tasks: []wire.TaskReport{{Task: "run-000412/3", Attempt: 2, State: wire.TaskRunning}}}
+func FuzzHeartbeat(f *testing.F) {
+	r := wire.Heartbeat{Machine: "n-000231", Address: "10.1.0.232:9000", Incarnation: 1, Sequence: 88,
+		Tasks: []wire.TaskStatus{{Task: "run-000412/3", Attempt: 2, State: wire.TaskRunning}}}
 	f.Add(encode(f, r))
 	f.Add([]byte{0xa1, 0x63, 'r', 'i', 'g', 0xf6})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		var r wire.Report
-		if wire.Unmarshal(b, &r) != nil || r.Check() != nil {
+		var r wire.Heartbeat
+		if wire.Unmarshal(b, &r) != nil || r.Validate() != nil {
 			return
 		}
-		if r.Session == 0 || r.Machine == "" {
+		if r.Incarnation == 0 || r.Machine == "" {
 			t.Errorf("accepted: %+v", r)
 		}
 		for _, task := range r.Tasks {
-			id, index, ok := wire.SplitTask(task.Task)
-			if !ok || !wire.ValidID(id) || index < 0 {
+			id, index, ok := wire.ParseTaskName(task.Task)
+			if !ok || !wire.ValidJobID(id) || index < 0 {
 				t.Errorf("accepted task %q", task.Task)
 			}
 		}
