--- a/cmd/standins/main.go
+++ b/cmd/simulator/main.go
@@ -16,7 +16,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"github.com/yarrowgap/yarrowgap/internal/standin"
+	"github.com/yarrowgap/yarrowgap/internal/simulator"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
@@ -43,7 +43,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	types := []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 32, CacheGB: 40, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 2, Zones: []string{"a", "b"}}}
-	site := standin.NewDeployment(types, map[string]float64{c.Team: c.Limit}, c.Node, 2*time.Second, time.Second, 12*time.Second)
+	site := simulator.NewDeployment(types, map[string]float64{c.Team: c.Limit}, c.Node, 2*time.Second, time.Second, 12*time.Second)
 	failed := make(chan error, 2)
 	for addr, h := range map[string]http.Handler{
 		c.Listen:                                withUploadHandler(site, site.KVStoreHandler()),
@@ -61,7 +61,7 @@
 }
 
 // withUploadHandler adds the way on which users hand job descriptions to workers.
-func withUploadHandler(s *standin.Deployment, h http.Handler) http.Handler {
+func withUploadHandler(s *simulator.Deployment, h http.Handler) http.Handler {
 	m := http.NewServeMux()
 	m.Handle("/", h)
 	m.HandleFunc("POST /upload", func(w http.ResponseWriter, r *http.Request) {
@@ -94,7 +94,7 @@
 	if c.Service {
 		j.Shape, j.Priority, j.EstimatedRunS = wire.ShapeService, wire.PriorityProduction, 0
 	}
-	raw, err := standin.EncodeSubmission(&j)
+	raw, err := simulator.EncodeSubmission(&j)
 	if err != nil {
 		return err
 	}
--- a/cmd/yarrowgap/query.go
+++ b/cmd/yarrowgap/query.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"github.com/yarrowgap/yarrowgap/internal/api"
-	"github.com/yarrowgap/yarrowgap/internal/core"
-	"github.com/yarrowgap/yarrowgap/internal/node"
+	"github.com/yarrowgap/yarrowgap/internal/controller"
+	"github.com/yarrowgap/yarrowgap/internal/scheduler"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
@@ -74,7 +74,7 @@
 type leaderCmd struct{ controllerFlags }
 
 func (c leaderCmd) Run(w io.Writer) error {
-	return query(c.controllerFlags, "/leader", w, func(t *tabwriter.Writer, v node.LeaderView) {
+	return query(c.controllerFlags, "/leader", w, func(t *tabwriter.Writer, v controller.LeaderView) {
 		name := v.Leader
 		if name == "" {
 			name = "(nobody)"
@@ -89,7 +89,7 @@
 }
 
 func (c jobCmd) Run(w io.Writer) error {
-	return query(c.controllerFlags, "/jobs/"+url.PathEscape(c.ID), w, func(t *tabwriter.Writer, v core.JobDetail) {
+	return query(c.controllerFlags, "/jobs/"+url.PathEscape(c.ID), w, func(t *tabwriter.Writer, v scheduler.JobDetail) {
 		printJob(t, v)
 		if len(v.Attempts) > 0 {
 			fmt.Fprintf(t, "\nTASK\tMACHINE\tSTATE\tPROBES\n")
@@ -100,7 +100,7 @@
 	})
 }
 
-func printJob(t *tabwriter.Writer, v core.JobDetail) {
+func printJob(t *tabwriter.Writer, v scheduler.JobDetail) {
 	fmt.Fprintf(t, "%s\t%s", v.ID, v.State)
 	if v.Tasks > 0 { // live, and told by the leader
 		fmt.Fprintf(t, "\tclass %s\tteam %s\t%d tasks: %d done, %d running, %d waiting", v.Class, v.Team, v.Tasks, v.Done, v.Running, v.Waiting)
@@ -119,7 +119,7 @@
 }
 
 func (c waitingCmd) Run(w io.Writer) error {
-	return query(c.controllerFlags, "/waiting"+c.query(), w, func(t *tabwriter.Writer, v []core.JobDetail) {
+	return query(c.controllerFlags, "/waiting"+c.query(), w, func(t *tabwriter.Writer, v []scheduler.JobDetail) {
 		for _, j := range v {
 			printJob(t, j)
 		}
@@ -132,7 +132,7 @@
 }
 
 func (c machinesCmd) Run(w io.Writer) error {
-	return query(c.controllerFlags, "/machines"+c.query(), w, func(t *tabwriter.Writer, v []core.MachineView) {
+	return query(c.controllerFlags, "/machines"+c.query(), w, func(t *tabwriter.Writer, v []scheduler.MachineView) {
 		fmt.Fprintf(t, "MACHINE\tTYPE\tZONE\tSPOT\tSTATE\tTASKS\tCPUS\tQUIET\n")
 		for _, m := range v {
 			fmt.Fprintf(t, "%s\t%s\t%s\t%t\t%s\t%d\t%g\t%.1fs\n", m.Name, m.Type, m.Zone, m.Spot, m.State, m.Tasks, m.CPUs, m.HeartbeatAgeS)
@@ -148,7 +148,7 @@
 
 func (c failuresCmd) Run(w io.Writer) error {
 	q := "?" + url.Values{"skip": {fmt.Sprint(c.Skip)}, "most": {fmt.Sprint(c.Most)}}.Encode()
-	return query(c.controllerFlags, "/failures"+q, w, func(t *tabwriter.Writer, v []core.Failure) {
+	return query(c.controllerFlags, "/failures"+q, w, func(t *tabwriter.Writer, v []scheduler.Failure) {
 		for _, f := range v {
 			fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", time.UnixMilli(f.At).UTC().Format(time.RFC3339), f.Task, f.Machine, f.Cause)
 		}
--- a/cmd/yarrowgap/recovery.go
+++ b/cmd/yarrowgap/recovery.go
@@ -9,7 +9,7 @@
 	"strings"
 	"text/tabwriter"
 
-	"github.com/yarrowgap/yarrowgap/internal/recovery"
+	"github.com/yarrowgap/yarrowgap/internal/reconcile"
 )
 
 // recoveryCmd shows the recovery of the present term, or a page of its differences.
@@ -33,7 +33,7 @@
 	return query(c.controllerFlags, "/recovery/differences?"+q.Encode(), w, printDifferences)
 }
 
-func printRecovery(t *tabwriter.Writer, s recovery.Status) {
+func printRecovery(t *tabwriter.Writer, s reconcile.Status) {
 	kind := "after a failover"
 	if s.Cold {
 		kind = "after all controllers were away"
@@ -63,7 +63,7 @@
 	fmt.Fprintf(t, "differences\t%d, not kept %d\n", s.Differences, s.DifferencesDropped)
 }
 
-func printDifferences(t *tabwriter.Writer, list []recovery.DifferenceView) {
+func printDifferences(t *tabwriter.Writer, list []reconcile.DifferenceView) {
 	fmt.Fprintf(t, "TASK\tMACHINE\tATTEMPT\tCLASS\tACTION\tAFTER\n")
 	for _, d := range list {
 		late := ""
--- a/cmd/yarrowgap/serve.go
+++ b/cmd/yarrowgap/serve.go
@@ -12,8 +12,8 @@
 	"syscall"
 
 	"github.com/yarrowgap/yarrowgap/internal/api"
-	"github.com/yarrowgap/yarrowgap/internal/httpd"
-	"github.com/yarrowgap/yarrowgap/internal/node"
+	"github.com/yarrowgap/yarrowgap/internal/controller"
+	"github.com/yarrowgap/yarrowgap/internal/httpserver"
 	"github.com/yarrowgap/yarrowgap/internal/tracing"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
@@ -51,7 +51,7 @@
 	if err != nil {
 		return usageError{err}
 	}
-	n := node.New(cfg, pol, log)
+	n := controller.New(cfg, pol, log)
 	n.SetTracer(tracer)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -62,7 +62,7 @@
 	}
 
 	failed := make(chan error, 2)
-	front := httpd.New(api.NewHandler(n, log, listener.crowded), api.NonBlocking, log)
+	front := httpserver.New(api.NewHandler(n, log, listener.crowded), api.NonBlocking, log)
 	n.SetRequestBacklog(front.QueueDelay)
 	mesh := newPeerServer(api.NewPeerHandler(n, log), log)
 	go serve(front, listener, failed)
--- a/internal/api/cost_test.go
+++ b/internal/api/allocations_test.go
@@ -10,8 +10,8 @@
 	"net/http/httptest"
 	"testing"
 
-	"github.com/yarrowgap/yarrowgap/internal/mesh"
-	"github.com/yarrowgap/yarrowgap/internal/standin"
+	"github.com/yarrowgap/yarrowgap/internal/peer"
+	"github.com/yarrowgap/yarrowgap/internal/simulator"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
@@ -160,7 +160,7 @@
 	c := startLeader(b)
 	benchmarkRequests(b, c.userAddrs[0], func(i int) []byte {
 		j := newJob(i+1, 1)
-		raw, err := standin.EncodeSubmission(j)
+		raw, err := simulator.EncodeSubmission(j)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -176,9 +176,9 @@
 // A ping is what a node hears from each peer about once a second.
 func BenchmarkPing(b *testing.B) {
 	c := startLeader(b)
-	raw, err := wire.Marshal(mesh.Ping{Node: "drover-9", BootID: 1, StoreAvailable: true})
+	raw, err := wire.Marshal(peer.Ping{Node: "drover-9", BootID: 1, StoreAvailable: true})
 	if err != nil {
 		b.Fatal(err)
 	}
-	benchmarkRequests(b, c.peerAddrs[0], func(int) []byte { return rawRequest("POST", mesh.PingPath, raw) })
+	benchmarkRequests(b, c.peerAddrs[0], func(int) []byte { return rawRequest("POST", peer.PingPath, raw) })
 }
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -11,8 +11,8 @@
 
 	"github.com/labstack/echo/v4"
 
-	"github.com/yarrowgap/yarrowgap/internal/mesh"
-	"github.com/yarrowgap/yarrowgap/internal/node"
+	"github.com/yarrowgap/yarrowgap/internal/controller"
+	"github.com/yarrowgap/yarrowgap/internal/peer"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
@@ -49,9 +49,9 @@
 // NewHandler makes the handler for users, workers, health checks and operators. Where the
 // listener is crowded, users' connections are closed after their answer: workers
 // rank first, and find none free otherwise.
-func NewHandler(n *node.Controller, log *slog.Logger, crowded func() bool) http.Handler {
+func NewHandler(n *controller.Controller, log *slog.Logger, crowded func() bool) http.Handler {
 	e := newRouter(log)
-	answer := func(c echo.Context, a node.Answer) error {
+	answer := func(c echo.Context, a controller.Answer) error {
 		if crowded() {
 			c.Response().Header().Set("Connection", "close")
 		}
@@ -104,17 +104,17 @@
 }
 
 // NewPeerHandler makes the handler for peers.
-func NewPeerHandler(n *node.Controller, log *slog.Logger) http.Handler {
+func NewPeerHandler(n *controller.Controller, log *slog.Logger) http.Handler {
 	e := newRouter(log)
-	e.POST(mesh.PingPath, func(c echo.Context) error {
-		var p mesh.Ping
+	e.POST(peer.PingPath, func(c echo.Context) error {
+		var p peer.Ping
 		if err := decodeBody(c, 2*wire.MaxBody, &p); err != nil {
 			log.Error("malformed ping", "from", c.Request().RemoteAddr)
 			return err
 		}
 		return writeMessage(c, http.StatusOK, n.HandlePing(p))
 	})
-	e.POST(mesh.WatchProcessPath, func(c echo.Context) error {
+	e.POST(peer.WatchProcessPath, func(c echo.Context) error {
 		// Nothing is kept from anybody here: peers ask for this answer only to
 		// notice at once when this process ends.
 		t := time.NewTimer(tuning.PeerWatchTimeout)
@@ -125,8 +125,8 @@
 		}
 		return writeMessage(c, http.StatusOK, struct{}{})
 	})
-	e.POST(mesh.ForwardPath, func(c echo.Context) error {
-		var f mesh.ForwardRequest
+	e.POST(peer.ForwardPath, func(c echo.Context) error {
+		var f peer.ForwardRequest
 		// A submission's bytes above 0x7f take two bytes each as text.
 		if err := decodeBody(c, 2*wire.MaxBody+1024, &f); err != nil {
 			log.Error("malformed forward", "from", c.Request().RemoteAddr)
@@ -169,7 +169,7 @@
 	return c.Blob(status, wire.ContentType, b)
 }
 
-func writeAnswer(c echo.Context, a node.Answer) error {
+func writeAnswer(c echo.Context, a controller.Answer) error {
 	switch {
 	case a.View != nil:
 		return writeMessage(c, a.Status, a.View)
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -16,17 +16,17 @@
 
 	"github.com/yarrowgap/yarrowgap/internal/api"
 	"github.com/yarrowgap/yarrowgap/internal/config"
-	"github.com/yarrowgap/yarrowgap/internal/httpd"
-	"github.com/yarrowgap/yarrowgap/internal/node"
+	"github.com/yarrowgap/yarrowgap/internal/controller"
+	"github.com/yarrowgap/yarrowgap/internal/httpserver"
 	"github.com/yarrowgap/yarrowgap/internal/policy"
-	"github.com/yarrowgap/yarrowgap/internal/standin"
+	"github.com/yarrowgap/yarrowgap/internal/simulator"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
 // cluster is a few real controllers against the stand-ins, all on loopback.
 type cluster struct {
 	t          testing.TB
-	simulation *standin.Deployment
+	simulation *simulator.Deployment
 	userAddrs  []string
 	stopFuncs  []func()
 
@@ -45,11 +45,11 @@
 		c.t.Fatal(err)
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	n := node.New(cfg, c.policy, log)
+	n := controller.New(cfg, c.policy, log)
 	nctx, stop := context.WithCancel(ctx)
 	handler := api.NewHandler(n, log, func() bool { return false })
 	c.handlers = append(c.handlers, handler)
-	us := httpd.New(handler, api.NonBlocking, log)
+	us := httpserver.New(handler, api.NonBlocking, log)
 	ps := &http.Server{Handler: api.NewPeerHandler(n, log)}
 	go func() { _ = us.Serve(user) }()
 	go func() { _ = ps.Serve(peer) }()
@@ -96,7 +96,7 @@
 		nodes[fmt.Sprintf("drover-%d", i)] = c.userAddrs[i]
 	}
 	types := []wire.MachineType{{Name: "box", CPUs: 4, MemoryGB: 16, CacheGB: 40, FetchGBPerS: 50, Price: 1, SpotPrice: 0.4, BootS: 0.2, Zones: []string{"a"}}}
-	c.simulation = standin.NewDeployment(types, map[string]float64{"crew": limit}, nodes, 200*time.Millisecond, 200*time.Millisecond, 12*time.Second)
+	c.simulation = simulator.NewDeployment(types, map[string]float64{"crew": limit}, nodes, 200*time.Millisecond, 200*time.Millisecond, 12*time.Second)
 	state, cloud := httptest.NewServer(c.simulation.KVStoreHandler()), httptest.NewServer(c.simulation.CloudHandler(ctx))
 	for i := range size {
 		var b strings.Builder
@@ -179,7 +179,7 @@
 }
 
 func encodeSubmission(t testing.TB, j *wire.Job) []byte {
-	b, err := standin.EncodeSubmission(j)
+	b, err := simulator.EncodeSubmission(j)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/api/answers_test.go
+++ b/internal/api/consistency_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"github.com/yarrowgap/yarrowgap/internal/standin"
-	"github.com/yarrowgap/yarrowgap/internal/store"
+	"github.com/yarrowgap/yarrowgap/internal/records"
+	"github.com/yarrowgap/yarrowgap/internal/simulator"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
@@ -133,20 +133,20 @@
 
 // isLeaderTxn reports whether a transaction is the leader's own.
 func isLeaderTxn(t wire.Txn) bool {
-	return len(t.If) > 0 && t.If[0].Key == store.LeaderKey && t.If[0].ModRevision != 0
+	return len(t.If) > 0 && t.If[0].Key == records.LeaderKey && t.If[0].ModRevision != 0
 }
 
 // isCancellation reports whether a transaction is a cancellation, which names the live job's
 // stamp and comes from no leader.
 func isCancellation(t wire.Txn, id string) bool {
-	return writesPrefix(t, store.JobKey(id)) && !isLeaderTxn(t) && !isSubmission(t, id)
+	return writesPrefix(t, records.JobKey(id)) && !isLeaderTxn(t) && !isSubmission(t, id)
 }
 
 // isSubmission reports whether a transaction is a submission, with or without conditions.
 func isSubmission(t wire.Txn, id string) bool {
 	for _, a := range t.Then {
-		var rec store.Job
-		if raw, ok := a.Value.(wire.Raw); ok && a.Set == store.JobKey(id) && wire.Unmarshal(raw, &rec) == nil {
+		var rec records.Job
+		if raw, ok := a.Value.(wire.Raw); ok && a.Set == records.JobKey(id) && wire.Unmarshal(raw, &rec) == nil {
 			return !isLeaderTxn(t) && !rec.Cancelled
 		}
 	}
@@ -160,10 +160,10 @@
 	c := startAcceptingCluster(t)
 	rnd := rand.New(rand.NewPCG(11, 1))
 	var mu sync.Mutex
-	c.simulation.InjectTransactionFaults(func(wire.Txn) standin.TransactionFault {
+	c.simulation.InjectTransactionFaults(func(wire.Txn) simulator.TransactionFault {
 		mu.Lock()
 		defer mu.Unlock()
-		return standin.TransactionFault{Delay: time.Duration(rnd.IntN(25)) * time.Millisecond}
+		return simulator.TransactionFault{Delay: time.Duration(rnd.IntN(25)) * time.Millisecond}
 	})
 	c.simulation.DelayWatchReplies(func() time.Duration {
 		mu.Lock()
@@ -183,10 +183,10 @@
 	rnd := rand.New(rand.NewPCG(12, 1))
 	var mu sync.Mutex
 	lost := map[string]int{}
-	c.simulation.InjectTransactionFaults(func(x wire.Txn) standin.TransactionFault {
+	c.simulation.InjectTransactionFaults(func(x wire.Txn) simulator.TransactionFault {
 		mu.Lock()
 		defer mu.Unlock()
-		f := standin.TransactionFault{ReplyLost: rnd.IntN(3) == 0, Delay: time.Duration(rnd.IntN(25)) * time.Millisecond}
+		f := simulator.TransactionFault{ReplyLost: rnd.IntN(3) == 0, Delay: time.Duration(rnd.IntN(25)) * time.Millisecond}
 		if f.ReplyLost {
 			lost[map[bool]string{true: "the leader", false: "a user"}[isLeaderTxn(x)]]++
 		}
@@ -325,18 +325,18 @@
 		c.simulation.UploadJob(j, time.Duration(10*k)*time.Millisecond)
 		users[k] = newHistoryChecker(c, j)
 	}
-	c.simulation.InjectTransactionFaults(func(x wire.Txn) standin.TransactionFault {
+	c.simulation.InjectTransactionFaults(func(x wire.Txn) simulator.TransactionFault {
 		for k, w := range users {
 			switch m := all[k]; {
-			case isLeaderTxn(x) && writesPrefix(x, store.EndedJobKey(w.jobID)):
+			case isLeaderTxn(x) && writesPrefix(x, records.EndedJobKey(w.jobID)):
 				m.end.Do(func() { close(m.endSent) })
-				return standin.TransactionFault{DelayUntil: m.endComes}
+				return simulator.TransactionFault{DelayUntil: m.endComes}
 			case isCancellation(x, w.jobID):
 				m.cancel.Do(func() { close(m.cancelSent) })
-				return standin.TransactionFault{DelayUntil: m.cancelComes}
+				return simulator.TransactionFault{DelayUntil: m.cancelComes}
 			}
 		}
-		return standin.TransactionFault{}
+		return simulator.TransactionFault{}
 	})
 	// One after the other, since jobs that end together share a transaction.
 	for k, m := range all {
@@ -352,7 +352,7 @@
 		want := wire.JobDone
 		if k%2 == 0 {
 			close(m.endComes)
-			c.eventually("the end", func() bool { return c.simulation.HasKey(store.EndedJobKey(w.jobID)) })
+			c.eventually("the end", func() bool { return c.simulation.HasKey(records.EndedJobKey(w.jobID)) })
 			w.sendToAll(2)
 			close(m.cancelComes)
 			<-told
@@ -362,7 +362,7 @@
 			<-told
 			w.sendToAll(2)
 			close(m.endComes)
-			c.eventually("the end", func() bool { return c.simulation.HasKey(store.EndedJobKey(w.jobID)) })
+			c.eventually("the end", func() bool { return c.simulation.HasKey(records.EndedJobKey(w.jobID)) })
 		}
 		w.sendToAll(2)
 		w.reportViolations(t)
@@ -393,12 +393,12 @@
 func TestDelayedWritesAreRejected(t *testing.T) {
 	hold := func(c *cluster, want func(wire.Txn) bool, most int) {
 		n := 0
-		c.simulation.InjectTransactionFaults(func(x wire.Txn) standin.TransactionFault {
+		c.simulation.InjectTransactionFaults(func(x wire.Txn) simulator.TransactionFault {
 			if want(x) && n < most {
 				n++
-				return standin.TransactionFault{Held: true}
+				return simulator.TransactionFault{Held: true}
 			}
-			return standin.TransactionFault{}
+			return simulator.TransactionFault{}
 		})
 	}
 	refused := func(t *testing.T, c *cluster) {
@@ -415,7 +415,7 @@
 	}
 	over := func(c *cluster, w *historyChecker, state string) {
 		c.t.Helper()
-		c.eventually(state, func() bool { return w.send(0, queryRequest) == state && !c.simulation.HasKey(store.JobKey(w.jobID)) })
+		c.eventually(state, func() bool { return w.send(0, queryRequest) == state && !c.simulation.HasKey(records.JobKey(w.jobID)) })
 	}
 	const long, short = time.Hour, 0
 	for n, tc := range []struct {
@@ -431,8 +431,8 @@
 		}},
 		{"submission after a cancellation", long, 1, func(t *testing.T, c *cluster, w *historyChecker) {
 			first := true
-			c.simulation.InjectTransactionFaults(func(x wire.Txn) standin.TransactionFault {
-				f := standin.TransactionFault{Held: first && isSubmission(x, w.jobID) || isLeaderTxn(x) && writesPrefix(x, store.EndedJobKey(w.jobID))}
+			c.simulation.InjectTransactionFaults(func(x wire.Txn) simulator.TransactionFault {
+				f := simulator.TransactionFault{Held: first && isSubmission(x, w.jobID) || isLeaderTxn(x) && writesPrefix(x, records.EndedJobKey(w.jobID))}
 				first = first && !isSubmission(x, w.jobID)
 				return f
 			})
@@ -463,14 +463,14 @@
 				c.simulation.UploadJob(j, long)
 				x = newHistoryChecker(c, j)
 				n := 0
-				c.simulation.InjectTransactionFaults(func(t wire.Txn) standin.TransactionFault {
+				c.simulation.InjectTransactionFaults(func(t wire.Txn) simulator.TransactionFault {
 					if !isSubmission(t, x.jobID) {
-						return standin.TransactionFault{}
+						return simulator.TransactionFault{}
 					}
 					if n++; n == 1 {
-						return standin.TransactionFault{Delay: 3 * tuning.HedgeDelay}
+						return simulator.TransactionFault{Delay: 3 * tuning.HedgeDelay}
 					}
-					return standin.TransactionFault{Held: n == 2}
+					return simulator.TransactionFault{Held: n == 2}
 				})
 				c.eventually("acceptance", func() bool { return x.send(0, submitRequest) != "" })
 				c.eventually("cancellation", func() bool { return x.send(1, cancelRequest) != "" })
@@ -495,14 +495,14 @@
 			refused(t, c)
 		}},
 		{"end of a done job after a cancellation", short, 1, func(t *testing.T, c *cluster, w *historyChecker) {
-			hold(c, func(x wire.Txn) bool { return isLeaderTxn(x) && writesPrefix(x, store.EndedJobKey(w.jobID)) }, math.MaxInt)
+			hold(c, func(x wire.Txn) bool { return isLeaderTxn(x) && writesPrefix(x, records.EndedJobKey(w.jobID)) }, math.MaxInt)
 			c.eventually("acceptance", func() bool { return w.send(0, submitRequest) != "" })
 			c.eventually("the job's end", func() bool { return c.simulation.HeldTransactions() > 0 })
 			c.eventually("cancellation", func() bool { return w.send(1, cancelRequest) != "" })
 			expectFirstRejected(t, c)
 		}},
 		{"done bits after a cancellation", 1500 * time.Millisecond, 12, func(t *testing.T, c *cluster, w *historyChecker) {
-			hold(c, func(x wire.Txn) bool { return isLeaderTxn(x) && writesPrefix(x, store.JobKey(w.jobID)) }, math.MaxInt)
+			hold(c, func(x wire.Txn) bool { return isLeaderTxn(x) && writesPrefix(x, records.JobKey(w.jobID)) }, math.MaxInt)
 			c.eventually("acceptance", func() bool { return w.send(0, submitRequest) != "" })
 			c.eventually("done bits", func() bool { return c.simulation.HeldTransactions() > 0 })
 			c.eventually("cancellation", func() bool { return w.send(1, cancelRequest) != "" })
@@ -519,7 +519,7 @@
 				}
 				return false
 			})
-			hold(c, func(x wire.Txn) bool { return writesPrefix(x, store.BatchPrefix) }, math.MaxInt)
+			hold(c, func(x wire.Txn) bool { return writesPrefix(x, records.BatchPrefix) }, math.MaxInt)
 			c.eventually("acceptance", func() bool { return w.send(0, submitRequest) != "" })
 			c.eventually("a batch", func() bool { return c.simulation.HeldTransactions() > 0 })
 			c.stopFuncs[leader]()
--- a/internal/api/operators.go
+++ b/internal/api/operators.go
@@ -9,8 +9,8 @@
 
 	"github.com/labstack/echo/v4"
 
-	"github.com/yarrowgap/yarrowgap/internal/node"
-	"github.com/yarrowgap/yarrowgap/internal/recovery"
+	"github.com/yarrowgap/yarrowgap/internal/controller"
+	"github.com/yarrowgap/yarrowgap/internal/reconcile"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
@@ -18,7 +18,7 @@
 // for people and scripts; a later administration API has room beside them.
 const OperatorPath = "/yarrowgap/v1"
 
-func registerOperatorRoutes(e *echo.Echo, n *node.Controller) {
+func registerOperatorRoutes(e *echo.Echo, n *controller.Controller) {
 	g := e.Group(OperatorPath)
 	number := func(c echo.Context, name string, def, hi int) int {
 		v, err := strconv.Atoi(c.QueryParam(name))
@@ -85,7 +85,7 @@
 
 // differencesQuery is what a client asks of the recovery's differences.
 type differencesQuery struct {
-	class       recovery.Class
+	class       reconcile.Class
 	skip, limit int
 }
 
@@ -102,7 +102,7 @@
 		value := values[0]
 		switch name {
 		case "class":
-			class, ok := recovery.ParseClass(value)
+			class, ok := reconcile.ParseClass(value)
 			if !ok {
 				return q, fmt.Errorf("class: there is none called %q", value)
 			}
@@ -135,7 +135,7 @@
 	return c.JSON(http.StatusServiceUnavailable, map[string]string{"error": reason})
 }
 
-func writeNotLeader(c echo.Context, n *node.Controller) error {
+func writeNotLeader(c echo.Context, n *controller.Controller) error {
 	c.Response().Header().Set("Retry-After", strconv.Itoa(tuning.RetryAfterS))
 	return c.JSON(http.StatusServiceUnavailable, map[string]string{
 		"error": "this node does not lead", "leader": n.LeaderView().Leader})
--- a/internal/api/recovery_test.go
+++ b/internal/api/reconcile_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"github.com/yarrowgap/yarrowgap/internal/policy"
-	"github.com/yarrowgap/yarrowgap/internal/recovery"
-	"github.com/yarrowgap/yarrowgap/internal/standin"
+	"github.com/yarrowgap/yarrowgap/internal/reconcile"
+	"github.com/yarrowgap/yarrowgap/internal/simulator"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
@@ -33,10 +33,10 @@
 }
 
 // waitUntilSettled waits until the leader's recovery is settled, with all that it asked for done.
-func (c *cluster) waitUntilSettled() (status recovery.Status) {
+func (c *cluster) waitUntilSettled() (status reconcile.Status) {
 	c.eventually("a settled recovery", func() bool {
 		for i := range c.userAddrs {
-			if c.getOperatorView(i, "/recovery", &status) == http.StatusOK && status.Phase == recovery.Settled.String() {
+			if c.getOperatorView(i, "/recovery", &status) == http.StatusOK && status.Phase == reconcile.Settled.String() {
 				return true
 			}
 		}
@@ -103,7 +103,7 @@
 
 // injectDifferences makes differences while the controllers are away, and says which orders they
 // need.
-func (c *cluster) injectDifferences(seed uint64) (need standin.OrderCounts) {
+func (c *cluster) injectDifferences(seed uint64) (need simulator.OrderCounts) {
 	rnd := rand.New(rand.NewPCG(seed, 5))
 	names := c.simulation.MachineNames()
 	rnd.Shuffle(len(names), func(a, b int) { names[a], names[b] = names[b], names[a] })
@@ -145,7 +145,7 @@
 	for seed := range uint64(4) {
 		c.simulation.TakeOrders()
 		c.stopAllControllers()
-		var need standin.OrderCounts
+		var need simulator.OrderCounts
 		if seed > 0 {
 			need = c.injectDifferences(seed)
 		}
@@ -155,10 +155,10 @@
 		if got := c.simulation.TakeOrders(); got != need {
 			t.Errorf("seed %d: ordered %+v, needed %+v\n%+v", seed, got, need, status)
 		}
-		if stops := status.Operations[recovery.StopOperation.String()]; stops.Total != need.Stops || stops.Attributed != need.Stops {
+		if stops := status.Operations[reconcile.StopOperation.String()]; stops.Total != need.Stops || stops.Attributed != need.Stops {
 			t.Errorf("seed %d: stops as the leader counts them: %+v, needed %d", seed, stops, need.Stops)
 		}
-		if seed == 0 && (status.Differences != 0 || status.Classes[recovery.Confirmed.String()] != reconcileMachines*tasksPerMachine) {
+		if seed == 0 && (status.Differences != 0 || status.Classes[reconcile.Confirmed.String()] != reconcileMachines*tasksPerMachine) {
 			t.Errorf("after a clean restart: %+v", status)
 		}
 	}
@@ -180,7 +180,7 @@
 		var view struct{ Leader string }
 		return c.getOperatorView(1-leader, "/leader", &view) == http.StatusOK && view.Leader != ""
 	})
-	var list []recovery.DifferenceView
+	var list []reconcile.DifferenceView
 	for path, want := range map[string]int{
 		"/recovery": 200, "/recovery/differences": 200, "/recovery/differences?class=missing-proven&skip=3&most=500": 200,
 		"/recovery/differences?class=lost": 400, "/recovery/differences?skip=-1": 400, "/recovery/differences?most=0": 400,
--- a/internal/node/users.go
+++ b/internal/controller/cancel.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -6,8 +6,9 @@
 	"net/http"
 	"time"
 
-	"github.com/yarrowgap/yarrowgap/internal/mesh"
-	"github.com/yarrowgap/yarrowgap/internal/store"
+	"github.com/yarrowgap/yarrowgap/internal/kvstore"
+	"github.com/yarrowgap/yarrowgap/internal/peer"
+	"github.com/yarrowgap/yarrowgap/internal/records"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
@@ -54,7 +55,7 @@
 	state := func(s string) Answer {
 		return Answer{Status: http.StatusOK, State: &wire.JobStateReply{ID: id, State: s}}
 	}
-	forwardRequest := mesh.ForwardRequest{Kind: mesh.KindCancel, ID: id}
+	forwardRequest := peer.ForwardRequest{Kind: peer.KindCancel, ID: id}
 	for {
 		view, found, err := c.lookUpJob(ctx, id)
 		switch {
@@ -73,16 +74,16 @@
 		}
 		record := *live.Record
 		record.Cancelled = true
-		_, _, err = c.store.Commit(ctx, store.PriorityUser, wire.Txn{
+		_, _, err = c.store.Commit(ctx, kvstore.PriorityUser, wire.Txn{
 			//mutation:cancellation-conditions
-			If:   []wire.Compare{{Key: store.JobKey(id), ModRevision: live.ModRevision}},
-			Then: []wire.Op{{Set: store.JobKey(id), Value: record}},
+			If:   []wire.Compare{{Key: records.JobKey(id), ModRevision: live.ModRevision}},
+			Then: []wire.Op{{Set: records.JobKey(id), Value: record}},
 		})
 		switch {
 		case err == nil:
 			c.update(func() { c.confirmCancellation(id) })
 			return state(wire.JobCancelled)
-		case errors.Is(err, store.ErrConflict), errors.Is(err, store.ErrOutcomeUnknown) && ctx.Err() == nil:
+		case errors.Is(err, kvstore.ErrConflict), errors.Is(err, kvstore.ErrOutcomeUnknown) && ctx.Err() == nil:
 			continue // read again: it moved on, or our own write went through
 		}
 		return c.forwardOrRefuse(forwarded, forwardRequest, err)
--- a/internal/node/confirmations.go
+++ b/internal/controller/cancellations.go
@@ -1,9 +1,9 @@
-package node
+package controller
 
 import (
 	"time"
 
-	"github.com/yarrowgap/yarrowgap/internal/mesh"
+	"github.com/yarrowgap/yarrowgap/internal/peer"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
@@ -58,7 +58,7 @@
 // recordConfirmations takes a peer's list of cancellations, asked for at asked. What an earlier
 // process of the peer told, or entries that are no longer kept, the list has not: it
 // counts only for whoever knows by the state service what was before.
-func (p *peerState) recordConfirmations(pong mesh.Pong, askedAt, now time.Time) {
+func (p *peerState) recordConfirmations(pong peer.Pong, askedAt, now time.Time) {
 	if pong.UptimeMilli == 0 {
 		return // of a version that keeps no list
 	}
--- a/internal/node/confirmations_test.go
+++ b/internal/controller/cancellations_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 
 	"github.com/yarrowgap/yarrowgap/internal/config"
-	"github.com/yarrowgap/yarrowgap/internal/core"
-	"github.com/yarrowgap/yarrowgap/internal/mesh"
+	"github.com/yarrowgap/yarrowgap/internal/peer"
+	"github.com/yarrowgap/yarrowgap/internal/scheduler"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
@@ -74,7 +74,7 @@
 				if r.boot != p.bootID {
 					have = 0
 				}
-				pong := mesh.Pong{BootID: r.boot, UptimeMilli: 1 + now.Sub(r.born).Milliseconds()}
+				pong := peer.Pong{BootID: r.boot, UptimeMilli: 1 + now.Sub(r.born).Milliseconds()}
 				pong.ConfirmedFrom, pong.Confirmed = r.told.after(have)
 				pong.Confirmed = append([]string(nil), pong.Confirmed...)
 				if rapid.Bool().Draw(t, "tells meanwhile") {
@@ -101,7 +101,7 @@
 func TestLeaderAnswersHeartbeatsUntilWatermarkIsTooOld(t *testing.T) {
 	c := newTestController(t)
 	c.peers = map[string]*peerState{"drover-1": {}, "drover-2": {}}
-	c.leader, c.lost = core.New(c.now(), c.schedulerSettings(), 9, core.NewReplica(), nil, nil, nil), make(chan struct{})
+	c.leader, c.lost = scheduler.New(c.now(), c.schedulerSettings(), 9, scheduler.NewReplica(), nil, nil, nil), make(chan struct{})
 	heartbeat := &wire.Heartbeat{Machine: "n-1", Address: "127.0.0.1:1", Type: "box", Zone: "a", Incarnation: 1, Sequence: 1}
 	answered := func() bool {
 		heartbeat.Sequence++
@@ -144,7 +144,7 @@
 		}
 		if leading {
 			c.setLeader(c.cfg.Node, 9)
-			c.leader, c.lost = core.New(c.now(), c.schedulerSettings(), 9, core.NewReplica(), nil, nil, nil), make(chan struct{})
+			c.leader, c.lost = scheduler.New(c.now(), c.schedulerSettings(), 9, scheduler.NewReplica(), nil, nil, nil), make(chan struct{})
 			c.knownAt = time.Now()
 		} else {
 			c.setLeader("drover-1", 9)
--- a/internal/node/node.go
+++ b/internal/controller/controller.go
@@ -3,7 +3,7 @@
 //
 // All state is guarded by one lock, taken for each input (do). I/O happens in
 // goroutines that hold no lock and come back with an input.
-package node
+package controller
 
 import (
 	"context"
@@ -18,10 +18,10 @@
 
 	"github.com/yarrowgap/yarrowgap/internal/cloud"
 	"github.com/yarrowgap/yarrowgap/internal/config"
-	"github.com/yarrowgap/yarrowgap/internal/core"
-	"github.com/yarrowgap/yarrowgap/internal/mesh"
+	"github.com/yarrowgap/yarrowgap/internal/kvstore"
+	"github.com/yarrowgap/yarrowgap/internal/peer"
 	"github.com/yarrowgap/yarrowgap/internal/policy"
-	"github.com/yarrowgap/yarrowgap/internal/store"
+	"github.com/yarrowgap/yarrowgap/internal/scheduler"
 	"github.com/yarrowgap/yarrowgap/internal/tracing"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/internal/worker"
@@ -37,17 +37,17 @@
 	startedAt time.Time
 
 	tracer     *tracing.Tracer // nil: nothing is traced
-	store      *store.Client
+	store      *kvstore.Client
 	cloud      *cloud.Client
 	workers    *worker.Client
-	peerClient *mesh.Client
+	peerClient *peer.Client
 
 	mu           sync.Mutex
-	replica      *core.Replica
+	replica      *scheduler.Replica
 	machineTypes []wire.MachineType
-	leader       *core.Scheduler // nil unless this node leads
-	permit       uint64          // the lease of our lead
-	heldTo       time.Time       // until then that lease lasts, if it is not renewed
+	leader       *scheduler.Scheduler // nil unless this node leads
+	permit       uint64               // the lease of our lead
+	heldTo       time.Time            // until then that lease lasts, if it is not renewed
 	lost         chan struct{}
 	lead         leaderInfo
 	electedAt    time.Time // when this node last asked for the lead that it got
@@ -60,7 +60,7 @@
 	knownAt      time.Time            // as of when the replica has all changes
 	confirmed    confirmationLog
 	settling     bool
-	totals       core.Counters // of earlier terms
+	totals       scheduler.Counters // of earlier terms
 	ack          *hdrhistogram.Histogram
 	answers      *hdrhistogram.Histogram
 
@@ -79,11 +79,11 @@
 func New(cfg *config.Settings, schedulingPolicy policy.Settings, log *slog.Logger) *Controller {
 	c := &Controller{
 		cfg: cfg, policy: schedulingPolicy, log: log, bootID: rand.Uint64() >> 1, startedAt: time.Now(),
-		store:       store.New(cfg.Endpoints.State, cfg.Deployment.State.RPS*tuning.StoreReadRateShare),
+		store:       kvstore.New(cfg.Endpoints.State, cfg.Deployment.State.RPS*tuning.StoreReadRateShare),
 		cloud:       cloud.New(cfg.Endpoints.Cloud),
 		workers:     worker.New(),
-		peerClient:  mesh.New(),
-		replica:     core.NewReplica(),
+		peerClient:  peer.New(),
+		replica:     scheduler.NewReplica(),
 		peers:       map[string]*peerState{},
 		ack:         hdrhistogram.New(1, 600_000, 2),
 		answers:     hdrhistogram.New(1, 600_000, 2),
@@ -116,9 +116,9 @@
 	wg.Wait()
 }
 
-func (c *Controller) now() core.Now {
+func (c *Controller) now() scheduler.Now {
 	t := time.Now()
-	return core.Now{Mono: t.Sub(c.startedAt), Wall: t.UnixMilli()}
+	return scheduler.Now{Mono: t.Sub(c.startedAt), Wall: t.UnixMilli()}
 }
 
 // update runs one input under the lock and carries out what came of it.
@@ -130,7 +130,7 @@
 }
 
 // updateScheduler feeds the leader of the given term, if it still leads.
-func (c *Controller) updateScheduler(sched *core.Scheduler, f func(core.Now)) {
+func (c *Controller) updateScheduler(sched *scheduler.Scheduler, f func(scheduler.Now)) {
 	c.update(func() {
 		if c.leader == sched {
 			f(c.now())
@@ -154,7 +154,7 @@
 }
 
 // settleScheduler has the leader settle, which may be a round of placement.
-func (c *Controller) settleScheduler(sched *core.Scheduler) {
+func (c *Controller) settleScheduler(sched *scheduler.Scheduler) {
 	if !c.tracer.Enabled() {
 		sched.Settle(c.now())
 		return
@@ -244,7 +244,7 @@
 
 // stepDown gives up the lead. The lease is ended, so that the others need not
 // wait for it to run out.
-func (c *Controller) stepDown(sched *core.Scheduler, reason string) {
+func (c *Controller) stepDown(sched *scheduler.Scheduler, reason string) {
 	if c.leader != sched {
 		return
 	}
@@ -252,7 +252,7 @@
 	c.led = later(c.led, c.enforcedWatermark())
 	c.endTerm()
 	c.lead.name = ""
-	if reason == core.ResignNoHeartbeats {
+	if reason == scheduler.ResignNoHeartbeats {
 		// Whoever is in a better place goes first. After other ends nobody is
 		// barred: five nodes that depose each other would leave no candidate.
 		c.barred = time.Now().Add(tuning.ResignBackoff)
@@ -267,7 +267,7 @@
 	close(c.lost)
 }
 
-func addCounters(total *core.Counters, term core.Counters) {
+func addCounters(total *scheduler.Counters, term scheduler.Counters) {
 	totalFields, termFields := reflect.ValueOf(total).Elem(), reflect.ValueOf(term)
 	for i := range totalFields.NumField() {
 		totalFields.Field(i).SetUint(totalFields.Field(i).Uint() + termFields.Field(i).Uint())
--- a/internal/node/overload_test.go
+++ b/internal/controller/controller_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -15,9 +15,9 @@
 
 	"github.com/yarrowgap/yarrowgap/internal/cloud"
 	"github.com/yarrowgap/yarrowgap/internal/config"
-	"github.com/yarrowgap/yarrowgap/internal/core"
 	"github.com/yarrowgap/yarrowgap/internal/policy"
-	"github.com/yarrowgap/yarrowgap/internal/store"
+	"github.com/yarrowgap/yarrowgap/internal/records"
+	"github.com/yarrowgap/yarrowgap/internal/scheduler"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
@@ -37,7 +37,7 @@
 // Under overload, reports outrank decisions, and decisions submissions.
 func TestOverloadShedsSubmissionsBeforeQueriesBeforeHeartbeats(t *testing.T) {
 	c := newTestController(t)
-	c.replica.RememberEnded("run-000001", store.EndedJob{State: wire.JobDone, Done: 1, Tasks: 1})
+	c.replica.RememberEnded("run-000001", records.EndedJob{State: wire.JobDone, Done: 1, Tasks: 1})
 	heartbeat := &wire.Heartbeat{Machine: "n-1", Address: "a:1", Incarnation: 1, Sequence: 1}
 	for _, tc := range []struct {
 		lag           time.Duration
@@ -167,25 +167,25 @@
 // Answers of watches that overtake each other never take the copy back.
 func TestReplicaIgnoresOlderWatchAnswers(t *testing.T) {
 	raw := func(cancelled bool) wire.Raw {
-		b, err := wire.Marshal(store.Job{Job: wire.Job{ID: "run-000001", Tasks: 1}, Cancelled: cancelled})
+		b, err := wire.Marshal(records.Job{Job: wire.Job{ID: "run-000001", Tasks: 1}, Cancelled: cancelled})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return b
 	}
-	r := core.NewReplica()
+	r := scheduler.NewReplica()
 	r.Reset(nil, 10)
-	set := wire.WatchEvent{Set: store.JobKey("run-000001"), Value: raw(false), ModRevision: 11}
-	cancel := wire.WatchEvent{Set: store.JobKey("run-000001"), Value: raw(true), ModRevision: 12}
+	set := wire.WatchEvent{Set: records.JobKey("run-000001"), Value: raw(false), ModRevision: 11}
+	cancel := wire.WatchEvent{Set: records.JobKey("run-000001"), Value: raw(true), ModRevision: 12}
 	r.Apply(wire.WatchReply{Revision: 12, Events: []wire.WatchEvent{set, cancel}})
 	if touched, _ := r.Apply(wire.WatchReply{Revision: 11, Events: []wire.WatchEvent{set}}); len(touched) != 0 || !r.Live["run-000001"].Record.Cancelled {
 		t.Error("an older answer undid a cancellation")
 	}
-	r.Apply(wire.WatchReply{Revision: 13, Events: []wire.WatchEvent{{Delete: store.JobKey("run-000001"), ModRevision: 13}}})
+	r.Apply(wire.WatchReply{Revision: 13, Events: []wire.WatchEvent{{Delete: records.JobKey("run-000001"), ModRevision: 13}}})
 	if touched, _ := r.Apply(wire.WatchReply{Revision: 12, Events: []wire.WatchEvent{set, cancel}}); len(touched) != 0 || r.Live["run-000001"] != nil {
 		t.Error("an older answer brought a job back to life")
 	}
-	if _, bad := r.Apply(wire.WatchReply{Revision: 14, Events: []wire.WatchEvent{{Set: store.JobKey("run-000002"), Value: raw(false), ModRevision: 14}}}); len(bad) != 1 {
+	if _, bad := r.Apply(wire.WatchReply{Revision: 14, Events: []wire.WatchEvent{{Set: records.JobKey("run-000002"), Value: raw(false), ModRevision: 14}}}); len(bad) != 1 {
 		t.Error("a record under another job's key was trusted")
 	}
 }
@@ -193,12 +193,12 @@
 // That there is no job of an id costs one read, until a change makes one: questions
 // about jobs that nobody submitted must not cost the state service a read each.
 func TestReplicaCachesAbsentJobs(t *testing.T) {
-	raw, err := wire.Marshal(store.Job{Job: wire.Job{ID: "run-000001", Tasks: 1}})
+	raw, err := wire.Marshal(records.Job{Job: wire.Job{ID: "run-000001", Tasks: 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := wire.WatchEvent{Set: store.JobKey("run-000001"), Value: raw, ModRevision: 11}
-	r := core.NewReplica()
+	set := wire.WatchEvent{Set: records.JobKey("run-000001"), Value: raw, ModRevision: 11}
+	r := scheduler.NewReplica()
 	r.Reset(nil, 10)
 	r.NoteAbsent("run-000001")
 	r.NoteAbsent("run-000002")
@@ -230,7 +230,7 @@
 	defer srv.Close()
 	c := newTestController(t)
 	c.cloud = cloud.New(srv.Listener.Addr().String())
-	c.leader, c.lost = core.New(c.now(), c.schedulerSettings(), 9, core.NewReplica(), nil, nil, nil), make(chan struct{})
+	c.leader, c.lost = scheduler.New(c.now(), c.schedulerSettings(), 9, scheduler.NewReplica(), nil, nil, nil), make(chan struct{})
 	callCloud := func() {
 		c.releaseMachines(c.leader, []string{"n-000001"})
 		c.provision(c.leader, wire.ProvisionRequest{RequestID: "r-1", Count: 1})
@@ -289,7 +289,7 @@
 	for range 24 {
 		srv := httptest.NewServer(handler) // a machine each: the client bounds one host's connections itself
 		defer srv.Close()
-		wg.Go(func() { c.callWorker(&core.Scheduler{}, core.DirectCall{Addr: srv.Listener.Addr().String()}) })
+		wg.Go(func() { c.callWorker(&scheduler.Scheduler{}, scheduler.DirectCall{Addr: srv.Listener.Addr().String()}) })
 	}
 	wg.Wait()
 	if got := maxConcurrent.Load(); got == 0 || got > 3 {
--- a/internal/node/election.go
+++ b/internal/controller/election.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -6,7 +6,8 @@
 	"time"
 
 	"github.com/yarrowgap/yarrowgap/internal/config"
-	"github.com/yarrowgap/yarrowgap/internal/store"
+	"github.com/yarrowgap/yarrowgap/internal/kvstore"
+	"github.com/yarrowgap/yarrowgap/internal/records"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
@@ -15,13 +16,13 @@
 // on a short lease; its stamp is the term, which only grows.
 func (c *Controller) campaign(ctx context.Context) {
 	for ctx.Err() == nil {
-		leaderKey, err := c.store.Get(ctx, store.PriorityLeader, store.LeaderKey)
+		leaderKey, err := c.store.Get(ctx, kvstore.PriorityLeader, records.LeaderKey)
 		if err != nil {
 			sleep(ctx, jitter(tuning.StoreRetryDelay))
 			continue
 		}
 		if leaderKey.ModRevision != 0 {
-			var record store.Leader
+			var record records.Leader
 			if err := wire.Unmarshal(leaderKey.Value, &record); err != nil {
 				c.log.Error("leader's record unreadable", "err", err)
 			}
@@ -60,7 +61,7 @@
 
 // awaitVacancy returns when the leader's key may have changed after stamp.
 func (c *Controller) awaitVacancy(ctx context.Context, modRevision uint64) {
-	if _, err := c.store.Watch(ctx, store.PriorityLeader, store.LeaderPrefix, modRevision, tuning.WatchTimeout); err != nil {
+	if _, err := c.store.Watch(ctx, kvstore.PriorityLeader, records.LeaderPrefix, modRevision, tuning.WatchTimeout); err != nil {
 		// The key may be older than what the service keeps, or the service is in
 		// trouble. Reading the key again is right in both cases.
 		sleep(ctx, jitter(c.leaseTTL()/2))
@@ -75,16 +76,16 @@
 		c.logCallFailure("lease", err)
 		return false
 	}
-	record := store.Leader{Node: c.cfg.Node, Addr: c.cfg.PeerAddr, Boot: c.bootID}
-	term, _, err := c.store.Commit(ctx, store.PriorityLeader, wire.Txn{
-		If:   []wire.Compare{{Key: store.LeaderKey}},
-		Then: []wire.Op{{Set: store.LeaderKey, Value: record, Lease: &storeLease}},
+	record := records.Leader{Node: c.cfg.Node, Addr: c.cfg.PeerAddr, Boot: c.bootID}
+	term, _, err := c.store.Commit(ctx, kvstore.PriorityLeader, wire.Txn{
+		If:   []wire.Compare{{Key: records.LeaderKey}},
+		Then: []wire.Op{{Set: records.LeaderKey, Value: record, Lease: &storeLease}},
 	})
-	if errors.Is(err, store.ErrOutcomeUnknown) {
+	if errors.Is(err, kvstore.ErrOutcomeUnknown) {
 		// The answer was lost: the key tells whether we have it. Should the
 		// write be carried out later still, the lease lets it die.
-		item, getErr := c.store.Get(ctx, store.PriorityLeader, store.LeaderKey)
-		var stored store.Leader
+		item, getErr := c.store.Get(ctx, kvstore.PriorityLeader, records.LeaderKey)
+		var stored records.Leader
 		if getErr == nil && item.ModRevision != 0 && item.Lease == storeLease && wire.Unmarshal(item.Value, &stored) == nil && stored.Boot == c.bootID {
 			term, err = item.ModRevision, nil
 		}
@@ -172,7 +173,7 @@
 				}
 			})
 		}
-		if errors.Is(err, store.ErrLeaseNotFound) {
+		if errors.Is(err, kvstore.ErrLeaseNotFound) {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			select {
--- a/internal/node/lease_test.go
+++ b/internal/controller/election_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"github.com/yarrowgap/yarrowgap/internal/store"
+	"github.com/yarrowgap/yarrowgap/internal/kvstore"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
@@ -47,7 +47,7 @@
 		}))
 		c := newTestController(t)
 		c.cfg.Deployment.Quota.CPUShare, c.cfg.Deployment.Workers.LeaseS = tc.share, tc.workers
-		c.store = store.New(service.Listener.Addr().String(), 1000)
+		c.store = kvstore.New(service.Listener.Addr().String(), 1000)
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(tuning.StoreRetryDelay, cancel) // ends the term once it has begun
 		before := time.Now()
--- a/internal/node/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -1,17 +1,17 @@
-package node
+package controller
 
 import (
 	"context"
 	"net/http"
 	"time"
 
-	"github.com/yarrowgap/yarrowgap/internal/mesh"
+	"github.com/yarrowgap/yarrowgap/internal/peer"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
 // forwardOrRefuse hands a request that this node cannot serve to a peer, once. If that
 // fails too, the user is told at once when to come back.
-func (c *Controller) forwardOrRefuse(forwarded bool, request mesh.ForwardRequest, cause error) Answer {
+func (c *Controller) forwardOrRefuse(forwarded bool, request peer.ForwardRequest, cause error) Answer {
 	c.log.Debug("cannot serve", "kind", request.Kind, "id", request.ID, "err", cause)
 	if !forwarded {
 		if answer, ok := c.forward(request); ok {
@@ -24,7 +24,7 @@
 // forward hands a request to the peers, one after the other, until one decides.
 // A peer that could not decide a moment ago is not asked again for a while: in
 // an outage, three nodes would only pass everything around.
-func (c *Controller) forward(request mesh.ForwardRequest) (Answer, bool) {
+func (c *Controller) forward(request peer.ForwardRequest) (Answer, bool) {
 	for _, p := range c.forwardTargets() {
 		reply, err := c.peerClient.Forward(context.Background(), p.Addr, request, tuning.ForwardTimeout)
 		if err != nil || reply.Status == http.StatusServiceUnavailable || reply.Status == http.StatusTooManyRequests {
@@ -57,22 +57,22 @@
 }
 
 // HandleForward serves a peer's request.
-func (c *Controller) HandleForward(ctx context.Context, request mesh.ForwardRequest) mesh.ForwardReply {
+func (c *Controller) HandleForward(ctx context.Context, request peer.ForwardRequest) peer.ForwardReply {
 	var answer Answer
 	switch request.Kind {
-	case mesh.KindSubmit:
-		body, ok := mesh.DecodeBytes(request.Body)
+	case peer.KindSubmit:
+		body, ok := peer.DecodeBytes(request.Body)
 		if !ok {
 			answer = refuse(http.StatusBadRequest, "malformed forward")
 			break
 		}
 		answer = c.Submit(ctx, body, true)
-	case mesh.KindQuery:
+	case peer.KindQuery:
 		answer = c.Query(ctx, request.ID, true)
-	case mesh.KindCancel:
+	case peer.KindCancel:
 		answer = c.Cancel(ctx, request.ID, true)
 	default:
 		answer = refuse(http.StatusBadRequest, "unknown kind")
 	}
-	return mesh.ForwardReply{Status: answer.Status, View: answer.View, State: answer.State, Error: answer.Error}
+	return peer.ForwardReply{Status: answer.Status, View: answer.View, State: answer.State, Error: answer.Error}
 }
--- a/internal/node/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"testing"
--- a/internal/node/workers.go
+++ b/internal/controller/heartbeat.go
@@ -1,11 +1,11 @@
-package node
+package controller
 
 import (
 	"net/http"
 	"time"
 
 	"github.com/yarrowgap/yarrowgap/internal/config"
-	"github.com/yarrowgap/yarrowgap/internal/core"
+	"github.com/yarrowgap/yarrowgap/internal/scheduler"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
@@ -55,7 +55,7 @@
 		return HeartbeatAnswer{Status: http.StatusMisdirectedRequest, Redirect: wire.Redirect{Leader: c.lead.name}}
 	}
 	//mutation:keepalive-bound
-	if c.lead.term != 0 && core.TermOf(heartbeat.FencingToken) == c.lead.term && time.Since(c.led) < c.KeepaliveBound() {
+	if c.lead.term != 0 && scheduler.TermOf(heartbeat.FencingToken) == c.lead.term && time.Since(c.led) < c.KeepaliveBound() {
 		return HeartbeatAnswer{Status: http.StatusOK, Reply: wire.HeartbeatReply{FencingToken: heartbeat.FencingToken, Commands: []wire.Command{}}}
 	}
 	if leader != nil && c.lead.name != "" {
--- a/internal/node/recover.go
+++ b/internal/controller/load.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -7,14 +7,15 @@
 	"time"
 
 	"github.com/yarrowgap/yarrowgap/internal/config"
-	"github.com/yarrowgap/yarrowgap/internal/core"
-	"github.com/yarrowgap/yarrowgap/internal/store"
+	"github.com/yarrowgap/yarrowgap/internal/kvstore"
+	"github.com/yarrowgap/yarrowgap/internal/records"
+	"github.com/yarrowgap/yarrowgap/internal/scheduler"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
 // loadScheduler reads all records and installs the leader, or returns nil.
-func (c *Controller) loadScheduler(ctx context.Context, term uint64, lost chan struct{}) *core.Scheduler {
+func (c *Controller) loadScheduler(ctx context.Context, term uint64, lost chan struct{}) *scheduler.Scheduler {
 	c.update(func() { c.loadingSince = time.Now() })
 	defer c.update(func() { c.loadingSince = time.Time{} })
 	for {
@@ -30,12 +31,12 @@
 		var errs [4]error
 		readAt := time.Now()
 		var wg sync.WaitGroup
-		wg.Go(func() { bitmaps, _, errs[0] = c.store.RangeAll(ctx, store.PriorityLeader, store.BitmapPrefix) })
-		wg.Go(func() { batches, _, errs[1] = c.store.RangeAll(ctx, store.PriorityLeader, store.BatchPrefix) })
+		wg.Go(func() { bitmaps, _, errs[0] = c.store.RangeAll(ctx, kvstore.PriorityLeader, records.BitmapPrefix) })
+		wg.Go(func() { batches, _, errs[1] = c.store.RangeAll(ctx, kvstore.PriorityLeader, records.BatchPrefix) })
 		wg.Go(func() {
-			legacyMachines, _, errs[2] = c.store.RangeAll(ctx, store.PriorityLeader, store.LegacyMachinePrefix)
+			legacyMachines, _, errs[2] = c.store.RangeAll(ctx, kvstore.PriorityLeader, records.LegacyMachinePrefix)
 		})
-		wg.Go(func() { jobs, revision, errs[3] = c.store.RangeAll(ctx, store.PriorityLeader, store.LiveJobPrefix) })
+		wg.Go(func() { jobs, revision, errs[3] = c.store.RangeAll(ctx, kvstore.PriorityLeader, records.LiveJobPrefix) })
 		wg.Wait()
 		err := errors.Join(errs[:]...)
 		if err != nil {
@@ -45,7 +46,7 @@
 			}
 			continue
 		}
-		var sched *core.Scheduler
+		var sched *scheduler.Scheduler
 		c.update(func() {
 			select {
 			case <-lost:
@@ -59,7 +60,7 @@
 				c.logUnreadableRecords(c.replica.Reset(jobs, revision))
 			}
 			c.knownAt = later(c.knownAt, readAt)
-			sched = core.New(c.now(), c.schedulerSettings(), term, c.replica, bitmaps, append(batches, legacyMachines...), c.machineTypes)
+			sched = scheduler.New(c.now(), c.schedulerSettings(), term, c.replica, bitmaps, append(batches, legacyMachines...), c.machineTypes)
 			for _, p := range c.peers {
 				// What came of their lists while nobody here led is gone: all again.
 				p.confirmationsSeen, p.confirmationsAsOf = 0, time.Time{}
@@ -89,14 +90,14 @@
 	}
 }
 
-func (c *Controller) schedulerSettings() core.Settings {
+func (c *Controller) schedulerSettings() scheduler.Settings {
 	deployment := &c.cfg.Deployment
-	settings := core.Settings{
-		Teams:             map[string]core.TeamQuota{},
+	settings := scheduler.Settings{
+		Teams:             map[string]scheduler.TeamQuota{},
 		HeartbeatInterval: config.Seconds(deployment.Workers.ReportS), WorkerLease: config.Seconds(deployment.Workers.LeaseS), CancellationBound: config.Seconds(deployment.Workers.CancelS),
 		MaxTransactionOps: deployment.State.TxnOps, MaxValueBytes: int(deployment.State.ValueKB * 1024), WriteRate: deployment.State.WriteRPS,
 		ColdRestart: c.coldRestart(), TraceOperations: c.tracer.Enabled(),
-		Objectives: map[string]core.Objective{}, MinimizeCost: c.cfg.CostSensitive(), GuaranteedStartWithin: c.cfg.GuaranteeStartTarget(),
+		Objectives: map[string]scheduler.Objective{}, MinimizeCost: c.cfg.CostSensitive(), GuaranteedStartWithin: c.cfg.GuaranteeStartTarget(),
 		CloudRate: deployment.Cloud.RPS, CPUShare: deployment.Quota.CPUShare, CloudListLag: config.Seconds(deployment.Cloud.ListLagS), Policy: c.policy,
 	}
 	for _, configured := range deployment.Objectives {
@@ -110,7 +111,7 @@
 		settings.Objectives[configured.Class] = objective
 	}
 	for _, t := range deployment.Teams {
-		settings.Teams[t.Name] = core.TeamQuota{CPUs: t.GuaranteedCPUs, CPUsMax: t.MaxCPUs, GPUs: t.GuaranteedGPUs, GPUsMax: t.MaxGPUs}
+		settings.Teams[t.Name] = scheduler.TeamQuota{CPUs: t.GuaranteedCPUs, CPUsMax: t.MaxCPUs, GPUs: t.GuaranteedGPUs, GPUsMax: t.MaxGPUs}
 	}
 	return settings
 }
--- a/internal/node/recover_test.go
+++ b/internal/controller/load_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -10,8 +10,9 @@
 	"testing"
 	"time"
 
-	"github.com/yarrowgap/yarrowgap/internal/standin"
-	"github.com/yarrowgap/yarrowgap/internal/store"
+	"github.com/yarrowgap/yarrowgap/internal/kvstore"
+	"github.com/yarrowgap/yarrowgap/internal/records"
+	"github.com/yarrowgap/yarrowgap/internal/simulator"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
@@ -23,9 +24,9 @@
 	const id = "run-000001"
 	c := newTestController(t)
 	c.peers = map[string]*peerState{}
-	state, recovering := standin.NewDeployment(nil, nil, nil, 0, 0, 0).KVStoreHandler(), false
+	state, recovering := simulator.NewDeployment(nil, nil, nil, 0, 0, 0).KVStoreHandler(), false
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !recovering || r.URL.Path != "/kv" || !strings.HasPrefix(r.URL.Query().Get("starts"), store.LiveJobPrefix) {
+		if !recovering || r.URL.Path != "/kv" || !strings.HasPrefix(r.URL.Query().Get("starts"), records.LiveJobPrefix) {
 			state.ServeHTTP(w, r)
 			return
 		}
@@ -41,11 +42,11 @@
 		_, _ = w.Write(answer.Body.Bytes())
 	}))
 	defer srv.Close()
-	c.store = store.New(srv.Listener.Addr().String(), 1000)
+	c.store = kvstore.New(srv.Listener.Addr().String(), 1000)
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
 	job := wire.Job{ID: id, Tasks: 1, CPUs: 1, Team: "red", Shape: wire.ShapeService, Priority: wire.PriorityProduction}
-	if _, _, err := c.store.Commit(ctx, store.PriorityLeader, wire.Txn{Then: []wire.Op{{Set: store.JobKey(id), Value: store.Job{Job: job}}}}); err != nil {
+	if _, _, err := c.store.Commit(ctx, kvstore.PriorityLeader, wire.Txn{Then: []wire.Op{{Set: records.JobKey(id), Value: records.Job{Job: job}}}}); err != nil {
 		t.Fatal(err)
 	}
 	if err := c.reloadJobs(ctx); err != nil {
@@ -68,7 +69,7 @@
 	const jobs = 3
 	c := newTestController(t)
 	c.peers = map[string]*peerState{}
-	state, calls, phases := standin.NewDeployment(nil, nil, nil, 0, 0, 0).KVStoreHandler(), 0, map[string]int{}
+	state, calls, phases := simulator.NewDeployment(nil, nil, nil, 0, 0, 0).KVStoreHandler(), 0, map[string]int{}
 	var mu sync.Mutex
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/kv" {
@@ -94,10 +95,10 @@
 		}
 	}))
 	defer srv.Close()
-	c.store = store.New(srv.Listener.Addr().String(), 1000)
+	c.store = kvstore.New(srv.Listener.Addr().String(), 1000)
 	for i := range jobs {
 		job := wire.Job{ID: fmt.Sprintf("run-%06d", i), Tasks: 1, CPUs: 1, Team: "crew", Shape: wire.ShapeArray, Priority: wire.PriorityNormal}
-		if _, _, err := c.store.Commit(t.Context(), store.PriorityLeader, wire.Txn{Then: []wire.Op{{Set: store.JobKey(job.ID), Value: store.Job{Job: job}}}}); err != nil {
+		if _, _, err := c.store.Commit(t.Context(), kvstore.PriorityLeader, wire.Txn{Then: []wire.Op{{Set: records.JobKey(job.ID), Value: records.Job{Job: job}}}}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/node/machine_types.go
+++ b/internal/controller/machine_types.go
@@ -1,11 +1,12 @@
-package node
+package controller
 
 import (
 	"context"
 	"reflect"
 	"time"
 
-	"github.com/yarrowgap/yarrowgap/internal/store"
+	"github.com/yarrowgap/yarrowgap/internal/kvstore"
+	"github.com/yarrowgap/yarrowgap/internal/records"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
@@ -55,7 +56,7 @@
 }
 
 func (c *Controller) storedMachineTypes(ctx context.Context) ([]wire.MachineType, error) {
-	items, _, err := c.store.RangeAll(ctx, store.PriorityUser, store.MachineTypePrefix)
+	items, _, err := c.store.RangeAll(ctx, kvstore.PriorityUser, records.MachineTypePrefix)
 	if err != nil {
 		return nil, err
 	}
@@ -74,7 +75,7 @@
 func (c *Controller) storeMachineTypes(ctx context.Context, types []wire.MachineType) error {
 	for i, t := range types {
 		// One at a time and unhurried: starts have the writes' rate first.
-		_, _, err := c.store.Commit(ctx, store.PriorityBackground, wire.Txn{Then: []wire.Op{{Set: store.MachineTypePrefix + t.Name, Value: t}}})
+		_, _, err := c.store.Commit(ctx, kvstore.PriorityBackground, wire.Txn{Then: []wire.Op{{Set: records.MachineTypePrefix + t.Name, Value: t}}})
 		if err != nil {
 			return err
 		}
--- a/internal/node/peers.go
+++ b/internal/controller/membership.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/yarrowgap/yarrowgap/internal/config"
-	"github.com/yarrowgap/yarrowgap/internal/mesh"
+	"github.com/yarrowgap/yarrowgap/internal/peer"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
@@ -46,7 +46,7 @@
 			for sleep(ctx, jitter(tuning.PeerPingInterval)) {
 				c.mu.Lock()
 				sentAt := time.Now()
-				ping := mesh.Ping{Node: c.cfg.Node, BootID: c.bootID, Leader: c.lead.name, Term: c.lead.term, StoreAvailable: c.storeAvailable(),
+				ping := peer.Ping{Node: c.cfg.Node, BootID: c.bootID, Leader: c.lead.name, Term: c.lead.term, StoreAvailable: c.storeAvailable(),
 					ConfirmationsSeen: p.confirmationsSeen, ConfirmationsBootID: p.bootID}
 				c.mu.Unlock()
 				pong, err := c.peerClient.Ping(ctx, p.Addr, ping)
@@ -117,14 +117,14 @@
 }
 
 // HandlePing answers a peer.
-func (c *Controller) HandlePing(ping mesh.Ping) mesh.Pong {
-	var pong mesh.Pong
+func (c *Controller) HandlePing(ping peer.Ping) peer.Pong {
+	var pong peer.Pong
 	c.update(func() {
 		if sender := c.peers[ping.Node]; sender != nil {
 			sender.lastHeardAt, sender.storeAvailable = time.Now(), ping.StoreAvailable
 		}
 		c.learnLeader(ping.Leader, ping.Term)
-		pong = mesh.Pong{Node: c.cfg.Node, BootID: c.bootID, Leader: c.lead.name, Term: c.lead.term, StoreAvailable: c.storeAvailable(),
+		pong = peer.Pong{Node: c.cfg.Node, BootID: c.bootID, Leader: c.lead.name, Term: c.lead.term, StoreAvailable: c.storeAvailable(),
 			IsLeader: c.leader != nil, UptimeMilli: 1 + time.Since(c.startedAt).Milliseconds()}
 		if c.leader != nil {
 			c.led = later(c.led, c.enforcedWatermark())
@@ -183,7 +183,7 @@
 }
 
 func (c *Controller) pingOnce(ctx context.Context, p *peerState) error {
-	_, err := c.peerClient.Ping(ctx, p.Addr, mesh.Ping{Node: c.cfg.Node, BootID: c.bootID, StoreAvailable: c.storeAvailable()})
+	_, err := c.peerClient.Ping(ctx, p.Addr, peer.Ping{Node: c.cfg.Node, BootID: c.bootID, StoreAvailable: c.storeAvailable()})
 	return err
 }
 
--- a/internal/node/calls.go
+++ b/internal/controller/outgoing.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -8,16 +8,16 @@
 
 	"github.com/yarrowgap/yarrowgap/internal/cloud"
 	"github.com/yarrowgap/yarrowgap/internal/config"
-	"github.com/yarrowgap/yarrowgap/internal/core"
+	"github.com/yarrowgap/yarrowgap/internal/kvstore"
 	"github.com/yarrowgap/yarrowgap/internal/rpc"
-	"github.com/yarrowgap/yarrowgap/internal/store"
+	"github.com/yarrowgap/yarrowgap/internal/scheduler"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/internal/worker"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
 // execute starts the I/O that the core asked for.
-func (c *Controller) execute(sched *core.Scheduler, effects core.Effects) {
+func (c *Controller) execute(sched *scheduler.Scheduler, effects scheduler.Effects) {
 	for _, entry := range effects.Log {
 		level := slog.LevelInfo
 		if entry.Debug {
@@ -53,24 +53,24 @@
 	c.log.Log(context.Background(), level, msg, append([]any{"err", err}, args...)...)
 }
 
-func (c *Controller) commit(sched *core.Scheduler, request core.Commit) {
-	revision, failed, err := c.store.Commit(context.Background(), store.PriorityLeader, request.Txn)
-	result := core.CommitUnknown
+func (c *Controller) commit(sched *scheduler.Scheduler, request scheduler.Commit) {
+	revision, failed, err := c.store.Commit(context.Background(), kvstore.PriorityLeader, request.Txn)
+	result := scheduler.CommitUnknown
 	switch {
 	case err == nil:
-		result = core.CommitDone
-	case errors.Is(err, store.ErrConflict):
-		result = core.CommitConflict
-	case errors.Is(err, store.ErrUnavailable), errors.Is(err, store.ErrRateLimited):
-		result = core.CommitRefused
+		result = scheduler.CommitDone
+	case errors.Is(err, kvstore.ErrConflict):
+		result = scheduler.CommitConflict
+	case errors.Is(err, kvstore.ErrUnavailable), errors.Is(err, kvstore.ErrRateLimited):
+		result = scheduler.CommitRefused
 	}
 	if err != nil {
 		c.logCallFailure("commit", err, "failed", failed)
 	}
-	if errors.Is(err, store.ErrMalformedRequest) {
+	if errors.Is(err, kvstore.ErrMalformedRequest) {
 		c.log.Error("the state service calls our write malformed", "err", err)
 	}
-	c.updateScheduler(sched, func(now core.Now) { sched.CommitDone(now, request.ID, result, revision, failed) })
+	c.updateScheduler(sched, func(now scheduler.Now) { sched.CommitDone(now, request.ID, result, revision, failed) })
 }
 
 // directCallLimit is how many direct calls there may be at once: a round of placement
@@ -80,70 +80,70 @@
 	return min(sockets, tuning.MaxWorkerCalls)
 }
 
-func (c *Controller) callWorker(sched *core.Scheduler, call core.DirectCall) {
+func (c *Controller) callWorker(sched *scheduler.Scheduler, call scheduler.DirectCall) {
 	c.calls <- struct{}{}
 	defer func() { <-c.calls }()
 	outcome, heartbeat, err := c.workers.SendCommands(context.Background(), call.Addr, call.Body)
 	if err != nil {
 		c.logCallFailure("direct call", err, "machine", call.Machine)
 	}
-	result := core.CallLost
+	result := scheduler.CallLost
 	switch outcome {
 	case worker.Executed:
-		result = core.CallExecuted
+		result = scheduler.CallExecuted
 	case worker.Rejected:
-		result = core.CallRefused
+		result = scheduler.CallRefused
 	}
-	c.updateScheduler(sched, func(now core.Now) { sched.CallDone(now, call.ID, result, heartbeat) })
+	c.updateScheduler(sched, func(now scheduler.Now) { sched.CallDone(now, call.ID, result, heartbeat) })
 }
 
 // holdsLease reports whether the leader's lease lasts for certain at this moment: the cloud
 // checks neither conditions nor tokens, and the process may have stood still since the
 // core decided.
-func (c *Controller) holdsLease(sched *core.Scheduler) bool {
+func (c *Controller) holdsLease(sched *scheduler.Scheduler) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.leader == sched && time.Now().Before(c.heldTo)
 }
 
-func (c *Controller) provision(sched *core.Scheduler, request wire.ProvisionRequest) {
+func (c *Controller) provision(sched *scheduler.Scheduler, request wire.ProvisionRequest) {
 	var names []string
 	err := cloud.ErrRejected
 	if c.holdsLease(sched) {
 		names, err = c.cloud.Provision(context.Background(), request)
 	}
-	result := core.ProvisionUnknown
+	result := scheduler.ProvisionUnknown
 	switch {
 	case err == nil:
-		result = core.ProvisionDone
+		result = scheduler.ProvisionDone
 	case errors.Is(err, cloud.ErrNoCapacity):
-		result = core.ProvisionNoCapacity
+		result = scheduler.ProvisionNoCapacity
 	case errors.Is(err, cloud.ErrUnavailable), errors.Is(err, cloud.ErrRateLimited), errors.Is(err, cloud.ErrRejected):
-		result = core.ProvisionRefused
+		result = scheduler.ProvisionRefused
 	}
-	c.updateScheduler(sched, func(now core.Now) { sched.Provisioned(now, request.RequestID, result, names) })
+	c.updateScheduler(sched, func(now scheduler.Now) { sched.Provisioned(now, request.RequestID, result, names) })
 }
 
-func (c *Controller) releaseMachines(sched *core.Scheduler, names []string) {
+func (c *Controller) releaseMachines(sched *scheduler.Scheduler, names []string) {
 	err := cloud.ErrRejected
 	if c.holdsLease(sched) {
 		err = c.cloud.Release(context.Background(), names)
 	}
-	result := core.ReleaseUnknown
+	result := scheduler.ReleaseUnknown
 	switch {
 	case err == nil:
-		result = core.ReleaseDone
+		result = scheduler.ReleaseDone
 	case errors.Is(err, cloud.ErrUnavailable), errors.Is(err, cloud.ErrRateLimited), errors.Is(err, cloud.ErrRejected):
-		result = core.ReleaseRefused
+		result = scheduler.ReleaseRefused
 	}
 	if err != nil {
 		c.log.Info("release failed", "machines", names, "err", err)
 	}
-	c.updateScheduler(sched, func(now core.Now) { sched.Released(now, names, result) })
+	c.updateScheduler(sched, func(now scheduler.Now) { sched.Released(now, names, result) })
 }
 
 // pollMachineList reads the cloud's list while this node leads.
-func (c *Controller) pollMachineList(ctx context.Context, sched *core.Scheduler) {
+func (c *Controller) pollMachineList(ctx context.Context, sched *scheduler.Scheduler) {
 	wait := time.Duration(0)
 	for sleep(ctx, wait) {
 		list, err := c.cloud.ListMachines(ctx)
@@ -156,7 +156,7 @@
 		// for rentals and releases.
 		pages := float64(1 + len(list)/tuning.MachineListPageSize)
 		wait = max(tuning.MachineListInterval, config.Seconds(pages/(c.cfg.Deployment.Cloud.RPS*tuning.MachineListRateShare)))
-		c.updateScheduler(sched, func(now core.Now) { sched.MachinesListed(now, list) })
+		c.updateScheduler(sched, func(now scheduler.Now) { sched.MachinesListed(now, list) })
 		if shortfalls := c.cfg.FleetShortfalls(len(list)); len(shortfalls) > 0 && len(list) > c.shortOf {
 			c.shortOf = 2 * len(list)
 			c.log.Error("settings fall short of the fleet", "what", shortfalls)
--- a/internal/node/queries.go
+++ b/internal/controller/queries.go
@@ -1,13 +1,14 @@
-package node
+package controller
 
 import (
 	"context"
 	"net/http"
 	"time"
 
-	"github.com/yarrowgap/yarrowgap/internal/core"
-	"github.com/yarrowgap/yarrowgap/internal/mesh"
-	"github.com/yarrowgap/yarrowgap/internal/store"
+	"github.com/yarrowgap/yarrowgap/internal/kvstore"
+	"github.com/yarrowgap/yarrowgap/internal/peer"
+	"github.com/yarrowgap/yarrowgap/internal/records"
+	"github.com/yarrowgap/yarrowgap/internal/scheduler"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
@@ -62,7 +63,7 @@
 	}
 	// Once for each id, and behind what others wait for: whoever asks about many
 	// that nobody submitted must not take the reads of those that somebody did.
-	item, err := c.store.Get(ctx, store.PriorityBackground, store.EndedJobKey(id))
+	item, err := c.store.Get(ctx, kvstore.PriorityBackground, records.EndedJobKey(id))
 	readAt = time.Now()
 	if err != nil {
 		return view, false, readAt, err
@@ -87,14 +88,14 @@
 	return endedView(id, record), true, readAt, nil
 }
 
-func endedView(id string, record store.EndedJob) wire.JobView {
+func endedView(id string, record records.EndedJob) wire.JobView {
 	return wire.JobView{ID: id, State: record.State, Done: record.Done}
 }
 
 // liveView describes a live job. Called with the lock held.
-func (c *Controller) liveView(id string, live *core.LiveJob) wire.JobView {
+func (c *Controller) liveView(id string, live *scheduler.LiveJob) wire.JobView {
 	view := wire.JobView{ID: id, State: wire.JobPending}
-	done := store.NewBitmap(live.Record.Job.Tasks)
+	done := records.NewBitmap(live.Record.Job.Tasks)
 	if done.MergeChunk(0, live.Record.Done) == nil {
 		view.Done = done.Count()
 	}
@@ -127,7 +128,7 @@
 	view, found, err := c.lookUpJob(ctx, id)
 	switch {
 	case err != nil:
-		return c.forwardOrRefuse(forwarded, mesh.ForwardRequest{Kind: mesh.KindQuery, ID: id}, err)
+		return c.forwardOrRefuse(forwarded, peer.ForwardRequest{Kind: peer.KindQuery, ID: id}, err)
 	case !found:
 		return refuse(http.StatusNotFound, "no such job")
 	}
--- a/internal/node/answers_test.go
+++ b/internal/controller/queries_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -10,17 +10,18 @@
 	"time"
 
 	"github.com/yarrowgap/yarrowgap/internal/config"
-	"github.com/yarrowgap/yarrowgap/internal/mesh"
-	"github.com/yarrowgap/yarrowgap/internal/standin"
-	"github.com/yarrowgap/yarrowgap/internal/store"
+	"github.com/yarrowgap/yarrowgap/internal/kvstore"
+	"github.com/yarrowgap/yarrowgap/internal/peer"
+	"github.com/yarrowgap/yarrowgap/internal/records"
+	"github.com/yarrowgap/yarrowgap/internal/simulator"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
 // newControllerWithStore makes a node over the stand-in state service. Answers to requests that hold
 // picks are read at once and come when let is closed; came tells that one was read.
-func newControllerWithStore(t *testing.T, holdBack func(*http.Request) bool) (c *Controller, client *store.Client, received, proceed chan struct{}) {
-	simulated := standin.NewDeployment(nil, nil, nil, 0, time.Second, time.Second)
+func newControllerWithStore(t *testing.T, holdBack func(*http.Request) bool) (c *Controller, client *kvstore.Client, received, proceed chan struct{}) {
+	simulated := simulator.NewDeployment(nil, nil, nil, 0, time.Second, time.Second)
 	state := simulated.KVStoreHandler()
 	received, proceed = make(chan struct{}, 16), make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -37,13 +38,13 @@
 	}))
 	t.Cleanup(srv.Close)
 	c = newTestController(t)
-	c.store = store.New(srv.Listener.Addr().String(), 1000)
-	return c, store.New(srv.Listener.Addr().String(), 1000), received, proceed
+	c.store = kvstore.New(srv.Listener.Addr().String(), 1000)
+	return c, kvstore.New(srv.Listener.Addr().String(), 1000), received, proceed
 }
 
-func commitOps(t *testing.T, client *store.Client, ops ...wire.Op) {
+func commitOps(t *testing.T, client *kvstore.Client, ops ...wire.Op) {
 	t.Helper()
-	if _, _, err := client.Commit(context.Background(), store.PriorityLeader, wire.Txn{Then: ops}); err != nil {
+	if _, _, err := client.Commit(context.Background(), kvstore.PriorityLeader, wire.Txn{Then: ops}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -53,7 +54,7 @@
 // does: that it was absent holds no longer.
 func TestAbsentJobNotCachedAcrossReplicaReset(t *testing.T) {
 	const id = "run-000001"
-	c, client, received, proceed := newControllerWithStore(t, func(r *http.Request) bool { return strings.HasSuffix(r.URL.Path, store.EndedJobKey(id)) })
+	c, client, received, proceed := newControllerWithStore(t, func(r *http.Request) bool { return strings.HasSuffix(r.URL.Path, records.EndedJobKey(id)) })
 	ctx := context.Background()
 	if _, err := c.refresh(ctx); err != nil {
 		t.Fatal(err)
@@ -61,8 +62,8 @@
 	early := make(chan Answer)
 	go func() { early <- c.Query(ctx, id, true) }()
 	<-received
-	commitOps(t, client, wire.Op{Set: store.JobKey(id), Value: store.Job{Job: wire.Job{ID: id, Tasks: 1}}})
-	commitOps(t, client, wire.Op{Delete: store.JobKey(id)}, wire.Op{Set: store.EndedJobKey(id), Value: store.EndedJob{State: wire.JobDone, Done: 1, Tasks: 1}})
+	commitOps(t, client, wire.Op{Set: records.JobKey(id), Value: records.Job{Job: wire.Job{ID: id, Tasks: 1}}})
+	commitOps(t, client, wire.Op{Delete: records.JobKey(id)}, wire.Op{Set: records.EndedJobKey(id), Value: records.EndedJob{State: wire.JobDone, Done: 1, Tasks: 1}})
 	if err := c.reloadJobs(ctx); err != nil {
 		t.Fatal(err)
 	}
@@ -79,7 +80,7 @@
 	var held atomic.Bool
 	c, client, received, proceed := newControllerWithStore(t, func(r *http.Request) bool { return held.Load() && r.URL.Path == "/kv" })
 	ctx := context.Background()
-	commitOps(t, client, wire.Op{Set: store.JobKey(id), Value: store.Job{Job: wire.Job{ID: id, Tasks: 1}}})
+	commitOps(t, client, wire.Op{Set: records.JobKey(id), Value: records.Job{Job: wire.Job{ID: id, Tasks: 1}}})
 	if _, err := c.refresh(ctx); err != nil {
 		t.Fatal(err)
 	}
@@ -87,7 +88,7 @@
 	done := make(chan error)
 	go func() { done <- c.reloadJobs(ctx) }()
 	<-received
-	commitOps(t, client, wire.Op{Set: store.JobKey(id), Value: store.Job{Job: wire.Job{ID: id, Tasks: 1}, Cancelled: true}})
+	commitOps(t, client, wire.Op{Set: records.JobKey(id), Value: records.Job{Job: wire.Job{ID: id, Tasks: 1}, Cancelled: true}})
 	if a := c.Query(ctx, id, true); a.Status != http.StatusOK || a.View.State != wire.JobCancelled {
 		t.Errorf("a cancelled job: %+v", a)
 	}
@@ -105,7 +106,7 @@
 	const id = "run-000001"
 	c, client, _, _ := newControllerWithStore(t, func(*http.Request) bool { return false })
 	ctx := context.Background()
-	commitOps(t, client, wire.Op{Set: store.JobKey(id), Value: store.Job{Job: wire.Job{ID: id, Tasks: 1}}})
+	commitOps(t, client, wire.Op{Set: records.JobKey(id), Value: records.Job{Job: wire.Job{ID: id, Tasks: 1}}})
 	if _, err := c.refresh(ctx); err != nil {
 		t.Fatal(err)
 	}
@@ -114,7 +115,7 @@
 	stale := &refreshCall{done: make(chan struct{}), answeredAt: time.Now().Add(-2 * tuning.MaxAnswerAge)}
 	close(stale.done)
 	c.next, c.active = stale, true
-	commitOps(t, client, wire.Op{Set: store.JobKey(id), Value: store.Job{Job: wire.Job{ID: id, Tasks: 1}, Cancelled: true}})
+	commitOps(t, client, wire.Op{Set: records.JobKey(id), Value: records.Job{Job: wire.Job{ID: id, Tasks: 1}, Cancelled: true}})
 	time.AfterFunc(20*time.Millisecond, func() {
 		c.syncMu.Lock()
 		defer c.syncMu.Unlock()
@@ -136,7 +137,7 @@
 	var status atomic.Int64
 	asked := make(chan struct{}, 1)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		b, err := wire.Marshal(mesh.ForwardReply{Status: int(status.Load()), Error: "no"})
+		b, err := wire.Marshal(peer.ForwardReply{Status: int(status.Load()), Error: "no"})
 		if err != nil {
 			t.Error(err)
 		}
@@ -147,7 +148,7 @@
 	c.peers["drover-1"] = &peerState{Peer: config.Peer{Name: "drover-1", Addr: srv.Listener.Addr().String()}, lastHeardAt: time.Now()}
 	for _, refusal := range []int{http.StatusUnprocessableEntity, http.StatusBadRequest, http.StatusNotFound} {
 		status.Store(int64(refusal))
-		b, err := standin.EncodeSubmission(&wire.Job{ID: id, Class: "c", Team: "crew", Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i"})
+		b, err := simulator.EncodeSubmission(&wire.Job{ID: id, Class: "c", Team: "crew", Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i"})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/node/replica.go
+++ b/internal/controller/replication.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -6,8 +6,9 @@
 	"time"
 
 	"github.com/yarrowgap/yarrowgap/internal/config"
-	"github.com/yarrowgap/yarrowgap/internal/core"
-	"github.com/yarrowgap/yarrowgap/internal/store"
+	"github.com/yarrowgap/yarrowgap/internal/kvstore"
+	"github.com/yarrowgap/yarrowgap/internal/records"
+	"github.com/yarrowgap/yarrowgap/internal/scheduler"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
@@ -78,8 +79,8 @@
 		return c.reloadJobs(ctx)
 	}
 	sentAt := time.Now()
-	changes, err := c.store.Watch(ctx, store.PriorityUser, store.JobsPrefix, from, 0)
-	if errors.Is(err, store.ErrCompacted) {
+	changes, err := c.store.Watch(ctx, kvstore.PriorityUser, records.JobsPrefix, from, 0)
+	if errors.Is(err, kvstore.ErrCompacted) {
 		return c.reloadJobs(ctx)
 	}
 	if err != nil {
@@ -104,15 +105,15 @@
 }
 
 // watchJobs keeps the leader's picture of the jobs fresh.
-func (c *Controller) watchJobs(ctx context.Context, sched *core.Scheduler) {
+func (c *Controller) watchJobs(ctx context.Context, sched *scheduler.Scheduler) {
 	for ctx.Err() == nil {
 		c.mu.Lock()
 		from := c.replica.Revision
 		c.mu.Unlock()
 		sentAt := time.Now()
-		changes, err := c.store.Watch(ctx, store.PriorityLeader, store.JobsPrefix, from, tuning.WatchTimeout)
+		changes, err := c.store.Watch(ctx, kvstore.PriorityLeader, records.JobsPrefix, from, tuning.WatchTimeout)
 		switch {
-		case errors.Is(err, store.ErrCompacted):
+		case errors.Is(err, kvstore.ErrCompacted):
 			c.reloadJobs(ctx)
 		case err != nil:
 			c.logCallFailure("watch", err)
@@ -143,7 +144,7 @@
 // reloadJobs reads all live jobs again.
 func (c *Controller) reloadJobs(ctx context.Context) error {
 	sentAt := time.Now()
-	items, revision, err := c.store.RangeAll(ctx, store.PriorityUser, store.LiveJobPrefix)
+	items, revision, err := c.store.RangeAll(ctx, kvstore.PriorityUser, records.LiveJobPrefix)
 	if err != nil {
 		return err
 	}
--- a/internal/node/submissions.go
+++ b/internal/controller/submit.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -6,8 +6,9 @@
 	"net/http"
 	"time"
 
-	"github.com/yarrowgap/yarrowgap/internal/mesh"
-	"github.com/yarrowgap/yarrowgap/internal/store"
+	"github.com/yarrowgap/yarrowgap/internal/kvstore"
+	"github.com/yarrowgap/yarrowgap/internal/peer"
+	"github.com/yarrowgap/yarrowgap/internal/records"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
@@ -27,7 +28,7 @@
 	}()
 	ctx, cancel := context.WithTimeout(ctx, tuning.SubmissionTimeout)
 	defer cancel()
-	forwardRequest := mesh.ForwardRequest{Kind: mesh.KindSubmit, Body: mesh.EncodeBytes(body)}
+	forwardRequest := peer.ForwardRequest{Kind: peer.KindSubmit, Body: peer.EncodeBytes(body)}
 	job, err := wire.ParseJob(body)
 	if err != nil {
 		refusal := refuse(http.StatusBadRequest, err.Error())
@@ -45,21 +46,21 @@
 		return c.refuseUnlessKnown(ctx, job.ID, refusal, forwardRequest, forwarded)
 	}
 	job.CreatedAtMilli = time.Now().UnixMilli()
-	record := store.Job{Job: *job}
+	record := records.Job{Job: *job}
 	if float64(wire.JSONSize(record)) > c.cfg.Deployment.State.ValueKB*1024*(1-tuning.ValueSizeMargin)-float64(tuning.TasksPerBitmap)/6 {
 		//mutation:long-submission-of-known-job
 		return c.refuseUnlessKnown(ctx, job.ID, refuse(http.StatusBadRequest, "the job's description is too long"), forwardRequest, forwarded)
 	}
 	txn := wire.Txn{
 		//mutation:submission-conditions
-		If:   []wire.Compare{{Key: store.JobKey(job.ID)}, {Key: store.EndedJobKey(job.ID)}},
-		Then: []wire.Op{{Set: store.JobKey(job.ID), Value: record}},
+		If:   []wire.Compare{{Key: records.JobKey(job.ID)}, {Key: records.EndedJobKey(job.ID)}},
+		Then: []wire.Op{{Set: records.JobKey(job.ID), Value: record}},
 	}
 	repeated := false // an earlier try, here or at a peer, may have been carried out
 	type outcome struct{ err error }
 	committed := make(chan outcome, 1)
 	commit := func() {
-		_, _, err := c.store.Commit(ctx, store.PriorityUser, txn)
+		_, _, err := c.store.Commit(ctx, kvstore.PriorityUser, txn)
 		committed <- outcome{err}
 	}
 	go commit()
@@ -86,7 +87,7 @@
 		select {
 		case result := <-committed:
 			err = result.err
-			if !errors.Is(err, store.ErrOutcomeUnknown) {
+			if !errors.Is(err, kvstore.ErrOutcomeUnknown) {
 				waiting = false
 				break
 			}
@@ -107,7 +108,7 @@
 	switch {
 	case err == nil:
 		return Answer{Status: http.StatusCreated, State: &wire.JobStateReply{ID: job.ID, State: wire.JobPending}}
-	case errors.Is(err, store.ErrConflict):
+	case errors.Is(err, kvstore.ErrConflict):
 		view, found, err := c.lookUpJob(ctx, job.ID)
 		if err != nil || !found {
 			return c.forwardOrRefuse(forwarded, forwardRequest, errors.Join(err, errors.New("known, state not read")))
@@ -125,7 +126,7 @@
 // repeated submission is answered with the job's state, even if the body has changed for
 // the worse. Where it cannot be told now whether the job is known, nothing is refused for
 // good: users do not retry after 400 and 422, and an accepted job would be forgotten.
-func (c *Controller) refuseUnlessKnown(ctx context.Context, id string, refusal Answer, forwardRequest mesh.ForwardRequest, forwarded bool) Answer {
+func (c *Controller) refuseUnlessKnown(ctx context.Context, id string, refusal Answer, forwardRequest peer.ForwardRequest, forwarded bool) Answer {
 	view, found, err := c.lookUpJob(ctx, id)
 	switch {
 	//mutation:refusal-needs-read
--- a/internal/node/views.go
+++ b/internal/controller/views.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"github.com/yarrowgap/yarrowgap/internal/core"
-	"github.com/yarrowgap/yarrowgap/internal/recovery"
+	"github.com/yarrowgap/yarrowgap/internal/reconcile"
+	"github.com/yarrowgap/yarrowgap/internal/scheduler"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
@@ -29,7 +29,7 @@
 }
 
 // queryScheduler runs f on the leader's state; ok is false where this node does not lead.
-func queryScheduler[T any](c *Controller, read func(*core.Scheduler, core.Now) T) (out T, ok bool) {
+func queryScheduler[T any](c *Controller, read func(*scheduler.Scheduler, scheduler.Now) T) (out T, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.leader == nil {
@@ -39,15 +39,17 @@
 }
 
 // MachinesView lists machines.
-func (c *Controller) MachinesView(from string, most int) ([]core.MachineView, bool) {
-	return queryScheduler(c, func(sched *core.Scheduler, now core.Now) []core.MachineView { return sched.Machines(now, from, most) })
+func (c *Controller) MachinesView(from string, most int) ([]scheduler.MachineView, bool) {
+	return queryScheduler(c, func(sched *scheduler.Scheduler, now scheduler.Now) []scheduler.MachineView {
+		return sched.Machines(now, from, most)
+	})
 }
 
 // JobView describes a job: in full while it is live and this node leads, else
 // by what is remembered of it. found is false for a job that nobody submitted;
 // an error says that it cannot be told here and now.
-func (c *Controller) JobView(ctx context.Context, id string) (detail *core.JobDetail, found bool, err error) {
-	detail, _ = queryScheduler(c, func(sched *core.Scheduler, now core.Now) *core.JobDetail { return sched.Job(now, id) })
+func (c *Controller) JobView(ctx context.Context, id string) (detail *scheduler.JobDetail, found bool, err error) {
+	detail, _ = queryScheduler(c, func(sched *scheduler.Scheduler, now scheduler.Now) *scheduler.JobDetail { return sched.Job(now, id) })
 	if detail != nil {
 		return detail, true, nil
 	}
@@ -57,17 +59,21 @@
 	if err != nil || !found {
 		return nil, found, err
 	}
-	return &core.JobDetail{ID: id, State: view.State, Done: view.Done, Running: view.Running, Attempts: []core.TaskView{}}, true, nil
+	return &scheduler.JobDetail{ID: id, State: view.State, Done: view.Done, Running: view.Running, Attempts: []scheduler.TaskView{}}, true, nil
 }
 
 // WaitingView lists jobs that wait, with the reason.
-func (c *Controller) WaitingView(from string, most int) ([]core.JobDetail, bool) {
-	return queryScheduler(c, func(sched *core.Scheduler, now core.Now) []core.JobDetail { return sched.Waiting(now, from, most) })
+func (c *Controller) WaitingView(from string, most int) ([]scheduler.JobDetail, bool) {
+	return queryScheduler(c, func(sched *scheduler.Scheduler, now scheduler.Now) []scheduler.JobDetail {
+		return sched.Waiting(now, from, most)
+	})
 }
 
 // FailuresView lists failed attempts of this term, the newest first.
-func (c *Controller) FailuresView(skip, most int) ([]core.Failure, bool) {
-	return queryScheduler(c, func(sched *core.Scheduler, now core.Now) []core.Failure { return sched.Failures(skip, most) })
+func (c *Controller) FailuresView(skip, most int) ([]scheduler.Failure, bool) {
+	return queryScheduler(c, func(sched *scheduler.Scheduler, now scheduler.Now) []scheduler.Failure {
+		return sched.Failures(skip, most)
+	})
 }
 
 // ErrNoRecovery says that there has been no recovery to show, as far as the node knows.
@@ -75,7 +81,7 @@
 
 // RecoveryView describes the recovery of the present term. ok is false where this node
 // does not lead; the error says that nobody has led yet.
-func (c *Controller) RecoveryView() (status recovery.Status, ok bool, err error) {
+func (c *Controller) RecoveryView() (status reconcile.Status, ok bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
@@ -86,12 +92,12 @@
 	case c.loadingSince.IsZero():
 		return status, false, nil
 	}
-	return recovery.Status{Phase: recovery.Loading.String(), Enabled: c.policy.ReconcileRestarts, AgeS: time.Since(c.loadingSince).Seconds()}, true, nil
+	return reconcile.Status{Phase: reconcile.Loading.String(), Enabled: c.policy.ReconcileRestarts, AgeS: time.Since(c.loadingSince).Seconds()}, true, nil
 }
 
 // DifferencesView lists what the recovery of the present term found.
-func (c *Controller) DifferencesView(class recovery.Class, skip, most int) ([]recovery.DifferenceView, bool) {
-	return queryScheduler(c, func(sched *core.Scheduler, _ core.Now) []recovery.DifferenceView {
+func (c *Controller) DifferencesView(class reconcile.Class, skip, most int) ([]reconcile.DifferenceView, bool) {
+	return queryScheduler(c, func(sched *scheduler.Scheduler, _ scheduler.Now) []reconcile.DifferenceView {
 		return sched.ReconciliationDifferences(class, skip, most)
 	})
 }
--- a/internal/httpd/server.go
+++ b/internal/httpserver/server.go
@@ -6,7 +6,7 @@
 // with one write. It also bounds how many requests are worked on at once. What else has
 // arrived waits outside the scheduler's queue, so that the process's own timers and calls
 // are not held up by it. Requests are parsed by net/http.
-package httpd
+package httpserver
 
 import (
 	"context"
--- a/internal/httpd/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -1,4 +1,4 @@
-package httpd
+package httpserver
 
 import (
 	"bufio"
--- a/internal/store/client.go
+++ b/internal/kvstore/client.go
@@ -1,6 +1,6 @@
 // Package store is the client of the state service, and holds the formats of
 // the records kept there.
-package store
+package kvstore
 
 import (
 	"context"
--- a/internal/store/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -1,4 +1,4 @@
-package store
+package kvstore
 
 import (
 	"context"
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"github.com/yarrowgap/yarrowgap/internal/records"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
@@ -19,7 +20,7 @@
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(big)) }))
 	defer srv.Close()
 	client := New(srv.Listener.Addr().String(), 100)
-	if _, err := client.Watch(context.Background(), PriorityLeader, JobsPrefix, 1, 0); !errors.Is(err, ErrCompacted) {
+	if _, err := client.Watch(context.Background(), PriorityLeader, records.JobsPrefix, 1, 0); !errors.Is(err, ErrCompacted) {
 		t.Errorf("an answer over the limit: %v", err)
 	}
 }
--- a/internal/guards/faults_test.go
+++ b/internal/mutation/faults_test.go
@@ -6,20 +6,20 @@
 		scenario: "a deletion is delayed while its machine runs on, and jobs there are cancelled",
 		marker:   "stops-while-releasing",
 		operator: remove(),
-		test:     "internal/core:^TestCancellationDuringDelayedReleaseOfHungMachine$",
+		test:     "internal/scheduler:^TestCancellationDuringDelayedReleaseOfHungMachine$",
 	},
 	{
 		scenario: "machines hang past their lease, and their deletion is delayed",
 		marker:   "release-needs-proof",
 		// The mutation takes a call without an answer for an answer; the two are values of one type.
 		operator: replaceExpr("res == ReleaseRefused"),
-		test:     "internal/core:^TestTasksOfHungMachinesRestartOnlyAfterProof$",
+		test:     "internal/scheduler:^TestTasksOfHungMachinesRestartOnlyAfterProof$",
 	},
 	{
 		scenario: "a provisioning request without an answer is carried out late, and its machines never come up",
 		marker:   "release-machine-that-never-came-up",
 		operator: replace(`""`),
-		test:     "internal/core:^TestUnexpectedMachinesAreAdoptedOrReleased$",
+		test:     "internal/scheduler:^TestUnexpectedMachinesAreAdoptedOrReleased$",
 	},
 	{
 		scenario: "a malformed retry of an accepted submission comes while the key-value store refuses",
@@ -38,6 +38,6 @@
 		scenario: "one-task jobs arrive four a second and are cancelled as they start",
 		marker:   "stop-is-sent-at-once",
 		operator: remove(),
-		test:     "internal/core:^TestNoStartAfterConfirmedCancellation$",
+		test:     "internal/scheduler:^TestNoStartAfterConfirmedCancellation$",
 	},
 }
--- a/internal/guards/heartbeat_test.go
+++ b/internal/mutation/heartbeat_test.go
@@ -2,9 +2,9 @@
 
 // Tests that several rows name.
 const (
-	heartbeatFaults = "internal/core:^TestCombinedMessageFaults$/"
-	absenceTest     = "internal/core:^TestEachConditionDefeatsProofOfAbsence$"
-	unexpectedTest  = "internal/core:^TestUnexpectedMachineIsAdopted$"
+	heartbeatFaults = "internal/scheduler:^TestCombinedMessageFaults$/"
+	absenceTest     = "internal/scheduler:^TestEachConditionDefeatsProofOfAbsence$"
+	unexpectedTest  = "internal/scheduler:^TestUnexpectedMachineIsAdopted$"
 )
 
 // heartbeatMutations are those of what heartbeats prove, of commands in flight, and of
@@ -32,13 +32,13 @@
 		scenario: "a duplicate heartbeat is the first that a new leader receives from a machine",
 		marker:   "confirm-only-own-new-machines",
 		operator: dropOperands(5, 4),
-		test:     "internal/core:^TestDuplicateLateHeartbeatsAreIgnored$",
+		test:     "internal/scheduler:^TestDuplicateLateHeartbeatsAreIgnored$",
 	},
 	{
 		scenario: "a duplicate heartbeat comes from a machine that was released",
 		marker:   "heartbeat-of-released-machine",
 		operator: setCondition(false),
-		test:     "internal/core:^TestDuplicateLateHeartbeatsAreIgnored$",
+		test:     "internal/scheduler:^TestDuplicateLateHeartbeatsAreIgnored$",
 	},
 	{
 		scenario: "a direct reply is delayed and newer heartbeats overtake it",
@@ -62,7 +62,7 @@
 		scenario: "a start that is still in flight is stopped",
 		marker:   "stop-raises-fencing-token",
 		operator: remove(),
-		test:     "internal/core:^TestDelayedStartIsFencedAfterStop$",
+		test:     "internal/scheduler:^TestDelayedStartIsFencedAfterStop$",
 	},
 	{
 		scenario: "a heartbeat carries a fencing token below the one the start needs",
@@ -92,7 +92,7 @@
 		scenario: "a new attempt meets an ended one of its task",
 		marker:   "start-after-forget",
 		operator: setCondition(false),
-		test:     "internal/core:^TestNoDispatchBesideEndedAttempt$",
+		test:     "internal/scheduler:^TestNoDispatchBesideEndedAttempt$",
 	},
 	{
 		scenario: "machines get work at once while writes lag, and the leader fails",
@@ -116,13 +116,13 @@
 		scenario: "a one-way partition: a machine's heartbeats arrive, and no command reaches it",
 		marker:   "unacknowledged-start-marks-unreachable",
 		operator: remove(),
-		test:     "internal/core:^TestUnreachableMachineGetsNoWorkAndIsReleased$",
+		test:     "internal/scheduler:^TestUnreachableMachineGetsNoWorkAndIsReleased$",
 	},
 	{
 		scenario: "an incarnation ends by lease expiry although its heartbeats were answered",
 		marker:   "lost-incarnation-marks-unreachable",
 		operator: remove(),
-		test:     "internal/core:^TestLeaseExpiryDespiteRepliesMarksMachineUnreachable$",
+		test:     "internal/scheduler:^TestLeaseExpiryDespiteRepliesMarksMachineUnreachable$",
 	},
 	{
 		scenario: "workers open no connections, and the leader fails",
@@ -146,26 +146,26 @@
 		scenario: "machines open no connections, and only status probes tell of them",
 		marker:   "status-probe-when-overdue",
 		operator: setCondition(false),
-		test:     "internal/core:^TestMachineWithoutHeartbeatsIsDrivenByStatusProbes$",
+		test:     "internal/scheduler:^TestMachineWithoutHeartbeatsIsDrivenByStatusProbes$",
 	},
 	{
 		scenario: "machines open no connections, and answer direct calls",
 		marker:   "direct-reply-counts-as-heartbeat",
 		operator: removeStatements(2),
-		test:     "internal/core:^TestMachineWithoutHeartbeatsIsDrivenByStatusProbes$",
+		test:     "internal/scheduler:^TestMachineWithoutHeartbeatsIsDrivenByStatusProbes$",
 	},
 	{
 		scenario: "a done task is listed again and again while its job's other tasks run",
 		marker:   "done-counted-once",
 		operator: dropOperands(3, 1),
-		test:     "internal/core:^TestSpreadCompletionsSurviveFailovers$",
+		test:     "internal/scheduler:^TestSpreadCompletionsSurviveFailovers$",
 	},
 	{
 		scenario: "a leader fails between a task's end and the write of it",
 		marker:   "forget-after-durable-end",
 		// The mutation confuses two sets of the same type, what is durable and what is done.
 		operator: replaceName("saved", "done"),
-		test:     "internal/core:^TestSpreadCompletionsSurviveFailovers$",
+		test:     "internal/scheduler:^TestSpreadCompletionsSurviveFailovers$",
 	},
 	{
 		scenario: "an unexpected machine runs a task of a cancelled job",
@@ -195,18 +195,18 @@
 		scenario: "another machine answers at a machine's address",
 		marker:   "direct-reply-of-another-machine",
 		operator: setCondition(false),
-		test:     "internal/core:^TestReplyFromReusedAddressIsIgnored$",
+		test:     "internal/scheduler:^TestReplyFromReusedAddressIsIgnored$",
 	},
 	{
 		scenario: "a heartbeat under a later leader's fencing token reaches an earlier leader",
 		marker:   "resign-on-higher-fencing-token",
 		operator: remove(),
-		test:     "internal/core:^TestHigherFencingTokenEndsLeadership$",
+		test:     "internal/scheduler:^TestHigherFencingTokenEndsLeadership$",
 	},
 	{
 		scenario: "a worker sends an absurd fencing token",
 		marker:   "ignore-absurd-fencing-token",
 		operator: setCondition(false),
-		test:     "internal/core:^TestHigherFencingTokenEndsLeadership$",
+		test:     "internal/scheduler:^TestHigherFencingTokenEndsLeadership$",
 	},
 }
--- a/internal/guards/load_test.go
+++ b/internal/mutation/load_test.go
@@ -2,7 +2,7 @@
 
 // Tests that several rows name.
 const (
-	probeBudgetTest = "internal/core:^TestStatusProbesAreSpacedByCPUShare$"
+	probeBudgetTest = "internal/scheduler:^TestStatusProbesAreSpacedByCPUShare$"
 )
 
 // loadMutations are those of a failover's load: the leader's lease that outlasts it, and what
@@ -12,13 +12,13 @@
 		scenario: "all workers come to a new leader whose processor share is small",
 		marker:   "leader-lease-by-share",
 		operator: keepArgument(0, 2),
-		test:     "internal/node:^TestLeaderLeaseGrowsAsCPUShareShrinks$",
+		test:     "internal/controller:^TestLeaderLeaseGrowsAsCPUShareShrinks$",
 	},
 	{
 		scenario: "two leaders fail soon after each other, and the workers' leases are short",
 		marker:   "leader-lease-bound",
 		operator: keepArgument(0, 2),
-		test:     "internal/node:^TestLeaderLeaseGrowsAsCPUShareShrinks$",
+		test:     "internal/controller:^TestLeaderLeaseGrowsAsCPUShareShrinks$",
 	},
 	{
 		scenario: "a new leader with a small processor share probes thousands of machines",
@@ -36,7 +36,7 @@
 		scenario: "a worker that is about to send a heartbeat is probed as well",
 		marker:   "no-status-probe-before-heartbeat",
 		operator: replace("false"),
-		test:     "internal/core:^TestNoStatusProbeWhereHeartbeatIsExpectedSoon$",
+		test:     "internal/scheduler:^TestNoStatusProbeWhereHeartbeatIsExpectedSoon$",
 	},
 	{
 		scenario: "more connections come than sockets or memory hold",
@@ -54,18 +54,18 @@
 		scenario: "hundreds of heartbeats arrive at once, and the leader's lease is to be renewed",
 		marker:   "request-slots",
 		operator: setCondition(true),
-		test:     "internal/httpd:^TestConcurrentRequestLimit$",
+		test:     "internal/httpserver:^TestConcurrentRequestLimit$",
 	},
 	{
 		scenario: "a request's header does not end",
 		marker:   "header-size-limit",
 		operator: replace("1 << 30"),
-		test:     "internal/httpd:^TestConnectionReuse$/a_head_without_end",
+		test:     "internal/httpserver:^TestConnectionReuse$/a_head_without_end",
 	},
 	{
 		scenario: "a refused client still sends its body, and a reset overtakes the reply",
 		marker:   "linger-after-refusal",
 		operator: setCondition(false),
-		test:     "internal/httpd:^TestRejectionOfLargeBodyIsDelivered$",
+		test:     "internal/httpserver:^TestRejectionOfLargeBodyIsDelivered$",
 	},
 }
--- a/internal/mesh/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -1,18 +1,18 @@
-package mesh_test
+package peer_test
 
 import (
 	"testing"
 
 	"github.com/yarrowgap/yarrowgap/internal/golden"
-	"github.com/yarrowgap/yarrowgap/internal/mesh"
+	"github.com/yarrowgap/yarrowgap/internal/peer"
 )
 
 func TestMessageEncodingsMatchGoldenFiles(t *testing.T) {
 	messages := map[string]any{
-		"ping":          &mesh.Ping{},
-		"ping-reply":    &mesh.Pong{},
-		"forward":       &mesh.ForwardRequest{},
-		"forward-reply": &mesh.ForwardReply{},
+		"ping":          &peer.Ping{},
+		"ping-reply":    &peer.Pong{},
+		"forward":       &peer.ForwardRequest{},
+		"forward-reply": &peer.ForwardReply{},
 	}
 	var all []any
 	for name, message := range messages {
@@ -26,8 +26,8 @@
 // of bytes.
 func TestWordsOfTheProtocolMatchGoldenFile(t *testing.T) {
 	golden.CheckLines(t, "words.txt",
-		mesh.PingPath, mesh.ForwardPath, mesh.WatchProcessPath,
-		mesh.KindSubmit, mesh.KindQuery, mesh.KindCancel,
-		mesh.EncodeBytes([]byte{0x00, 'a', 0x7f, 0x80, 0xff}),
+		peer.PingPath, peer.ForwardPath, peer.WatchProcessPath,
+		peer.KindSubmit, peer.KindQuery, peer.KindCancel,
+		peer.EncodeBytes([]byte{0x00, 'a', 0x7f, 0x80, 0xff}),
 	)
 }
--- a/internal/mesh/mesh.go
+++ b/internal/peer/peer.go
@@ -1,6 +1,6 @@
 // Package mesh is what the controller nodes say to each other, in CBOR: pings
 // that carry who leads, and users' requests that a node cannot serve itself.
-package mesh
+package peer
 
 import (
 	"context"
--- a/internal/recovery/class.go
+++ b/internal/reconcile/classify.go
@@ -1,4 +1,4 @@
-package recovery
+package reconcile
 
 // Class is the one class that an attempt from before the term falls into.
 type Class uint8
--- a/internal/recovery/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -2,7 +2,7 @@
 // machines report, and holds back what would only be needed if unheard machines were
 // gone. It is a state machine without I/O, clock or goroutines, like package core, whose
 // leader consults it. docs/recovery.md has the ways that were weighed.
-package recovery
+package reconcile
 
 import (
 	"slices"
--- a/internal/recovery/status.go
+++ b/internal/reconcile/status.go
@@ -1,4 +1,4 @@
-package recovery
+package reconcile
 
 import "time"
 
--- a/internal/store/golden_test.go
+++ b/internal/records/golden_test.go
@@ -1,10 +1,10 @@
-package store_test
+package records_test
 
 import (
 	"testing"
 
 	"github.com/yarrowgap/yarrowgap/internal/golden"
-	"github.com/yarrowgap/yarrowgap/internal/store"
+	"github.com/yarrowgap/yarrowgap/internal/records"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
@@ -12,14 +12,14 @@
 // earlier version has stored stays readable.
 func TestRecordEncodingsMatchGoldenFiles(t *testing.T) {
 	records := map[string]any{
-		"leader":        &store.Leader{},
-		"live-job":      &store.Job{},
-		"ended-job":     &store.EndedJob{},
-		"done-bits":     &store.BitmapChunk{},
-		"batch":         &store.Batch{},
-		"batch-machine": &store.BatchMachine{},
-		"machine":       &store.LegacyMachine{}, // the layout before batches
-		"machine-task":  &store.AssignedTask{},
+		"leader":        &records.Leader{},
+		"live-job":      &records.Job{},
+		"ended-job":     &records.EndedJob{},
+		"done-bits":     &records.BitmapChunk{},
+		"batch":         &records.Batch{},
+		"batch-machine": &records.BatchMachine{},
+		"machine":       &records.LegacyMachine{}, // the layout before batches
+		"machine-task":  &records.AssignedTask{},
 		"machine-type":  &wire.MachineType{},
 	}
 	var all []any
@@ -34,16 +34,16 @@
 func TestKeysMatchGoldenFile(t *testing.T) {
 	const job = "run-000412"
 	golden.CheckLines(t, "keys.txt",
-		store.JobsPrefix, store.LiveJobPrefix, store.EndedJobPrefix, store.BitmapPrefix, store.BatchPrefix,
-		store.LegacyMachinePrefix, store.LeaderKey, store.LeaderPrefix, store.MachineTypePrefix,
-		store.JobKey(job), store.EndedJobKey(job), store.BitmapKey(job, 3),
-		store.LegacyMachineKey("machine-7"), store.BatchKey(5, 11),
+		records.JobsPrefix, records.LiveJobPrefix, records.EndedJobPrefix, records.BitmapPrefix, records.BatchPrefix,
+		records.LegacyMachinePrefix, records.LeaderKey, records.LeaderPrefix, records.MachineTypePrefix,
+		records.JobKey(job), records.EndedJobKey(job), records.BitmapKey(job, 3),
+		records.LegacyMachineKey("machine-7"), records.BatchKey(5, 11),
 	)
 }
 
 // TestBitmapEncodingMatchesGoldenFile covers the text form of both chunks of a set.
 func TestBitmapEncodingMatchesGoldenFile(t *testing.T) {
-	done := store.NewBitmap(wire.MaxTasks)
+	done := records.NewBitmap(wire.MaxTasks)
 	for task := 0; task < wire.MaxTasks; task += 4999 {
 		done.Add(task)
 	}
--- a/internal/store/records.go
+++ b/internal/records/records.go
@@ -1,4 +1,4 @@
-package store
+package records
 
 import (
 	"encoding/base64"
--- a/internal/store/records_test.go
+++ b/internal/records/records_test.go
@@ -1,4 +1,4 @@
-package store_test
+package records_test
 
 import (
 	"os"
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 
 	"github.com/yarrowgap/yarrowgap/internal/fixedseed"
-	"github.com/yarrowgap/yarrowgap/internal/store"
+	"github.com/yarrowgap/yarrowgap/internal/records"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
@@ -17,14 +17,14 @@
 func TestBitmapChunksRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, wire.MaxTasks).Draw(t, "tasks")
-		b := store.NewBitmap(n)
+		b := records.NewBitmap(n)
 		set := rapid.SliceOfN(rapid.IntRange(0, n-1), 0, 200).Draw(t, "done")
 		want := map[int]bool{}
 		for _, i := range set {
 			b.Add(i)
 			want[i] = true
 		}
-		got := store.NewBitmap(n)
+		got := records.NewBitmap(n)
 		for k := 0; k < b.ChunkCount(); k++ {
 			s := b.EncodeChunk(k)
 			if len(s) > 1500 {
@@ -47,16 +47,16 @@
 
 // A record that does not fit its job is refused, not trusted.
 func TestDecodingRejectsInconsistentRecords(t *testing.T) {
-	big := store.NewBitmap(5000)
+	big := records.NewBitmap(5000)
 	big.Add(4999)
-	small := store.NewBitmap(16)
+	small := records.NewBitmap(16)
 	if err := small.MergeChunk(0, big.EncodeChunk(0)); err == nil {
 		t.Error("a bitmap of 5000 tasks was merged into one of 16")
 	}
 	if err := small.MergeChunk(0, "not base64!"); err == nil {
 		t.Error("what is not base64 was merged")
 	}
-	if _, err := store.DecodeJob(wire.KeyValue{Key: store.JobKey("run-000001"), Value: wire.Raw{0xa0}}); err == nil {
+	if _, err := records.DecodeJob(wire.KeyValue{Key: records.JobKey("run-000001"), Value: wire.Raw{0xa0}}); err == nil {
 		t.Error("an empty job record was accepted")
 	}
 }
--- a/internal/restartsim/fleet.go
+++ b/internal/restartsim/cluster.go
@@ -9,11 +9,11 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/yarrowgap/yarrowgap/internal/core"
 	"github.com/yarrowgap/yarrowgap/internal/eventqueue"
 	"github.com/yarrowgap/yarrowgap/internal/policy"
-	"github.com/yarrowgap/yarrowgap/internal/standin"
-	"github.com/yarrowgap/yarrowgap/internal/store"
+	"github.com/yarrowgap/yarrowgap/internal/records"
+	"github.com/yarrowgap/yarrowgap/internal/scheduler"
+	"github.com/yarrowgap/yarrowgap/internal/simulator"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
@@ -36,7 +36,7 @@
 
 // machine is a stand-in machine and what it went through.
 type machine struct {
-	*standin.Worker
+	*simulator.Worker
 	provisionedAt    time.Duration
 	bootedAt         time.Duration
 	terminated       bool
@@ -50,16 +50,16 @@
 	events eventqueue.Queue
 	random *rand.Rand
 
-	settings             core.Settings
+	settings             scheduler.Settings
 	types                []wire.MachineType
-	kvStore              *standin.KVStore
-	checker              *standin.RuleChecker
+	kvStore              *simulator.KVStore
+	checker              *simulator.RuleChecker
 	machines             map[string]*machine
 	machineNames         []string
 	provisionedByRequest map[string][]string
 
-	scheduler *core.Scheduler
-	replica   *core.Replica
+	scheduler *scheduler.Scheduler
+	replica   *scheduler.Replica
 	counts    counts
 }
 
@@ -79,21 +79,21 @@
 func teamName(i int) string { return fmt.Sprintf("team-%d", i%teamCount) }
 
 func newCluster(plan Plan) *cluster {
-	f := &cluster{random: rand.New(rand.NewPCG(plan.Seed, 3)), kvStore: standin.NewKVStore(12, 10000),
+	f := &cluster{random: rand.New(rand.NewPCG(plan.Seed, 3)), kvStore: simulator.NewKVStore(12, 10000),
 		machines: map[string]*machine{}, provisionedByRequest: map[string][]string{}, counts: newCounts()}
 	f.types = []wire.MachineType{{Name: "box", CPUs: machineCPUs, MemoryGB: 64, CacheGB: 50, FetchGBPerS: 5, Price: 1, SpotPrice: 0.4,
 		BootS: bootTime.Seconds(), Zones: []string{"a", "b"}}}
-	limits, teams := map[string]float64{}, map[string]core.TeamQuota{}
+	limits, teams := map[string]float64{}, map[string]scheduler.TeamQuota{}
 	for i := range teamCount {
 		limits[teamName(i)] = 1e6
-		teams[teamName(i)] = core.TeamQuota{CPUs: 1e5, CPUsMax: 1e6}
+		teams[teamName(i)] = scheduler.TeamQuota{CPUs: 1e5, CPUsMax: 1e6}
 	}
 	limits[unknownJobTeam] = 1e6
-	f.checker = standin.NewRuleChecker(limits, cancelGrace)
+	f.checker = simulator.NewRuleChecker(limits, cancelGrace)
 	operators := policy.Defaults(false)
 	operators.HeadroomShare = 0
 	operators.ReconcileRestarts = plan.Recovery
-	f.settings = core.Settings{Teams: teams, HeartbeatInterval: heartbeatInterval, WorkerLease: leaseDuration, CancellationBound: cancelGrace, MaxTransactionOps: 12, MaxValueBytes: 32 << 10,
+	f.settings = scheduler.Settings{Teams: teams, HeartbeatInterval: heartbeatInterval, WorkerLease: leaseDuration, CancellationBound: cancelGrace, MaxTransactionOps: 12, MaxValueBytes: 32 << 10,
 		WriteRate: writeRate, CloudRate: cloudRate, CloudListLag: listLag, GuaranteedStartWithin: 5 * time.Second, Policy: operators}
 	for i := range plan.Machines {
 		f.bootMachine([]string{"a", "b"}[i%2], 0)
@@ -109,7 +109,9 @@
 	return f
 }
 
-func (f *cluster) schedulerNow() core.Now { return core.Now{Mono: f.now, Wall: f.now.Milliseconds()} }
+func (f *cluster) schedulerNow() scheduler.Now {
+	return scheduler.Now{Mono: f.now, Wall: f.now.Milliseconds()}
+}
 
 func (f *cluster) after(d time.Duration, run func()) { f.events.Add(f.now+d, run) }
 
@@ -142,7 +144,7 @@
 func (f *cluster) bootMachine(zone string, boot time.Duration) string {
 	name := fmt.Sprintf("n-%06d", len(f.machineNames)+1)
 	up := f.now + boot
-	worker := standin.NewWorker(up, leaseDuration, name, f.types[0], zone, false, f.checker,
+	worker := simulator.NewWorker(up, leaseDuration, name, f.types[0], zone, false, f.checker,
 		func(string) time.Duration { return 24 * time.Hour }, func(string) bool { return false })
 	f.machineNames = append(f.machineNames, name)
 	f.machines[name] = &machine{Worker: worker, provisionedAt: f.now, bootedAt: up}
@@ -246,9 +248,9 @@
 		f.counts.kvStoreCalls++
 		f.after(f.latency(), func() {
 			status, reply := f.kvStore.Commit(f.now, c.Txn)
-			result := core.CommitDone
+			result := scheduler.CommitDone
 			if status != 200 {
-				result = core.CommitConflict
+				result = scheduler.CommitConflict
 			}
 			f.after(f.latency(), func() {
 				with(func() { l.CommitDone(f.schedulerNow(), c.ID, result, reply.Revision, reply.FailedKeys) })
@@ -269,7 +271,7 @@
 			}
 			f.provisionedByRequest[r.Request.RequestID] = names
 			f.counts.provisioned += len(names)
-			with(func() { l.Provisioned(f.schedulerNow(), r.Request.RequestID, core.ProvisionDone, names) })
+			with(func() { l.Provisioned(f.schedulerNow(), r.Request.RequestID, scheduler.ProvisionDone, names) })
 		})
 	}
 	for _, names := range effects.Release {
@@ -282,14 +284,14 @@
 					f.counts.releases++
 				}
 			}
-			with(func() { l.Released(f.schedulerNow(), names, core.ReleaseDone) })
+			with(func() { l.Released(f.schedulerNow(), names, scheduler.ReleaseDone) })
 		})
 	}
 }
 
-func (f *cluster) sendCommands(c core.DirectCall, with func(func()), l *core.Scheduler) {
+func (f *cluster) sendCommands(c scheduler.DirectCall, with func(func()), l *scheduler.Scheduler) {
 	answered := false
-	finish := func(result core.CallResult, report *wire.Heartbeat) {
+	finish := func(result scheduler.CallResult, report *wire.Heartbeat) {
 		if !answered {
 			answered = true
 			with(func() { l.CallDone(f.schedulerNow(), c.ID, result, report) })
@@ -301,16 +303,16 @@
 			return
 		}
 		status, report := m.HandleCommands(f.now, c.Body)
-		result := core.CallExecuted
+		result := scheduler.CallExecuted
 		if status != 200 {
-			result = core.CallRefused
+			result = scheduler.CallRefused
 		}
 		if m.firstAnsweredAt == 0 {
 			m.firstAnsweredAt = f.now
 		}
 		f.after(f.latency(), func() { finish(result, &report) })
 	})
-	f.after(tuning.CommandTimeout, func() { finish(core.CallLost, nil) })
+	f.after(tuning.CommandTimeout, func() { finish(scheduler.CallLost, nil) })
 }
 
 func (f *cluster) terminate(name string) {
@@ -324,13 +326,13 @@
 	j := &wire.Job{ID: fmt.Sprintf("run-%06d", number), Class: "c", Team: teamName(number), Shape: wire.ShapeArray, Priority: wire.PriorityNormal,
 		Tasks: tasks, CPUs: taskCPUs, MemoryGB: 4, Image: fmt.Sprintf("img-%d", number%3), ImageGB: 1, EstimatedRunS: 3600, CreatedAtMilli: f.now.Milliseconds()}
 	f.checker.AddJob(j)
-	f.kvStore.Commit(f.now, wire.Txn{Then: []wire.Op{{Set: store.JobKey(j.ID), Value: store.Job{Job: *j}}}})
+	f.kvStore.Commit(f.now, wire.Txn{Then: []wire.Op{{Set: records.JobKey(j.ID), Value: records.Job{Job: *j}}}})
 	return j
 }
 
 // applyChanges brings the leader's jobs up to date.
 func (f *cluster) applyChanges() {
-	changes, _ := f.kvStore.Changes(f.now, store.JobsPrefix, f.replica.Revision)
+	changes, _ := f.kvStore.Changes(f.now, records.JobsPrefix, f.replica.Revision)
 	touched, _ := f.replica.Apply(changes)
 	f.scheduler.JobsChanged(f.schedulerNow(), touched)
 	f.applyEffects()
@@ -353,12 +355,12 @@
 
 // startTerm begins a term from what is recorded.
 func (f *cluster) startTerm() {
-	_, reply := f.kvStore.Commit(f.now, wire.Txn{Then: []wire.Op{{Set: store.LeaderKey, Value: store.Leader{Node: "node"}}}})
-	f.replica = core.NewReplica()
-	f.replica.Reset(f.readAll(store.LiveJobPrefix), f.kvStore.Revision)
+	_, reply := f.kvStore.Commit(f.now, wire.Txn{Then: []wire.Op{{Set: records.LeaderKey, Value: records.Leader{Node: "node"}}}})
+	f.replica = scheduler.NewReplica()
+	f.replica.Reset(f.readAll(records.LiveJobPrefix), f.kvStore.Revision)
 	settings := f.settings
 	settings.ColdRestart = true
-	f.scheduler = core.New(f.schedulerNow(), settings, reply.Revision, f.replica, f.readAll(store.BitmapPrefix), f.readAll(store.BatchPrefix), f.types)
+	f.scheduler = scheduler.New(f.schedulerNow(), settings, reply.Revision, f.replica, f.readAll(records.BitmapPrefix), f.readAll(records.BatchPrefix), f.types)
 	f.scheduler.LeaseHeldUntil(f.now + time.Minute)
 	f.applyEffects()
 }
--- a/internal/core/batch.go
+++ b/internal/scheduler/assignments.go
@@ -1,4 +1,4 @@
-package core
+package scheduler
 
 import (
 	"cmp"
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"github.com/yarrowgap/yarrowgap/internal/recovery"
-	"github.com/yarrowgap/yarrowgap/internal/store"
+	"github.com/yarrowgap/yarrowgap/internal/reconcile"
+	"github.com/yarrowgap/yarrowgap/internal/records"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
@@ -100,7 +100,7 @@
 			break // never: one attempt always fits
 		}
 		s.nextEffectID++
-		b := &assignmentBatch{key: store.BatchKey(s.term, s.nextEffectID), neededBy: map[*attempt]bool{}, attemptCount: len(encoder.attempts), createdAt: s.now.Mono, writeInFlight: true}
+		b := &assignmentBatch{key: records.BatchKey(s.term, s.nextEffectID), neededBy: map[*attempt]bool{}, attemptCount: len(encoder.attempts), createdAt: s.now.Mono, writeInFlight: true}
 		for _, a := range encoder.attempts {
 			b.neededBy[a] = true
 		}
@@ -206,8 +206,8 @@
 func (s *Scheduler) restoreAssignments(item wire.KeyValue) {
 	b := &assignmentBatch{key: item.Key, neededBy: map[*attempt]bool{}, createdAt: s.now.Mono}
 	s.batches[b.key] = b
-	if name, ok := strings.CutPrefix(item.Key, store.LegacyMachinePrefix); ok {
-		var record store.LegacyMachine // the layout before batches
+	if name, ok := strings.CutPrefix(item.Key, records.LegacyMachinePrefix); ok {
+		var record records.LegacyMachine // the layout before batches
 		if err := wire.Unmarshal(item.Value, &record); err != nil {
 			s.noteUnreadableRecord(b, err)
 			return
@@ -219,7 +219,7 @@
 			}
 		}
 	} else {
-		record, err := store.DecodeBatch(item.Value)
+		record, err := records.DecodeBatch(item.Value)
 		if err != nil {
 			s.noteUnreadableRecord(b, err)
 			return
@@ -312,7 +312,7 @@
 	a := &attempt{ref: ref, job: j, machine: m, number: number, recorded: true, sent: true, placedAt: s.now.Mono, batches: []*assignmentBatch{b}}
 	b.neededBy[a] = true
 	s.attach(a)
-	a.class = recovery.MissingUnproven
+	a.class = reconcile.MissingUnproven
 	s.reconciler.ExpectAttempt(m.name)
 	if j == nil || j.cancelled {
 		s.obsolete = append(s.obsolete, a)
@@ -321,7 +321,7 @@
 
 // batchEncoder fills a batch up to a size.
 type batchEncoder struct {
-	record                                     store.Batch
+	record                                     records.Batch
 	typeIndex, zoneIndex, jobIndex, imageIndex map[string]int
 	machineIndex                               map[*machine]int
 	attempts                                   []*attempt
@@ -385,7 +385,7 @@
 		return i
 	}
 	if !known {
-		bm := store.BatchMachine{Name: m.name, Type: place(w.typeIndex, &w.record.Types, m.machineType), Zone: place(w.zoneIndex, &w.record.Zones, m.zone), Spot: m.spot, Address: m.address}
+		bm := records.BatchMachine{Name: m.name, Type: place(w.typeIndex, &w.record.Types, m.machineType), Zone: place(w.zoneIndex, &w.record.Zones, m.zone), Spot: m.spot, Address: m.address}
 		for _, im := range images {
 			bm.Images = append(bm.Images, place(w.imageIndex, &w.record.Images, im.name))
 		}
@@ -399,7 +399,7 @@
 	return true
 }
 
-func (w *batchEncoder) finish() store.Batch {
+func (w *batchEncoder) finish() records.Batch {
 	base := w.attempts[0].number
 	for _, a := range w.attempts {
 		base = min(base, a.number)
--- a/internal/core/batch_test.go
+++ b/internal/scheduler/assignments_test.go
@@ -1,4 +1,4 @@
-package core
+package scheduler
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/yarrowgap/yarrowgap/internal/store"
+	"github.com/yarrowgap/yarrowgap/internal/records"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
@@ -26,7 +26,7 @@
 	h.bringUp(names...)
 	batches := func() (n int) {
 		for key := range h.items {
-			if strings.HasPrefix(key, store.BatchPrefix) {
+			if strings.HasPrefix(key, records.BatchPrefix) {
 				n++
 			}
 		}
@@ -59,7 +59,7 @@
 	}
 	keep(2*tuning.BatchRewriteAge + time.Second)
 	for key, it := range h.items {
-		if strings.HasPrefix(key, store.BatchPrefix) && strings.Contains(string(it.Value), gone) {
+		if strings.HasPrefix(key, records.BatchPrefix) && strings.Contains(string(it.Value), gone) {
 			t.Errorf("%s still names %s", key, gone)
 		}
 	}
@@ -121,7 +121,7 @@
 		if size := wire.JSONSize(w.record); size > limit || size > w.size {
 			t.Fatalf("%d tasks take %d bytes of %d, thought %d", len(w.attempts), size, limit, w.size)
 		}
-		next := New(Now{}, Settings{}, l.term+1, NewReplica(), nil, []wire.KeyValue{{Key: store.BatchKey(1, 1), Value: raw, ModRevision: 3}}, nil)
+		next := New(Now{}, Settings{}, l.term+1, NewReplica(), nil, []wire.KeyValue{{Key: records.BatchKey(1, 1), Value: raw, ModRevision: 3}}, nil)
 		for _, a := range w.attempts {
 			m := next.machines[a.machine.name]
 			if m == nil || m.machineType != a.machine.machineType || m.spot != a.machine.spot || m.address != a.machine.address {
--- a/internal/core/attempt.go
+++ b/internal/scheduler/attempt.go
@@ -1,10 +1,10 @@
-package core
+package scheduler
 
 import (
 	"sort"
 	"time"
 
-	"github.com/yarrowgap/yarrowgap/internal/recovery"
+	"github.com/yarrowgap/yarrowgap/internal/reconcile"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
@@ -39,9 +39,9 @@
 	nextProbe time.Duration
 	giveUp    bool
 
-	class      recovery.Class   // of one from before the term
-	pending    recovery.Verdict // on one that was unexpected, until a report under our token shows it
-	awaitsStop bool             // a difference asked for its stop
+	class      reconcile.Class   // of one from before the term
+	pending    reconcile.Verdict // on one that was unexpected, until a report under our token shows it
+	awaitsStop bool              // a difference asked for its stop
 
 	halt     bool
 	haltSent bool
--- a/internal/core/outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -1,7 +1,7 @@
-package core
+package scheduler
 
 import (
-	"github.com/yarrowgap/yarrowgap/internal/recovery"
+	"github.com/yarrowgap/yarrowgap/internal/reconcile"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
@@ -12,11 +12,11 @@
 	a.seen = true
 	s.reportDeferredVerdict(a)
 	if report.Cause == wire.CauseDone {
-		s.classifyRecorded(a, recovery.Completed)
+		s.classifyRecorded(a, reconcile.Completed)
 		//mutation:keep-attempt-until-saved
 		s.keepAssignmentUntilSaved(a)
 	} else {
-		s.classifyRecorded(a, recovery.Ended)
+		s.classifyRecorded(a, reconcile.Ended)
 	}
 	if a.state == "" && report.Cause == wire.CauseDone || a.state != "" {
 		if j != nil {
@@ -119,7 +119,7 @@
 // handleAbsence deals with an attempt that is proven not to be on its machine.
 func (s *Scheduler) handleAbsence(a *attempt) {
 	name := wire.TaskName(a.ref.jobID, a.ref.index)
-	s.classifyRecorded(a, recovery.Absent)
+	s.classifyRecorded(a, reconcile.Absent)
 	switch {
 	case a.seen:
 		// The worker's lease ran out, or the machine lost it otherwise.
--- a/internal/core/fleet_test.go
+++ b/internal/scheduler/autoscale_test.go
@@ -1,4 +1,4 @@
-package core
+package scheduler
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"github.com/yarrowgap/yarrowgap/internal/store"
+	"github.com/yarrowgap/yarrowgap/internal/records"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
@@ -454,11 +454,11 @@
 		if recovered {
 			var storedRecords []wire.KeyValue
 			for key, it := range h.items {
-				if strings.HasPrefix(key, store.BatchPrefix) {
+				if strings.HasPrefix(key, records.BatchPrefix) {
 					storedRecords = append(storedRecords, it)
 				}
 			}
-			rec := store.Job{Job: job, Cancelled: true}
+			rec := records.Job{Job: job, Cancelled: true}
 			h = newHarness(t, false, map[string]*LiveJob{job.ID: {Record: &rec, ModRevision: 90}}, storedRecords)
 			h.sequences["n-1"] = 100
 		} else {
--- a/internal/core/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -1,4 +1,4 @@
-package core
+package scheduler
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/yarrowgap/yarrowgap/internal/policy"
-	"github.com/yarrowgap/yarrowgap/internal/store"
+	"github.com/yarrowgap/yarrowgap/internal/records"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
@@ -75,7 +75,7 @@
 func (f *fleetHarness) startTerm(term uint64) {
 	var storedRecords []wire.KeyValue
 	for key, it := range f.items {
-		if strings.HasPrefix(key, store.BatchPrefix) {
+		if strings.HasPrefix(key, records.BatchPrefix) {
 			storedRecords = append(storedRecords, it)
 		}
 	}
@@ -94,7 +94,7 @@
 		j.Team = fmt.Sprintf("team-%02d", len(f.live)%12)
 	}
 	f.revision++
-	lj := &LiveJob{Record: &store.Job{Job: j}, ModRevision: f.revision}
+	lj := &LiveJob{Record: &records.Job{Job: j}, ModRevision: f.revision}
 	f.live[j.ID] = lj
 	f.scheduler.JobsChanged(f.clock(), []JobChange{{j.ID, lj}})
 }
@@ -305,7 +305,7 @@
 		jobs := heapGrowth(func() any {
 			r := NewReplica()
 			for i := range ended {
-				r.RememberEnded(fmt.Sprintf("run-%06d", i), store.EndedJob{State: wire.JobDone, Done: 40, Tasks: 40, Class: "batch"})
+				r.RememberEnded(fmt.Sprintf("run-%06d", i), records.EndedJob{State: wire.JobDone, Done: 40, Tasks: 40, Class: "batch"})
 			}
 			return r
 		})
--- a/internal/core/meetings_room_test.go
+++ b/internal/scheduler/combined_faults_placement_test.go
@@ -1,4 +1,4 @@
-package core_test
+package scheduler_test
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"github.com/yarrowgap/yarrowgap/internal/core"
-	"github.com/yarrowgap/yarrowgap/internal/store"
+	"github.com/yarrowgap/yarrowgap/internal/records"
+	"github.com/yarrowgap/yarrowgap/internal/scheduler"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
@@ -128,11 +128,11 @@
 
 // ended reports what became of a job for good; empty: it lives.
 func (sim *simulation) endedState(id string) string {
-	it := sim.kvStore.Get(sim.now, store.EndedJobKey(id))
+	it := sim.kvStore.Get(sim.now, records.EndedJobKey(id))
 	if it.ModRevision == 0 {
 		return ""
 	}
-	var rec store.EndedJob
+	var rec records.EndedJob
 	must(wire.Unmarshal(it.Value, &rec))
 	return rec.State
 }
@@ -356,7 +356,7 @@
 	for seed := range uint64(6) {
 		sim := newSimulation(seed)
 		sim.lossRate, sim.delayRate = 0.02, 0.02
-		sim.settings.Teams = map[string]core.TeamQuota{"red": {CPUs: 12, CPUsMax: 24}, "blue": {CPUs: 12, CPUsMax: 24}}
+		sim.settings.Teams = map[string]scheduler.TeamQuota{"red": {CPUs: 12, CPUsMax: 24}, "blue": {CPUs: 12, CPUsMax: 24}}
 		n := 0
 		sim.every(1500*time.Millisecond, func() {
 			if sim.now > 110*time.Second {
@@ -426,7 +426,7 @@
 			for _, c := range sim.controllers {
 				c.crash(time.Second)
 			}
-			sim.settings.Teams = map[string]core.TeamQuota{}
+			sim.settings.Teams = map[string]scheduler.TeamQuota{}
 		}},
 		{"no node", "forgotten", func(sim *simulation) {
 			for _, c := range sim.controllers {
@@ -441,7 +441,7 @@
 				m.spoil(sim)
 				sim.jobs = append(sim.jobs, &wire.Job{ID: "run-000001", Team: "red", Shape: wire.ShapeArray, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img"})
 				sim.checker.AddJob(sim.jobs[0])
-				_, _ = sim.kvStore.Commit(sim.now, wire.Txn{Then: []wire.Op{{Set: store.JobKey("run-000001"), Value: store.Job{Job: *sim.jobs[0]}}}})
+				_, _ = sim.kvStore.Commit(sim.now, wire.Txn{Then: []wire.Op{{Set: records.JobKey("run-000001"), Value: records.Job{Job: *sim.jobs[0]}}}})
 			})
 			sim.checkWaitingJobs(21 * time.Second)
 			sim.run(100 * time.Second)
--- a/internal/core/meetings_test.go
+++ b/internal/scheduler/combined_faults_test.go
@@ -1,4 +1,4 @@
-package core_test
+package scheduler_test
 
 import (
 	"fmt"
--- a/internal/core/digest_test.go
+++ b/internal/scheduler/decision_digest_test.go
@@ -1,4 +1,4 @@
-package core_test
+package scheduler_test
 
 import (
 	"bytes"
@@ -13,14 +13,14 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"github.com/yarrowgap/yarrowgap/internal/core"
 	"github.com/yarrowgap/yarrowgap/internal/policy"
+	"github.com/yarrowgap/yarrowgap/internal/scheduler"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
 // printDigest has TestDecisionDigest play all digest worlds and print what it found:
 //
-//	go test ./internal/core -run TestDecisionDigest -decision-digest -v
+//	go test ./internal/scheduler -run TestDecisionDigest -decision-digest -v
 //
 // A change that is to leave behaviour alone leaves the total as it is.
 var printDigest = flag.Bool("decision-digest", false, "play all digest worlds and print a digest of all decisions")
@@ -69,7 +69,7 @@
 }
 
 // addEffects hashes what a leader decided after one input, in the order of its decisions.
-func (d *decisionDigest) addEffects(now time.Duration, node string, e core.Effects) {
+func (d *decisionDigest) addEffects(now time.Duration, node string, e scheduler.Effects) {
 	for _, call := range e.DirectCalls {
 		d.add(now, node, "direct", call.ID, call.Machine, call.Addr, call.Body)
 	}
--- a/internal/core/commands.go
+++ b/internal/scheduler/dispatch.go
@@ -1,10 +1,10 @@
-package core
+package scheduler
 
 import (
 	"math"
 	"time"
 
-	"github.com/yarrowgap/yarrowgap/internal/recovery"
+	"github.com/yarrowgap/yarrowgap/internal/reconcile"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
@@ -50,7 +50,7 @@
 			continue // done, but not yet durably so
 		}
 		name := wire.TaskName(ref.jobID, ref.index)
-		s.reconciler.CountOperation(s.now.Mono, recovery.Operation{Kind: recovery.ForgetOperation, Machine: m.name, Task: name, Number: ended.attempt})
+		s.reconciler.CountOperation(s.now.Mono, reconcile.Operation{Kind: reconcile.ForgetOperation, Machine: m.name, Task: name, Number: ended.attempt})
 		commands = append(commands, wire.Command{Verb: wire.VerbForget, Task: name, Attempt: ended.attempt})
 	}
 	sortCommands(commands)
@@ -83,7 +83,7 @@
 	for _, a := range due {
 		if !a.haltSent {
 			a.haltSent = true
-			s.countOperation(recovery.StopOperation, a)
+			s.countOperation(reconcile.StopOperation, a)
 		}
 		a.haltedAt = s.now.Mono
 		graceS := 0.0
@@ -128,7 +128,7 @@
 	now := s.now.Mono
 	if a.firstSent == 0 {
 		a.firstSent = now
-		s.countOperation(recovery.StartOperation, a)
+		s.countOperation(reconcile.StartOperation, a)
 	} else {
 		if a.machine.heardAt > a.firstSent+tuning.StartUnreceivedAfter {
 			//mutation:unacknowledged-start-marks-unreachable
--- a/internal/core/effects.go
+++ b/internal/scheduler/effects.go
@@ -1,7 +1,7 @@
-package core
+package scheduler
 
 import (
-	"github.com/yarrowgap/yarrowgap/internal/recovery"
+	"github.com/yarrowgap/yarrowgap/internal/reconcile"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
@@ -14,7 +14,7 @@
 	Resign      string // why the lead has to be given up, if it has to
 	Log         []LogLine
 	// Reconciliation has what happened in the term's recovery, for traces.
-	Reconciliation []recovery.Event
+	Reconciliation []reconcile.Event
 }
 
 // DirectCall is a POST /commands to a machine.
--- a/internal/core/harsh_test.go
+++ b/internal/scheduler/fault_injection_test.go
@@ -1,4 +1,4 @@
-package core_test
+package scheduler_test
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/yarrowgap/yarrowgap/internal/standin"
+	"github.com/yarrowgap/yarrowgap/internal/simulator"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
@@ -37,11 +37,11 @@
 // A machine that hangs keeps its tasks past its lease, until its worker resumes.
 func TestHungMachineKeepsItsTasksUntilItsWorkerResumes(t *testing.T) {
 	for _, hang := range []time.Duration{3 * time.Second, 11 * time.Second, 13 * time.Second, 50 * time.Second} {
-		rules := standin.NewRuleChecker(map[string]float64{"red": 8}, time.Minute)
+		rules := simulator.NewRuleChecker(map[string]float64{"red": 8}, time.Minute)
 		j := &wire.Job{ID: "run-000001", Team: "red", Shape: wire.ShapeArray, Tasks: 1, CPUs: 1, Image: "img"}
 		rules.AddJob(j)
 		mt := wire.MachineType{Name: "small", CPUs: 8, MemoryGB: 8, FetchGBPerS: 1}
-		wk := standin.NewWorker(0, 12*time.Second, "n-000001", mt, "a", false, rules, func(string) time.Duration { return 2 * time.Second }, func(string) bool { return false })
+		wk := simulator.NewWorker(0, 12*time.Second, "n-000001", mt, "a", false, rules, func(string) time.Duration { return 2 * time.Second }, func(string) bool { return false })
 		wk.HandleHeartbeatReply(0, 0, 1, wire.HeartbeatReply{FencingToken: 1, Commands: []wire.Command{{Verb: wire.VerbRun, Task: "run-000001/0", Attempt: 1}}})
 		end := time.Second + hang
 		for now := time.Second; now <= end; now += 100 * time.Millisecond {
--- a/internal/core/desk_test.go
+++ b/internal/scheduler/harness_test.go
@@ -1,4 +1,4 @@
-package core
+package scheduler
 
 import (
 	"maps"
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/yarrowgap/yarrowgap/internal/policy"
-	"github.com/yarrowgap/yarrowgap/internal/store"
+	"github.com/yarrowgap/yarrowgap/internal/records"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
@@ -217,7 +217,7 @@
 		j.Image = "img"
 	}
 	h.revision++
-	h.scheduler.JobsChanged(h.clock(), []JobChange{{j.ID, &LiveJob{Record: &store.Job{Job: j}, ModRevision: h.revision}}})
+	h.scheduler.JobsChanged(h.clock(), []JobChange{{j.ID, &LiveJob{Record: &records.Job{Job: j}, ModRevision: h.revision}}})
 	h.now += tuning.MinPlacementInterval
 	h.settle()
 }
@@ -243,21 +243,21 @@
 	return wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: wire.TaskExited, Cause: cause}
 }
 
-func machineRecordItem(t *testing.T, name string, rec store.LegacyMachine) wire.KeyValue {
+func machineRecordItem(t *testing.T, name string, rec records.LegacyMachine) wire.KeyValue {
 	raw, err := wire.Marshal(rec)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return wire.KeyValue{Key: store.LegacyMachineKey(name), Value: raw, ModRevision: 7}
+	return wire.KeyValue{Key: records.LegacyMachineKey(name), Value: raw, ModRevision: 7}
 }
 
 // recordedAttempts counts the attempts in the batches.
 func (h *harness) recordedAttempts() (n int) {
 	for key, it := range h.items {
-		if !strings.HasPrefix(key, store.BatchPrefix) {
+		if !strings.HasPrefix(key, records.BatchPrefix) {
 			continue
 		}
-		rec, err := store.DecodeBatch(it.Value)
+		rec, err := records.DecodeBatch(it.Value)
 		if err != nil {
 			h.t.Fatal(err)
 		}
--- a/internal/core/report.go
+++ b/internal/scheduler/heartbeat.go
@@ -1,9 +1,9 @@
-package core
+package scheduler
 
 import (
 	"time"
 
-	"github.com/yarrowgap/yarrowgap/internal/recovery"
+	"github.com/yarrowgap/yarrowgap/internal/reconcile"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
@@ -270,12 +270,12 @@
 	if j != nil && ref.index < j.spec.Tasks {
 		a.job = j
 	}
-	verdict := recovery.Classify(s.evidenceFor(a, recovery.Active))
+	verdict := reconcile.Classify(s.evidenceFor(a, reconcile.Active))
 	s.deferVerdict(a, verdict)
 	s.attach(a)
 	//mutation:record-unexpected-attempt
 	s.queueAssignment(a)
-	if verdict.Action == recovery.Adopt {
+	if verdict.Action == reconcile.Adopt {
 		s.log(false, "task adopted", "task", report.Task, "machine", m.name)
 		return
 	}
--- a/internal/core/job.go
+++ b/internal/scheduler/job.go
@@ -1,10 +1,10 @@
-package core
+package scheduler
 
 import (
 	"sort"
 	"time"
 
-	"github.com/yarrowgap/yarrowgap/internal/store"
+	"github.com/yarrowgap/yarrowgap/internal/records"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
@@ -17,10 +17,10 @@
 	rank        int
 
 	cancelled             bool
-	cancellationWatermark time.Duration // cancelled: as of when we knew all cancellations before this one
-	archived              bool          // its live record is gone: it has ended
-	done                  store.Bitmap  // known to be done
-	saved                 store.Bitmap  // durably done
+	cancellationWatermark time.Duration  // cancelled: as of when we knew all cancellations before this one
+	archived              bool           // its live record is gone: it has ended
+	done                  records.Bitmap // known to be done
+	saved                 records.Bitmap // durably done
 	nDone                 int
 	nSaved                int
 	dirtyAt               time.Duration
@@ -109,7 +109,7 @@
 		service: record.Job.Service(), rank: wire.PriorityOrder(record.Job.Priority),
 		//mutation:recover-cancelled-flag
 		cancelled: record.Cancelled,
-		done:      store.NewBitmap(record.Job.Tasks), saved: store.NewBitmap(record.Job.Tasks),
+		done:      records.NewBitmap(record.Job.Tasks), saved: records.NewBitmap(record.Job.Tasks),
 		active: map[int][]*attempt{}, chunks: map[int]uint64{}, failedOn: map[string]bool{},
 	}
 	// The job's age by the time of day, moved onto our steady clock.
@@ -133,8 +133,8 @@
 }
 
 func (s *Scheduler) addDoneBits(item wire.KeyValue) {
-	var record store.BitmapChunk
-	id, chunk, ok := wire.ParseTaskName(store.IDFromKey(store.BitmapPrefix, item.Key))
+	var record records.BitmapChunk
+	id, chunk, ok := wire.ParseTaskName(records.IDFromKey(records.BitmapPrefix, item.Key))
 	if !ok || wire.Unmarshal(item.Value, &record) != nil {
 		return
 	}
--- a/internal/core/leader_test.go
+++ b/internal/scheduler/leadership_change_test.go
@@ -1,11 +1,11 @@
-package core
+package scheduler
 
 import (
 	"strings"
 	"testing"
 	"time"
 
-	"github.com/yarrowgap/yarrowgap/internal/store"
+	"github.com/yarrowgap/yarrowgap/internal/records"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
@@ -14,9 +14,9 @@
 // watch tells of it again.
 func TestFailoverCompletesCancellation(t *testing.T) {
 	j := wire.Job{ID: "run-000001", Tasks: 2, CPUs: 1, Team: "red", Shape: wire.ShapeService, Priority: wire.PriorityProduction}
-	live := map[string]*LiveJob{j.ID: {Record: &store.Job{Job: j, Cancelled: true}, ModRevision: 5}}
-	items := []wire.KeyValue{machineRecordItem(t, "n-1", store.LegacyMachine{Type: "box", Zone: "a", Address: "n-1:1",
-		Tasks: map[string][]store.AssignedTask{j.ID: {{Index: 0, Attempt: 9}, {Index: 1, Attempt: 10}}}})}
+	live := map[string]*LiveJob{j.ID: {Record: &records.Job{Job: j, Cancelled: true}, ModRevision: 5}}
+	items := []wire.KeyValue{machineRecordItem(t, "n-1", records.LegacyMachine{Type: "box", Zone: "a", Address: "n-1:1",
+		Tasks: map[string][]records.AssignedTask{j.ID: {{Index: 0, Attempt: 9}, {Index: 1, Attempt: 10}}}})}
 	h := newHarness(t, false, live, items)
 	halts := 0
 	for _, c := range h.calls {
@@ -35,7 +35,7 @@
 	token := h.fencingToken("n-1")
 	h.heartbeatWithToken("n-1", token, exitedReport(wire.Command{Task: "run-000001/0", Attempt: 9}, wire.CauseStopped),
 		exitedReport(wire.Command{Task: "run-000001/1", Attempt: 10}, wire.CauseStopped))
-	if _, ok := h.items[store.EndedJobKey(j.ID)]; !ok {
+	if _, ok := h.items[records.EndedJobKey(j.ID)]; !ok {
 		t.Fatal("the job was not ended after its tasks were")
 	}
 }
@@ -44,9 +44,9 @@
 // token, whatever other reports and lists say.
 func TestRecordedAttemptBlocksPlacementUntilProvenAbsent(t *testing.T) {
 	j := wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1, Team: "red", Shape: wire.ShapeArray, Priority: wire.PriorityNormal}
-	live := map[string]*LiveJob{j.ID: {Record: &store.Job{Job: j}, ModRevision: 5}}
-	items := []wire.KeyValue{machineRecordItem(t, "n-1", store.LegacyMachine{Type: "box", Zone: "a", Address: "n-1:1",
-		Tasks: map[string][]store.AssignedTask{j.ID: {{Index: 0, Attempt: 9}}}})}
+	live := map[string]*LiveJob{j.ID: {Record: &records.Job{Job: j}, ModRevision: 5}}
+	items := []wire.KeyValue{machineRecordItem(t, "n-1", records.LegacyMachine{Type: "box", Zone: "a", Address: "n-1:1",
+		Tasks: map[string][]records.AssignedTask{j.ID: {{Index: 0, Attempt: 9}}}})}
 	h := newHarness(t, false, live, items)
 	h.answerAll(CallLost)
 	h.bringUp("n-2")
@@ -68,8 +68,8 @@
 // every machine has reported; later jobs do not.
 func TestUnreadableRecordBlocksEarlierJobs(t *testing.T) {
 	j := wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1, Team: "red", Shape: wire.ShapeArray, Priority: wire.PriorityNormal}
-	live := map[string]*LiveJob{j.ID: {Record: &store.Job{Job: j}, ModRevision: 5}}
-	for _, key := range []string{store.BatchKey(3, 1), store.LegacyMachineKey("n-7")} {
+	live := map[string]*LiveJob{j.ID: {Record: &records.Job{Job: j}, ModRevision: 5}}
+	for _, key := range []string{records.BatchKey(3, 1), records.LegacyMachineKey("n-7")} {
 		h := newHarness(t, false, live, []wire.KeyValue{{Key: key, Value: wire.Raw{0xa1, 0x61}, ModRevision: 7}})
 		h.items[key] = wire.KeyValue{Key: key}
 		h.bringUp("n-1")
@@ -102,8 +102,8 @@
 func TestCancellationWaitsForUnreadableRecord(t *testing.T) {
 	j := wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1, Team: "red", Shape: wire.ShapeService, Priority: wire.PriorityProduction}
 	for _, before := range []bool{true, false} {
-		live := map[string]*LiveJob{j.ID: {Record: &store.Job{Job: j, Cancelled: before}, ModRevision: 5}}
-		h := newHarness(t, false, live, []wire.KeyValue{{Key: store.BatchKey(3, 1), Value: wire.Raw{0xa1, 0x61}, ModRevision: 7}})
+		live := map[string]*LiveJob{j.ID: {Record: &records.Job{Job: j, Cancelled: before}, ModRevision: 5}}
+		h := newHarness(t, false, live, []wire.KeyValue{{Key: records.BatchKey(3, 1), Value: wire.Raw{0xa1, 0x61}, ModRevision: 7}})
 		h.bringUp("n-1")
 		list := []wire.ListedMachine{{Name: "n-1", Type: "box", Zone: "a", Address: "n-1:1", State: wire.MachineRunning, AgeS: 500},
 			{Name: "n-2", Type: "box", Zone: "a", Address: "n-2:1", State: wire.MachineRunning, AgeS: 500}}
@@ -113,7 +113,7 @@
 			h.scheduler.Cancelled(h.clock(), []string{j.ID})
 		}
 		h.advance(2*time.Second, "n-1")
-		if _, ended := h.items[store.EndedJobKey(j.ID)]; ended {
+		if _, ended := h.items[records.EndedJobKey(j.ID)]; ended {
 			t.Fatalf("cancelled before: %v; ended while its task may be on a machine that was not heard", before)
 		}
 		if h.scheduler.EnforcedCancellationWatermark(h.now) == h.now {
@@ -122,7 +122,7 @@
 		h.bringUp("n-2")
 		h.scheduler.MachinesListed(h.clock(), list)
 		h.advance(2*time.Second, "n-1", "n-2")
-		if _, ended := h.items[store.EndedJobKey(j.ID)]; !ended || h.scheduler.EnforcedCancellationWatermark(h.now) != h.now {
+		if _, ended := h.items[records.EndedJobKey(j.ID)]; !ended || h.scheduler.EnforcedCancellationWatermark(h.now) != h.now {
 			t.Errorf("cancelled before: %v; not ended once every machine was heard", before)
 		}
 	}
@@ -145,11 +145,11 @@
 	rep := NewReplica()
 	var bits []wire.KeyValue
 	for key, it := range h.items {
-		if strings.HasPrefix(key, store.BitmapPrefix) {
+		if strings.HasPrefix(key, records.BitmapPrefix) {
 			bits = append(bits, it)
 		}
-		if strings.HasPrefix(key, store.LiveJobPrefix) {
-			rec, err := store.DecodeJob(it)
+		if strings.HasPrefix(key, records.LiveJobPrefix) {
+			rec, err := records.DecodeJob(it)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -168,7 +168,7 @@
 	}
 	h.advance(3*time.Second, "n-1")
 	for key := range h.items {
-		if strings.HasPrefix(key, store.BitmapPrefix) || strings.HasPrefix(key, store.LiveJobPrefix) {
+		if strings.HasPrefix(key, records.BitmapPrefix) || strings.HasPrefix(key, records.LiveJobPrefix) {
 			t.Errorf("%s is left", key)
 		}
 	}
@@ -209,7 +209,7 @@
 	if s := h.startCommands(); len(s) != 0 {
 		t.Errorf("started beside that: %v", s)
 	}
-	if _, ended := h.items[store.EndedJobKey("run-000001")]; ended {
+	if _, ended := h.items[records.EndedJobKey("run-000001")]; ended {
 		t.Error("the job was ended without proof that its task is gone")
 	}
 }
@@ -220,7 +220,7 @@
 	j := wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1, Team: "red", Shape: wire.ShapeService, Priority: wire.PriorityProduction, Image: "img"}
 	seen := func(h *harness, cancelled bool) {
 		h.revision++
-		h.scheduler.JobsChanged(h.clock(), []JobChange{{j.ID, &LiveJob{Record: &store.Job{Job: j, Cancelled: cancelled}, ModRevision: h.revision}}})
+		h.scheduler.JobsChanged(h.clock(), []JobChange{{j.ID, &LiveJob{Record: &records.Job{Job: j, Cancelled: cancelled}, ModRevision: h.revision}}})
 		h.now += tuning.MinPlacementInterval
 		h.settle()
 	}
@@ -234,7 +234,7 @@
 	}
 	seen(h, true)
 	h.advance(2*time.Second, "n-1", "n-2")
-	if _, ended := h.items[store.EndedJobKey(j.ID)]; !ended {
+	if _, ended := h.items[records.EndedJobKey(j.ID)]; !ended {
 		t.Error("the job was not ended though nothing of it is left")
 	}
 	if len(h.scheduler.ahead) != 0 {
--- a/internal/core/meetings_leader_test.go
+++ b/internal/scheduler/leadership_faults_test.go
@@ -1,4 +1,4 @@
-package core_test
+package scheduler_test
 
 import (
 	"fmt"
@@ -6,13 +6,13 @@
 	"testing"
 	"time"
 
-	"github.com/yarrowgap/yarrowgap/internal/store"
+	"github.com/yarrowgap/yarrowgap/internal/records"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
 // Changes of leadership, outages and cuts that meet cancellations, with generated
 // times. No rule is broken, and once the troubles are over everything accepted runs,
-// or is gone if it was cancelled. internal/guards takes out what keeps the rules.
+// or is gone if it was cancelled. internal/mutation takes out what keeps the rules.
 func TestCombinedLeadershipFaults(t *testing.T) {
 	for _, m := range []struct {
 		name string
@@ -293,8 +293,8 @@
 // the answer of the state service is lost, and the user is told by a repeated request.
 func (sim *simulation) cancelLosingReply(id string) *simController {
 	if sim.rng.IntN(2) == 0 {
-		if it := sim.kvStore.Get(sim.now, store.JobKey(id)); it.ModRevision != 0 && sim.servingController() != nil {
-			rec, err := store.DecodeJob(it)
+		if it := sim.kvStore.Get(sim.now, records.JobKey(id)); it.ModRevision != 0 && sim.servingController() != nil {
+			rec, err := records.DecodeJob(it)
 			must(err)
 			rec.Cancelled = true
 			sim.kvStore.Commit(sim.now, wire.Txn{If: []wire.Compare{{Key: it.Key, ModRevision: it.ModRevision}}, Then: []wire.Op{{Set: it.Key, Value: rec}}})
--- a/internal/core/meetings_machines_test.go
+++ b/internal/scheduler/machine_faults_test.go
@@ -1,11 +1,11 @@
-package core
+package scheduler
 
 import (
 	"math/rand/v2"
 	"testing"
 	"time"
 
-	"github.com/yarrowgap/yarrowgap/internal/store"
+	"github.com/yarrowgap/yarrowgap/internal/records"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
@@ -17,12 +17,12 @@
 	for seed := range uint64(10) {
 		rng := rand.New(rand.NewPCG(seed, 11))
 		j := wire.Job{ID: "run-000001", Tasks: 2, CPUs: 1, Team: "red", Shape: wire.ShapeService, Priority: wire.PriorityProduction, Image: "img"}
-		live := map[string]*LiveJob{j.ID: {Record: &store.Job{Job: j}, ModRevision: 5}}
+		live := map[string]*LiveJob{j.ID: {Record: &records.Job{Job: j}, ModRevision: 5}}
 		var storedRecords []wire.KeyValue
 		on := map[string]map[string]wire.TaskStatus{}
 		for i, name := range []string{"n-1", "n-2"} {
-			storedRecords = append(storedRecords, machineRecordItem(t, name, store.LegacyMachine{Type: "box", Zone: "a", Address: name + ":1",
-				Tasks: map[string][]store.AssignedTask{j.ID: {{Index: i, Attempt: 9}}}}))
+			storedRecords = append(storedRecords, machineRecordItem(t, name, records.LegacyMachine{Type: "box", Zone: "a", Address: name + ":1",
+				Tasks: map[string][]records.AssignedTask{j.ID: {{Index: i, Attempt: 9}}}}))
 			task := wire.TaskName(j.ID, i)
 			on[name] = map[string]wire.TaskStatus{task: {Task: task, Attempt: 9, State: wire.TaskRunning}}
 		}
@@ -92,7 +92,7 @@
 // with it counts from then on and is written down, or is stopped if it must not run: a
 // cancelled or ended job's task, one that is done, one that is elsewhere too.
 func TestUnexpectedMachineIsAdopted(t *testing.T) {
-	done := store.NewBitmap(2)
+	done := records.NewBitmap(2)
 	done.Add(1)
 	job := func(id string, tasks int) wire.Job {
 		return wire.Job{ID: id, Tasks: tasks, CPUs: 1, Team: "red", Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Image: "img"}
@@ -112,13 +112,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			live := map[string]*LiveJob{
-				"run-000001": {Record: &store.Job{Job: job("run-000001", 1)}, ModRevision: 5},
-				"run-000002": {Record: &store.Job{Job: job("run-000002", 2), Cancelled: true}, ModRevision: 5},
-				"run-000003": {Record: &store.Job{Job: job("run-000003", 2), Done: done.EncodeChunk(0)}, ModRevision: 5},
-				"run-000004": {Record: &store.Job{Job: job("run-000004", 1)}, ModRevision: 5},
+				"run-000001": {Record: &records.Job{Job: job("run-000001", 1)}, ModRevision: 5},
+				"run-000002": {Record: &records.Job{Job: job("run-000002", 2), Cancelled: true}, ModRevision: 5},
+				"run-000003": {Record: &records.Job{Job: job("run-000003", 2), Done: done.EncodeChunk(0)}, ModRevision: 5},
+				"run-000004": {Record: &records.Job{Job: job("run-000004", 1)}, ModRevision: 5},
 			}
-			h := newHarness(t, false, live, []wire.KeyValue{machineRecordItem(t, "n-1", store.LegacyMachine{Type: "box", Zone: "a", Address: "n-1:1",
-				Tasks: map[string][]store.AssignedTask{"run-000002": {{Index: 1, Attempt: 8}}, "run-000004": {{Index: 0, Attempt: 9}}}})})
+			h := newHarness(t, false, live, []wire.KeyValue{machineRecordItem(t, "n-1", records.LegacyMachine{Type: "box", Zone: "a", Address: "n-1:1",
+				Tasks: map[string][]records.AssignedTask{"run-000002": {{Index: 1, Attempt: 8}}, "run-000004": {{Index: 0, Attempt: 9}}}})})
 			h.calls = nil // n-1 is silent, so the cancelled job is live on
 			stops := 0
 			count := func(cmds []wire.Command) {
--- a/internal/core/meetings_reports_test.go
+++ b/internal/scheduler/message_faults_test.go
@@ -1,4 +1,4 @@
-package core_test
+package scheduler_test
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/yarrowgap/yarrowgap/internal/standin"
+	"github.com/yarrowgap/yarrowgap/internal/simulator"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
@@ -16,7 +16,7 @@
 
 // Meetings of reports, commands and machines, with generated times: no rule is broken
 // in any world, every accepted array is completed and every service is complete again
-// once the troubles are over. internal/guards takes the guards out and sees this fail.
+// once the troubles are over. internal/mutation takes the guards out and sees this fail.
 func TestCombinedMessageFaults(t *testing.T) {
 	for _, m := range []struct {
 		name string
@@ -297,7 +297,7 @@
 }
 
 // respondingWorkers are the workers that are there and do not hang.
-func (sim *simulation) respondingWorkers() (out []*standin.Worker) {
+func (sim *simulation) respondingWorkers() (out []*simulator.Worker) {
 	for _, name := range sim.machineNames {
 		if wk := sim.workers[name]; !wk.Terminated && sim.hungUntil[name] <= sim.now {
 			out = append(out, wk)
--- a/internal/core/flush.go
+++ b/internal/scheduler/persist.go
@@ -1,4 +1,4 @@
-package core
+package scheduler
 
 import (
 	"cmp"
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"github.com/yarrowgap/yarrowgap/internal/store"
+	"github.com/yarrowgap/yarrowgap/internal/records"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
@@ -25,7 +25,7 @@
 
 func (s *Scheduler) newTransaction(leaderRevision uint64) *transaction {
 	//mutation:transaction-needs-leadership
-	return &transaction{request: wire.Txn{If: []wire.Compare{{Key: store.LeaderKey, ModRevision: leaderRevision}}}}
+	return &transaction{request: wire.Txn{If: []wire.Compare{{Key: records.LeaderKey, ModRevision: leaderRevision}}}}
 }
 
 // room reports whether the transaction can take n more changes.
@@ -101,10 +101,10 @@
 			state = wire.JobCancelled
 		}
 		//mutation:job-end-conditions
-		t.request.If = append(t.request.If, wire.Compare{Key: store.JobKey(j.id), ModRevision: j.modRevision})
+		t.request.If = append(t.request.If, wire.Compare{Key: records.JobKey(j.id), ModRevision: j.modRevision})
 		t.request.Then = append(t.request.Then,
-			wire.Op{Delete: store.JobKey(j.id)},
-			wire.Op{Set: store.EndedJobKey(j.id), Value: store.EndedJob{State: state, Done: j.nDone, Tasks: j.spec.Tasks, Class: j.spec.Class}})
+			wire.Op{Delete: records.JobKey(j.id)},
+			wire.Op{Set: records.EndedJobKey(j.id), Value: records.EndedJob{State: state, Done: j.nDone, Tasks: j.spec.Tasks, Class: j.spec.Class}})
 		t.bytes += 400
 		j.writing = true
 		t.contents.jobWrites = append(t.contents.jobWrites, jobWrite{job: j, ended: true})
@@ -130,7 +130,7 @@
 			s.markClean(j)
 			continue
 		}
-		write := jobWrite{job: j, doneBits: append(store.Bitmap(nil), j.done...)}
+		write := jobWrite{job: j, doneBits: append(records.Bitmap(nil), j.done...)}
 		for k := 0; k < j.done.ChunkCount(); k++ {
 			text := j.done.EncodeChunk(k)
 			if text == j.saved.EncodeChunk(k) {
@@ -140,15 +140,15 @@
 				break // the rest follows with the next write
 			}
 			if k == 0 {
-				rec := store.Job{Job: j.spec, Cancelled: j.cancelled, Done: text}
+				rec := records.Job{Job: j.spec, Cancelled: j.cancelled, Done: text}
 				//mutation:progress-conditions
-				t.request.If = append(t.request.If, wire.Compare{Key: store.JobKey(j.id), ModRevision: j.modRevision})
-				t.request.Then = append(t.request.Then, wire.Op{Set: store.JobKey(j.id), Value: rec})
+				t.request.If = append(t.request.If, wire.Compare{Key: records.JobKey(j.id), ModRevision: j.modRevision})
+				t.request.Then = append(t.request.Then, wire.Op{Set: records.JobKey(j.id), Value: rec})
 				write.wroteJobRecord = true
 			} else {
-				key := store.BitmapKey(j.id, k)
+				key := records.BitmapKey(j.id, k)
 				t.request.If = append(t.request.If, wire.Compare{Key: key, ModRevision: j.chunks[k]})
-				t.request.Then = append(t.request.Then, wire.Op{Set: key, Value: store.BitmapChunk{Done: text}})
+				t.request.Then = append(t.request.Then, wire.Op{Set: key, Value: records.BitmapChunk{Done: text}})
 				write.chunks = append(write.chunks, k)
 			}
 			t.bytes += len(text) + 800
@@ -195,7 +195,7 @@
 	if result == CommitConflict {
 		for _, k := range failedKeys {
 			conflicting[k] = true
-			if k == store.LeaderKey {
+			if k == records.LeaderKey {
 				s.effects.Resign = "another leader holds the key"
 				return
 			}
@@ -224,7 +224,7 @@
 		// record as it is. Chunks are read again by a retry's conflict.
 		j.blocked = s.now.Mono + tuning.StoreRetryDelay
 		for _, k := range write.chunks {
-			if conflicting[store.BitmapKey(j.id, k)] {
+			if conflicting[records.BitmapKey(j.id, k)] {
 				s.effects.Resign = "a job's bitmap changed under us"
 			}
 		}
@@ -236,10 +236,10 @@
 			state = wire.JobCancelled
 		}
 		for _, k := range slices.Sorted(maps.Keys(j.chunks)) {
-			s.obsoleteKeys = append(s.obsoleteKeys, store.BitmapKey(j.id, k))
+			s.obsoleteKeys = append(s.obsoleteKeys, records.BitmapKey(j.id, k))
 		}
 		s.log(false, "job over", "job", j.id, "state", state, "after_s", (s.now.Mono - j.createdAt).Seconds())
-		j.saved = append(store.Bitmap(nil), j.done...)
+		j.saved = append(records.Bitmap(nil), j.done...)
 		j.nSaved = j.nDone
 		s.markClean(j)
 		s.archiveJob(j)
--- a/internal/core/place_test.go
+++ b/internal/scheduler/placement_test.go
@@ -1,4 +1,4 @@
-package core
+package scheduler
 
 import (
 	"fmt"
--- a/internal/core/recovery.go
+++ b/internal/scheduler/reconciliation.go
@@ -1,17 +1,17 @@
-package core
+package scheduler
 
 import (
 	"maps"
 	"slices"
 
-	"github.com/yarrowgap/yarrowgap/internal/recovery"
+	"github.com/yarrowgap/yarrowgap/internal/reconcile"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
 // recovery is what the term's recovery depends on.
-func (s Settings) reconcileConfig() recovery.Config {
-	return recovery.Config{
+func (s Settings) reconcileConfig() reconcile.Config {
+	return reconcile.Config{
 		//mutation:reconciliation-enabled
 		Enabled: s.Policy.ReconcileRestarts, Cold: s.ColdRestart, HeartbeatInterval: s.HeartbeatInterval, WorkerLease: s.WorkerLease,
 		CollectTimeout: s.Policy.ReconcileWait, CloudRate: s.CloudRate, Trace: s.TraceOperations,
@@ -22,12 +22,12 @@
 func (s *Scheduler) ControllerSurvived() { s.reconciler.ControllerSurvived() }
 
 // ReconciliationStatus describes the term's recovery.
-func (s *Scheduler) ReconciliationStatus(now Now) recovery.Status {
+func (s *Scheduler) ReconciliationStatus(now Now) reconcile.Status {
 	return s.reconciler.Status(now.Mono)
 }
 
 // ReconciliationDifferences lists what the recovery found, of a class or of all for None.
-func (s *Scheduler) ReconciliationDifferences(class recovery.Class, skip, limit int) []recovery.DifferenceView {
+func (s *Scheduler) ReconciliationDifferences(class reconcile.Class, skip, limit int) []reconcile.DifferenceView {
 	return s.reconciler.Differences(class, skip, limit)
 }
 
@@ -42,7 +42,7 @@
 	}
 	s.effects.Reconciliation = append(s.effects.Reconciliation, events...)
 	for _, e := range events {
-		if e.Kind == recovery.PhaseEntered {
+		if e.Kind == reconcile.PhaseEntered {
 			status := s.reconciler.Status(e.At)
 			s.log(false, "recovery", "phase", e.Phase, "after_s", status.AgeS, "machines", status.Machines, "unheard", status.Unconfirmed,
 				"unproven", status.Unproven, "differences", status.Differences)
@@ -51,16 +51,16 @@
 }
 
 // countOperation counts the first order of its kind about an attempt.
-func (s *Scheduler) countOperation(kind recovery.OperationKind, a *attempt) {
-	if s.reconciler.Phase() == recovery.Settled {
+func (s *Scheduler) countOperation(kind reconcile.OperationKind, a *attempt) {
+	if s.reconciler.Phase() == reconcile.Settled {
 		return
 	}
-	s.reconciler.CountOperation(s.now.Mono, recovery.Operation{Kind: kind, Machine: a.machine.name, Task: wire.TaskName(a.ref.jobID, a.ref.index), Number: a.number})
+	s.reconciler.CountOperation(s.now.Mono, reconcile.Operation{Kind: kind, Machine: a.machine.name, Task: wire.TaskName(a.ref.jobID, a.ref.index), Number: a.number})
 }
 
 // evidenceFor gathers what is known of an attempt from before the term.
-func (s *Scheduler) evidenceFor(a *attempt, observation recovery.Observation) recovery.Evidence {
-	e := recovery.Evidence{Observation: observation, Recorded: a.class == recovery.MissingUnproven}
+func (s *Scheduler) evidenceFor(a *attempt, observation reconcile.Observation) reconcile.Evidence {
+	e := reconcile.Evidence{Observation: observation, Recorded: a.class == reconcile.MissingUnproven}
 	j := a.job
 	if j == nil {
 		return e
@@ -72,8 +72,8 @@
 	// Of two recorded attempts of a task, the first to be reported is the one that
 	// stays. A third, without a record, is stopped whatever became of these.
 	//mutation:recovered-attempt-duplicate
-	e.HasDuplicate = s.hasDuplicate(a, e.Recorded && observation == recovery.Active)
-	if !e.Recorded && observation == recovery.Active {
+	e.HasDuplicate = s.hasDuplicate(a, e.Recorded && observation == reconcile.Active)
+	if !e.Recorded && observation == reconcile.Active {
 		//mutation:unrecorded-attempt-placement
 		e.MachineAllowed = s.mayAdoptOn(j, a.machine)
 		//mutation:unrecorded-attempt-over-limit
@@ -100,21 +100,21 @@
 }
 
 // classifyRecorded takes the first sighting of an attempt that a record named.
-func (s *Scheduler) classifyRecorded(a *attempt, observation recovery.Observation) {
-	if a.class != recovery.MissingUnproven {
+func (s *Scheduler) classifyRecorded(a *attempt, observation reconcile.Observation) {
+	if a.class != reconcile.MissingUnproven {
 		return
 	}
-	verdict := recovery.Classify(s.evidenceFor(a, observation))
-	if verdict.Class == recovery.MissingUnproven {
+	verdict := reconcile.Classify(s.evidenceFor(a, observation))
+	if verdict.Class == reconcile.MissingUnproven {
 		return
 	}
-	if verdict.Class == recovery.Confirmed {
-		a.class = recovery.Confirmed
+	if verdict.Class == reconcile.Confirmed {
+		a.class = reconcile.Confirmed
 		s.reconciler.ConfirmAttempt(s.now.Mono, a.machine.name)
 		return
 	}
 	s.reportDifference(a, verdict, true)
-	if verdict.Action == recovery.Stop {
+	if verdict.Action == reconcile.Stop {
 		s.stopAttempt(a, false, verdict.Class.String())
 	}
 }
@@ -126,12 +126,12 @@
 	if !a.machine.underTerm {
 		return
 	}
-	s.classifyRecorded(a, recovery.Active)
+	s.classifyRecorded(a, reconcile.Active)
 	s.reportDeferredVerdict(a)
 }
 
 // deferVerdict keeps the verdict on an unexpected attempt until it is confirmed, or has ended.
-func (s *Scheduler) deferVerdict(a *attempt, verdict recovery.Verdict) {
+func (s *Scheduler) deferVerdict(a *attempt, verdict reconcile.Verdict) {
 	a.pending = verdict
 	if s.fromEarlierTerm(a.number) {
 		s.reconciler.ExpectOperations(s.newDifference(a.machine, a.ref, a.number, verdict, false))
@@ -140,9 +140,9 @@
 
 // reportDeferredVerdict tells the recovery of an unexpected attempt.
 func (s *Scheduler) reportDeferredVerdict(a *attempt) {
-	if a.pending.Class != recovery.None {
+	if a.pending.Class != reconcile.None {
 		verdict := a.pending
-		a.pending = recovery.Verdict{}
+		a.pending = reconcile.Verdict{}
 		s.reportDifference(a, verdict, false)
 	}
 }
@@ -154,28 +154,28 @@
 	sortAttempts(s.obsolete)
 	for _, a := range s.obsolete {
 		if a.machine.tasks[a.ref] == a {
-			s.classifyRecorded(a, recovery.Unreported)
+			s.classifyRecorded(a, reconcile.Unreported)
 		}
 	}
 	s.obsolete = nil
 }
 
 // reportDifference hands a verdict to the recovery, if the attempt is from before the term.
-func (s *Scheduler) reportDifference(a *attempt, verdict recovery.Verdict, recorded bool) {
+func (s *Scheduler) reportDifference(a *attempt, verdict reconcile.Verdict, recorded bool) {
 	if !s.fromEarlierTerm(a.number) {
 		return
 	}
 	a.class = verdict.Class
-	if verdict.Action == recovery.Stop {
+	if verdict.Action == reconcile.Stop {
 		a.awaitsStop = true
 		s.reconciler.AwaitStop()
 	}
 	s.reconciler.AddDifference(s.now.Mono, s.newDifference(a.machine, a.ref, a.number, verdict, recorded))
 }
 
-func (s *Scheduler) newDifference(m *machine, ref taskRef, number uint64, verdict recovery.Verdict, recorded bool) recovery.Difference {
-	return recovery.Difference{
-		Attempt: recovery.Attempt{Machine: m.name, Task: wire.TaskName(ref.jobID, ref.index), Number: number},
+func (s *Scheduler) newDifference(m *machine, ref taskRef, number uint64, verdict reconcile.Verdict, recorded bool) reconcile.Difference {
+	return reconcile.Difference{
+		Attempt: reconcile.Attempt{Machine: m.name, Task: wire.TaskName(ref.jobID, ref.index), Number: number},
 		Class:   verdict.Class, Action: verdict.Action, Recorded: recorded,
 	}
 }
@@ -201,8 +201,8 @@
 	if j := s.jobs[ref.jobID]; j != nil && ref.index < j.spec.Tasks && !j.service {
 		a.job = j
 	}
-	verdict := recovery.Classify(s.evidenceFor(a, recovery.Completed))
-	if verdict.Action == recovery.RecordDone {
+	verdict := reconcile.Classify(s.evidenceFor(a, reconcile.Completed))
+	if verdict.Action == reconcile.RecordDone {
 		s.reconciler.AddDifference(s.now.Mono, s.newDifference(m, ref, report.Attempt, verdict, false))
 	}
 }
@@ -211,7 +211,7 @@
 // start.
 func (s *Scheduler) reportSuperseded(m *machine, ref taskRef, report *wire.TaskStatus) {
 	if s.fromEarlierTerm(report.Attempt) {
-		verdict := recovery.Verdict{Class: recovery.Superseded, Action: recovery.Stop}
+		verdict := reconcile.Verdict{Class: reconcile.Superseded, Action: reconcile.Stop}
 		s.reconciler.AddDifference(s.now.Mono, s.newDifference(m, ref, report.Attempt, verdict, false))
 	}
 }
--- a/internal/core/recovery_test.go
+++ b/internal/scheduler/reconciliation_test.go
@@ -1,4 +1,4 @@
-package core
+package scheduler
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"github.com/yarrowgap/yarrowgap/internal/recovery"
-	"github.com/yarrowgap/yarrowgap/internal/store"
+	"github.com/yarrowgap/yarrowgap/internal/reconcile"
+	"github.com/yarrowgap/yarrowgap/internal/records"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
@@ -25,15 +25,15 @@
 			j.Shape = wire.ShapeArray
 		}
 		j.Team, j.Priority, j.Image, j.CreatedAtMilli = "red", wire.PriorityNormal, "img", time.Hour.Milliseconds()
-		live[j.ID] = &LiveJob{Record: &store.Job{Job: j}, ModRevision: 5}
+		live[j.ID] = &LiveJob{Record: &records.Job{Job: j}, ModRevision: 5}
 	}
 	return live
 }
 
 // assignmentRecord is a record of one attempt of the restarted job's first task.
 func assignmentRecord(t *testing.T, machine string, attempt uint64) wire.KeyValue {
-	return machineRecordItem(t, machine, store.LegacyMachine{Type: "box", Zone: "a", Address: machine + ":1",
-		Tasks: map[string][]store.AssignedTask{restartedJobID: {{Index: 0, Attempt: attempt}}}})
+	return machineRecordItem(t, machine, records.LegacyMachine{Type: "box", Zone: "a", Address: machine + ":1",
+		Tasks: map[string][]records.AssignedTask{restartedJobID: {{Index: 0, Attempt: attempt}}}})
 }
 
 func taskReport(attempt uint64, state string) wire.TaskStatus {
@@ -82,7 +82,7 @@
 	h.bringUp("n-2") // the second task has a batch of its own
 	h.advance(time.Second, "n-2")
 	h.answerAll(CallExecuted)
-	live := map[string]*LiveJob{restartedJobID: {Record: &store.Job{Job: h.scheduler.jobs[restartedJobID].spec}, ModRevision: h.revision}}
+	live := map[string]*LiveJob{restartedJobID: {Record: &records.Job{Job: h.scheduler.jobs[restartedJobID].spec}, ModRevision: h.revision}}
 	h.heartbeat("n-1", exitedReport(first, wire.CauseDone))
 	h.advance(tuning.DoneFlushDelay / 2)
 	if n := h.recordedAttempts(); n != 2 {
@@ -98,7 +98,7 @@
 	next.answerAll(CallLost)
 	next.heartbeat("n-1", exitedReport(first, wire.CauseDone))
 	next.heartbeat("n-1", exitedReport(first, wire.CauseDone))
-	if j := next.scheduler.jobs[restartedJobID]; j.nDone != 1 || next.differenceClasses()[recovery.FinishedUnrecorded.String()] != 1 {
+	if j := next.scheduler.jobs[restartedJobID]; j.nDone != 1 || next.differenceClasses()[reconcile.FinishedUnrecorded.String()] != 1 {
 		t.Errorf("%d done, classes %v", j.nDone, next.differenceClasses())
 	}
 	h.advance(tuning.DoneFlushDelay+2*time.Second, "n-2")
@@ -114,23 +114,23 @@
 	for _, tc := range []struct {
 		name    string
 		job     wire.Job
-		change  func(*store.Job)
+		change  func(*records.Job)
 		records []wire.KeyValue
-		class   recovery.Class
+		class   reconcile.Class
 		stopped bool
 	}{
-		{name: "of a live job", job: wire.Job{Tasks: 1, CPUs: 1}, class: recovery.Unrecorded},
-		{name: "of a cancelled job", job: wire.Job{Tasks: 1, CPUs: 1}, change: func(r *store.Job) { r.Cancelled = true },
-			records: []wire.KeyValue{assignmentRecord(t, "n-2", 5)}, class: recovery.Obsolete, stopped: true},
-		{name: "of a job that is over", job: wire.Job{ID: "run-000002", Tasks: 1, CPUs: 1}, class: recovery.Obsolete, stopped: true},
-		{name: "that is done", job: wire.Job{Tasks: 2, CPUs: 1}, change: func(r *store.Job) {
-			done := store.NewBitmap(2)
+		{name: "of a live job", job: wire.Job{Tasks: 1, CPUs: 1}, class: reconcile.Unrecorded},
+		{name: "of a cancelled job", job: wire.Job{Tasks: 1, CPUs: 1}, change: func(r *records.Job) { r.Cancelled = true },
+			records: []wire.KeyValue{assignmentRecord(t, "n-2", 5)}, class: reconcile.Obsolete, stopped: true},
+		{name: "of a job that is over", job: wire.Job{ID: "run-000002", Tasks: 1, CPUs: 1}, class: reconcile.Obsolete, stopped: true},
+		{name: "that is done", job: wire.Job{Tasks: 2, CPUs: 1}, change: func(r *records.Job) {
+			done := records.NewBitmap(2)
 			done.Add(0)
 			r.Done = done.EncodeChunk(0)
-		}, class: recovery.Obsolete, stopped: true},
-		{name: "recorded on another machine", job: wire.Job{Tasks: 1, CPUs: 1}, records: []wire.KeyValue{assignmentRecord(t, "n-2", 5)}, class: recovery.Superseded, stopped: true},
-		{name: "while its team is at its limit", job: wire.Job{Tasks: 1, CPUs: 17}, class: recovery.Unrecorded, stopped: true},
-		{name: "where its job does not allow it", job: wire.Job{Tasks: 1, CPUs: 1, Zone: "b"}, class: recovery.Unrecorded, stopped: true},
+		}, class: reconcile.Obsolete, stopped: true},
+		{name: "recorded on another machine", job: wire.Job{Tasks: 1, CPUs: 1}, records: []wire.KeyValue{assignmentRecord(t, "n-2", 5)}, class: reconcile.Superseded, stopped: true},
+		{name: "while its team is at its limit", job: wire.Job{Tasks: 1, CPUs: 17}, class: reconcile.Unrecorded, stopped: true},
+		{name: "where its job does not allow it", job: wire.Job{Tasks: 1, CPUs: 1, Zone: "b"}, class: reconcile.Unrecorded, stopped: true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if tc.job.ID == "" {
@@ -176,7 +176,7 @@
 	if len(first) > 0 || !slices.Equal(second, []uint64{5}) {
 		t.Errorf("stops: %v, %v", first, second)
 	}
-	if c := h.differenceClasses(); c[recovery.Confirmed.String()] != 1 || c[recovery.Superseded.String()] != 1 {
+	if c := h.differenceClasses(); c[reconcile.Confirmed.String()] != 1 || c[reconcile.Superseded.String()] != 1 {
 		t.Errorf("classes: %v", c)
 	}
 }
@@ -194,7 +194,7 @@
 	h.heartbeat("n-1", taskReport(5, wire.TaskRunning))
 	h.heartbeat("n-1", ended)
 	h.scheduler.MachinesListed(h.clock(), nil)
-	if m := h.scheduler.machines["n-1"]; len(m.tasks) > 0 || h.scheduler.reconciler.Phase() != recovery.Settled {
+	if m := h.scheduler.machines["n-1"]; len(m.tasks) > 0 || h.scheduler.reconciler.Phase() != reconcile.Settled {
 		t.Errorf("%d tasks, %v", len(m.tasks), h.scheduler.reconciler.Phase())
 	}
 }
@@ -206,7 +206,7 @@
 		enabled, recorded := i%2 == 0, i/2 == 0
 		var storedRecords []wire.KeyValue
 		if recorded {
-			storedRecords = append(storedRecords, machineRecordItem(t, "n-2", store.LegacyMachine{Type: "box", Zone: "a", Address: "n-2:1"}))
+			storedRecords = append(storedRecords, machineRecordItem(t, "n-2", records.LegacyMachine{Type: "box", Zone: "a", Address: "n-2:1"}))
 		}
 		h := newHarnessWith(t, false, nil, storedRecords, func(s *Settings) { coldRestart(s); s.Policy.ReconcileRestarts, s.Policy.HeadroomShare = enabled, 0 })
 		h.answerAll(CallLost)
@@ -256,7 +256,7 @@
 			t.Error("kept without the setting: the test shows nothing")
 		}
 	}
-	back := func(name string, view func(*wire.Heartbeat), started bool, class recovery.Class) {
+	back := func(name string, view func(*wire.Heartbeat), started bool, class reconcile.Class) {
 		h := begin(true)
 		late(h, soon)
 		if len(h.releases)+len(h.startCommands()) > 0 {
@@ -277,9 +277,9 @@
 			t.Errorf("%s: classes %v", name, h.differenceClasses())
 		}
 	}
-	back("with the same session", func(r *wire.Heartbeat) { r.Tasks = []wire.TaskStatus{taskReport(5, wire.TaskRunning)} }, false, recovery.Confirmed)
-	back("with its task finished", func(r *wire.Heartbeat) { r.Tasks = []wire.TaskStatus{taskReport(5, wire.TaskExited)} }, false, recovery.FinishedUnrecorded)
-	back("with a later session", func(r *wire.Heartbeat) { r.Incarnation = 2 }, true, recovery.MissingProven)
+	back("with the same session", func(r *wire.Heartbeat) { r.Tasks = []wire.TaskStatus{taskReport(5, wire.TaskRunning)} }, false, reconcile.Confirmed)
+	back("with its task finished", func(r *wire.Heartbeat) { r.Tasks = []wire.TaskStatus{taskReport(5, wire.TaskExited)} }, false, reconcile.FinishedUnrecorded)
+	back("with a later session", func(r *wire.Heartbeat) { r.Incarnation = 2 }, true, reconcile.MissingProven)
 
 	h := begin(true)
 	newer := h.newHeartbeat("n-1", (harnessTerm+3)<<tuning.FencingBits)
@@ -306,7 +306,7 @@
 // After a task without a record was reported, others of jobs from before wait for the
 // machines that have yet to report; jobs that were submitted since do not.
 func TestUnrecordedTaskHoldsRecoveredWork(t *testing.T) {
-	h := newHarnessWith(t, false, liveJobs(wire.Job{ID: restartedJobID, Tasks: 3, CPUs: 1}), []wire.KeyValue{machineRecordItem(t, "n-4", store.LegacyMachine{Type: "box", Zone: "a", Address: "n-4:1"})}, coldRestart)
+	h := newHarnessWith(t, false, liveJobs(wire.Job{ID: restartedJobID, Tasks: 3, CPUs: 1}), []wire.KeyValue{machineRecordItem(t, "n-4", records.LegacyMachine{Type: "box", Zone: "a", Address: "n-4:1"})}, coldRestart)
 	h.calls = nil
 	h.heartbeat("n-1", taskReport(7, wire.TaskRunning))
 	h.answerStatusProbes([]string{"n-1"})
@@ -334,8 +334,8 @@
 		var list []wire.ListedMachine
 		for i := range machines {
 			name := fmt.Sprintf("n-%06d", i)
-			storedRecords = append(storedRecords, machineRecordItem(t, name, store.LegacyMachine{Type: "box", Zone: "a", Address: name + ":1",
-				Tasks: map[string][]store.AssignedTask{restartedJobID: {{Index: i, Attempt: uint64(i + 1)}}}}))
+			storedRecords = append(storedRecords, machineRecordItem(t, name, records.LegacyMachine{Type: "box", Zone: "a", Address: name + ":1",
+				Tasks: map[string][]records.AssignedTask{restartedJobID: {{Index: i, Attempt: uint64(i + 1)}}}}))
 			if i%2 == 0 {
 				list = append(list, wire.ListedMachine{Name: name, Address: name + ":1", Type: "box", Zone: "a", State: wire.MachineRunning, AgeS: 900})
 			}
@@ -413,10 +413,10 @@
 	within("direct calls after the election", f.directCalls, machines)
 	within("changes after the election", f.writes, machines/100)
 	status := f.scheduler.ReconciliationStatus(f.clock())
-	if status.Classes[recovery.Confirmed.String()] != tasks || status.Unconfirmed != 0 {
+	if status.Classes[reconcile.Confirmed.String()] != tasks || status.Unconfirmed != 0 {
 		t.Errorf("recovered: %+v", status)
 	}
-	if orders := status.Operations[recovery.StartOperation.String()].Total + status.Operations[recovery.StopOperation.String()].Total; orders != 0 {
+	if orders := status.Operations[reconcile.StartOperation.String()].Total + status.Operations[reconcile.StopOperation.String()].Total; orders != 0 {
 		t.Errorf("%d starts and stops in a recovery without differences", orders)
 	}
 
--- a/internal/core/replica.go
+++ b/internal/scheduler/replica.go
@@ -1,17 +1,17 @@
-package core
+package scheduler
 
 import (
 	"container/list"
 	"strings"
 
-	"github.com/yarrowgap/yarrowgap/internal/store"
+	"github.com/yarrowgap/yarrowgap/internal/records"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
 // LiveJob is a job's record as last seen.
 type LiveJob struct {
-	Record      *store.Job
+	Record      *records.Job
 	ModRevision uint64
 }
 
@@ -30,7 +30,7 @@
 
 type endedEntry struct {
 	id     string
-	record store.EndedJob
+	record records.EndedJob
 }
 
 // NewReplica makes an empty copy, which knows nothing until Reset.
@@ -46,7 +46,7 @@
 	r.Resets++
 	r.Live = make(map[string]*LiveJob, len(items))
 	for _, item := range items {
-		record, err := store.DecodeJob(item)
+		record, err := records.DecodeJob(item)
 		if err != nil {
 			bad = append(bad, item.Key)
 			continue
@@ -72,8 +72,8 @@
 			continue
 		}
 		switch {
-		case strings.HasPrefix(entry.Set, store.LiveJobPrefix):
-			record, err := store.DecodeJob(wire.KeyValue{Key: entry.Set, Value: entry.Value, ModRevision: entry.ModRevision})
+		case strings.HasPrefix(entry.Set, records.LiveJobPrefix):
+			record, err := records.DecodeJob(wire.KeyValue{Key: entry.Set, Value: entry.Value, ModRevision: entry.ModRevision})
 			if err != nil {
 				bad = append(bad, entry.Set)
 				continue
@@ -82,15 +82,15 @@
 			r.Live[record.Job.ID] = live
 			delete(r.absent, record.Job.ID)
 			touched = append(touched, JobChange{record.Job.ID, live})
-		case strings.HasPrefix(entry.Set, store.EndedJobPrefix):
-			var record store.EndedJob
+		case strings.HasPrefix(entry.Set, records.EndedJobPrefix):
+			var record records.EndedJob
 			if err := wire.Unmarshal(entry.Value, &record); err != nil {
 				bad = append(bad, entry.Set)
 				continue
 			}
-			r.RememberEnded(store.IDFromKey(store.EndedJobPrefix, entry.Set), record)
-		case strings.HasPrefix(entry.Delete, store.LiveJobPrefix):
-			id := store.IDFromKey(store.LiveJobPrefix, entry.Delete)
+			r.RememberEnded(records.IDFromKey(records.EndedJobPrefix, entry.Set), record)
+		case strings.HasPrefix(entry.Delete, records.LiveJobPrefix):
+			id := records.IDFromKey(records.LiveJobPrefix, entry.Delete)
 			delete(r.Live, id)
 			touched = append(touched, JobChange{id, nil})
 		}
@@ -115,7 +115,7 @@
 func (r *Replica) Absent(id string) bool { return r.absent[id] }
 
 // RememberEnded notes how a job ended.
-func (r *Replica) RememberEnded(id string, record store.EndedJob) {
+func (r *Replica) RememberEnded(id string, record records.EndedJob) {
 	delete(r.absent, id)
 	if element, ok := r.ended[id]; ok {
 		r.recency.MoveToFront(element)
@@ -130,10 +130,10 @@
 }
 
 // Ended tells how a job ended, if that is remembered.
-func (r *Replica) Ended(id string) (store.EndedJob, bool) {
+func (r *Replica) Ended(id string) (records.EndedJob, bool) {
 	element, ok := r.ended[id]
 	if !ok {
-		return store.EndedJob{}, false
+		return records.EndedJob{}, false
 	}
 	r.recency.MoveToFront(element)
 	return element.Value.(endedEntry).record, true
--- a/internal/core/returns.go
+++ b/internal/scheduler/scalein.go
@@ -1,9 +1,9 @@
-package core
+package scheduler
 
 import (
 	"time"
 
-	"github.com/yarrowgap/yarrowgap/internal/recovery"
+	"github.com/yarrowgap/yarrowgap/internal/reconcile"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
@@ -33,7 +33,7 @@
 		}
 		s.log(m.loggedReason == reason, "giving machine back", "machine", m.name, "type", m.machineType, "zone", m.zone, "spot", m.spot, "why", reason, "tasks", len(m.tasks))
 		if m.loggedReason == "" {
-			s.reconciler.CountOperation(s.now.Mono, recovery.Operation{Kind: recovery.ReleaseOperation, Machine: m.name})
+			s.reconciler.CountOperation(s.now.Mono, reconcile.Operation{Kind: reconcile.ReleaseOperation, Machine: m.name})
 		}
 		m.phase, m.loggedReason = machineReleasing, reason // repeated while the cloud refuses
 		for _, a := range m.sortedAttempts() {
@@ -290,7 +290,7 @@
 
 func (s *Scheduler) removeMachine(m *machine) {
 	for _, a := range m.sortedAttempts() {
-		s.classifyRecorded(a, recovery.Absent)
+		s.classifyRecorded(a, reconcile.Absent)
 		s.detach(a)
 		s.handleFailedAttempt(a, "machine gone")
 	}
--- a/internal/core/renting.go
+++ b/internal/scheduler/scaleout.go
@@ -1,4 +1,4 @@
-package core
+package scheduler
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"github.com/yarrowgap/yarrowgap/internal/recovery"
+	"github.com/yarrowgap/yarrowgap/internal/reconcile"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
@@ -254,7 +254,7 @@
 	// any other of ours: a used name would rent nothing.
 	name := fmt.Sprintf("yg-%d-%d", s.term, s.nextHire)
 	s.rentals[name] = &pendingRequest{offer: o, count: count, sentAt: s.now.Mono}
-	s.reconciler.CountOperation(s.now.Mono, recovery.Operation{Kind: recovery.ProvisionOperation})
+	s.reconciler.CountOperation(s.now.Mono, reconcile.Operation{Kind: reconcile.ProvisionOperation})
 	s.log(false, "renting", "hire", name, "type", o.machineType, "zone", o.zone, "spot", o.spot, "count", count)
 	s.effects.Provision = append(s.effects.Provision, ProvisionRequest{wire.ProvisionRequest{RequestID: name, Type: o.machineType, Zone: o.zone, Spot: o.spot, Count: count}})
 }
--- a/internal/core/leader.go
+++ b/internal/scheduler/scheduler.go
@@ -7,7 +7,7 @@
 // that it is gone and cannot come back (see provenAbsent and Released); and
 // every write is conditioned on the leader's key, so that a leader who has been
 // replaced can change nothing.
-package core
+package scheduler
 
 import (
 	"maps"
@@ -16,8 +16,8 @@
 	"time"
 
 	"github.com/yarrowgap/yarrowgap/internal/policy"
-	"github.com/yarrowgap/yarrowgap/internal/recovery"
-	"github.com/yarrowgap/yarrowgap/internal/store"
+	"github.com/yarrowgap/yarrowgap/internal/reconcile"
+	"github.com/yarrowgap/yarrowgap/internal/records"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
@@ -92,7 +92,7 @@
 	ObserveAckLatency func(time.Duration)
 
 	failures   []Failure
-	reconciler *recovery.Reconciler
+	reconciler *reconcile.Reconciler
 	rounds     uint64     // of placement
 	obsolete   []*attempt // recorded ones whose job is over or cancelled, until they are stopped
 
@@ -149,7 +149,7 @@
 	job            *job
 	ended          bool
 	chunks         []int
-	doneBits       store.Bitmap
+	doneBits       records.Bitmap
 	wroteJobRecord bool // the job's own key was written
 }
 
@@ -171,8 +171,8 @@
 	sentAt time.Duration
 }
 
-// New starts a term. records are those under store.BatchPrefix and
-// store.LegacyMachinePrefix.
+// New starts a term. records are those under records.BatchPrefix and
+// records.LegacyMachinePrefix.
 func New(now Now, settings Settings, term uint64, replica *Replica, doneBits []wire.KeyValue, storedRecords []wire.KeyValue, types []wire.MachineType) *Scheduler {
 	l := &Scheduler{
 		settings: settings, term: term, now: now,
@@ -185,7 +185,7 @@
 		budget: settings.WriteRate, budgetAt: now.Mono, questions: statusProbes{budget: tuning.MinConcurrentStatusProbes, refilledAt: now.Mono},
 		heardAny: now.Mono, tickAt: now.Mono, startedAt: now.Mono, dirtyPlace: true, placedAt: now.Mono - time.Second,
 	}
-	l.reconciler = recovery.New(now.Mono, settings.reconcileConfig())
+	l.reconciler = reconcile.New(now.Mono, settings.reconcileConfig())
 	l.SetMachineTypes(now, types)
 	for _, live := range replica.Live {
 		l.addJob(live).recovered = true
--- a/internal/core/core_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -1,4 +1,4 @@
-package core_test
+package scheduler_test
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	"github.com/yarrowgap/yarrowgap/internal/fixedseed"
-	"github.com/yarrowgap/yarrowgap/internal/store"
+	"github.com/yarrowgap/yarrowgap/internal/records"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
@@ -111,7 +111,7 @@
 			t.Errorf("counters of a quiet world: %+v", c)
 		}
 	}
-	if n := len(sim.kvStore.Range(sim.now, store.LiveJobPrefix, "", 1000).Items); n > 12 {
+	if n := len(sim.kvStore.Range(sim.now, records.LiveJobPrefix, "", 1000).Items); n > 12 {
 		t.Errorf("%d records of live jobs are left", n)
 	}
 }
--- a/internal/core/world_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -1,4 +1,4 @@
-package core_test
+package scheduler_test
 
 import (
 	"fmt"
@@ -6,11 +6,11 @@
 	"slices"
 	"time"
 
-	"github.com/yarrowgap/yarrowgap/internal/core"
 	"github.com/yarrowgap/yarrowgap/internal/eventqueue"
 	"github.com/yarrowgap/yarrowgap/internal/policy"
-	"github.com/yarrowgap/yarrowgap/internal/standin"
-	"github.com/yarrowgap/yarrowgap/internal/store"
+	"github.com/yarrowgap/yarrowgap/internal/records"
+	"github.com/yarrowgap/yarrowgap/internal/scheduler"
+	"github.com/yarrowgap/yarrowgap/internal/simulator"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
@@ -23,9 +23,9 @@
 	queue eventqueue.Queue
 	rng   *rand.Rand
 
-	kvStore                *standin.KVStore
-	checker                *standin.RuleChecker
-	workers                map[string]*standin.Worker
+	kvStore                *simulator.KVStore
+	checker                *simulator.RuleChecker
+	workers                map[string]*simulator.Worker
 	provisioned            map[string][]string
 	machineNames           []string
 	controllers            []*simController
@@ -59,7 +59,7 @@
 	maxWriteDelayMS      int     // milliseconds that a leader's transaction may take longer
 	maxCallDelayMS       int     // milliseconds that a direct call and its answer may each take longer
 	workerLease          time.Duration
-	settings             core.Settings
+	settings             scheduler.Settings
 	traceLogs            bool // print what the leaders log
 	disabled             safeguard
 	decisions            *decisionDigest // of all leaders; nil: not taken
@@ -88,11 +88,11 @@
 type simController struct {
 	sim                     *simulation
 	name                    string
-	scheduler               *core.Scheduler
+	scheduler               *scheduler.Scheduler
 	storeLease              uint64
 	term                    uint64
 	incarnation             int
-	replica                 *core.Replica
+	replica                 *scheduler.Replica
 	refusedUntil            time.Duration // by the state service, until then
 	partitionedUntil        time.Duration // from the state service and all peers, until then
 	workersUnreachableUntil time.Duration // from all workers, until then
@@ -238,23 +238,23 @@
 func newSimulation(seed uint64) *simulation { return newSimulationOf(seed, smallSimulation) }
 
 func newSimulationOf(seed uint64, size simulationSize) *simulation {
-	sim := &simulation{size: size, rng: rand.New(rand.NewPCG(seed, 7)), kvStore: standin.NewKVStore(12, 10000),
-		workers: map[string]*standin.Worker{}, provisioned: map[string][]string{}, faultyMachines: map[string]bool{}, partitionedUntil: map[string]time.Duration{}, unreachableUntil: map[string]time.Duration{}, hungUntil: map[string]time.Duration{}, heartbeatsBlockedUntil: map[string]time.Duration{}, lifecycles: map[string]*machineLifecycle{}, zonePartitionedUntil: map[string]time.Duration{},
+	sim := &simulation{size: size, rng: rand.New(rand.NewPCG(seed, 7)), kvStore: simulator.NewKVStore(12, 10000),
+		workers: map[string]*simulator.Worker{}, provisioned: map[string][]string{}, faultyMachines: map[string]bool{}, partitionedUntil: map[string]time.Duration{}, unreachableUntil: map[string]time.Duration{}, hungUntil: map[string]time.Duration{}, heartbeatsBlockedUntil: map[string]time.Duration{}, lifecycles: map[string]*machineLifecycle{}, zonePartitionedUntil: map[string]time.Duration{},
 		faultsActive: true, workerLease: 12 * time.Second}
 	sim.machineTypes = []wire.MachineType{
 		{Name: "small", CPUs: 8, MemoryGB: 32, CacheGB: 20, FetchGBPerS: 0.5, Price: 1, SpotPrice: 0.3, BootS: 5, Zones: []string{"a", "b"}},
 		{Name: "large", CPUs: 16, MemoryGB: 64, CacheGB: 20, FetchGBPerS: 0.5, Price: 2, SpotPrice: 0.6, BootS: 5, Zones: []string{"a", "b"}},
 	}
 	sim.kvStore.WriteRate = size.writeRate + 10 // users' writes come on top of what the leader keeps to
-	sim.checker = standin.NewRuleChecker(map[string]float64{"red": size.teamCPUs, "blue": size.teamCPUs}, size.cancellationBound)
+	sim.checker = simulator.NewRuleChecker(map[string]float64{"red": size.teamCPUs, "blue": size.teamCPUs}, size.cancellationBound)
 	sim.checker.SetMachineTypes(sim.machineTypes)
-	sim.settings = core.Settings{
-		Teams:             map[string]core.TeamQuota{"red": {CPUs: size.teamCPUs / 2, CPUsMax: size.teamCPUs}, "blue": {CPUs: size.teamCPUs / 2, CPUsMax: size.teamCPUs}},
+	sim.settings = scheduler.Settings{
+		Teams:             map[string]scheduler.TeamQuota{"red": {CPUs: size.teamCPUs / 2, CPUsMax: size.teamCPUs}, "blue": {CPUs: size.teamCPUs / 2, CPUsMax: size.teamCPUs}},
 		HeartbeatInterval: size.heartbeatInterval, WorkerLease: sim.workerLease, CancellationBound: size.cancellationBound, MaxTransactionOps: 12, MaxValueBytes: 4096, WriteRate: size.writeRate,
 		Policy: policy.Defaults(false),
 	}
 	for i := range 5 {
-		c := &simController{sim: sim, name: fmt.Sprintf("node-%d", i), replica: core.NewReplica()}
+		c := &simController{sim: sim, name: fmt.Sprintf("node-%d", i), replica: scheduler.NewReplica()}
 		sim.controllers = append(sim.controllers, c)
 		sim.every(300*time.Millisecond, c.elect)
 		sim.every(100*time.Millisecond, c.watch)
@@ -269,8 +269,8 @@
 	return sim
 }
 
-func (sim *simulation) schedulerNow() core.Now {
-	return core.Now{Mono: sim.now, Wall: sim.now.Milliseconds()}
+func (sim *simulation) schedulerNow() scheduler.Now {
+	return scheduler.Now{Mono: sim.now, Wall: sim.now.Milliseconds()}
 }
 
 // machineLifecycle is what the cloud knows of a machine.
@@ -307,7 +307,7 @@
 	sim.faultyMachines[name] = sim.rng.Float64() < 0.1
 	// Clocks of different machines drift apart by up to 0.05%.
 	lease := sim.workerLease + time.Duration((sim.rng.Float64()-0.5)*0.001*float64(sim.workerLease))
-	worker := standin.NewWorker(sim.now+d, lease, name, machineType, zone, spot, sim.checker,
+	worker := simulator.NewWorker(sim.now+d, lease, name, machineType, zone, spot, sim.checker,
 		func(string) time.Duration {
 			// Most tasks take seconds; some of a job end far apart from the others.
 			if sim.rng.IntN(8) == 0 {
@@ -503,7 +503,7 @@
 }
 
 func (c *simController) crash(d time.Duration) {
-	c.scheduler, c.replica, c.leaderTerm = nil, core.NewReplica(), 0
+	c.scheduler, c.replica, c.leaderTerm = nil, scheduler.NewReplica(), 0
 	c.replicaReadAt, c.confirmedCancellations, c.pausedUntil, c.watchInFlight = 0, nil, 0, false
 	c.downUntil = c.sim.now + d
 	c.startedAt = c.downUntil
@@ -530,8 +530,8 @@
 		c.scheduler.LeaseHeldUntil(sim.now + tuning.LeaderLeaseTTL)
 		return
 	}
-	if it := sim.kvStore.Get(sim.now, store.LeaderKey); it.ModRevision != 0 {
-		var rec store.Leader
+	if it := sim.kvStore.Get(sim.now, records.LeaderKey); it.ModRevision != 0 {
+		var rec records.Leader
 		must(wire.Unmarshal(it.Value, &rec))
 		if rec.Node == c.name && rec.Boot != uint64(c.incarnation) {
 			sim.kvStore.RevokeLease(it.Lease) // left by its own earlier process
@@ -540,8 +540,8 @@
 	}
 	c.storeLease = sim.kvStore.GrantLease(sim.now, tuning.LeaderLeaseTTL)
 	status, r := sim.kvStore.Commit(sim.now, wire.Txn{
-		If:   []wire.Compare{{Key: store.LeaderKey}},
-		Then: []wire.Op{{Set: store.LeaderKey, Value: store.Leader{Node: c.name, Boot: uint64(c.incarnation)}, Lease: &c.storeLease}},
+		If:   []wire.Compare{{Key: records.LeaderKey}},
+		Then: []wire.Op{{Set: records.LeaderKey, Value: records.Leader{Node: c.name, Boot: uint64(c.incarnation)}, Lease: &c.storeLease}},
 	})
 	if status != 200 {
 		return
@@ -556,11 +556,11 @@
 			return
 		}
 		all := func(prefix string) []wire.KeyValue { return sim.kvStore.Range(sim.now, prefix, "", 1000).Items }
-		c.replica.Reset(all(store.LiveJobPrefix), sim.kvStore.Revision)
+		c.replica.Reset(all(records.LiveJobPrefix), sim.kvStore.Revision)
 		c.replicaReadAt, c.leaderTerm, c.peerConfirmedAt = sim.now, c.term, map[*simController]time.Duration{}
 		settings := sim.settings
 		settings.ColdRestart = !slices.ContainsFunc(sim.controllers, func(peer *simController) bool { return (peer == c || c.reachesPeer(peer)) && c.survivedFailover(peer) })
-		c.scheduler = core.New(sim.schedulerNow(), settings, c.term, c.replica, all(store.BitmapPrefix), all(store.BatchPrefix), sim.machineTypes)
+		c.scheduler = scheduler.New(sim.schedulerNow(), settings, c.term, c.replica, all(records.BitmapPrefix), all(records.BatchPrefix), sim.machineTypes)
 		c.scheduler.LeaseHeldUntil(sim.now + tuning.LeaderLeaseTTL)
 		c.settle()
 		for _, r := range sim.heldHeartbeats {
@@ -577,7 +577,7 @@
 	if c.watchInFlight {
 		return // one watch at a time
 	}
-	changes, ok := c.sim.kvStore.Changes(c.sim.now, store.JobsPrefix, c.replica.Revision)
+	changes, ok := c.sim.kvStore.Changes(c.sim.now, records.JobsPrefix, c.replica.Revision)
 	if !ok {
 		panic("the stand-in forgot changes")
 	}
@@ -676,7 +676,7 @@
 	for _, peer := range c.sim.controllers {
 		forwarded = forwarded || c.scheduler == nil && peer.scheduler != nil && c.reachesPeer(peer)
 	}
-	if c.scheduler == nil && c.alive() && !forwarded && c.leaderTerm != 0 && core.TermOf(report.FencingToken) == c.leaderTerm {
+	if c.scheduler == nil && c.alive() && !forwarded && c.leaderTerm != 0 && scheduler.TermOf(report.FencingToken) == c.leaderTerm {
 		// A node that is cut off keeps workers for a while: node.KeepaliveBound.
 		return wire.HeartbeatReply{FencingToken: report.FencingToken}, c.sim.now-c.leaderWatermark < c.keepaliveLimit()
 	}
@@ -735,7 +735,9 @@
 	for _, request := range effects.Provision {
 		sim.after(sim.linkDelay(), func() {
 			if sim.cloudDown {
-				resume(func() { sched.Provisioned(sim.schedulerNow(), request.Request.RequestID, core.ProvisionRefused, nil) })
+				resume(func() {
+					sched.Provisioned(sim.schedulerNow(), request.Request.RequestID, scheduler.ProvisionRefused, nil)
+				})
 				return
 			}
 			carryOut := func() []string {
@@ -768,17 +770,19 @@
 				// No answer, and it is carried out late, when nobody expects it.
 				sim.after(time.Duration(sim.rng.IntN(40_000))*time.Millisecond, func() { carryOut() })
 				sim.after(2*time.Second, func() {
-					resume(func() { sched.Provisioned(sim.schedulerNow(), request.Request.RequestID, core.ProvisionUnknown, nil) })
+					resume(func() {
+						sched.Provisioned(sim.schedulerNow(), request.Request.RequestID, scheduler.ProvisionUnknown, nil)
+					})
 				})
 				return
 			}
 			names := carryOut()
-			result := core.ProvisionDone
+			result := scheduler.ProvisionDone
 			if len(names) == 0 {
-				result = core.ProvisionNoCapacity
+				result = scheduler.ProvisionNoCapacity
 			}
 			if sim.chance(0.1) {
-				result, names = core.ProvisionUnknown, nil
+				result, names = scheduler.ProvisionUnknown, nil
 			}
 			// The first reports of machines that are up at once come before the answer.
 			sim.after(sim.linkDelay(), func() {
@@ -789,11 +793,11 @@
 	for _, names := range effects.Release {
 		sim.after(sim.linkDelay(), func() {
 			if sim.cloudDown {
-				resume(func() { sched.Released(sim.schedulerNow(), names, core.ReleaseRefused) })
+				resume(func() { sched.Released(sim.schedulerNow(), names, scheduler.ReleaseRefused) })
 				return
 			}
 			if sim.now < sim.cloudUnresponsiveUntil {
-				sim.after(tuning.CloudTimeout, func() { resume(func() { sched.Released(sim.schedulerNow(), names, core.ReleaseUnknown) }) })
+				sim.after(tuning.CloudTimeout, func() { resume(func() { sched.Released(sim.schedulerNow(), names, scheduler.ReleaseUnknown) }) })
 				return
 			}
 			kill := func() {
@@ -801,21 +805,21 @@
 					sim.removeMachine(name)
 				}
 			}
-			result := core.ReleaseDone
+			result := scheduler.ReleaseDone
 			switch {
 			case sim.cloudFakesReleases:
 			case sim.now < sim.releasesDelayedUntil:
 				// Held back with the answers, and carried out when that ends.
 				sim.after(sim.releasesDelayedUntil-sim.now+sim.linkDelay(), kill)
-				sim.after(2*time.Second, func() { resume(func() { sched.Released(sim.schedulerNow(), names, core.ReleaseUnknown) }) })
+				sim.after(2*time.Second, func() { resume(func() { sched.Released(sim.schedulerNow(), names, scheduler.ReleaseUnknown) }) })
 				return
 			case sim.chance(0.1): // no answer, and it is carried out late
-				result = core.ReleaseUnknown
+				result = scheduler.ReleaseUnknown
 				sim.after(time.Duration(sim.rng.IntN(15_000))*time.Millisecond, kill)
 			default:
 				kill()
 				if sim.chance(0.1) {
-					result = core.ReleaseUnknown
+					result = scheduler.ReleaseUnknown
 				}
 			}
 			resume(func() { sched.Released(sim.schedulerNow(), names, result) })
@@ -829,14 +833,14 @@
 	}
 }
 
-func (c *simController) commit(commit core.Commit, resume func(func())) {
+func (c *simController) commit(commit scheduler.Commit, resume func(func())) {
 	sim, sched := c.sim, c.scheduler
 	sim.after(sim.linkDelay()+sim.randomDelay(sim.maxWriteDelayMS), func() {
-		done := func(result core.CommitResult, rev uint64, failed []string) {
+		done := func(result scheduler.CommitResult, rev uint64, failed []string) {
 			resume(func() { sched.CommitDone(sim.schedulerNow(), commit.ID, result, rev, failed) })
 		}
 		if !c.reachesStore() {
-			done(core.CommitRefused, 0, nil)
+			done(scheduler.CommitRefused, 0, nil)
 			return
 		}
 		if sim.changesBySecond != nil {
@@ -844,7 +848,7 @@
 		}
 		if !sim.acceptsWrites(len(commit.Txn.Then)) {
 			sim.refusedTransactions++
-			done(core.CommitRefused, 0, nil)
+			done(scheduler.CommitRefused, 0, nil)
 			return
 		}
 		if sim.chance(sim.lossRate) {
@@ -855,7 +859,7 @@
 			case 1:
 				sim.commitLate(commit.Txn)
 			}
-			sim.after(time.Second, func() { done(core.CommitUnknown, 0, nil) })
+			sim.after(time.Second, func() { done(scheduler.CommitUnknown, 0, nil) })
 			return
 		}
 		status, r := sim.kvStore.Commit(sim.now, commit.Txn)
@@ -866,11 +870,11 @@
 		sim.after(sim.linkDelay(), func() {
 			switch status {
 			case 200:
-				done(core.CommitDone, r.Revision, nil)
+				done(scheduler.CommitDone, r.Revision, nil)
 			case 409:
-				done(core.CommitConflict, 0, r.FailedKeys)
+				done(scheduler.CommitConflict, 0, r.FailedKeys)
 			case 429:
-				done(core.CommitRefused, 0, nil)
+				done(scheduler.CommitRefused, 0, nil)
 			default:
 				panic("malformed transaction: " + r.Error)
 			}
@@ -878,11 +882,11 @@
 	})
 }
 
-func (c *simController) callWorker(call core.DirectCall, resume func(func())) {
+func (c *simController) callWorker(call scheduler.DirectCall, resume func(func())) {
 	sim, sched := c.sim, c.scheduler
 	sim.directCalls++
 	finished := false
-	finish := func(result core.CallResult, report *wire.Heartbeat) {
+	finish := func(result scheduler.CallResult, report *wire.Heartbeat) {
 		if finished {
 			return
 		}
@@ -907,9 +911,9 @@
 					return
 				}
 				status, report := worker.HandleCommands(sim.now, call.Body)
-				result := core.CallExecuted
+				result := scheduler.CallExecuted
 				if status == 409 {
-					result = core.CallRefused
+					result = scheduler.CallRefused
 				}
 				for _, d := range sim.deliveries(call.Machine, c.name) {
 					sim.after(d+sim.randomDelay(sim.maxCallDelayMS), func() { finish(result, &report) })
@@ -918,7 +922,7 @@
 			execute()
 		})
 	}
-	sim.after(1500*time.Millisecond, func() { finish(core.CallLost, nil) })
+	sim.after(1500*time.Millisecond, func() { finish(scheduler.CallLost, nil) })
 }
 
 // servingController is a node that users may come to, or nil if none can serve them.
@@ -972,8 +976,8 @@
 			return
 		}
 		status := sim.commitForUser(wire.Txn{
-			If:   []wire.Compare{{Key: store.JobKey(j.ID)}, {Key: store.EndedJobKey(j.ID)}},
-			Then: []wire.Op{{Set: store.JobKey(j.ID), Value: store.Job{Job: *j}}},
+			If:   []wire.Compare{{Key: records.JobKey(j.ID)}, {Key: records.EndedJobKey(j.ID)}},
+			Then: []wire.Op{{Set: records.JobKey(j.ID), Value: records.Job{Job: *j}}},
 		}, attempt)
 		if status != 0 {
 			sim.jobs = append(sim.jobs, j)
@@ -996,12 +1000,12 @@
 		return ""
 	}
 	state := ""
-	if it := sim.kvStore.Get(sim.now, store.EndedJobKey(id)); it.ModRevision != 0 {
-		var rec store.EndedJob
+	if it := sim.kvStore.Get(sim.now, records.EndedJobKey(id)); it.ModRevision != 0 {
+		var rec records.EndedJob
 		must(wire.Unmarshal(it.Value, &rec))
 		state = rec.State
-	} else if it := sim.kvStore.Get(sim.now, store.JobKey(id)); it.ModRevision != 0 {
-		rec, err := store.DecodeJob(it)
+	} else if it := sim.kvStore.Get(sim.now, records.JobKey(id)); it.ModRevision != 0 {
+		rec, err := records.DecodeJob(it)
 		must(err)
 		state = wire.JobPending
 		if rec.Cancelled {
@@ -1039,14 +1043,14 @@
 func (sim *simulation) cancelAt(c *simController, id string) {
 	sim.checker.CancelRequested(id)
 	again := func() { sim.cancel(id) }
-	it := sim.kvStore.Get(sim.now, store.JobKey(id))
+	it := sim.kvStore.Get(sim.now, records.JobKey(id))
 	if it.ModRevision == 0 {
-		if sim.kvStore.Get(sim.now, store.EndedJobKey(id)).ModRevision == 0 {
+		if sim.kvStore.Get(sim.now, records.EndedJobKey(id)).ModRevision == 0 {
 			sim.after(2*time.Second, again) // not accepted yet
 		}
 		return
 	}
-	rec, err := store.DecodeJob(it)
+	rec, err := records.DecodeJob(it)
 	must(err)
 	if !rec.Cancelled {
 		rec.Cancelled = true
@@ -1070,7 +1074,7 @@
 	if sim.faultsActive || sim.size.initialMachines > 100 {
 		return
 	}
-	var free []standin.FreeCapacity
+	var free []simulator.FreeCapacity
 	for _, name := range sim.machineNames {
 		if wk := sim.workers[name]; !wk.Terminated && sim.lifecycles[name].upAt <= sim.now && !wk.InterruptionAnnounced() {
 			free = append(free, wk.FreeCapacity())
--- a/internal/standin/state.go
+++ b/internal/simulator/kv_store.go
@@ -2,7 +2,7 @@
 // protocol: the state service, the cloud and the workers, with a checker of the
 // rules. They are models that are told the time; tests drive them directly, in
 // simulated time, or over HTTP.
-package standin
+package simulator
 
 import (
 	"slices"
--- a/internal/standin/rules_test.go
+++ b/internal/simulator/rule_checker_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"maps"
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -16,7 +16,7 @@
 	sdktrace "go.opentelemetry.io/otel/sdk/trace"
 	"go.opentelemetry.io/otel/trace"
 
-	"github.com/yarrowgap/yarrowgap/internal/recovery"
+	"github.com/yarrowgap/yarrowgap/internal/reconcile"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
@@ -107,9 +107,9 @@
 	t.TermEnded(endedAt)
 	t.term = term
 	t.reconcileContext, _ = t.tracer.Start(context.Background(), "recovery", trace.WithTimestamp(startedAt), trace.WithAttributes(keyTerm.Int64(int64(term))))
-	_, loading := t.startSpan("recovery."+recovery.Loading.String(), startedAt, keyJobs.Int(jobs), keyRecords.Int(records))
+	_, loading := t.startSpan("recovery."+reconcile.Loading.String(), startedAt, keyJobs.Int(jobs), keyRecords.Int(records))
 	loading.End(trace.WithTimestamp(endedAt))
-	_, t.phaseSpan = t.startSpan("recovery."+recovery.Collecting.String(), endedAt)
+	_, t.phaseSpan = t.startSpan("recovery."+reconcile.Collecting.String(), endedAt)
 }
 
 // startSpan begins a span in the recovery's.
@@ -118,18 +118,18 @@
 }
 
 // ReconcileEvents takes events of the recovery. start is when the times of events count from.
-func (t *Tracer) ReconcileEvents(start time.Time, events []recovery.Event) {
+func (t *Tracer) ReconcileEvents(start time.Time, events []reconcile.Event) {
 	if t == nil || t.reconcileContext == nil {
 		return
 	}
 	for _, e := range events {
 		at := start.Add(e.At)
 		switch e.Kind {
-		case recovery.PhaseEntered:
+		case reconcile.PhaseEntered:
 			t.enterPhase(e.Phase, at)
-		case recovery.MachineConfirmed:
+		case reconcile.MachineConfirmed:
 			t.recordInstant("recovery.heard", at, keyMachine.String(e.Operation.Machine))
-		case recovery.OperationCounted:
+		case reconcile.OperationCounted:
 			t.recordInstant("recovery.order", at, keyKind.String(e.Operation.Kind.String()), keyMachine.String(e.Operation.Machine),
 				keyTask.String(e.Operation.Task), keyAttempt.Int64(int64(e.Operation.Number)), keyTraced.Bool(e.Attributed))
 		}
@@ -144,12 +144,12 @@
 	span.End(trace.WithTimestamp(at))
 }
 
-func (t *Tracer) enterPhase(phase recovery.Phase, at time.Time) {
+func (t *Tracer) enterPhase(phase reconcile.Phase, at time.Time) {
 	if t.reconcileContext == nil {
 		return
 	}
 	t.phaseSpan.End(trace.WithTimestamp(at))
-	if phase == recovery.Settled {
+	if phase == reconcile.Settled {
 		t.finishReconcile(at, outcomeSettled)
 		return
 	}
