--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"github.com/yarrowgap/yarrowgap/internal/recovery"
+	"github.com/yarrowgap/yarrowgap/internal/reconcile"
 )
 
 // span is what the export has of a span.
@@ -34,12 +34,12 @@
 		t.Fatal(err)
 	}
 	start := time.Unix(1000, 0)
-	events := []recovery.Event{
-		{Kind: recovery.MachineConfirmed, At: time.Second, Operation: recovery.Operation{Machine: "n-1"}},
-		{Kind: recovery.OperationCounted, At: time.Second, Operation: recovery.Operation{Kind: recovery.StopOperation, Machine: "n-1", Task: "run-000001/0", Number: 7}, Attributed: true},
-		{Kind: recovery.PhaseEntered, At: 2 * time.Second, Phase: recovery.Reconciling},
-		{Kind: recovery.PhaseEntered, At: 3 * time.Second, Phase: recovery.Settled},
-		{Kind: recovery.OperationCounted, At: 4 * time.Second},
+	events := []reconcile.Event{
+		{Kind: reconcile.MachineConfirmed, At: time.Second, Operation: reconcile.Operation{Machine: "n-1"}},
+		{Kind: reconcile.OperationCounted, At: time.Second, Operation: reconcile.Operation{Kind: reconcile.StopOperation, Machine: "n-1", Task: "run-000001/0", Number: 7}, Attributed: true},
+		{Kind: reconcile.PhaseEntered, At: 2 * time.Second, Phase: reconcile.Reconciling},
+		{Kind: reconcile.PhaseEntered, At: 3 * time.Second, Phase: reconcile.Settled},
+		{Kind: reconcile.OperationCounted, At: 4 * time.Second},
 	}
 	tracer.RecordsLoaded(9, start, start.Add(time.Second), 3, 2)
 	tracer.ReconcileEvents(start, events)
@@ -127,15 +127,15 @@
 		t.Fatalf("%v, %v", tracer, err)
 	}
 	now := time.Unix(1000, 0)
-	r := recovery.New(0, recovery.Config{HeartbeatInterval: time.Second, WorkerLease: time.Minute})
+	r := reconcile.New(0, reconcile.Config{HeartbeatInterval: time.Second, WorkerLease: time.Minute})
 	r.ExpectAttempt("n-1")
-	events := []recovery.Event{{Kind: recovery.OperationCounted}}
+	events := []reconcile.Event{{Kind: reconcile.OperationCounted}}
 	if n := testing.AllocsPerRun(100, func() {
 		tracer.RecordsLoaded(1, now, now, 1, 1)
 		tracer.ReconcileEvents(now, events)
 		tracer.PlacementRound(now, now)
 		tracer.TermEnded(now)
-		r.CountOperation(time.Second, recovery.Operation{Kind: recovery.StartOperation, Machine: "n-1", Task: "run-000001/0"})
+		r.CountOperation(time.Second, reconcile.Operation{Kind: reconcile.StartOperation, Machine: "n-1", Task: "run-000001/0"})
 		_ = r.TakeEvents()
 	}); n != 0 {
 		t.Errorf("%v allocations", n)
