--- a/cmd/restartbench/main.go
+++ b/cmd/restartbench/main.go
@@ -14,7 +14,7 @@
 	"github.com/yarrowgap/yarrowgap/internal/restartsim"
 )
 
-// collectOptions are the command line.
+// options are the command line.
 type options struct {
 	Machines []int     `default:"50,500,4000" help:"Sizes of the fleet."`
 	Changed  []float64 `default:"0,0.01,0.1,0.5" help:"Shares of machines that are not as they were."`
--- a/cmd/restartbench/report.go
+++ b/cmd/restartbench/report.go
@@ -43,7 +43,7 @@
 	{"broken rules", func(r restartsim.Result) float64 { return float64(len(r.Violations)) }},
 }
 
-// spread is the least, the mean and the most of a measure over seeds.
+// summary is the least, the mean and the most of a measure over seeds.
 type summary struct{ lowest, mean, highest float64 }
 
 func (m metric) summarize(results []restartsim.Result) summary {
--- a/cmd/yarrowgap/listen.go
+++ b/cmd/yarrowgap/listen.go
@@ -10,7 +10,7 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// listenLoopback listens on an address. Connections are not kept alive by TCP's own probes:
+// listen listens on an address. Connections are not kept alive by TCP's own probes:
 // both sides send within seconds or close, and setting the probes' times costs four
 // system calls for each connection.
 func listen(addr string) (net.Listener, error) {
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -29,7 +29,7 @@
 	rpc     *rpc.Client
 }
 
-// NewHandler makes a client for the cloud at addr.
+// New makes a client for the cloud at addr.
 func New(addr string) *Client {
 	return &Client{baseURL: "http://" + addr, rpc: rpc.New(4, 4, tuning.CloudTimeout, 4<<20)}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -22,7 +22,7 @@
 	Addr string `toml:"addr"`
 }
 
-// TeamQuota has a guarantee and a limit. Where the file says 0 a guarantee is none, and
+// Team has a guarantee and a limit. Where the file says 0 a guarantee is none, and
 // so is a limit on CPUs: nothing runs without any, so a team that may have none
 // would not be named. A limit of 0 on GPUs keeps a team off them, unless none of its
 // figures is set: a guest, who uses what is free.
--- a/internal/controller/cancel.go
+++ b/internal/controller/cancel.go
@@ -29,7 +29,7 @@
 // When the process falls behind, work is refused by rank: submissions first,
 // then polls and cancellations; workers' reports are always taken.
 func (c *Controller) admit(slots chan struct{}, maxLag time.Duration) (release func(), ok bool) {
-	if max(time.Duration(c.lag.Load()), c.backlog()) > maxLag {
+	if max(time.Duration(c.admission.tickLag.Load()), c.admission.requestBacklog()) > maxLag {
 		return nil, false
 	}
 	select {
@@ -45,7 +45,7 @@
 	if !wire.ValidJobID(id) {
 		return refuse(http.StatusNotFound, "no such job")
 	}
-	release, ok := c.admit(c.decisions, tuning.MaxDecisionTickLag)
+	release, ok := c.admit(c.admission.decisionSlots, tuning.MaxDecisionTickLag)
 	if !ok {
 		return overloaded
 	}
@@ -67,7 +67,7 @@
 			return state(view.State)
 		}
 		c.mu.Lock()
-		live := c.replica.Live[id]
+		live := c.replication.replica.Live[id]
 		c.mu.Unlock()
 		if live == nil {
 			continue
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// withRecovery gives the entries after the first have, or those still kept.
+// after gives the entries after the first have, or those still kept.
 func (l *confirmationLog) after(seen uint64) (from uint64, ids []string) {
 	from = min(max(seen, l.dropped), l.dropped+uint64(len(l.ids)))
 	return from, l.ids[from-l.dropped:]
@@ -48,10 +48,10 @@
 // confirmCancellation takes note of a job that is durably cancelled and whose user is told
 // right after this. Called with the lock held.
 func (c *Controller) confirmCancellation(id string) {
-	c.confirmed.add(id)
+	c.cancellations.confirmed.add(id)
 	c.updateWatermark()
-	if c.leader != nil {
-		c.leader.Cancelled(c.now(), []string{id})
+	if c.leadership.scheduler != nil {
+		c.leadership.scheduler.Cancelled(c.now(), []string{id})
 	}
 }
 
@@ -78,30 +78,30 @@
 // since then. Called with the lock held.
 func (c *Controller) cancellationWatermark() time.Time {
 	listedAsOf := time.Now()
-	for _, p := range c.peers {
+	for _, p := range c.membership.peers {
 		//mutation:peer-restart-bounds-watermark
-		if !p.confirmationsCompleteFrom.Before(c.knownAt) {
-			return c.knownAt
+		if !p.confirmationsCompleteFrom.Before(c.replication.caughtUpAt) {
+			return c.replication.caughtUpAt
 		}
 		if p.confirmationsAsOf.Before(listedAsOf) {
 			listedAsOf = p.confirmationsAsOf
 		}
 	}
-	return later(c.knownAt, listedAsOf)
+	return later(c.replication.caughtUpAt, listedAsOf)
 }
 
 // updateWatermark tells the leader as of when it has been told of all cancellations: what
 // comes to it next may be later ones. Called with the lock held.
 func (c *Controller) updateWatermark() {
-	if c.leader != nil {
-		c.leader.AdvanceCancellationWatermark(c.cancellationWatermark().Sub(c.startedAt))
+	if c.leadership.scheduler != nil {
+		c.leadership.scheduler.AdvanceCancellationWatermark(c.cancellationWatermark().Sub(c.startedAt))
 	}
 }
 
 // enforcedWatermark is the moment as of which this leader has seen all cancellations through.
 // Called with the lock held, by the leader.
 func (c *Controller) enforcedWatermark() time.Time {
-	return c.startedAt.Add(c.leader.EnforcedCancellationWatermark(c.cancellationWatermark().Sub(c.startedAt)))
+	return c.startedAt.Add(c.leadership.scheduler.EnforcedCancellationWatermark(c.cancellationWatermark().Sub(c.startedAt)))
 }
 
 // mayRenewLeases reports whether the leader may renew its workers' leases: for no longer
--- a/internal/controller/cancellations_test.go
+++ b/internal/controller/cancellations_test.go
@@ -22,7 +22,7 @@
 	controller := newTestController(t)
 	rapid.Check(t, func(t *rapid.T) {
 		c := controller
-		c.knownAt, c.peers = time.Time{}, map[string]*peerState{}
+		c.replication.caughtUpAt, c.membership.peers = time.Time{}, map[string]*peerState{}
 		type remote struct {
 			told confirmationLog
 			boot uint64
@@ -38,11 +38,11 @@
 		for i := range remotes {
 			boots++
 			remotes[i] = &remote{boot: boots, born: now}
-			c.peers[fmt.Sprint(i)] = &peerState{Peer: config.Peer{Name: fmt.Sprint(i)}}
+			c.membership.peers[fmt.Sprint(i)] = &peerState{Peer: config.Peer{Name: fmt.Sprint(i)}}
 		}
 		pick := func() (*remote, *peerState) {
 			i := rapid.IntRange(0, len(remotes)-1).Draw(t, "peer")
-			return remotes[i], c.peers[fmt.Sprint(i)]
+			return remotes[i], c.membership.peers[fmt.Sprint(i)]
 		}
 		confirm := func(r *remote, count int) {
 			for range count {
@@ -64,7 +64,7 @@
 			case 3:
 				confirm(r, tuning.MaxListedConfirmations+1)
 			case 4:
-				c.knownAt = now
+				c.replication.caughtUpAt = now
 				for id := range confirmedAt {
 					known[id] = true
 				}
@@ -100,29 +100,29 @@
 // everybody may be refused by the state service. With all peers' lists it goes on.
 func TestLeaderAnswersHeartbeatsUntilWatermarkIsTooOld(t *testing.T) {
 	c := newTestController(t)
-	c.peers = map[string]*peerState{"drover-1": {}, "drover-2": {}}
-	c.leader, c.lost = scheduler.New(c.now(), c.schedulerSettings(), 9, scheduler.NewReplica(), nil, nil, nil), make(chan struct{})
+	c.membership.peers = map[string]*peerState{"drover-1": {}, "drover-2": {}}
+	c.leadership.scheduler, c.leadership.lost = scheduler.New(c.now(), c.schedulerSettings(), 9, scheduler.NewReplica(), nil, nil, nil), make(chan struct{})
 	heartbeat := &wire.Heartbeat{Machine: "n-1", Address: "127.0.0.1:1", Type: "box", Zone: "a", Incarnation: 1, Sequence: 1}
 	answered := func() bool {
 		heartbeat.Sequence++
 		return c.Heartbeat(heartbeat).Status == 200
 	}
-	c.knownAt = time.Now()
+	c.replication.caughtUpAt = time.Now()
 	if !answered() {
 		t.Error("not answered by a leader that knows all")
 	}
-	c.knownAt = time.Now().Add(-c.KeepaliveBound())
+	c.replication.caughtUpAt = time.Now().Add(-c.KeepaliveBound())
 	if answered() {
 		t.Error("answered by a leader that may have missed a cancellation")
 	}
-	for _, p := range c.peers {
-		p.confirmationsCompleteFrom, p.confirmationsAsOf = c.knownAt.Add(-time.Minute), time.Now()
+	for _, p := range c.membership.peers {
+		p.confirmationsCompleteFrom, p.confirmationsAsOf = c.replication.caughtUpAt.Add(-time.Minute), time.Now()
 	}
 	if !answered() {
 		t.Error("not answered though every peer has listed what it told")
 	}
-	for _, p := range c.peers {
-		p.confirmationsCompleteFrom = c.knownAt.Add(time.Second) // it has started anew: who knows what it told before
+	for _, p := range c.membership.peers {
+		p.confirmationsCompleteFrom = c.replication.caughtUpAt.Add(time.Second) // it has started anew: who knows what it told before
 		break
 	}
 	if answered() {
@@ -138,17 +138,17 @@
 	token := func(term uint64) uint64 { return term << tuning.FencingBits }
 	for _, leading := range []bool{true, false} {
 		c := newTestController(t)
-		c.peers = map[string]*peerState{"drover-1": {Peer: config.Peer{Name: "drover-1"}}, "drover-2": {Peer: config.Peer{Name: "drover-2"}}}
+		c.membership.peers = map[string]*peerState{"drover-1": {Peer: config.Peer{Name: "drover-1"}}, "drover-2": {Peer: config.Peer{Name: "drover-2"}}}
 		heartbeat := func(term uint64) int {
 			return c.Heartbeat(&wire.Heartbeat{Machine: "n-1", Address: "127.0.0.1:1", Type: "box", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: token(term)}).Status
 		}
 		if leading {
 			c.setLeader(c.cfg.Node, 9)
-			c.leader, c.lost = scheduler.New(c.now(), c.schedulerSettings(), 9, scheduler.NewReplica(), nil, nil, nil), make(chan struct{})
-			c.knownAt = time.Now()
+			c.leadership.scheduler, c.leadership.lost = scheduler.New(c.now(), c.schedulerSettings(), 9, scheduler.NewReplica(), nil, nil, nil), make(chan struct{})
+			c.replication.caughtUpAt = time.Now()
 		} else {
 			c.setLeader("drover-1", 9)
-			c.led = time.Now()
+			c.cancellations.enforcedUntil = time.Now()
 			if s := heartbeat(9); s != 200 {
 				t.Errorf("%d to a worker of the leader that has seen all through", s)
 			}
@@ -157,7 +157,7 @@
 		if s := heartbeat(10); s == 200 {
 			t.Errorf("led %v: a worker of the next leader is kept alive by the word of the last", leading)
 		}
-		c.led = time.Now() // by the word of the next
+		c.cancellations.enforcedUntil = time.Now() // by the word of the next
 		if s := heartbeat(10); s != 200 {
 			t.Errorf("led %v: %d to a worker of the leader that has seen all through", leading, s)
 		}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,4 +1,4 @@
-// Package node runs a controller: it feeds the core's state machine with what
+// Package controller runs a controller: it feeds the core's state machine with what
 // the network brings and carries out what the core decides.
 //
 // All state is guarded by one lock, taken for each input (do). I/O happens in
@@ -28,7 +28,9 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Controller is one controller.
+// Controller is one controller process. Its parts below mu may be read and changed
+// only while mu is held; the parts above it never change after Run has begun, those
+// below the guarded block have their own synchronization.
 type Controller struct {
 	cfg       *config.Settings
 	policy    policy.Settings
@@ -42,40 +44,98 @@
 	workers    *worker.Client
 	peerClient *peer.Client
 
-	mu           sync.Mutex
-	replica      *scheduler.Replica
-	machineTypes []wire.MachineType
-	leader       *scheduler.Scheduler // nil unless this node leads
-	permit       uint64               // the lease of our lead
-	heldTo       time.Time            // until then that lease lasts, if it is not renewed
-	lost         chan struct{}
-	lead         leaderInfo
-	electedAt    time.Time // when this node last asked for the lead that it got
-	// loadingSince is since when this node, elected, reads the records; zero: it does not.
+	mu            sync.Mutex // guards the fields from here to metrics
+	leadership    leadership
+	membership    membership
+	replication   replication
+	cancellations cancellations
+	machineTypes  []wire.MachineType
+	metrics       metrics
+
+	refresher replicaRefresher
+	admission admission
+	outgoing  outgoingCalls
+}
+
+// leadership is what a controller holds while it leads, and what it remembers of its
+// own candidacy. Guarded by Controller.mu.
+type leadership struct {
+	// scheduler is nil unless this controller leads.
+	scheduler *scheduler.Scheduler
+	// storeLease is the lease in the key-value store that the leader's key hangs on.
+	storeLease uint64
+	// leaseHeldUntil is when that lease ends if it is not renewed.
+	leaseHeldUntil time.Time
+	// lost is closed when the term ends.
+	lost chan struct{}
+	// electedAt is when this controller last asked for the leadership that it got.
+	electedAt time.Time
+	// loadingSince is since when this controller, elected, reads the records; zero: it does not.
 	loadingSince time.Time
-	barred       time.Time // no candidate until then
-	peers        map[string]*peerState
-	without      func() time.Duration // for how long the state service has not served us
-	led          time.Time            // as of when all cancellations were seen through, by the leader of the term known
-	knownAt      time.Time            // as of when the replica has all changes
-	confirmed    confirmationLog
-	settling     bool
-	totals       scheduler.Counters // of earlier terms
-	ack          *hdrhistogram.Histogram
-	answers      *hdrhistogram.Histogram
-
-	syncMu sync.Mutex
-	next   *refreshCall
-	active bool
-
-	lag                    atomic.Int64         // how late the last tick came, in nanoseconds
-	backlog                func() time.Duration // see SetRequestBacklog
-	submissions, decisions chan struct{}
-	calls                  chan struct{} // places of direct calls
-	shortOf                int           // machines, when settings were last said to fall short of them
+	// candidacyBarredUntil is until when this controller is no candidate.
+	candidacyBarredUntil time.Time
+	// settleScheduled is set while a timer is pending that settles the scheduler again.
+	settleScheduled bool
+}
+
+// membership is what a controller knows of its peers and of who leads. Guarded by
+// Controller.mu; the map itself never changes after New.
+type membership struct {
+	peers  map[string]*peerState
+	leader leaderInfo
+	// storeUnservedFor returns for how long the key-value store has not served this controller.
+	storeUnservedFor func() time.Duration
 }
 
-// NewHandler makes a node. Run starts it.
+// replication is the local copy of the jobs in the key-value store. Guarded by
+// Controller.mu.
+type replication struct {
+	replica *scheduler.Replica
+	// caughtUpAt is the moment as of which the replica has all changes.
+	caughtUpAt time.Time
+}
+
+// cancellations is what is known of confirmed cancellations. Guarded by Controller.mu.
+type cancellations struct {
+	// confirmed lists the cancellations that users were told of here.
+	confirmed confirmationLog
+	// enforcedUntil is the moment as of which all cancellations were enforced by the
+	// leader of the known term.
+	enforcedUntil time.Time
+}
+
+// metrics are the signals that outlive a term. Guarded by Controller.mu.
+type metrics struct {
+	earlierTerms   scheduler.Counters
+	startToAck     *hdrhistogram.Histogram
+	submitToAnswer *hdrhistogram.Histogram
+}
+
+// replicaRefresher shares reads of the replica's changes among concurrent callers. It
+// has its own lock, which is never held together with Controller.mu.
+type replicaRefresher struct {
+	mu      sync.Mutex
+	next    *refreshCall // not sent yet; nil: nobody waits
+	running bool         // a goroutine serves the calls
+}
+
+// admission bounds the users' requests in progress and sheds load when the process
+// falls behind. Safe for concurrent use.
+type admission struct {
+	tickLag         atomic.Int64         // how late the last tick came, in nanoseconds
+	requestBacklog  func() time.Duration // see Controller.SetRequestBacklog
+	submissionSlots chan struct{}
+	decisionSlots   chan struct{}
+}
+
+// outgoingCalls bounds what a leader sends. The slots are safe for concurrent use;
+// shortfallLoggedFor belongs to the goroutine of pollMachineList.
+type outgoingCalls struct {
+	directCallSlots    chan struct{}
+	shortfallLoggedFor int // machines, when settings were last logged to fall short of them
+}
+
+// New makes a controller. Run starts it.
 func New(cfg *config.Settings, schedulingPolicy policy.Settings, log *slog.Logger) *Controller {
 	c := &Controller{
 		cfg: cfg, policy: schedulingPolicy, log: log, bootID: rand.Uint64() >> 1, startedAt: time.Now(),
@@ -83,25 +143,31 @@
 		cloud:       cloud.New(cfg.Endpoints.Cloud),
 		workers:     worker.New(),
 		peerClient:  peer.New(),
-		replica:     scheduler.NewReplica(),
-		peers:       map[string]*peerState{},
-		ack:         hdrhistogram.New(1, 600_000, 2),
-		answers:     hdrhistogram.New(1, 600_000, 2),
-		submissions: make(chan struct{}, tuning.MaxSubmissionsInFlight),
-		decisions:   make(chan struct{}, tuning.MaxDecisionsInFlight),
-		calls:       make(chan struct{}, directCallLimit(cfg)),
+		membership:  membership{peers: map[string]*peerState{}},
+		replication: replication{replica: scheduler.NewReplica()},
+		metrics: metrics{
+			startToAck:     hdrhistogram.New(1, 600_000, 2),
+			submitToAnswer: hdrhistogram.New(1, 600_000, 2),
+		},
+		admission: admission{
+			requestBacklog:  func() time.Duration { return 0 },
+			submissionSlots: make(chan struct{}, tuning.MaxSubmissionsInFlight),
+			decisionSlots:   make(chan struct{}, tuning.MaxDecisionsInFlight),
+		},
+		outgoing: outgoingCalls{directCallSlots: make(chan struct{}, directCallLimit(cfg))},
 	}
-	c.without = c.store.UnservedFor
-	c.backlog = func() time.Duration { return 0 }
+	c.membership.storeUnservedFor = c.store.UnservedFor
 	for _, p := range cfg.Peers {
-		c.peers[p.Name] = &peerState{Peer: p}
+		c.membership.peers[p.Name] = &peerState{Peer: p}
 	}
 	return c
 }
 
 // SetRequestBacklog tells the node how to learn for how long requests wait before they are
 // read. It is called before Run.
-func (c *Controller) SetRequestBacklog(backlog func() time.Duration) { c.backlog = backlog }
+func (c *Controller) SetRequestBacklog(backlog func() time.Duration) {
+	c.admission.requestBacklog = backlog
+}
 
 // SetTracer has the node make spans. It is called before Run.
 func (c *Controller) SetTracer(tracer *tracing.Tracer) { c.tracer = tracer }
@@ -132,7 +198,7 @@
 // updateScheduler feeds the leader of the given term, if it still leads.
 func (c *Controller) updateScheduler(sched *scheduler.Scheduler, f func(scheduler.Now)) {
 	c.update(func() {
-		if c.leader == sched {
+		if c.leadership.scheduler == sched {
 			f(c.now())
 		}
 	})
@@ -141,15 +207,15 @@
 // settle lets the leader act on what changed. Placement keeps its own pace; if
 // it has to wait, settle comes again.
 func (c *Controller) settle() {
-	sched := c.leader
+	sched := c.leadership.scheduler
 	if sched == nil {
 		return
 	}
 	c.settleScheduler(sched)
 	c.execute(sched, sched.TakeEffects())
-	if c.leader == sched && sched.PlacementPending() && !c.settling {
-		c.settling = true
-		time.AfterFunc(tuning.MinPlacementInterval, func() { c.update(func() { c.settling = false }) })
+	if c.leadership.scheduler == sched && sched.PlacementPending() && !c.leadership.settleScheduled {
+		c.leadership.settleScheduled = true
+		time.AfterFunc(tuning.MinPlacementInterval, func() { c.update(func() { c.leadership.settleScheduled = false }) })
 	}
 }
 
@@ -189,28 +255,30 @@
 		if !sleep(ctx, tuning.TickInterval) {
 			return
 		}
-		c.lag.Store(int64(time.Since(startedAt) - tuning.TickInterval))
+		c.admission.tickLag.Store(int64(time.Since(startedAt) - tuning.TickInterval))
 		c.update(func() {
-			if c.leader == nil {
+			if c.leadership.scheduler == nil {
 				return
 			}
 			if c.isolated() {
 				// Whoever leads by now cannot tell us, and our workers would
 				// stay with us. Their leases are kept as followers keep them.
-				c.stepDown(c.leader, "cut off from the state service and most peers")
+				c.stepDown(c.leadership.scheduler, "cut off from the state service and most peers")
 				return
 			}
 			if !c.mayRenewLeases() {
-				c.stepDown(c.leader, "cancellations may have passed it by for too long")
+				c.stepDown(c.leadership.scheduler, "cancellations may have passed it by for too long")
 				return
 			}
-			c.leader.Tick(c.now())
+			c.leadership.scheduler.Tick(c.now())
 		})
 	}
 }
 
 // storeAvailable reports whether the state service has served this node lately.
-func (c *Controller) storeAvailable() bool { return c.without() < tuning.IsolatedAfter }
+func (c *Controller) storeAvailable() bool {
+	return c.membership.storeUnservedFor() < tuning.IsolatedAfter
+}
 
 // isolated reports whether this node, and those that it still hears, if any, may be on
 // the wrong side of a cut: the state service has served none of them for a while,
@@ -218,11 +286,11 @@
 // outage, in which the leader goes on for as long as it is entitled to.
 // Called with the lock held.
 func (c *Controller) isolated() bool {
-	if len(c.peers) == 0 || c.storeAvailable() {
+	if len(c.membership.peers) == 0 || c.storeAvailable() {
 		return false
 	}
 	reachable := 1
-	for _, p := range c.peers {
+	for _, p := range c.membership.peers {
 		if time.Since(p.lastHeardAt) < tuning.IsolatedAfter {
 			if p.storeAvailable {
 				return false
@@ -230,7 +298,7 @@
 			reachable++
 		}
 	}
-	return 2*reachable <= 1+len(c.peers)
+	return 2*reachable <= 1+len(c.membership.peers)
 }
 
 // Healthy reports whether users had better come here than elsewhere: unless cut
@@ -245,26 +313,26 @@
 // stepDown gives up the lead. The lease is ended, so that the others need not
 // wait for it to run out.
 func (c *Controller) stepDown(sched *scheduler.Scheduler, reason string) {
-	if c.leader != sched {
+	if c.leadership.scheduler != sched {
 		return
 	}
-	c.log.Info("lead given up", "term", c.lead.term, "why", reason)
-	c.led = later(c.led, c.enforcedWatermark())
+	c.log.Info("lead given up", "term", c.membership.leader.term, "why", reason)
+	c.cancellations.enforcedUntil = later(c.cancellations.enforcedUntil, c.enforcedWatermark())
 	c.endTerm()
-	c.lead.name = ""
+	c.membership.leader.name = ""
 	if reason == scheduler.ResignNoHeartbeats {
 		// Whoever is in a better place goes first. After other ends nobody is
 		// barred: five nodes that depose each other would leave no candidate.
-		c.barred = time.Now().Add(tuning.ResignBackoff)
+		c.leadership.candidacyBarredUntil = time.Now().Add(tuning.ResignBackoff)
 	}
 }
 
 func (c *Controller) endTerm() {
-	counters := c.leader.Counters()
-	addCounters(&c.totals, counters)
-	c.leader = nil
+	counters := c.leadership.scheduler.Counters()
+	addCounters(&c.metrics.earlierTerms, counters)
+	c.leadership.scheduler = nil
 	c.tracer.TermEnded(time.Now())
-	close(c.lost)
+	close(c.leadership.lost)
 }
 
 func addCounters(total *scheduler.Counters, term scheduler.Counters) {
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -37,7 +37,7 @@
 // Under overload, reports outrank decisions, and decisions submissions.
 func TestOverloadShedsSubmissionsBeforeQueriesBeforeHeartbeats(t *testing.T) {
 	c := newTestController(t)
-	c.replica.RememberEnded("run-000001", records.EndedJob{State: wire.JobDone, Done: 1, Tasks: 1})
+	c.replication.replica.RememberEnded("run-000001", records.EndedJob{State: wire.JobDone, Done: 1, Tasks: 1})
 	heartbeat := &wire.Heartbeat{Machine: "n-1", Address: "a:1", Incarnation: 1, Sequence: 1}
 	for _, tc := range []struct {
 		lag           time.Duration
@@ -47,7 +47,7 @@
 		{tuning.MaxSubmissionTickLag + 1, http.StatusServiceUnavailable, http.StatusOK},
 		{tuning.MaxDecisionTickLag + 1, http.StatusServiceUnavailable, http.StatusServiceUnavailable},
 	} {
-		c.lag.Store(int64(tc.lag))
+		c.admission.tickLag.Store(int64(tc.lag))
 		if a := c.Submit(context.Background(), []byte{0xa0}, false); a.Status != tc.submit {
 			t.Errorf("lag %v: submission %d", tc.lag, a.Status)
 		}
@@ -58,9 +58,9 @@
 			t.Errorf("lag %v: report %d", tc.lag, a.Status)
 		}
 	}
-	c.lag.Store(0)
+	c.admission.tickLag.Store(0)
 	for range tuning.MaxSubmissionsInFlight {
-		c.submissions <- struct{}{}
+		c.admission.submissionSlots <- struct{}{}
 	}
 	if a := c.Submit(context.Background(), []byte{0xa0}, false); a.Status != http.StatusServiceUnavailable {
 		t.Errorf("a submission over the bound: %d", a.Status)
@@ -75,9 +75,9 @@
 // stops in time for a cancellation.
 func TestFollowerKeepsWorkersAliveWhilePartitioned(t *testing.T) {
 	c := newTestController(t)
-	c.peers["drover-1"] = &peerState{Peer: config.Peer{Name: "drover-1", Addr: "b:1"}, lastHeardAt: time.Now()}
+	c.membership.peers["drover-1"] = &peerState{Peer: config.Peer{Name: "drover-1", Addr: "b:1"}, lastHeardAt: time.Now()}
 	c.setLeader("drover-1", 9)
-	c.led = time.Now()
+	c.cancellations.enforcedUntil = time.Now()
 	token := uint64(9)<<tuning.FencingBits | 3
 	heartbeat := func(token uint64) HeartbeatAnswer {
 		return c.Heartbeat(&wire.Heartbeat{Machine: "n-1", Address: "a:1", Incarnation: 1, Sequence: 1, FencingToken: token})
@@ -85,14 +85,14 @@
 	if a := heartbeat(token); a.Status != http.StatusMisdirectedRequest || a.Redirect.Leader != "drover-1" {
 		t.Errorf("leader in reach: %+v", a)
 	}
-	c.peers["drover-1"].lastHeardAt = time.Now().Add(-2 * tuning.PeerUnreachableAfter)
+	c.membership.peers["drover-1"].lastHeardAt = time.Now().Add(-2 * tuning.PeerUnreachableAfter)
 	if a := heartbeat(token); a.Status != http.StatusOK || a.Reply.FencingToken != token || len(a.Reply.Commands) != 0 {
 		t.Errorf("in a cut: %+v", a)
 	}
 	if a := heartbeat(uint64(8) << tuning.FencingBits); a.Status == http.StatusOK {
 		t.Errorf("a token of an earlier term was kept alive: %+v", a)
 	}
-	c.led = time.Now().Add(-c.KeepaliveBound())
+	c.cancellations.enforcedUntil = time.Now().Add(-c.KeepaliveBound())
 	if a := heartbeat(token); a.Status == http.StatusOK {
 		t.Errorf("kept alive for longer than a cancellation leaves time for: %+v", a)
 	}
@@ -108,13 +108,13 @@
 func TestIsolatedControllerIsUnhealthy(t *testing.T) {
 	c := newTestController(t)
 	setPeers := func(storeAvailable bool, reachable int) {
-		clear(c.peers)
+		clear(c.membership.peers)
 		for i := range 4 {
 			p := &peerState{Peer: config.Peer{Name: "drover-" + string(rune('1'+i))}, storeAvailable: storeAvailable}
 			if i < reachable {
 				p.lastHeardAt = time.Now()
 			}
-			c.peers[p.Name] = p
+			c.membership.peers[p.Name] = p
 		}
 	}
 	for _, tc := range []struct {
@@ -132,13 +132,13 @@
 		// zone that is cut off. Others may cancel jobs: see TestCancellationWatermarkIsNeverAheadOfConfirmations.
 		{time.Minute, false, 2, false},
 	} {
-		c.without = func() time.Duration { return tc.without }
+		c.membership.storeUnservedFor = func() time.Duration { return tc.without }
 		setPeers(tc.served, tc.near)
 		if c.Healthy() == tc.cut {
 			t.Errorf("%+v: healthy %v", tc, !tc.cut)
 		}
 	}
-	c.without = func() time.Duration { return 0 }
+	c.membership.storeUnservedFor = func() time.Duration { return 0 }
 	setPeers(false, 0)
 	if !c.Healthy() {
 		t.Error("unhealthy though served")
@@ -151,14 +151,14 @@
 func TestFollowerRedirectsWhenLeaderRefusesConnections(t *testing.T) {
 	c := newTestController(t)
 	p := &peerState{Peer: config.Peer{Name: "drover-1", Addr: "b:1"}, connectionRefusedAt: time.Now()}
-	c.peers["drover-1"] = p
+	c.membership.peers["drover-1"] = p
 	c.setLeader("drover-1", 9)
-	c.led = time.Now()
+	c.cancellations.enforcedUntil = time.Now()
 	heartbeat := &wire.Heartbeat{Machine: "n-1", Address: "a:1", Incarnation: 1, Sequence: 1, FencingToken: 9 << tuning.FencingBits}
 	if a := c.Heartbeat(heartbeat); a.Status != http.StatusMisdirectedRequest || a.Redirect.Leader != "drover-1" {
 		t.Errorf("leader refuses connections: %+v", a)
 	}
-	p.connectionRefusedAt, c.led = time.Time{}, time.Time{}
+	p.connectionRefusedAt, c.cancellations.enforcedUntil = time.Time{}, time.Time{}
 	if a := c.Heartbeat(heartbeat); a.Status == http.StatusOK {
 		t.Errorf("kept alive by a node that has just started: %+v", a)
 	}
@@ -230,16 +230,16 @@
 	defer srv.Close()
 	c := newTestController(t)
 	c.cloud = cloud.New(srv.Listener.Addr().String())
-	c.leader, c.lost = scheduler.New(c.now(), c.schedulerSettings(), 9, scheduler.NewReplica(), nil, nil, nil), make(chan struct{})
+	c.leadership.scheduler, c.leadership.lost = scheduler.New(c.now(), c.schedulerSettings(), 9, scheduler.NewReplica(), nil, nil, nil), make(chan struct{})
 	callCloud := func() {
-		c.releaseMachines(c.leader, []string{"n-000001"})
-		c.provision(c.leader, wire.ProvisionRequest{RequestID: "r-1", Count: 1})
+		c.releaseMachines(c.leadership.scheduler, []string{"n-000001"})
+		c.provision(c.leadership.scheduler, wire.ProvisionRequest{RequestID: "r-1", Count: 1})
 	}
-	c.heldTo = time.Now().Add(-time.Second)
+	c.leadership.leaseHeldUntil = time.Now().Add(-time.Second)
 	if callCloud(); requests != 0 {
 		t.Errorf("%d requests after the lease", requests)
 	}
-	c.heldTo = time.Now().Add(time.Hour)
+	c.leadership.leaseHeldUntil = time.Now().Add(time.Hour)
 	if callCloud(); requests != 2 {
 		t.Errorf("%d requests within the lease", requests)
 	}
@@ -270,7 +270,7 @@
 	if got := directCallLimit(c.cfg); got != tuning.MinWorkerCalls {
 		t.Errorf("%d places with few sockets", got)
 	}
-	c.calls = make(chan struct{}, 3)
+	c.outgoing.directCallSlots = make(chan struct{}, 3)
 	var concurrent, maxConcurrent atomic.Int64
 	handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		for now := concurrent.Add(1); ; {
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -35,18 +35,18 @@
 				continue
 			}
 			c.update(func() {
-				if leaderKey.ModRevision >= c.lead.term {
+				if leaderKey.ModRevision >= c.membership.leader.term {
 					c.setLeader(record.Node, leaderKey.ModRevision)
-					c.lead.storeLease = leaderKey.Lease
+					c.membership.leader.storeLease = leaderKey.Lease
 				}
 			})
 			c.awaitVacancy(ctx, leaderKey.ModRevision)
 			continue
 		}
 		c.mu.Lock()
-		wait := time.Until(c.barred)
-		if c.leader == nil {
-			c.lead.name = ""
+		wait := time.Until(c.leadership.candidacyBarredUntil)
+		if c.leadership.scheduler == nil {
+			c.membership.leader.name = ""
 		}
 		c.mu.Unlock()
 		if wait > 0 {
@@ -119,7 +119,7 @@
 	defer cancel()
 	lost := make(chan struct{})
 	c.mu.Lock()
-	c.permit, c.heldTo, c.electedAt = storeLease, askedAt.Add(c.leaseTTL()), askedAt
+	c.leadership.storeLease, c.leadership.leaseHeldUntil, c.leadership.electedAt = storeLease, askedAt.Add(c.leaseTTL()), askedAt
 	c.setLeader(c.cfg.Node, term)
 	c.mu.Unlock()
 
@@ -138,10 +138,10 @@
 		case <-ctx.Done():
 		}
 		c.update(func() {
-			if c.leader == sched {
+			if c.leadership.scheduler == sched {
 				c.log.Info("lead lost", "term", term)
 				c.endTerm()
-				c.lead.name = ""
+				c.membership.leader.name = ""
 			}
 		})
 	}
@@ -165,10 +165,10 @@
 		err := c.store.RenewLease(ctx, storeLease)
 		if err == nil {
 			c.update(func() {
-				if c.permit == storeLease {
-					c.heldTo = sentAt.Add(c.leaseTTL())
-					if c.leader != nil {
-						c.leader.LeaseHeldUntil(c.heldTo.Sub(c.startedAt))
+				if c.leadership.storeLease == storeLease {
+					c.leadership.leaseHeldUntil = sentAt.Add(c.leaseTTL())
+					if c.leadership.scheduler != nil {
+						c.leadership.scheduler.LeaseHeldUntil(c.leadership.leaseHeldUntil.Sub(c.startedAt))
 					}
 				}
 			})
@@ -179,10 +179,10 @@
 			select {
 			case <-lost:
 			default:
-				if c.leader != nil {
-					c.log.Info("lead lost: the lease has ended", "term", c.lead.term)
+				if c.leadership.scheduler != nil {
+					c.log.Info("lead lost: the lease has ended", "term", c.membership.leader.term)
 					c.endTerm()
-					c.lead.name = ""
+					c.membership.leader.name = ""
 				} else {
 					close(lost)
 				}
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -57,8 +57,8 @@
 		if got := time.Duration(requested.TTLMilli) * time.Millisecond; got != tc.ttl {
 			t.Errorf("share %v, workers %v: a lease of %v, not %v", tc.share, tc.workers, got, tc.ttl)
 		}
-		if c.heldTo.Before(before.Add(tc.ttl)) || c.heldTo.After(after.Add(tc.ttl)) {
-			t.Errorf("share %v: the lead is relied on until %v after the request", tc.share, c.heldTo.Sub(before))
+		if c.leadership.leaseHeldUntil.Before(before.Add(tc.ttl)) || c.leadership.leaseHeldUntil.After(after.Add(tc.ttl)) {
+			t.Errorf("share %v: the lead is relied on until %v after the request", tc.share, c.leadership.leaseHeldUntil.Sub(before))
 		}
 	}
 }
--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -43,11 +43,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var targets []*peerState
-	for _, p := range c.peers {
+	for _, p := range c.membership.peers {
 		if time.Since(p.lastHeardAt) > tuning.PeerUnreachableAfter || time.Since(p.declinedAt) < tuning.UnablePeerBackoff {
 			continue
 		}
-		if p.Name == c.lead.name {
+		if p.Name == c.membership.leader.name {
 			targets = append([]*peerState{p}, targets...)
 		} else {
 			targets = append(targets, p)
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -23,14 +23,14 @@
 	var answer HeartbeatAnswer
 	c.update(func() {
 		//mutation:heartbeat-needs-cancellation-watermark
-		if c.leader != nil && c.mayRenewLeases() {
-			reply, ok := c.leader.Heartbeat(c.now(), heartbeat)
+		if c.leadership.scheduler != nil && c.mayRenewLeases() {
+			reply, ok := c.leadership.scheduler.Heartbeat(c.now(), heartbeat)
 			if ok {
 				answer = HeartbeatAnswer{Status: http.StatusOK, Reply: reply}
 				return
 			}
 		}
-		if c.leader != nil {
+		if c.leadership.scheduler != nil {
 			answer.Status = http.StatusServiceUnavailable
 			return
 		}
@@ -45,21 +45,21 @@
 // stops nothing, and lets a cut zone keep its work. The time is bounded so that
 // a job cancelled meanwhile is off its machines in time; see KeepaliveBound.
 func (c *Controller) followerHeartbeat(heartbeat *wire.Heartbeat) HeartbeatAnswer {
-	leader := c.peers[c.lead.name]
+	leader := c.membership.peers[c.membership.leader.name]
 	reachable := leader != nil && !leader.notLeading && (time.Since(leader.lastHeardAt) < tuning.PeerUnreachableAfter ||
 		// A refused connection came all the way: something between the nodes is
 		// in the way, or it has no free socket, and not a cut between zones. By
 		// the state service it leads, so it is there for workers.
-		time.Since(leader.connectionRefusedAt) < tuning.PeerUnreachableAfter && c.without() == 0)
+		time.Since(leader.connectionRefusedAt) < tuning.PeerUnreachableAfter && c.membership.storeUnservedFor() == 0)
 	if reachable {
-		return HeartbeatAnswer{Status: http.StatusMisdirectedRequest, Redirect: wire.Redirect{Leader: c.lead.name}}
+		return HeartbeatAnswer{Status: http.StatusMisdirectedRequest, Redirect: wire.Redirect{Leader: c.membership.leader.name}}
 	}
 	//mutation:keepalive-bound
-	if c.lead.term != 0 && scheduler.TermOf(heartbeat.FencingToken) == c.lead.term && time.Since(c.led) < c.KeepaliveBound() {
+	if c.membership.leader.term != 0 && scheduler.TermOf(heartbeat.FencingToken) == c.membership.leader.term && time.Since(c.cancellations.enforcedUntil) < c.KeepaliveBound() {
 		return HeartbeatAnswer{Status: http.StatusOK, Reply: wire.HeartbeatReply{FencingToken: heartbeat.FencingToken, Commands: []wire.Command{}}}
 	}
-	if leader != nil && c.lead.name != "" {
-		return HeartbeatAnswer{Status: http.StatusMisdirectedRequest, Redirect: wire.Redirect{Leader: c.lead.name}}
+	if leader != nil && c.membership.leader.name != "" {
+		return HeartbeatAnswer{Status: http.StatusMisdirectedRequest, Redirect: wire.Redirect{Leader: c.membership.leader.name}}
 	}
 	return HeartbeatAnswer{Status: http.StatusServiceUnavailable}
 }
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -16,8 +16,8 @@
 
 // loadScheduler reads all records and installs the leader, or returns nil.
 func (c *Controller) loadScheduler(ctx context.Context, term uint64, lost chan struct{}) *scheduler.Scheduler {
-	c.update(func() { c.loadingSince = time.Now() })
-	defer c.update(func() { c.loadingSince = time.Time{} })
+	c.update(func() { c.leadership.loadingSince = time.Now() })
+	defer c.update(func() { c.leadership.loadingSince = time.Time{} })
 	for {
 		select {
 		case <-lost:
@@ -53,32 +53,32 @@
 				return
 			default:
 			}
-			if c.lead.term > term {
+			if c.membership.leader.term > term {
 				return // somebody leads after us already
 			}
-			if revision >= c.replica.Revision {
-				c.logUnreadableRecords(c.replica.Reset(jobs, revision))
+			if revision >= c.replication.replica.Revision {
+				c.logUnreadableRecords(c.replication.replica.Reset(jobs, revision))
 			}
-			c.knownAt = later(c.knownAt, readAt)
-			sched = scheduler.New(c.now(), c.schedulerSettings(), term, c.replica, bitmaps, append(batches, legacyMachines...), c.machineTypes)
-			for _, p := range c.peers {
+			c.replication.caughtUpAt = later(c.replication.caughtUpAt, readAt)
+			sched = scheduler.New(c.now(), c.schedulerSettings(), term, c.replication.replica, bitmaps, append(batches, legacyMachines...), c.machineTypes)
+			for _, p := range c.membership.peers {
 				// What came of their lists while nobody here led is gone: all again.
 				p.confirmationsSeen, p.confirmationsAsOf = 0, time.Time{}
 			}
 			// Our own list is told to no one who asks: what users were told here between
 			// the read above and now, no answer of the watch may bring for long.
 			//mutation:recovery-applies-own-cancellations
-			sched.Cancelled(c.now(), c.confirmed.ids)
-			sched.ObserveAckLatency = func(d time.Duration) { _ = c.ack.RecordValue(min(max(1, d.Milliseconds()), 600_000)) }
-			sched.LeaseHeldUntil(c.heldTo.Sub(c.startedAt))
-			for _, p := range c.peers {
+			sched.Cancelled(c.now(), c.cancellations.confirmed.ids)
+			sched.ObserveAckLatency = func(d time.Duration) { _ = c.metrics.startToAck.RecordValue(min(max(1, d.Milliseconds()), 600_000)) }
+			sched.LeaseHeldUntil(c.leadership.leaseHeldUntil.Sub(c.startedAt))
+			for _, p := range c.membership.peers {
 				if !p.lastHeardAt.IsZero() {
 					sched.ZoneLastSeen(p.Zone, p.lastHeardAt.Sub(c.startedAt))
 				}
 			}
 			sched.ZoneLastSeen(c.cfg.Zone, c.now().Mono)
-			c.tracer.RecordsLoaded(term, c.loadingSince, time.Now(), len(jobs), len(batches)+len(legacyMachines))
-			c.leader, c.lost = sched, lost
+			c.tracer.RecordsLoaded(term, c.leadership.loadingSince, time.Now(), len(jobs), len(batches)+len(legacyMachines))
+			c.leadership.scheduler, c.leadership.lost = sched, lost
 		})
 		return sched
 	}
@@ -122,7 +122,7 @@
 func (c *Controller) survivedFailover(processStartedAt time.Time) bool {
 	lease := config.Seconds(c.cfg.Deployment.Workers.LeaseS)
 	//mutation:survived-from-election
-	return !processStartedAt.IsZero() && c.electedAt.Sub(processStartedAt) > lease/tuning.ColdRestartLeaseDivisor
+	return !processStartedAt.IsZero() && c.leadership.electedAt.Sub(processStartedAt) > lease/tuning.ColdRestartLeaseDivisor
 }
 
 // coldRestart reports whether no controller that this node has heard outlived the leader
@@ -131,7 +131,7 @@
 	if c.survivedFailover(c.startedAt) {
 		return false
 	}
-	for _, p := range c.peers {
+	for _, p := range c.membership.peers {
 		if c.survivedFailover(p.processStartedAt) {
 			return false
 		}
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -23,7 +23,7 @@
 func TestCancellationDuringFailoverIsKept(t *testing.T) {
 	const id = "run-000001"
 	c := newTestController(t)
-	c.peers = map[string]*peerState{}
+	c.membership.peers = map[string]*peerState{}
 	state, recovering := simulator.NewDeployment(nil, nil, nil, 0, 0, 0).KVStoreHandler(), false
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !recovering || r.URL.Path != "/kv" || !strings.HasPrefix(r.URL.Query().Get("starts"), records.LiveJobPrefix) {
@@ -68,7 +68,7 @@
 func TestLoadingSurvivesLostAnswers(t *testing.T) {
 	const jobs = 3
 	c := newTestController(t)
-	c.peers = map[string]*peerState{}
+	c.membership.peers = map[string]*peerState{}
 	state, calls, phases := simulator.NewDeployment(nil, nil, nil, 0, 0, 0).KVStoreHandler(), 0, map[string]int{}
 	var mu sync.Mutex
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/controller/machine_types.go
+++ b/internal/controller/machine_types.go
@@ -34,14 +34,14 @@
 			}
 			c.update(func() {
 				c.machineTypes = types
-				if c.leader != nil {
-					c.leader.SetMachineTypes(c.now(), types)
+				if c.leadership.scheduler != nil {
+					c.leadership.scheduler.SetMachineTypes(c.now(), types)
 				}
 			})
 		}
 		types := c.knownMachineTypes()
 		c.mu.Lock()
-		leading := c.leader != nil
+		leading := c.leadership.scheduler != nil
 		c.mu.Unlock()
 		if leading && fromCloud && !sameMachineTypes(stored, types) && c.storeMachineTypes(ctx, types) == nil {
 			stored = types
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -39,14 +39,14 @@
 // pingPeers keeps up with the other nodes.
 func (c *Controller) pingPeers(ctx context.Context) {
 	var wg sync.WaitGroup
-	for _, p := range c.peers {
+	for _, p := range c.membership.peers {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			for sleep(ctx, jitter(tuning.PeerPingInterval)) {
 				c.mu.Lock()
 				sentAt := time.Now()
-				ping := peer.Ping{Node: c.cfg.Node, BootID: c.bootID, Leader: c.lead.name, Term: c.lead.term, StoreAvailable: c.storeAvailable(),
+				ping := peer.Ping{Node: c.cfg.Node, BootID: c.bootID, Leader: c.membership.leader.name, Term: c.membership.leader.term, StoreAvailable: c.storeAvailable(),
 					ConfirmationsSeen: p.confirmationsSeen, ConfirmationsBootID: p.bootID}
 				c.mu.Unlock()
 				pong, err := c.peerClient.Ping(ctx, p.Addr, ping)
@@ -64,18 +64,18 @@
 					}
 					p.notLeading = pong.Leader == p.Name && !pong.IsLeader
 					p.processStartedAt = sentAt.Add(-time.Duration(pong.UptimeMilli) * time.Millisecond)
-					if c.leader != nil && c.survivedFailover(p.processStartedAt) {
-						c.leader.ControllerSurvived()
+					if c.leadership.scheduler != nil && c.survivedFailover(p.processStartedAt) {
+						c.leadership.scheduler.ControllerSurvived()
 					}
 					c.updateWatermark()
 					p.recordConfirmations(pong, sentAt, time.Now())
-					if c.leader != nil && len(pong.Confirmed) > 0 {
-						c.leader.Cancelled(c.now(), pong.Confirmed)
+					if c.leadership.scheduler != nil && len(pong.Confirmed) > 0 {
+						c.leadership.scheduler.Cancelled(c.now(), pong.Confirmed)
 					}
 					p.runningTasks = pong.Running
 					c.learnLeader(pong.Leader, pong.Term)
-					if pong.Term == c.lead.term && pong.EnforcedAgoMilli > 0 {
-						c.led = later(c.led, sentAt.Add(-time.Duration(pong.EnforcedAgoMilli)*time.Millisecond))
+					if pong.Term == c.membership.leader.term && pong.EnforcedAgoMilli > 0 {
+						c.cancellations.enforcedUntil = later(c.cancellations.enforcedUntil, sentAt.Add(-time.Duration(pong.EnforcedAgoMilli)*time.Millisecond))
 					}
 				})
 			}
@@ -86,33 +86,33 @@
 
 // learnLeader takes a peer's word on who leads, if it is newer than ours.
 func (c *Controller) learnLeader(name string, term uint64) {
-	if term <= c.lead.term || name == "" {
+	if term <= c.membership.leader.term || name == "" {
 		return
 	}
-	if c.leader != nil {
-		c.stepDown(c.leader, "a peer knows a later leader")
+	if c.leadership.scheduler != nil {
+		c.stepDown(c.leadership.scheduler, "a peer knows a later leader")
 	}
 	c.setLeader(name, term)
 }
 
 func (c *Controller) setLeader(name string, term uint64) {
-	if c.lead.name != name || c.lead.term != term {
+	if c.membership.leader.name != name || c.membership.leader.term != term {
 		c.log.Info("leader known", "leader", name, "term", term)
 	}
 	storeLease := uint64(0)
-	if c.lead.term == term {
-		storeLease = c.lead.storeLease
+	if c.membership.leader.term == term {
+		storeLease = c.membership.leader.storeLease
 	} else {
 		// What a leader says to be seen through is so for what it can have started. One
 		// that stood still, and does not know yet of the next, reads all cancellations
 		// when it goes on, and nothing of that one's tasks: workers that have a later
 		// token are kept alive by its leader's word alone.
 		//mutation:lost-leadership-ends-keepalive
-		c.led = time.Time{}
+		c.cancellations.enforcedUntil = time.Time{}
 	}
-	c.lead = leaderInfo{name: name, term: term, storeLease: storeLease}
-	if p := c.peers[name]; p != nil {
-		c.lead.addr, p.notLeading = p.Addr, false
+	c.membership.leader = leaderInfo{name: name, term: term, storeLease: storeLease}
+	if p := c.membership.peers[name]; p != nil {
+		c.membership.leader.addr, p.notLeading = p.Addr, false
 	}
 }
 
@@ -120,24 +120,24 @@
 func (c *Controller) HandlePing(ping peer.Ping) peer.Pong {
 	var pong peer.Pong
 	c.update(func() {
-		if sender := c.peers[ping.Node]; sender != nil {
+		if sender := c.membership.peers[ping.Node]; sender != nil {
 			sender.lastHeardAt, sender.storeAvailable = time.Now(), ping.StoreAvailable
 		}
 		c.learnLeader(ping.Leader, ping.Term)
-		pong = peer.Pong{Node: c.cfg.Node, BootID: c.bootID, Leader: c.lead.name, Term: c.lead.term, StoreAvailable: c.storeAvailable(),
-			IsLeader: c.leader != nil, UptimeMilli: 1 + time.Since(c.startedAt).Milliseconds()}
-		if c.leader != nil {
-			c.led = later(c.led, c.enforcedWatermark())
+		pong = peer.Pong{Node: c.cfg.Node, BootID: c.bootID, Leader: c.membership.leader.name, Term: c.membership.leader.term, StoreAvailable: c.storeAvailable(),
+			IsLeader: c.leadership.scheduler != nil, UptimeMilli: 1 + time.Since(c.startedAt).Milliseconds()}
+		if c.leadership.scheduler != nil {
+			c.cancellations.enforcedUntil = later(c.cancellations.enforcedUntil, c.enforcedWatermark())
 		}
-		if age := time.Since(c.led); age < time.Hour {
+		if age := time.Since(c.cancellations.enforcedUntil); age < time.Hour {
 			pong.EnforcedAgoMilli = age.Milliseconds() + 1
 		}
 		if ping.ConfirmationsBootID != c.bootID {
 			ping.ConfirmationsSeen = 0
 		}
-		pong.ConfirmedFrom, pong.Confirmed = c.confirmed.after(ping.ConfirmationsSeen)
-		if c.leader != nil {
-			pong.Running = c.leader.RunningTasks()
+		pong.ConfirmedFrom, pong.Confirmed = c.cancellations.confirmed.after(ping.ConfirmationsSeen)
+		if c.leadership.scheduler != nil {
+			pong.Running = c.leadership.scheduler.RunningTasks()
 		}
 	})
 	return pong
@@ -154,7 +154,7 @@
 	var lastRevokedAt time.Time
 	for sleep(ctx, tuning.PeerWatchRetryDelay) {
 		c.mu.Lock()
-		leader, p := c.lead, c.peers[c.lead.name]
+		leader, p := c.membership.leader, c.membership.peers[c.membership.leader.name]
 		c.mu.Unlock()
 		if p == nil || leader.storeLease == 0 {
 			continue
@@ -167,9 +167,9 @@
 			continue
 		}
 		c.mu.Lock()
-		unchanged := c.lead.term == leader.term && c.leader == nil
+		unchanged := c.membership.leader.term == leader.term && c.leadership.scheduler == nil
 		if unchanged {
-			c.lead.storeLease = 0 // once a term
+			c.membership.leader.storeLease = 0 // once a term
 		}
 		c.mu.Unlock()
 		if unchanged {
@@ -200,12 +200,12 @@
 // anotherPeerAnswers reports whether any peer but the given one answers now. Where there
 // is no other, there is nobody to ask.
 func (c *Controller) anotherPeerAnswers(ctx context.Context, except *peerState) bool {
-	if len(c.peers) < 2 {
+	if len(c.membership.peers) < 2 {
 		return true
 	}
-	answers := make(chan bool, len(c.peers))
+	answers := make(chan bool, len(c.membership.peers))
 	asked := 0
-	for _, p := range c.peers {
+	for _, p := range c.membership.peers {
 		if p != except {
 			asked++
 			go func() { answers <- c.pingOnce(ctx, p) == nil }()
--- a/internal/controller/outgoing.go
+++ b/internal/controller/outgoing.go
@@ -81,8 +81,8 @@
 }
 
 func (c *Controller) callWorker(sched *scheduler.Scheduler, call scheduler.DirectCall) {
-	c.calls <- struct{}{}
-	defer func() { <-c.calls }()
+	c.outgoing.directCallSlots <- struct{}{}
+	defer func() { <-c.outgoing.directCallSlots }()
 	outcome, heartbeat, err := c.workers.SendCommands(context.Background(), call.Addr, call.Body)
 	if err != nil {
 		c.logCallFailure("direct call", err, "machine", call.Machine)
@@ -103,7 +103,7 @@
 func (c *Controller) holdsLease(sched *scheduler.Scheduler) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.leader == sched && time.Now().Before(c.heldTo)
+	return c.leadership.scheduler == sched && time.Now().Before(c.leadership.leaseHeldUntil)
 }
 
 func (c *Controller) provision(sched *scheduler.Scheduler, request wire.ProvisionRequest) {
@@ -157,8 +157,8 @@
 		pages := float64(1 + len(list)/tuning.MachineListPageSize)
 		wait = max(tuning.MachineListInterval, config.Seconds(pages/(c.cfg.Deployment.Cloud.RPS*tuning.MachineListRateShare)))
 		c.updateScheduler(sched, func(now scheduler.Now) { sched.MachinesListed(now, list) })
-		if shortfalls := c.cfg.FleetShortfalls(len(list)); len(shortfalls) > 0 && len(list) > c.shortOf {
-			c.shortOf = 2 * len(list)
+		if shortfalls := c.cfg.FleetShortfalls(len(list)); len(shortfalls) > 0 && len(list) > c.outgoing.shortfallLoggedFor {
+			c.outgoing.shortfallLoggedFor = 2 * len(list)
 			c.log.Error("settings fall short of the fleet", "what", shortfalls)
 		}
 	}
--- a/internal/controller/queries.go
+++ b/internal/controller/queries.go
@@ -38,7 +38,7 @@
 // readJob is one try of known. It also says when what it tells was read.
 func (c *Controller) readJob(ctx context.Context, id string) (view wire.JobView, found bool, readAt time.Time, err error) {
 	c.mu.Lock()
-	record, ok := c.replica.Ended(id)
+	record, ok := c.replication.replica.Ended(id)
 	c.mu.Unlock()
 	if ok {
 		return endedView(id, record), true, time.Now(), nil // for good
@@ -48,9 +48,9 @@
 		return view, false, readAt, err
 	}
 	c.mu.Lock()
-	live := c.replica.Live[id]
-	record, ended := c.replica.Ended(id)
-	absent, resets := c.replica.Absent(id), c.replica.Resets
+	live := c.replication.replica.Live[id]
+	record, ended := c.replication.replica.Ended(id)
+	absent, resets := c.replication.replica.Absent(id), c.replication.replica.Resets
 	if live != nil {
 		view = c.liveView(id, live)
 	}
@@ -73,8 +73,8 @@
 		// While the read was out, the job may have come and ended in changes that a
 		// reset passed over: it would be unknown here for good.
 		//mutation:absence-across-reset
-		if c.replica.Resets == resets {
-			c.replica.NoteAbsent(id)
+		if c.replication.replica.Resets == resets {
+			c.replication.replica.NoteAbsent(id)
 		}
 		c.mu.Unlock()
 		return view, false, readAt, nil
@@ -83,7 +83,7 @@
 		return view, false, readAt, err
 	}
 	c.mu.Lock()
-	c.replica.RememberEnded(id, record)
+	c.replication.replica.RememberEnded(id, record)
 	c.mu.Unlock()
 	return endedView(id, record), true, readAt, nil
 }
@@ -99,9 +99,9 @@
 	if done.MergeChunk(0, live.Record.Done) == nil {
 		view.Done = done.Count()
 	}
-	if c.leader != nil {
-		view.Running = c.leader.RunningTasksOf(id)
-	} else if p := c.peers[c.lead.name]; p != nil {
+	if c.leadership.scheduler != nil {
+		view.Running = c.leadership.scheduler.RunningTasksOf(id)
+	} else if p := c.membership.peers[c.membership.leader.name]; p != nil {
 		view.Running = p.runningTasks[id]
 	}
 	if live.Record.Cancelled {
@@ -113,12 +113,12 @@
 	return view
 }
 
-// KindQuery answers GET /v2/runs/{id}.
+// Query answers GET /v2/runs/{id}.
 func (c *Controller) Query(ctx context.Context, id string, forwarded bool) Answer {
 	if !wire.ValidJobID(id) {
 		return refuse(http.StatusNotFound, "no such job")
 	}
-	release, ok := c.admit(c.decisions, tuning.MaxDecisionTickLag)
+	release, ok := c.admit(c.admission.decisionSlots, tuning.MaxDecisionTickLag)
 	if !ok {
 		return overloaded
 	}
--- a/internal/controller/queries_test.go
+++ b/internal/controller/queries_test.go
@@ -96,7 +96,7 @@
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
-	if live := c.replica.Live[id]; live == nil || !live.Record.Cancelled {
+	if live := c.replication.replica.Live[id]; live == nil || !live.Record.Cancelled {
 		t.Errorf("the copy was taken back: %+v", live)
 	}
 }
@@ -114,12 +114,12 @@
 	// between its answer and now.
 	stale := &refreshCall{done: make(chan struct{}), answeredAt: time.Now().Add(-2 * tuning.MaxAnswerAge)}
 	close(stale.done)
-	c.next, c.active = stale, true
+	c.refresher.next, c.refresher.running = stale, true
 	commitOps(t, client, wire.Op{Set: records.JobKey(id), Value: records.Job{Job: wire.Job{ID: id, Tasks: 1}, Cancelled: true}})
 	time.AfterFunc(20*time.Millisecond, func() {
-		c.syncMu.Lock()
-		defer c.syncMu.Unlock()
-		c.next, c.active = nil, false
+		c.refresher.mu.Lock()
+		defer c.refresher.mu.Unlock()
+		c.refresher.next, c.refresher.running = nil, false
 	})
 	if v, found, err := c.lookUpJob(ctx, id); err != nil || !found || v.State != wire.JobCancelled {
 		t.Errorf("%+v %v %v", v, found, err)
@@ -145,7 +145,7 @@
 		asked <- struct{}{}
 	}))
 	defer srv.Close()
-	c.peers["drover-1"] = &peerState{Peer: config.Peer{Name: "drover-1", Addr: srv.Listener.Addr().String()}, lastHeardAt: time.Now()}
+	c.membership.peers["drover-1"] = &peerState{Peer: config.Peer{Name: "drover-1", Addr: srv.Listener.Addr().String()}, lastHeardAt: time.Now()}
 	for _, refusal := range []int{http.StatusUnprocessableEntity, http.StatusBadRequest, http.StatusNotFound} {
 		status.Store(int64(refusal))
 		b, err := simulator.EncodeSubmission(&wire.Job{ID: id, Class: "c", Team: "crew", Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i"})
--- a/internal/controller/replication.go
+++ b/internal/controller/replication.go
@@ -25,17 +25,17 @@
 // share a read, but never one that was sent before they came. It says when that was
 // answered.
 func (c *Controller) refresh(ctx context.Context) (time.Time, error) {
-	c.syncMu.Lock()
-	call := c.next
+	c.refresher.mu.Lock()
+	call := c.refresher.next
 	if call == nil {
 		call = &refreshCall{done: make(chan struct{})}
-		c.next = call
-		if !c.active {
-			c.active = true
+		c.refresher.next = call
+		if !c.refresher.running {
+			c.refresher.running = true
 			go c.refreshLoop()
 		}
 	}
-	c.syncMu.Unlock()
+	c.refresher.mu.Unlock()
 	select {
 	case <-call.done:
 		return call.answeredAt, call.err
@@ -47,16 +47,16 @@
 // refreshLoop serves waiting calls one after the other and ends when none waits.
 func (c *Controller) refreshLoop() {
 	for {
-		c.syncMu.Lock()
-		call := c.next
+		c.refresher.mu.Lock()
+		call := c.refresher.next
 		//mutation:query-joins-no-earlier-read
-		c.next = nil
+		c.refresher.next = nil
 		if call == nil {
-			c.active = false
-			c.syncMu.Unlock()
+			c.refresher.running = false
+			c.refresher.mu.Unlock()
 			return
 		}
-		c.syncMu.Unlock()
+		c.refresher.mu.Unlock()
 		call.err = c.refreshOnce()
 		call.answeredAt = time.Now()
 		close(call.done)
@@ -67,13 +67,13 @@
 // refreshInterval spaces the reads so that all nodes together stay within their share of
 // the state service's rate.
 func (c *Controller) refreshInterval() time.Duration {
-	return max(tuning.MinSyncInterval, config.Seconds(float64(1+len(c.peers))/(c.cfg.Deployment.State.RPS*tuning.SyncRateShare)))
+	return max(tuning.MinSyncInterval, config.Seconds(float64(1+len(c.membership.peers))/(c.cfg.Deployment.State.RPS*tuning.SyncRateShare)))
 }
 
 func (c *Controller) refreshOnce() error {
 	ctx := context.Background()
 	c.mu.Lock()
-	loaded, from := c.replica.Loaded, c.replica.Revision
+	loaded, from := c.replication.replica.Loaded, c.replication.replica.Revision
 	c.mu.Unlock()
 	if !loaded {
 		return c.reloadJobs(ctx)
@@ -97,7 +97,7 @@
 		_, _ = c.refresh(ctx) // failing that, the next round or a poll will do
 		pause = tuning.FollowerSyncInterval
 		c.mu.Lock()
-		if c.leader != nil {
+		if c.leadership.scheduler != nil {
 			pause = tuning.LeaderSyncInterval
 		}
 		c.mu.Unlock()
@@ -108,7 +108,7 @@
 func (c *Controller) watchJobs(ctx context.Context, sched *scheduler.Scheduler) {
 	for ctx.Err() == nil {
 		c.mu.Lock()
-		from := c.replica.Revision
+		from := c.replication.replica.Revision
 		c.mu.Unlock()
 		sentAt := time.Now()
 		changes, err := c.store.Watch(ctx, kvstore.PriorityLeader, records.JobsPrefix, from, tuning.WatchTimeout)
@@ -129,14 +129,14 @@
 func (c *Controller) applyChanges(changes wire.WatchReply, sentAt time.Time) {
 	c.update(func() {
 		c.updateWatermark()
-		c.knownAt = later(c.knownAt, sentAt)
-		touched, unreadable := c.replica.Apply(changes)
+		c.replication.caughtUpAt = later(c.replication.caughtUpAt, sentAt)
+		touched, unreadable := c.replication.replica.Apply(changes)
 		c.logUnreadableRecords(unreadable)
-		if c.leader != nil {
-			c.leader.JobsReadAt(sentAt.Sub(c.startedAt))
+		if c.leadership.scheduler != nil {
+			c.leadership.scheduler.JobsReadAt(sentAt.Sub(c.startedAt))
 		}
-		if c.leader != nil && len(touched) > 0 {
-			c.leader.JobsChanged(c.now(), touched)
+		if c.leadership.scheduler != nil && len(touched) > 0 {
+			c.leadership.scheduler.JobsChanged(c.now(), touched)
 		}
 	})
 }
@@ -150,15 +150,15 @@
 	}
 	c.update(func() {
 		//mutation:full-read-order
-		if revision < c.replica.Revision {
+		if revision < c.replication.replica.Revision {
 			return
 		}
 		c.updateWatermark()
-		c.knownAt = later(c.knownAt, sentAt)
-		c.logUnreadableRecords(c.replica.Reset(items, revision))
-		if c.leader != nil {
-			c.leader.JobsReadAt(sentAt.Sub(c.startedAt))
-			c.leader.JobsReset(c.now(), c.replica)
+		c.replication.caughtUpAt = later(c.replication.caughtUpAt, sentAt)
+		c.logUnreadableRecords(c.replication.replica.Reset(items, revision))
+		if c.leadership.scheduler != nil {
+			c.leadership.scheduler.JobsReadAt(sentAt.Sub(c.startedAt))
+			c.leadership.scheduler.JobsReset(c.now(), c.replication.replica)
 		}
 	})
 	return nil
--- a/internal/controller/submit.go
+++ b/internal/controller/submit.go
@@ -15,7 +15,7 @@
 
 // Submit answers POST /v2/runs.
 func (c *Controller) Submit(ctx context.Context, body []byte, forwarded bool) Answer {
-	release, ok := c.admit(c.submissions, tuning.MaxSubmissionTickLag)
+	release, ok := c.admit(c.admission.submissionSlots, tuning.MaxSubmissionTickLag)
 	if !ok {
 		return overloaded
 	}
@@ -23,7 +23,7 @@
 	receivedAt := time.Now()
 	defer func() {
 		c.mu.Lock()
-		_ = c.answers.RecordValue(min(max(1, time.Since(receivedAt).Milliseconds()), 600_000))
+		_ = c.metrics.submitToAnswer.RecordValue(min(max(1, time.Since(receivedAt).Milliseconds()), 600_000))
 		c.mu.Unlock()
 	}()
 	ctx, cancel := context.WithTimeout(ctx, tuning.SubmissionTimeout)
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -25,17 +25,17 @@
 func (c *Controller) LeaderView() LeaderView {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return LeaderView{c.cfg.Node, c.lead.name, c.lead.term, c.leader != nil, time.Since(c.startedAt).Seconds()}
+	return LeaderView{c.cfg.Node, c.membership.leader.name, c.membership.leader.term, c.leadership.scheduler != nil, time.Since(c.startedAt).Seconds()}
 }
 
 // queryScheduler runs f on the leader's state; ok is false where this node does not lead.
 func queryScheduler[T any](c *Controller, read func(*scheduler.Scheduler, scheduler.Now) T) (out T, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.leader == nil {
+	if c.leadership.scheduler == nil {
 		return out, false
 	}
-	return read(c.leader, c.now()), true
+	return read(c.leadership.scheduler, c.now()), true
 }
 
 // MachinesView lists machines.
@@ -85,14 +85,14 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.leader != nil:
-		return c.leader.ReconciliationStatus(c.now()), true, nil
-	case c.loadingSince.IsZero() && c.lead.term == 0:
+	case c.leadership.scheduler != nil:
+		return c.leadership.scheduler.ReconciliationStatus(c.now()), true, nil
+	case c.leadership.loadingSince.IsZero() && c.membership.leader.term == 0:
 		return status, false, ErrNoRecovery
-	case c.loadingSince.IsZero():
+	case c.leadership.loadingSince.IsZero():
 		return status, false, nil
 	}
-	return reconcile.Status{Phase: reconcile.Loading.String(), Enabled: c.policy.ReconcileRestarts, AgeS: time.Since(c.loadingSince).Seconds()}, true, nil
+	return reconcile.Status{Phase: reconcile.Loading.String(), Enabled: c.policy.ReconcileRestarts, AgeS: time.Since(c.leadership.loadingSince).Seconds()}, true, nil
 }
 
 // DifferencesView lists what the recovery of the present term found.
@@ -135,10 +135,10 @@
 func (c *Controller) MetricsView() Metrics {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	counters := c.totals
-	if c.leader != nil {
-		addCounters(&counters, c.leader.Counters())
+	counters := c.metrics.earlierTerms
+	if c.leadership.scheduler != nil {
+		addCounters(&counters, c.leadership.scheduler.Counters())
 	}
 	return Metrics{counters.DispatchRetries, counters.DispatchGiveUps, counters.TaskRetries, counters.Started, counters.Finished, counters.Preempted, counters.MachinesProvisioned, counters.MachinesReleased,
-		counters.ReconcileOperations, counters.ReconcileAttributed, counters.Differences, summarize(c.ack), summarize(c.answers)}
+		counters.ReconcileOperations, counters.ReconcileAttributed, counters.Differences, summarize(c.metrics.startToAck), summarize(c.metrics.submitToAnswer)}
 }
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -1,4 +1,4 @@
-// Package httpd serves HTTP/1.1 on connections of which thousands are open and few are
+// Package httpserver serves HTTP/1.1 on connections of which thousands are open and few are
 // busy: workers report every few seconds, users poll, and each keeps its connection.
 //
 // It does without what net/http's server does for other uses: it reads nothing while a
@@ -39,7 +39,7 @@
 	serving  sync.WaitGroup
 }
 
-// NewHandler makes a server. brief tells requests whose handler does not wait for anything:
+// New makes a server. brief tells requests whose handler does not wait for anything:
 // those are handled in the place in which they were read, others leave it first.
 func New(handler http.Handler, nonBlocking func(*http.Request) bool, log *slog.Logger) *Server {
 	return &Server{handler: handler, nonBlocking: nonBlocking, log: log,
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -55,7 +55,7 @@
 	return &testClient{c, bufio.NewReader(c)}
 }
 
-// writeMessage writes a request as it is and reads the answer.
+// send writes a request as it is and reads the answer.
 func (c *testClient) send(t *testing.T, request string) (*http.Response, string) {
 	t.Helper()
 	if _, err := io.WriteString(c, request); err != nil {
@@ -73,7 +73,7 @@
 	return resp, string(body)
 }
 
-// ended reports whether the server has closed the connection.
+// expectClosed reports whether the server has closed the connection.
 func (c *testClient) expectClosed(t *testing.T) {
 	t.Helper()
 	if b, err := c.reader.ReadByte(); err == nil {
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -1,4 +1,4 @@
-// Package store is the client of the state service, and holds the formats of
+// Package kvstore is the client of the state service, and holds the formats of
 // the records kept there.
 package kvstore
 
@@ -64,7 +64,7 @@
 	lastServedAt, lastFailedAt atomic.Int64
 }
 
-// NewHandler makes a client for the service at addr; rps is the request rate that
+// New makes a client for the service at addr; rps is the request rate that
 // this node allows itself.
 func New(addr string, requestsPerSecond float64) *Client {
 	c := &Client{
--- a/internal/mutation/faults_test.go
+++ b/internal/mutation/faults_test.go
@@ -12,7 +12,7 @@
 		scenario: "machines hang past their lease, and their deletion is delayed",
 		marker:   "release-needs-proof",
 		// The mutation takes a call without an answer for an answer; the two are values of one type.
-		operator: replaceExpr("res == ReleaseRefused"),
+		operator: replaceExpr("result == ReleaseRefused"),
 		test:     "internal/scheduler:^TestTasksOfHungMachinesRestartOnlyAfterProof$",
 	},
 	{
--- a/internal/mutation/heartbeat_test.go
+++ b/internal/mutation/heartbeat_test.go
@@ -103,7 +103,7 @@
 	{
 		scenario: "a leader fails while machines with long tasks are unreachable",
 		marker:   "recovered-attempt-counts-as-sent",
-		operator: replace("false", element(5, 8)),
+		operator: replace("false", element(0, 1)),
 		test:     heartbeatFaults + "long_tasks",
 	},
 	{
@@ -127,7 +127,7 @@
 	{
 		scenario: "workers open no connections, and the leader fails",
 		marker:   "recovered-attempt-counts-as-sent",
-		operator: replace("false", element(5, 8)),
+		operator: replace("false", element(0, 1)),
 		test:     heartbeatFaults + "workers_open_no_connections",
 	},
 	{
@@ -139,7 +139,7 @@
 	{
 		scenario: "unexpected machines come up, and the leader fails",
 		marker:   "recovered-attempt-counts-as-sent",
-		operator: replace("false", element(5, 8)),
+		operator: replace("false", element(0, 1)),
 		test:     heartbeatFaults + "nobody_expected",
 	},
 	{
--- a/internal/mutation/operators_test.go
+++ b/internal/mutation/operators_test.go
@@ -224,7 +224,7 @@
 
 var identifier = regexp.MustCompile(`\b[A-Za-z_]\w*\b`)
 
-// expectedStarts puts a constant, which names nothing of the program, in the place of the subject
+// replace puts a constant, which names nothing of the program, in the place of the subject
 // or of what the steps lead to.
 func replace(constant string, steps ...step) operator {
 	return func(p *place) ([]edit, error) {
@@ -390,7 +390,7 @@
 	return p.text(e)
 }
 
-// advanceEvery leads from an expression to a part of it.
+// step leads from an expression to a part of it.
 type step func(*place, ast.Expr) (ast.Expr, error)
 
 // subject is the expression that an operator is about, or a part of it: what an if or a case
--- a/internal/mutation/placement_test.go
+++ b/internal/mutation/placement_test.go
@@ -86,7 +86,7 @@
 		scenario: "jobs that are bound to a zone lose machines there",
 		marker:   "zone-counts-unconfirmed-attempts",
 		// Only a condition on the attempt tells confirmed attempts from unconfirmed ones.
-		operator: onlyIf("a.seen"),
+		operator: onlyIf("a.start.acknowledged"),
 		test:     "internal/scheduler:^TestZonalJobsSurviveMachineLoss$",
 	},
 	{
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,4 +1,4 @@
-// Package mesh is what the controller nodes say to each other, in CBOR: pings
+// Package peer is what the controller nodes say to each other, in CBOR: pings
 // that carry who leads, and users' requests that a node cannot serve itself.
 package peer
 
@@ -19,7 +19,7 @@
 	WatchProcessPath = "/mesh/v1/hold"
 )
 
-// HandlePing says who sends it and what it knows of the lead.
+// Ping says who sends it and what it knows of the lead.
 type Ping struct {
 	Node           string `cbor:"node"`
 	BootID         uint64 `cbor:"boot"`
@@ -74,10 +74,10 @@
 // Client talks to peers.
 type Client struct{ rpc *rpc.Client }
 
-// NewHandler makes a client.
+// New makes a client.
 func New() *Client { return &Client{rpc.New(8, 64, tuning.PeerTimeout, tuning.MaxPeerResponseBytes)} }
 
-// HandlePing pings the peer at addr.
+// Ping pings the peer at addr.
 func (c *Client) Ping(ctx context.Context, addr string, ping Ping) (Pong, error) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.PeerTimeout)
 	defer cancel()
@@ -98,7 +98,7 @@
 	return err
 }
 
-// ForwardRequest passes a user's request to the peer at addr.
+// Forward passes a user's request to the peer at addr.
 func (c *Client) Forward(ctx context.Context, addr string, request ForwardRequest, timeout time.Duration) (ForwardReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/reconcile/classify.go
+++ b/internal/reconcile/classify.go
@@ -10,9 +10,9 @@
 	MissingUnproven
 	// MissingProven is expected and proven to be gone.
 	MissingProven
-	// ConfirmAttempt is expected, and its machine reports it.
+	// Confirmed is expected, and its machine reports it.
 	Confirmed
-	// FailedKeys is expected, and has ended without completing.
+	// Failed is expected, and has ended without completing.
 	Failed
 	// FinishedUnrecorded has completed, and its task was not recorded as done.
 	FinishedUnrecorded
@@ -85,13 +85,13 @@
 
 // Sightings.
 const (
-	// Unheard means that no report tells of the attempt yet.
+	// Unreported means that no report tells of the attempt yet.
 	Unreported Observation = iota
 	// Absent means that a report, or the machine's release, proves it gone.
 	Absent
 	// Active means that it fetches its image, runs or saves.
 	Active
-	// IsCompleted means that it has ended with its task done.
+	// Completed means that it has ended with its task done.
 	Completed
 	// Ended means that it has ended otherwise.
 	Ended
--- a/internal/reconcile/operations.go
+++ b/internal/reconcile/operations.go
@@ -75,7 +75,7 @@
 	Attributed bool      // a difference asked for the order
 }
 
-// ledger finds the difference that an order follows from.
+// operationLedger finds the difference that an order follows from.
 type operationLedger struct {
 	counts         [operationKindCount]OperationCount
 	expectedStops  map[Attempt]bool // attempts that differences have to stop
@@ -86,7 +86,7 @@
 	return operationLedger{expectedStops: map[Attempt]bool{}, expectedStarts: map[string]bool{}}
 }
 
-// addPending notes the orders that a difference leads to.
+// expect notes the orders that a difference leads to.
 func (l *operationLedger) expect(d Difference) {
 	switch d.Action {
 	case Stop:
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -1,4 +1,4 @@
-// Package recovery compares what a new leader has read from its records with what the
+// Package reconcile compares what a new leader has read from its records with what the
 // machines report, and holds back what would only be needed if unheard machines were
 // gone. It is a state machine without I/O, clock or goroutines, like package core, whose
 // leader consults it. docs/recovery.md has the ways that were weighed.
@@ -86,7 +86,7 @@
 	events             []Event
 }
 
-// NewHandler begins a recovery, when the records have been read.
+// New begins a recovery, when the records have been read.
 func New(now time.Duration, config Config) *Reconciler {
 	r := &Reconciler{config: config, startedAt: now, phase: Collecting, machines: map[string]*machineState{},
 		unrecordedAttempts: map[Attempt]bool{}, operations: newOperationLedger()}
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -1,3 +1,4 @@
+// Package records holds the layouts and keys of what is stored in the key-value store.
 package records
 
 import (
--- a/internal/restartsim/cluster.go
+++ b/internal/restartsim/cluster.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// summarize is a message's way.
+// latency is a message's way.
 func (f *cluster) latency() time.Duration { return f.randomUpTo(20 * time.Millisecond) }
 
 func (f *cluster) randomUpTo(d time.Duration) time.Duration {
@@ -321,7 +321,7 @@
 	m.Terminate()
 }
 
-// submitRequest accepts a job, as any node does.
+// submit accepts a job, as any node does.
 func (f *cluster) submit(number, tasks int) *wire.Job {
 	j := &wire.Job{ID: fmt.Sprintf("run-%06d", number), Class: "c", Team: teamName(number), Shape: wire.ShapeArray, Priority: wire.PriorityNormal,
 		Tasks: tasks, CPUs: taskCPUs, MemoryGB: 4, Image: fmt.Sprintf("img-%d", number%3), ImageGB: 1, EstimatedRunS: 3600, CreatedAtMilli: f.now.Milliseconds()}
--- a/internal/restartsim/restart.go
+++ b/internal/restartsim/restart.go
@@ -8,10 +8,10 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// ExpectOperations is what is to be played.
+// Plan is what is to be played.
 type Plan struct {
 	Machines int
-	// JobChange is the share of machines that are not as they were when the controllers
+	// Changed is the share of machines that are not as they were when the controllers
 	// come back.
 	Changed  float64
 	Seed     uint64
@@ -55,7 +55,7 @@
 	backlogShare = 0.05
 )
 
-// change is what happened to a machine while the controllers were away.
+// machineChange is what happened to a machine while the controllers were away.
 type machineChange int
 
 const (
@@ -99,7 +99,7 @@
 	return p.restart()
 }
 
-// useQuota submits jobs with that many tasks and returns the next job's number.
+// fill submits jobs with that many tasks and returns the next job's number.
 func (f *cluster) fill(number, tasks int) int {
 	for ; tasks > 0; tasks -= jobTasks {
 		f.submit(number, min(tasks, jobTasks))
@@ -119,7 +119,7 @@
 	restartedAt        time.Duration
 }
 
-// change changes a share of the machines and notes what that needs.
+// changeMachines changes a share of the machines and notes what that needs.
 func (p *restartRun) changeMachines(share float64) {
 	machines := len(p.machineNames)
 	chosen := p.random.Perm(machines)[:int(math.Round(share*float64(machines)))]
@@ -156,7 +156,7 @@
 	}
 }
 
-// restartController brings a controller back and watches until all is over.
+// restart brings a controller back and watches until all is over.
 func (p *restartRun) restart() Result {
 	p.restartedAt, p.counts = p.now, newCounts()
 	for _, m := range p.machines {
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -21,7 +21,7 @@
 	maxAnswerBytes int64
 }
 
-// NewHandler makes a client with at most conns connections per host that reads at
+// New makes a client with at most conns connections per host that reads at
 // most limit bytes of an answer. Of connections without a call, at most idle are
 // kept, to all hosts together.
 func New(connsPerHost, maxIdleConns int, dialTimeout time.Duration, maxAnswerBytes int64) *Client {
--- a/internal/scheduler/absence_proof_test.go
+++ b/internal/scheduler/absence_proof_test.go
@@ -20,7 +20,7 @@
 		l := &Scheduler{term: term}
 		// A start of this term that is sent and not listed, and the report that proves it gone.
 		start := func() *attempt {
-			return &attempt{sent: true, session: session, needFence: fence, replyTick: tick}
+			return &attempt{start: startState{sent: true, incarnation: session, requiredFence: fence, replySequence: tick}}
 		}
 		report := func() *wire.Heartbeat {
 			return &wire.Heartbeat{Incarnation: session, Sequence: tick + 1 + rng.Uint64N(5), FencingToken: term<<tuning.FencingBits | fence + rng.Uint64N(3)}
@@ -42,17 +42,17 @@
 				r.Incarnation++
 				r.FencingToken = term<<tuning.FencingBits | rng.Uint64N(fence)
 			}, true, false},
-			{"a direct call with it is out", func(a *attempt, _ *wire.Heartbeat) { a.calling = true }, true, false},
-			{"the report is the one whose answer took the start", func(a *attempt, r *wire.Heartbeat) { r.Sequence = a.replyTick }, true, false},
+			{"a direct call with it is out", func(a *attempt, _ *wire.Heartbeat) { a.start.callInFlight = true }, true, false},
+			{"the report is the one whose answer took the start", func(a *attempt, r *wire.Heartbeat) { r.Sequence = a.start.replySequence }, true, false},
 			{"a direct answer overtakes the answer that took the start", func(*attempt, *wire.Heartbeat) {}, false, false},
-			{"a direct answer, and the start went directly", func(a *attempt, _ *wire.Heartbeat) { a.replyTick = 0 }, false, true},
+			{"a direct answer, and the start went directly", func(a *attempt, _ *wire.Heartbeat) { a.start.replySequence = 0 }, false, true},
 			{"a later session, though a call is out", func(a *attempt, r *wire.Heartbeat) {
-				a.calling = true
+				a.start.callInFlight = true
 				r.Incarnation += 1 + rng.Uint64N(3)
 			}, true, true},
-			{"of an earlier leader, whose session nobody knows, a call is out", func(a *attempt, _ *wire.Heartbeat) { a.session, a.calling = 0, true }, true, false},
-			{"it was never sent", func(a *attempt, _ *wire.Heartbeat) { a.sent = false }, true, false},
-			{"it was listed before", func(a *attempt, _ *wire.Heartbeat) { a.seen = true }, true, true},
+			{"of an earlier leader, whose session nobody knows, a call is out", func(a *attempt, _ *wire.Heartbeat) { a.start.incarnation, a.start.callInFlight = 0, true }, true, false},
+			{"it was never sent", func(a *attempt, _ *wire.Heartbeat) { a.start.sent = false }, true, false},
+			{"it was listed before", func(a *attempt, _ *wire.Heartbeat) { a.start.acknowledged = true }, true, true},
 		} {
 			a, r := start(), report()
 			c.change(a, r)
--- a/internal/scheduler/assignments.go
+++ b/internal/scheduler/assignments.go
@@ -31,9 +31,9 @@
 
 // queueAssignment has an attempt written with the next batch.
 func (s *Scheduler) queueAssignment(a *attempt) {
-	if !a.queued {
-		a.queued = true
-		s.toRecord = append(s.toRecord, a)
+	if !a.assignment.queued {
+		a.assignment.queued = true
+		s.persister.unrecorded = append(s.persister.unrecorded, a)
 	}
 }
 
@@ -44,38 +44,38 @@
 }
 
 func (s *Scheduler) deleteBatchIfUnneeded(b *assignmentBatch) {
-	if len(b.neededBy) > 0 || b.writeInFlight || s.batches[b.key] != b {
+	if len(b.neededBy) > 0 || b.writeInFlight || s.persister.batches[b.key] != b {
 		return
 	}
-	delete(s.batches, b.key)
+	delete(s.persister.batches, b.key)
 	for _, n := range b.machineNames {
-		if m := s.machines[n]; m != nil {
+		if m := s.cluster.machines[n]; m != nil {
 			delete(m.batches, b)
 		}
 	}
-	s.obsoleteKeys = append(s.obsoleteKeys, b.key)
+	s.persister.obsoleteKeys = append(s.persister.obsoleteKeys, b.key)
 }
 
 // addAssignmentBatches writes attempts that wait for their record, those of the highest
 // rank first. Batches are spaced, so that what is placed meanwhile shares one.
 func (s *Scheduler) addAssignmentBatches(t *transaction) {
-	if len(s.toRecord) == 0 || s.now.Mono < s.nextBatch || !s.canAddChanges(t, 1) {
+	if len(s.persister.unrecorded) == 0 || s.now.Mono < s.persister.nextBatchAt || !s.canAddChanges(t, 1) {
 		return
 	}
-	queue := s.toRecord[:0]
-	for _, a := range s.toRecord {
+	queue := s.persister.unrecorded[:0]
+	for _, a := range s.persister.unrecorded {
 		if a.machine.tasks[a.ref] == a {
 			queue = append(queue, a)
 		} else {
-			a.queued = false
+			a.assignment.queued = false
 		}
 	}
-	clear(s.toRecord[len(queue):])
+	clear(s.persister.unrecorded[len(queue):])
 	priority := func(a *attempt) int {
 		switch {
-		case a.recorded:
+		case a.assignment.durable:
 			return 9 // only moved, to be rid of an old batch
-		case a.job == nil || a.sent:
+		case a.job == nil || a.start.sent:
 			return 8 // adopted: it runs already
 		}
 		return a.job.rank
@@ -93,7 +93,7 @@
 	for next < len(queue) && s.canAddChanges(t, 1) {
 		encoder := newBatchEncoder(min(int(float64(s.settings.MaxValueBytes)*(1-tuning.ValueSizeMargin)), tuning.MaxBatchBytes))
 		for next < len(queue) && encoder.add(queue[next]) {
-			queue[next].queued = false
+			queue[next].assignment.queued = false
 			next++
 		}
 		if len(encoder.attempts) == 0 {
@@ -108,14 +108,14 @@
 			b.machineNames = append(b.machineNames, m.name)
 			m.batches[b] = true
 		}
-		s.batches[b.key] = b
+		s.persister.batches[b.key] = b
 		t.request.If = append(t.request.If, wire.Compare{Key: b.key})
 		t.request.Then = append(t.request.Then, wire.Op{Set: b.key, Value: encoder.finish()})
 		t.bytes += encoder.size
 		t.contents.batches = append(t.contents.batches, b)
 	}
-	s.toRecord = append([]*attempt(nil), queue[next:]...)
-	s.nextBatch = s.now.Mono + time.Duration(float64(time.Second)/(s.settings.WriteRate*tuning.BatchWriteShare))
+	s.persister.unrecorded = append([]*attempt(nil), queue[next:]...)
+	s.persister.nextBatchAt = s.now.Mono + time.Duration(float64(time.Second)/(s.settings.WriteRate*tuning.BatchWriteShare))
 }
 
 // batchWritten takes the outcome of a batch's write.
@@ -129,13 +129,13 @@
 	switch {
 	case result == CommitDone:
 		for a := range b.neededBy {
-			for _, old := range a.batches {
+			for _, old := range a.assignment.batches {
 				s.removeFromBatch(old, a)
 			}
-			a.batches = []*assignmentBatch{b}
-			if !a.recorded {
-				a.recorded = true
-				s.pushDue[a.machine.name] = true
+			a.assignment.batches = []*assignmentBatch{b}
+			if !a.assignment.durable {
+				a.assignment.durable = true
+				s.dispatcher.machinesDue[a.machine.name] = true
 			}
 		}
 		s.deleteBatchIfUnneeded(b)
@@ -143,8 +143,8 @@
 		// It may be there, or come yet. What it holds is written again under
 		// another name; until then this one is kept track of.
 		for a := range b.neededBy {
-			a.batches = append(a.batches, b)
-			if !a.recorded {
+			a.assignment.batches = append(a.assignment.batches, b)
+			if !a.assignment.durable {
 				s.queueAssignment(a)
 			}
 		}
@@ -152,14 +152,14 @@
 		s.deleteBatchIfUnneeded(b)
 	default:
 		for a := range b.neededBy {
-			if !a.recorded {
+			if !a.assignment.durable {
 				s.queueAssignment(a)
 			}
 		}
 		clear(b.neededBy)
-		delete(s.batches, b.key)
+		delete(s.persister.batches, b.key)
 		for _, n := range b.machineNames {
-			if m := s.machines[n]; m != nil {
+			if m := s.cluster.machines[n]; m != nil {
 				delete(m.batches, b)
 			}
 		}
@@ -169,15 +169,15 @@
 // compactBatches has what is left of old batches written again, a value at a time,
 // so that neither the records nor a new leader's reading grow with what is over.
 func (s *Scheduler) compactBatches() {
-	if len(s.toRecord) > 0 || s.budget < s.settings.WriteRate*tuning.StoreWriteRateShare/2 {
+	if len(s.persister.unrecorded) > 0 || s.persister.writeBudget < s.settings.WriteRate*tuning.StoreWriteRateShare/2 {
 		return
 	}
 	var candidates []*assignmentBatch
-	for _, b := range s.batches {
+	for _, b := range s.persister.batches {
 		if b.writeInFlight || s.now.Mono-b.createdAt < tuning.BatchRewriteAge {
 			continue
 		}
-		if b.namesReleasedMachine || len(s.batches) > tuning.BatchCompactionThreshold && len(b.neededBy)*4 <= b.attemptCount {
+		if b.namesReleasedMachine || len(s.persister.batches) > tuning.BatchCompactionThreshold && len(b.neededBy)*4 <= b.attemptCount {
 			candidates = append(candidates, b)
 		}
 	}
@@ -205,7 +205,7 @@
 // reports under our token.
 func (s *Scheduler) restoreAssignments(item wire.KeyValue) {
 	b := &assignmentBatch{key: item.Key, neededBy: map[*attempt]bool{}, createdAt: s.now.Mono}
-	s.batches[b.key] = b
+	s.persister.batches[b.key] = b
 	if name, ok := strings.CutPrefix(item.Key, records.LegacyMachinePrefix); ok {
 		var record records.LegacyMachine // the layout before batches
 		if err := wire.Unmarshal(item.Value, &record); err != nil {
@@ -244,8 +244,8 @@
 // noteUnreadableRecord deals with a record that cannot be decoded: any task that no other
 // record has may be running by its word. See resolveUnreadableRecords.
 func (s *Scheduler) noteUnreadableRecord(b *assignmentBatch, err error) {
-	delete(s.batches, b.key)
-	s.dark = append(s.dark, b.key)
+	delete(s.persister.batches, b.key)
+	s.persister.unreadableRecords = append(s.persister.unreadableRecords, b.key)
 	s.log(false, "record unreadable: jobs that it may be about wait for every machine's report", "key", b.key, "err", err.Error())
 }
 
@@ -253,32 +253,34 @@
 // is placed, and if it is cancelled it is not over, until that is settled. A later leader
 // would not know of an ended job's tasks whose limit they count for, and nothing of one
 // whose tasks nobody has seen is known to be gone.
-func (s *Scheduler) mayBeInUnreadableRecord(j *job) bool { return len(s.dark) > 0 && j.recovered }
+func (s *Scheduler) mayBeInUnreadableRecord(j *job) bool {
+	return len(s.persister.unreadableRecords) > 0 && j.recovered
+}
 
 // resolveUnreadableRecords ends the wait for what unreadable records may have held: when
 // the cloud's list is of our term and all that it has was heard under our token.
 func (s *Scheduler) resolveUnreadableRecords() {
-	if len(s.dark) == 0 || s.listedAt-s.startedAt <= 3*s.settings.CloudListLag {
+	if len(s.persister.unreadableRecords) == 0 || s.autoscaler.listedAt-s.startedAt <= 3*s.settings.CloudListLag {
 		return
 	}
-	for _, m := range s.machines {
-		if !m.confirmed && m.rentedAt < s.startedAt {
+	for _, m := range s.cluster.machines {
+		if !m.confirmed && m.cloud.provisionedAt < s.startedAt {
 			return
 		}
 	}
-	s.obsoleteKeys = append(s.obsoleteKeys, s.dark...)
-	s.dark = nil
-	s.dirtyPlace = true
+	s.persister.obsoleteKeys = append(s.persister.obsoleteKeys, s.persister.unreadableRecords...)
+	s.persister.unreadableRecords = nil
+	s.placement.due = true
 }
 
 func (s *Scheduler) restoreMachine(b *assignmentBatch, name, machineType, zone string, spot bool, address string, images []string) *machine {
-	m := s.machines[name]
+	m := s.cluster.machines[name]
 	if m == nil {
 		m = s.addMachine(name, machineType, zone, spot, address)
 		m.phase, m.upAt = machineUp, s.now.Mono
 		// It reported in an earlier term, so the cloud lists it, but for the
 		// list's lag; a few more lists make up for that.
-		m.listedOnce, m.missing = true, -tuning.MissingListThreshold
+		m.cloud.listed, m.cloud.missedLists = true, -tuning.MissingListThreshold
 		s.reconciler.ExpectMachine(name)
 	}
 	for _, im := range images {
@@ -292,15 +294,15 @@
 }
 
 func (s *Scheduler) restoreAttempt(b *assignmentBatch, m *machine, ref taskRef, number uint64) {
-	j := s.jobs[ref.jobID]
-	if j != nil && (ref.index >= j.spec.Tasks || j.done.Has(ref.index)) {
+	j := s.cluster.jobs[ref.jobID]
+	if j != nil && (ref.index >= j.spec.Tasks || j.progress.done.Has(ref.index)) {
 		return
 	}
 	if known := m.tasks[ref]; known != nil {
 		switch {
 		case known.number == number:
 			b.neededBy[known] = true
-			known.batches = append(known.batches, b)
+			known.assignment.batches = append(known.assignment.batches, b)
 			return
 		case known.number > number:
 			return // placed there again only after this one was proven gone
@@ -308,14 +310,18 @@
 		s.reconciler.UnexpectAttempt(m.name)
 		s.detach(known)
 	}
-	//mutation:recovered-attempt-counts-as-sent
-	a := &attempt{ref: ref, job: j, machine: m, number: number, recorded: true, sent: true, placedAt: s.now.Mono, batches: []*assignmentBatch{b}}
+	a := &attempt{
+		ref: ref, job: j, machine: m, number: number, placedAt: s.now.Mono,
+		assignment: assignmentState{durable: true, batches: []*assignmentBatch{b}},
+		//mutation:recovered-attempt-counts-as-sent
+		start: startState{sent: true},
+	}
 	b.neededBy[a] = true
 	s.attach(a)
-	a.class = reconcile.MissingUnproven
+	a.reconciliation.class = reconcile.MissingUnproven
 	s.reconciler.ExpectAttempt(m.name)
 	if j == nil || j.cancelled {
-		s.obsolete = append(s.obsolete, a)
+		s.cluster.obsoleteAttempts = append(s.cluster.obsoleteAttempts, a)
 	}
 }
 
--- a/internal/scheduler/assignments_test.go
+++ b/internal/scheduler/assignments_test.go
@@ -74,7 +74,7 @@
 		}
 		h.heartbeat(n, done...)
 	}
-	h.scheduler.cancelJob(h.scheduler.jobs["run-000001"])
+	h.scheduler.cancelJob(h.scheduler.cluster.jobs["run-000001"])
 	for range 20 {
 		h.now += time.Second
 		for _, n := range names {
@@ -123,11 +123,11 @@
 		}
 		next := New(Now{}, Settings{}, l.term+1, NewReplica(), nil, []wire.KeyValue{{Key: records.BatchKey(1, 1), Value: raw, ModRevision: 3}}, nil)
 		for _, a := range w.attempts {
-			m := next.machines[a.machine.name]
+			m := next.cluster.machines[a.machine.name]
 			if m == nil || m.machineType != a.machine.machineType || m.spot != a.machine.spot || m.address != a.machine.address {
 				t.Fatalf("machine read back as %+v", m)
 			}
-			if got := m.tasks[a.ref]; got == nil || got.number != a.number || !got.recorded {
+			if got := m.tasks[a.ref]; got == nil || got.number != a.number || !got.assignment.durable {
 				t.Fatalf("%v read back as %+v", a.ref, got)
 			}
 		}
--- a/internal/scheduler/attempt.go
+++ b/internal/scheduler/attempt.go
@@ -21,36 +21,16 @@
 	machine *machine
 	number  uint64
 
-	recorded bool // durably
-	queued   bool // to be written with the next batch
-	batches  []*assignmentBatch
-	sent     bool // a start has been or may have been sent
-	seen     bool // the worker has listed it: the start is acknowledged
-	state    string
-
-	// The latest start: what has to be known before it counts as not executed.
-	session   uint64 // worker's session to which it was sent
-	replyTick uint64 // report in whose answer it went; 0 if none
-	needFence uint64 // fence below which it may still be executed late
-	calling   bool   // a direct call with it is out
-
-	probes    int
-	firstSent time.Duration
-	nextProbe time.Duration
-	giveUp    bool
-
-	class      reconcile.Class   // of one from before the term
-	pending    reconcile.Verdict // on one that was unexpected, until a report under our token shows it
-	awaitsStop bool              // a difference asked for its stop
-
-	halt     bool
-	haltSent bool
-	haltSave bool
-	haltWhy  string
-	haltedAt time.Duration // last time that a stop was sent
+	state string
 
 	placedAt  time.Duration
 	runningAt time.Duration
+
+	assignment     assignmentState
+	start          startState
+	retry          dispatchRetry
+	stop           stopRequest
+	reconciliation reconciliationState
 }
 
 // attach enters an attempt everywhere that counts it.
@@ -65,19 +45,19 @@
 		j.activeCount++
 	}
 	j.active[a.ref.index] = append(j.active[a.ref.index], a)
-	a.machine.cpus += j.spec.CPUs
-	a.machine.gpus += j.spec.GPUs
-	a.machine.mem += j.spec.MemoryGB
+	a.machine.used.cpus += j.spec.CPUs
+	a.machine.used.gpus += j.spec.GPUs
+	a.machine.used.memoryGB += j.spec.MemoryGB
 	u := s.teamUsage(j.spec.Team)
 	u.CPUs += j.spec.CPUs
 	u.GPUs += j.spec.GPUs
 }
 
 func (s *Scheduler) teamUsage(team string) *TeamQuota {
-	u := s.usage[team]
+	u := s.cluster.usage[team]
 	if u == nil {
 		u = &TeamQuota{}
-		s.usage[team] = u
+		s.cluster.usage[team] = u
 	}
 	return u
 }
@@ -93,12 +73,12 @@
 	s.countStopProven(a)
 	if len(m.tasks) == 0 {
 		m.idleSince = s.now.Mono
-		m.cpus, m.gpus, m.mem = 0, 0, 0 // sheds rounding
+		m.used.cpus, m.used.gpus, m.used.memoryGB = 0, 0, 0 // sheds rounding
 	}
 	if !a.awaitsDurableCompletion() {
 		s.removeFromBatches(a)
 	}
-	s.dirtyPlace = true
+	s.placement.due = true
 	j := a.job
 	if j == nil {
 		return
@@ -107,9 +87,9 @@
 		j.runningCount--
 	}
 	if len(m.tasks) > 0 {
-		m.cpus -= j.spec.CPUs
-		m.gpus -= j.spec.GPUs
-		m.mem -= j.spec.MemoryGB
+		m.used.cpus -= j.spec.CPUs
+		m.used.gpus -= j.spec.GPUs
+		m.used.memoryGB -= j.spec.MemoryGB
 	}
 	u := s.teamUsage(j.spec.Team)
 	u.CPUs -= j.spec.CPUs
@@ -128,39 +108,39 @@
 	delete(j.active, a.ref.index)
 	j.activeCount--
 	if j.archived && j.activeCount == 0 {
-		delete(s.jobs, j.id)
+		delete(s.cluster.jobs, j.id)
 	}
-	if !j.done.Has(a.ref.index) {
-		j.returned = append(j.returned, a.ref.index)
+	if !j.progress.done.Has(a.ref.index) {
+		j.indices.freed = append(j.indices.freed, a.ref.index)
 	}
 }
 
-// stop asks for an attempt's end and sends that at once. An attempt that was
+// stopAttempt asks for an attempt's end and sends that at once. An attempt that was
 // never sent simply ends.
 func (s *Scheduler) stopAttempt(a *attempt, checkpoint bool, reason string) {
-	if !a.halt {
-		a.haltWhy = reason
+	if !a.stop.requested {
+		a.stop.reason = reason
 		s.log(true, "stop", "task", wire.TaskName(a.ref.jobID, a.ref.index), "machine", a.machine.name, "why", reason)
 	}
-	if a.halt && (checkpoint || !a.haltSave) {
+	if a.stop.requested && (checkpoint || !a.stop.checkpoint) {
 		return
 	}
-	a.halt, a.haltSave, a.haltedAt = true, checkpoint, 0
+	a.stop.requested, a.stop.checkpoint, a.stop.sentAt = true, checkpoint, 0
 	a.machine.taskSummary = nil
 	//mutation:stop-detaches-unsent-only
-	if !a.sent {
+	if !a.start.sent {
 		s.detach(a)
 		return
 	}
-	if !a.seen {
+	if !a.start.acknowledged {
 		// The start may still be on its way: only a report under a higher token
 		// will show that it is not.
 		//mutation:stop-raises-fencing-token
 		s.raiseFencingToken(a.machine)
-		a.needFence = a.machine.fence
+		a.start.requiredFence = a.machine.fencing.counter
 	}
 	//mutation:stop-is-sent-at-once
-	s.pushDue[a.machine.name] = true // with all other stops of this input
+	s.dispatcher.machinesDue[a.machine.name] = true // with all other stops of this input
 }
 
 func sortAttempts(list []*attempt) {
@@ -184,3 +164,46 @@
 		return list[a].Attempt < list[b].Attempt
 	})
 }
+
+// assignmentState says which durable records name an attempt.
+type assignmentState struct {
+	durable bool
+	queued  bool // to be written with the next batch
+	batches []*assignmentBatch
+}
+
+// startState is what is known of an attempt's latest start: all that has to be known
+// before it counts as not executed. See provenAbsent.
+type startState struct {
+	sent          bool   // it has been or may have been sent
+	acknowledged  bool   // the worker has listed the attempt
+	incarnation   uint64 // of the worker to which it was sent
+	replySequence uint64 // of the heartbeat in whose reply it went; 0 if none
+	requiredFence uint64 // fencing counter below which it may still be executed late
+	callInFlight  bool   // a direct call with it
+	firstSentAt   time.Duration
+}
+
+// dispatchRetry plans when a start that is not acknowledged is sent again.
+type dispatchRetry struct {
+	count     int
+	nextAt    time.Duration
+	abandoned bool
+}
+
+// stopRequest is that of an attempt that has to stop. Once requested it stays so; a stop
+// without a checkpoint replaces one with.
+type stopRequest struct {
+	requested  bool
+	sent       bool
+	checkpoint bool // save progress first
+	reason     string
+	sentAt     time.Duration // last time
+}
+
+// reconciliationState is that of an attempt from before the term.
+type reconciliationState struct {
+	class           reconcile.Class
+	deferredVerdict reconcile.Verdict // on an unexpected one, until a heartbeat under our token shows it
+	awaitsStop      bool              // a difference asked for its stop
+}
--- a/internal/scheduler/attempt_outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -6,10 +6,10 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// exited deals with the end of one of our attempts.
+// handleExit deals with the end of one of our attempts.
 func (s *Scheduler) handleExit(a *attempt, report *wire.TaskStatus) {
 	j, m := a.job, a.machine
-	a.seen = true
+	a.start.acknowledged = true
 	s.reportDeferredVerdict(a)
 	if report.Cause == wire.CauseDone {
 		s.classifyRecorded(a, reconcile.Completed)
@@ -28,22 +28,22 @@
 		s.handleFailedAttempt(a, report.Cause)
 	} else if j != nil {
 		if a.runningAt > 0 {
-			j.seenRuns++
-			j.seenRunS += (s.now.Mono - a.runningAt).Seconds()
+			j.runtimes.completed++
+			j.runtimes.totalS += (s.now.Mono - a.runningAt).Seconds()
 		}
-		j.failures = 0
+		j.retry.failures = 0
 		s.markTaskDone(j, a.ref.index)
 	}
 }
 
-// ended decides what follows an attempt that did not complete.
+// handleFailedAttempt decides what follows an attempt that did not complete.
 func (s *Scheduler) handleFailedAttempt(a *attempt, cause string) {
 	j, m := a.job, a.machine
 	name := wire.TaskName(a.ref.jobID, a.ref.index)
 	if cause != wire.CauseStopped {
-		s.failures = append(s.failures, Failure{name, a.number, m.name, cause, s.now.Wall})
-		if len(s.failures) > tuning.MaxListedFailures {
-			s.failures = append([]Failure(nil), s.failures[len(s.failures)-tuning.MaxListedFailures/2:]...)
+		s.cluster.failures = append(s.cluster.failures, Failure{name, a.number, m.name, cause, s.now.Wall})
+		if len(s.cluster.failures) > tuning.MaxListedFailures {
+			s.cluster.failures = append([]Failure(nil), s.cluster.failures[len(s.cluster.failures)-tuning.MaxListedFailures/2:]...)
 		}
 		s.log(cause == wire.CauseNoCapacity, "attempt ended", "task", name, "machine", m.name, "cause", cause)
 	}
@@ -65,20 +65,20 @@
 	switch cause {
 	case wire.CauseError:
 		if ran := s.now.Mono - a.runningAt; a.runningAt > 0 {
-			j.failsAfter = max(j.failsAfter, ran)
+			j.retry.longestFailedRun = max(j.retry.longestFailedRun, ran)
 			if ran >= tuning.EstablishedAfter {
-				j.begun, j.failures = true, 0 // it worked: what failed before is no pattern
+				j.standing.established, j.retry.failures = true, 0 // it worked: what failed before is no pattern
 			}
 		}
-		j.failures++
-		j.failedOn[m.name] = true
+		j.retry.failures++
+		j.retry.failedMachines[m.name] = true
 		s.backoff(j)
 		s.recordFailure(m, j)
 	case wire.CauseUnknown:
-		j.failures++
+		j.retry.failures++
 		s.backoff(j)
 	case wire.CauseNoCapacity, wire.CauseDuplicate:
-		m.pauseTo = s.now.Mono + tuning.RefusedStartBackoff
+		m.quarantine.startsPausedUntil = s.now.Mono + tuning.RefusedStartBackoff
 	}
 }
 
@@ -88,20 +88,20 @@
 // before included.
 func (s *Scheduler) recordFailure(m *machine, j *job) {
 	if !s.likelyInvalid(j) {
-		m.failedBy[j.id] = true
-		if len(m.failedBy) >= tuning.QuarantineJobThreshold {
-			if m.suspect < s.now.Mono {
+		m.quarantine.failedJobs[j.id] = true
+		if len(m.quarantine.failedJobs) >= tuning.QuarantineJobThreshold {
+			if m.quarantine.until < s.now.Mono {
 				s.log(false, "machine avoided: unrelated jobs fail there", "machine", m.name)
 			}
-			m.suspect = s.now.Mono + tuning.QuarantineDuration
+			m.quarantine.until = s.now.Mono + tuning.QuarantineDuration
 		}
 		return
 	}
-	for name := range j.failedOn {
-		if other := s.machines[name]; other != nil && other.failedBy[j.id] {
-			delete(other.failedBy, j.id)
-			if len(other.failedBy) < tuning.QuarantineJobThreshold {
-				other.suspect = 0
+	for name := range j.retry.failedMachines {
+		if other := s.cluster.machines[name]; other != nil && other.quarantine.failedJobs[j.id] {
+			delete(other.quarantine.failedJobs, j.id)
+			if len(other.quarantine.failedJobs) < tuning.QuarantineJobThreshold {
+				other.quarantine.until = 0
 			}
 		}
 	}
@@ -109,11 +109,11 @@
 
 func (s *Scheduler) backoff(j *job) {
 	d := s.settings.Policy.MaxErrorBackoff
-	if j.failures < 20 {
-		d = min(d, s.settings.Policy.ErrorBackoff<<(j.failures-1))
+	if j.retry.failures < 20 {
+		d = min(d, s.settings.Policy.ErrorBackoff<<(j.retry.failures-1))
 	}
-	j.retryAt = s.now.Mono + d
-	s.pausing[j] = true
+	j.retry.at = s.now.Mono + d
+	s.placement.backingOff[j] = true
 }
 
 // handleAbsence deals with an attempt that is proven not to be on its machine.
@@ -121,21 +121,21 @@
 	name := wire.TaskName(a.ref.jobID, a.ref.index)
 	s.classifyRecorded(a, reconcile.Absent)
 	switch {
-	case a.seen:
+	case a.start.acknowledged:
 		// The worker's lease ran out, or the machine lost it otherwise.
 		s.log(false, "task lost with its worker's session", "task", name, "machine", a.machine.name)
 		s.detach(a)
 		s.handleFailedAttempt(a, "lost")
-	case a.halt || a.giveUp:
+	case a.stop.requested || a.retry.abandoned:
 		s.detach(a)
 		s.handleFailedAttempt(a, wire.CauseStopped)
-	case a.firstSent == 0:
+	case a.start.firstSentAt == 0:
 		// Recorded by an earlier leader, never started.
 		s.detach(a)
 	default:
 		// A start that no worker acknowledged: the one thing that is sent again.
-		a.replyTick = 0
-		if a.nextProbe > s.now.Mono {
+		a.start.replySequence = 0
+		if a.retry.nextAt > s.now.Mono {
 			return
 		}
 		s.sendDue(a.machine)
@@ -144,15 +144,15 @@
 
 func (s *Scheduler) markTaskDone(j *job, index int) {
 	//mutation:done-counted-once
-	if index >= j.spec.Tasks || j.done.Has(index) || j.service {
+	if index >= j.spec.Tasks || j.progress.done.Has(index) || j.service {
 		return
 	}
-	j.done.Add(index)
-	j.nDone++
+	j.progress.done.Add(index)
+	j.progress.doneCount++
 	s.log(true, "task done", "task", wire.TaskName(j.id, index))
 	s.counters.Finished++
 	s.markDirty(j)
-	s.dirtyPlace = true
+	s.placement.due = true
 	for _, a := range append([]*attempt(nil), j.active[index]...) {
 		s.stopAttempt(a, false, "already done")
 	}
@@ -166,10 +166,10 @@
 // an exit that is reported frees the task at once, a machine that is silent
 // frees it only when its release is answered.
 func (s *Scheduler) drainMachine(m *machine) {
-	secondsLeft := (m.leaveBy - s.now.Mono).Seconds()
+	secondsLeft := (m.cloud.interruptionAt - s.now.Mono).Seconds()
 	for _, a := range m.sortedAttempts() {
 		j := a.job
-		if j == nil || a.halt {
+		if j == nil || a.stop.requested {
 			continue
 		}
 		checkpoint := j.spec.CheckpointIntervalS > 0 && j.spec.CheckpointSaveS < secondsLeft-1
@@ -185,8 +185,8 @@
 
 // fitsSomewhereCached remembers fitsSomewhere for a moment: many tasks ask at once.
 func (s *Scheduler) fitsSomewhereCached(j *job) bool {
-	if j.roomAt == 0 || s.now.Mono-j.roomAt > tuning.FreeCapacityMemory {
-		j.roomAt, j.room = s.now.Mono, s.fitsSomewhere(j)
+	if j.headroom.checkedAt == 0 || s.now.Mono-j.headroom.checkedAt > tuning.FreeCapacityMemory {
+		j.headroom.checkedAt, j.headroom.available = s.now.Mono, s.fitsSomewhere(j)
 	}
-	return j.room
+	return j.headroom.available
 }
--- a/internal/scheduler/autoscale_test.go
+++ b/internal/scheduler/autoscale_test.go
@@ -81,7 +81,7 @@
 func TestScaleOutRetriesAfterCapacityBackoff(t *testing.T) {
 	for rate, want := range map[float64]time.Duration{0: tuning.MaxCapacityBackoff, 0.1: tuning.MaxCapacityBackoff, 4: time.Second * 10 / 3, 1000: tuning.MinCapacityBackoff} {
 		h := newHarness(t, false, nil, nil)
-		h.scheduler.listed, h.scheduler.settings.CloudRate = true, rate
+		h.scheduler.autoscaler.listed, h.scheduler.settings.CloudRate = true, rate
 		h.submit(wire.Job{ID: "run-000001", Tasks: 1, CPUs: 8})
 		if len(h.provisionRequests) == 0 {
 			t.Fatal("nothing rented")
@@ -91,7 +91,7 @@
 			h.scheduler.Provisioned(h.clock(), other.Request.RequestID, ProvisionRefused, nil)
 		}
 		h.scheduler.Provisioned(h.clock(), r.RequestID, ProvisionNoCapacity, nil)
-		if got := h.scheduler.noCap[offer{r.Type, r.Zone, r.Spot}] - h.now; got.Round(time.Millisecond) != want.Round(time.Millisecond) {
+		if got := h.scheduler.autoscaler.unavailableUntil[offer{r.Type, r.Zone, r.Spot}] - h.now; got.Round(time.Millisecond) != want.Round(time.Millisecond) {
 			t.Errorf("rate %v: asked again after %v, not %v", rate, got, want)
 		}
 	}
@@ -103,7 +103,7 @@
 // machines': they get the time that they would have had, and go only then.
 func TestNoScalingAfterLeaseExpiry(t *testing.T) {
 	h := newHarness(t, false, nil, nil)
-	h.scheduler.listed = true
+	h.scheduler.autoscaler.listed = true
 	h.bringUp("n-000001", "n-000002")
 	h.advance(tuning.TickInterval, "n-000001", "n-000002")
 	h.provisionRequests = nil
@@ -172,9 +172,9 @@
 	h.now += 2 * h.scheduler.settings.HeartbeatInterval
 	asked := map[string]int{}
 	round := func() {
-		h.scheduler.heardAny = h.now
-		for _, m := range h.scheduler.machines {
-			m.heardAt = h.now
+		h.scheduler.monitor.lastHeartbeatAt = h.now
+		for _, m := range h.scheduler.cluster.machines {
+			m.connectivity.lastHeartbeatAt = h.now
 		}
 		h.scheduler.Tick(h.clock())
 		h.settle()
@@ -225,7 +225,7 @@
 		t.Fatalf("tasks on %v", on)
 	}
 	h.answerAll(CallExecuted)
-	h.scheduler.machines[on[2]].unanswered = 5 // long ago: says nothing of now
+	h.scheduler.cluster.machines[on[2]].calls.unanswered = 5 // long ago: says nothing of now
 	var rest []string
 	for _, n := range []string{"n-1", "n-2", "n-3", "n-4", "n-5", "n-6"} {
 		if !slices.Contains(on, n) {
@@ -263,7 +263,7 @@
 		h.bringUp("n-1", "n-2", "n-6", "n-7")
 		h.submit(wire.Job{ID: "run-000001", Tasks: 4, CPUs: 1, Shape: wire.ShapeService, Priority: wire.PriorityProduction, SpreadZones: scatter})
 		h.answerAll(CallExecuted)
-		if h.scheduler.machines["n-6"].tasks == nil || len(h.scheduler.machines["n-6"].tasks)+len(h.scheduler.machines["n-7"].tasks) != 2 {
+		if h.scheduler.cluster.machines["n-6"].tasks == nil || len(h.scheduler.cluster.machines["n-6"].tasks)+len(h.scheduler.cluster.machines["n-7"].tasks) != 2 {
 			t.Fatal("the replicas are not spread")
 		}
 		if heard > 0 {
@@ -301,7 +301,7 @@
 	h.submit(wire.Job{ID: "run-000001", Tasks: 2, CPUs: 8})
 	h.submit(wire.Job{ID: "run-000002", Tasks: 2, CPUs: 8, Team: "blue"})
 	h.answerAll(CallExecuted)
-	if len(h.scheduler.machines["n-8"].tasks)+len(h.scheduler.machines["n-7"].tasks) == 0 {
+	if len(h.scheduler.cluster.machines["n-8"].tasks)+len(h.scheduler.cluster.machines["n-7"].tasks) == 0 {
 		t.Fatal("nothing runs in the zone")
 	}
 	until := func(t time.Duration, names ...string) {
@@ -350,7 +350,7 @@
 func TestDelayedBootsAreReplaced(t *testing.T) {
 	for _, tc := range []struct{ come, more int }{{5, 1}, {4, 2}, {3, 3}, {2, 0}, {0, 0}} {
 		h := newHarness(t, false, nil, nil)
-		h.scheduler.listed = true
+		h.scheduler.autoscaler.listed = true
 		h.scheduler.settings.Policy.HeadroomShare = 0
 		h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 48, CPUsMax: 48}
 		h.submit(wire.Job{ID: "run-000001", Tasks: 6, CPUs: 8, EstimatedRunS: 1000})
@@ -415,8 +415,8 @@
 			h.settle()
 			h.answerAll(CallLost)
 		}
-		m := h.scheduler.machines["n-1"]
-		m.failed = true // by the cloud's list
+		m := h.scheduler.cluster.machines["n-1"]
+		m.cloud.failed = true // by the cloud's list
 		h.advance(2*h.scheduler.settings.HeartbeatInterval + tuning.TickInterval)
 		if m.phase != machineReleasing {
 			t.Fatal("not given back")
@@ -495,15 +495,15 @@
 		}
 		for range 400 {
 			f.now += 5 * time.Millisecond
-			was := [3]time.Duration{f.scheduler.placedAt, f.scheduler.lookedAt, f.scheduler.rentAt}
-			f.scheduler.heardAny = f.now
-			for _, m := range f.scheduler.machines {
-				m.heardAt = f.now
+			was := [3]time.Duration{f.scheduler.placement.lastRoundAt, f.scheduler.monitor.scannedAt, f.scheduler.autoscaler.scaledOutAt}
+			f.scheduler.monitor.lastHeartbeatAt = f.now
+			for _, m := range f.scheduler.cluster.machines {
+				m.connectivity.lastHeartbeatAt = f.now
 			}
-			f.scheduler.dirtyPlace = true
+			f.scheduler.placement.due = true
 			f.scheduler.Tick(f.clock())
 			f.scheduler.TakeEffects()
-			for i, at := range []time.Duration{f.scheduler.placedAt, f.scheduler.lookedAt, f.scheduler.rentAt} {
+			for i, at := range []time.Duration{f.scheduler.placement.lastRoundAt, f.scheduler.monitor.scannedAt, f.scheduler.autoscaler.scaledOutAt} {
 				if at != was[i] {
 					*[]*int{&placed, &looked, &rented}[i]++
 				}
@@ -544,7 +544,7 @@
 			t.Fatalf("%d machines asked after %v, over %.0f", f.statusProbes, f.now-began, most)
 		}
 	}
-	for _, m := range f.scheduler.machines {
+	for _, m := range f.scheduler.cluster.machines {
 		if !m.confirmed {
 			t.Fatalf("%s was not asked within %v", m.name, limit)
 		}
@@ -557,19 +557,19 @@
 	f.cpuShare = 0.072
 	f.startTerm(60)
 	f.settle()
-	m := f.scheduler.machines[f.machineNames[len(f.machineNames)-1]]
+	m := f.scheduler.cluster.machines[f.machineNames[len(f.machineNames)-1]]
 	if m.confirmed {
 		t.Fatal("asked before, though there are more machines than places")
 	}
 	f.now += time.Second // there are places again
 	before := f.directCalls
-	if _, ok := f.scheduler.Heartbeat(f.clock(), f.newHeartbeat(m.name)); !ok || m.calling {
-		t.Errorf("answered %v, asked at once %v", ok, m.calling)
+	if _, ok := f.scheduler.Heartbeat(f.clock(), f.newHeartbeat(m.name)); !ok || m.calls.inFlight {
+		t.Errorf("answered %v, asked at once %v", ok, m.calls.inFlight)
 	}
 	f.now += tuning.StatusProbeHoldOff
 	f.scheduler.Settle(f.clock())
 	f.scheduler.probeStatus(m)
-	if !m.calling || f.directCalls != before {
+	if !m.calls.inFlight || f.directCalls != before {
 		t.Error("not asked though its report did not come")
 	}
 }
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -84,7 +84,7 @@
 	settings := fleetSettings()
 	settings.CPUShare = f.cpuShare
 	f.scheduler = New(f.clock(), settings, term, replica, nil, storedRecords, fleetMachineTypes)
-	f.scheduler.listed = true
+	f.scheduler.autoscaler.listed = true
 	f.scheduler.LeaseHeldUntil(1000 * time.Hour)
 }
 
@@ -210,9 +210,9 @@
 	benchmarkSizes(b, func(b *testing.B, f *fleetHarness) {
 		for range b.N {
 			for _, m := range f.scheduler.sortedMachines() {
-				m.heardAt = f.now
+				m.connectivity.lastHeartbeatAt = f.now
 			}
-			f.scheduler.heardAny = f.now
+			f.scheduler.monitor.lastHeartbeatAt = f.now
 			f.scheduler.Tick(f.clock())
 			f.scheduler.TakeEffects()
 		}
@@ -247,7 +247,7 @@
 func TestFleetHarnessRunsWhatTheBenchmarksAssume(t *testing.T) {
 	f := newFleetHarness(t, 256)
 	n := 0
-	for _, m := range f.scheduler.machines {
+	for _, m := range f.scheduler.cluster.machines {
 		n += len(m.tasks)
 	}
 	if n != 256*6 {
@@ -267,13 +267,13 @@
 			f.submit(wire.Job{ID: fmt.Sprintf("run-3%05d", i), Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: 30, CPUs: 16, MemoryGB: 3, EstimatedRunS: 40, DeadlineS: &due, Spot: true})
 		}
 		for i := range len(f.machineNames) / 2 {
-			f.scheduler.addMachine(fmt.Sprintf("n-9%05d", i), "box", []string{"a", "b"}[i%2], true, "").ours = true
+			f.scheduler.addMachine(fmt.Sprintf("n-9%05d", i), "box", []string{"a", "b"}[i%2], true, "").cloud.provisionedInTerm = true
 		}
 		b.ResetTimer()
 		for range b.N {
 			f.now += f.scheduler.placementInterval()
 			f.scheduler.now = f.clock()
-			f.scheduler.rentAt = 0
+			f.scheduler.autoscaler.scaledOutAt = 0
 			f.scheduler.scaleOut(f.scheduler.placePending())
 			f.scheduler.TakeEffects()
 		}
--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -49,9 +49,9 @@
 	switch {
 	case len(p.candidates) > 0:
 	case !p.waitsForFetchSlot:
-		j.turnSince = 0
-	case j.turnSince == 0:
-		j.turnSince = s.now.Mono
+		j.waiting.fetchSlotSince = 0
+	case j.waiting.fetchSlotSince == 0:
+		j.waiting.fetchSlotSince = s.now.Mono
 	}
 	heap.Init(&p.candidates)
 	return p
@@ -60,7 +60,7 @@
 // admits reports whether one more task of the job may go to the machine.
 func (p *machinePicker) admits(m *machine) bool {
 	j, l := p.job, p.scheduler
-	if m.keptFor != "" && m.keptFor != j.id && l.now.Mono < m.keptTo && j.rank > 0 {
+	if m.reservation.jobID != "" && m.reservation.jobID != j.id && l.now.Mono < m.reservation.until && j.rank > 0 {
 		return false // room was made here for another job
 	}
 	if !m.hasCapacityFor(j) || !j.allowsMachine(m.machineType, m.zone, m.spot) || !j.allowsZone(p.attemptsByZone, m.zone) {
@@ -70,7 +70,7 @@
 	// first is there sooner and the last no later. But a job of which nothing is on any
 	// machine does not wait for other jobs' turns for ever.
 	//mutation:fetch-wait-bound
-	if patient := j.activeCount > 0 || j.turnSince == 0 || l.now.Mono-j.turnSince < tuning.MaxFetchSlotWait; patient &&
+	if patient := j.activeCount > 0 || j.waiting.fetchSlotSince == 0 || l.now.Mono-j.waiting.fetchSlotSince < tuning.MaxFetchSlotWait; patient &&
 		!j.service && !m.hasImage(j.spec.Image) && m.fetchesOtherImage(j.spec.Image) {
 		p.waitsForFetchSlot = true
 		return false
@@ -78,7 +78,7 @@
 	return len(m.tasks)+len(m.exited) < tuning.MaxTasksPerMachine
 }
 
-// next gives the best machine, or nil. Scores only grow as tasks are placed, so
+// best gives the best machine, or nil. Scores only grow as tasks are placed, so
 // one that is found again as low as it was noted is the lowest.
 func (p *machinePicker) best() *machine {
 	for len(p.candidates) > 0 {
@@ -99,7 +99,7 @@
 
 // recordAssignment notes that a task went to the machine, which is at the top.
 func (p *machinePicker) recordAssignment(m *machine) {
-	p.job.turnSince = 0
+	p.job.waiting.fetchSlotSince = 0
 	if p.attemptsByZone != nil {
 		p.attemptsByZone[m.zone]++
 	}
@@ -108,7 +108,7 @@
 	heap.Fix(&p.candidates, 0)
 }
 
-// machines counts the attempts of a service by machine.
+// replicasByMachine counts the attempts of a service by machine.
 func (j *job) replicasByMachine() map[*machine]int {
 	same := map[*machine]int{}
 	if j.service {
@@ -128,7 +128,7 @@
 	if !j.service || j.rank > 0 || m.hasImage(j.spec.Image) || j.spec.ImageGB/max(m.machineSpec.FetchGBPerS, 0.01) < tuning.MinFetchForPreemptionS {
 		return false
 	}
-	if s.now.Mono-j.waitSince > tuning.MaxWarmCapacityWait {
+	if s.now.Mono-j.waiting.since > tuning.MaxWarmCapacityWait {
 		return false
 	}
 	// Only where the task would then really go, or the room is made in vain,
@@ -152,7 +152,7 @@
 	return false
 }
 
-// zones counts the job's attempts by zone: all that may be there.
+// attemptsByZone counts the job's attempts by zone: all that may be there.
 func (j *job) attemptsByZone() map[string]int {
 	if !j.spec.SameZone && !j.spec.SpreadZones {
 		return nil
@@ -183,15 +183,15 @@
 // answer a start has to show that it hears us first, by its token or an answer: else
 // what is placed there meanwhile waits with that start.
 func (s *Scheduler) schedulable(m *machine) bool {
-	return (m.unanswered == 0 || m.seenToken >= s.fencingToken(m)) &&
-		m.phase == machineUp && m.confirmed && !m.failed && m.leaveBy == 0 && m.machineSpec != nil && m.unreachableSince == 0 &&
-		m.pauseTo <= s.now.Mono && s.now.Mono-m.heardAt < s.settings.HeartbeatInterval*3
+	return (m.calls.unanswered == 0 || m.fencing.seenToken >= s.fencingToken(m)) &&
+		m.phase == machineUp && m.confirmed && !m.cloud.failed && m.cloud.interruptionAt == 0 && m.machineSpec != nil && m.connectivity.unreachableSince == 0 &&
+		m.quarantine.startsPausedUntil <= s.now.Mono && s.now.Mono-m.connectivity.lastHeartbeatAt < s.settings.HeartbeatInterval*3
 }
 
 func (m *machine) hasCapacityFor(j *job) bool {
-	return m.cpus+j.spec.CPUs <= m.machineSpec.CPUs+epsilon &&
-		m.gpus+j.spec.GPUs <= m.machineSpec.GPUs+epsilon &&
-		m.mem+j.spec.MemoryGB <= m.machineSpec.MemoryGB+epsilon
+	return m.used.cpus+j.spec.CPUs <= m.machineSpec.CPUs+epsilon &&
+		m.used.gpus+j.spec.GPUs <= m.machineSpec.GPUs+epsilon &&
+		m.used.memoryGB+j.spec.MemoryGB <= m.machineSpec.MemoryGB+epsilon
 }
 
 // fitsSomewhere reports whether one more task of the job could go to some machine.
@@ -210,7 +210,7 @@
 	return len(d.fetching) > 0
 }
 
-// score is how many seconds, or their worth, a task loses on the machine. z
+// placementCost is how many seconds, or their worth, a task loses on the machine. z
 // counts the job's tasks by zone, same those on the machine.
 func (s *Scheduler) placementCost(j *job, m *machine, attemptsByZone map[string]int, replicas int) float64 {
 	cost := 0.0
@@ -230,10 +230,10 @@
 		}
 		cost += fetch * float64(1+others)
 	}
-	if m.suspect > s.now.Mono {
+	if m.quarantine.until > s.now.Mono {
 		cost += 300
 	}
-	if j.failedOn[m.name] {
+	if j.retry.failedMachines[m.name] {
 		cost += 60
 	}
 	if j.service {
@@ -259,7 +259,7 @@
 	}
 	// A full machine is better than two half full ones; without a thrifty aim
 	// the difference only breaks ties.
-	free := 1 - (m.cpus+j.spec.CPUs)/m.machineSpec.CPUs
+	free := 1 - (m.used.cpus+j.spec.CPUs)/m.machineSpec.CPUs
 	if s.settings.MinimizeCost {
 		cost += 0.5 * free
 	} else {
--- a/internal/scheduler/combined_faults_placement_test.go
+++ b/internal/scheduler/combined_faults_placement_test.go
@@ -126,7 +126,7 @@
 	return out
 }
 
-// ended reports what became of a job for good; empty: it lives.
+// endedState reports what became of a job for good; empty: it lives.
 func (sim *simulation) endedState(id string) string {
 	it := sim.kvStore.Get(sim.now, records.EndedJobKey(id))
 	if it.ModRevision == 0 {
--- a/internal/scheduler/deadline.go
+++ b/internal/scheduler/deadline.go
@@ -15,13 +15,13 @@
 // tasks as soon as enough of them have ended.
 func (j *job) taskDuration() float64 {
 	estimate := max(j.spec.EstimatedRunS, 0.1)
-	if j.seenRuns < tuning.MinRuntimeSamples {
+	if j.runtimes.completed < tuning.MinRuntimeSamples {
 		return estimate
 	}
-	return max(0.1, j.seenRunS/float64(j.seenRuns))
+	return max(0.1, j.runtimes.totalS/float64(j.runtimes.completed))
 }
 
-// work is what is left of the job, in CPU seconds.
+// remainingWork is what is left of the job, in CPU seconds.
 func (s *Scheduler) remainingWork(j *job) float64 {
 	duration := j.taskDuration()
 	sum := float64(j.pendingTasks()) * duration
@@ -64,10 +64,10 @@
 	return slices.Compact(deadlines)
 }
 
-// due is in how many seconds the job should be complete: by the first of its
+// secondsToDeadline is in how many seconds the job should be complete: by the first of its
 // deadlines that it can meet, or by the last.
 func (s *Scheduler) secondsToDeadline(j *job) float64 {
-	return j.dues[min(j.hope, len(j.dues)-1)] - (s.now.Mono - j.createdAt).Seconds()
+	return j.plan.deadlines[min(j.plan.feasible, len(j.plan.deadlines)-1)] - (s.now.Mono - j.createdAt).Seconds()
 }
 
 // arrayCapacity is how many CPUs arrays with tasks like j's can use: on machines
@@ -75,8 +75,8 @@
 // that a service is on may have no room for a large task.
 func (s *Scheduler) arrayCapacity(j *job) float64 {
 	sum := 0.0
-	for _, m := range s.machines {
-		if m.machineSpec == nil || m.failed || m.leaveBy > 0 || m.phase == machineReleasing || m.phase == machineUp && s.now.Mono-m.heardAt > s.settings.HeartbeatInterval*3 {
+	for _, m := range s.cluster.machines {
+		if m.machineSpec == nil || m.cloud.failed || m.cloud.interruptionAt > 0 || m.phase == machineReleasing || m.phase == machineUp && s.now.Mono-m.connectivity.lastHeartbeatAt > s.settings.HeartbeatInterval*3 {
 			continue
 		}
 		cpus, mem := m.machineSpec.CPUs, m.machineSpec.MemoryGB
@@ -118,20 +118,20 @@
 	tiers := 0
 	var typical *job // the one with the most work says what fits on a machine
 	mostWork := 0.0
-	for _, j := range s.jobs {
-		j.hope = 0
+	for _, j := range s.cluster.jobs {
+		j.plan.feasible = 0
 		if j.cancelled || j.archived {
 			continue
 		}
 		if j.service {
 			services[j.spec.Team] += float64(j.spec.Tasks) * j.spec.CPUs
 		}
-		if j.service || len(j.dues) == 0 || s.likelyInvalid(j) {
+		if j.service || len(j.plan.deadlines) == 0 || s.likelyInvalid(j) {
 			continue
 		}
 		work := s.remainingWork(j)
 		planned = append(planned, plannedJob{job: j, work: work})
-		tiers = max(tiers, len(j.dues))
+		tiers = max(tiers, len(j.plan.deadlines))
 		if typical == nil || work > mostWork || work == mostWork && j.id < typical.id {
 			typical, mostWork = j, work
 		}
@@ -144,7 +144,7 @@
 		teams := map[string][]*plannedJob{}
 		for i := range planned {
 			entry := &planned[i]
-			entry.committed = entry.job.hope < tier
+			entry.committed = entry.job.plan.feasible < tier
 			if entry.job.missesAllDeadlines() {
 				continue
 			}
@@ -180,7 +180,7 @@
 			alone = max(alone, e.job.taskDuration())
 		}
 		if !e.committed && alone*tuning.DeadlineFeasibilityFactor > e.secondsLeft {
-			e.job.hope++
+			e.job.plan.feasible++
 			continue
 		}
 		onTime = append(onTime, e)
@@ -195,7 +195,7 @@
 			if largest < 0 {
 				break
 			}
-			onTime[largest].job.hope++
+			onTime[largest].job.plan.feasible++
 			sum -= onTime[largest].work
 			onTime = slices.Delete(onTime, largest, largest+1)
 		}
@@ -204,4 +204,6 @@
 }
 
 // missesAllDeadlines reports whether the job misses all its deadlines, by the last plan.
-func (j *job) missesAllDeadlines() bool { return len(j.dues) > 0 && j.hope >= len(j.dues) }
+func (j *job) missesAllDeadlines() bool {
+	return len(j.plan.deadlines) > 0 && j.plan.feasible >= len(j.plan.deadlines)
+}
--- a/internal/scheduler/deadline_test.go
+++ b/internal/scheduler/deadline_test.go
@@ -44,17 +44,17 @@
 	}
 	h.scheduler.planDeadlines()
 	for id, want := range map[string]int{"run-000000": 0, "run-000001": 1, "run-000002": 0, "run-000003": 0} {
-		if got := h.scheduler.jobs[id].hope; got != want {
+		if got := h.scheduler.cluster.jobs[id].plan.feasible; got != want {
 			t.Errorf("%s misses %d deadlines", id, got)
 		}
 	}
 	// What cannot meet its deadline may meet the next, if that spoils nobody's.
 	h.scheduler.settings.Objectives = map[string]Objective{"": {DeadlineMultiples: []float64{1, 2}}}
-	for _, j := range h.scheduler.jobs {
-		j.dues = h.scheduler.deadlinesOf(&j.spec)
+	for _, j := range h.scheduler.cluster.jobs {
+		j.plan.deadlines = h.scheduler.deadlinesOf(&j.spec)
 	}
 	h.scheduler.planDeadlines()
-	if j := h.scheduler.jobs["run-000001"]; j.hope != 1 || j.missesAllDeadlines() {
-		t.Errorf("misses %d of its deadlines %v", j.hope, j.dues)
+	if j := h.scheduler.cluster.jobs["run-000001"]; j.plan.feasible != 1 || j.missesAllDeadlines() {
+		t.Errorf("misses %d of its deadlines %v", j.plan.feasible, j.plan.deadlines)
 	}
 }
--- a/internal/scheduler/dispatch.go
+++ b/internal/scheduler/dispatch.go
@@ -9,6 +9,15 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
+// dispatchState has the direct calls that are in flight, and the machines that commands
+// are due for.
+type dispatchState struct {
+	calls             map[uint64]*commandCall
+	probes            statusProbes
+	machinesDue       map[string]bool
+	lastAttemptNumber uint64 // in this term
+}
+
 // heartbeatCommands gathers what the answer to a report carries.
 func (s *Scheduler) heartbeatCommands(m *machine, heartbeat *wire.Heartbeat) []wire.Command {
 	//mutation:stops-before-confirmation
@@ -19,20 +28,20 @@
 	commands = append(commands, m.unexpectedStops...)
 	m.unexpectedStops = nil
 	for _, a := range s.dueStarts(m) {
-		a.replyTick = heartbeat.Sequence
+		a.start.replySequence = heartbeat.Sequence
 		s.markDispatched(a)
 		commands = append(commands, runCommand(a))
 	}
 	forgets := s.dueForgets(m)
 	//mutation:forget-raises-fencing-token
-	if len(forgets) > 0 && m.directUsed {
+	if len(forgets) > 0 && m.fencing.usedDirectly {
 		// A copy of a start that was carried out may turn up again, and after
 		// the forget the worker would take it for a new one. A higher token,
 		// in the same answer, makes it refuse such copies.
 		s.raiseFencingToken(m)
 		for _, a := range m.tasks {
-			if a.sent && !a.seen && a.replyTick != heartbeat.Sequence {
-				a.needFence = m.fence
+			if a.start.sent && !a.start.acknowledged && a.start.replySequence != heartbeat.Sequence {
+				a.start.requiredFence = m.fencing.counter
 			}
 		}
 	}
@@ -46,7 +55,7 @@
 			continue
 		}
 		//mutation:forget-after-durable-end
-		if j := s.jobs[ref.jobID]; ended.done && j != nil && ref.index < j.spec.Tasks && !j.saved.Has(ref.index) && !j.service && !j.cancelled {
+		if j := s.cluster.jobs[ref.jobID]; ended.done && j != nil && ref.index < j.spec.Tasks && !j.progress.saved.Has(ref.index) && !j.service && !j.cancelled {
 			continue // done, but not yet durably so
 		}
 		name := wire.TaskName(ref.jobID, ref.index)
@@ -74,20 +83,20 @@
 	var due []*attempt
 	for _, a := range m.tasks {
 		//mutation:renewal-repeats-stops
-		if a.halt && a.sent && (a.haltedAt == 0 || s.now.Mono-a.haltedAt >= tuning.StopResendInterval || renewsLease && a.job != nil && a.job.cancelled) {
+		if a.stop.requested && a.start.sent && (a.stop.sentAt == 0 || s.now.Mono-a.stop.sentAt >= tuning.StopResendInterval || renewsLease && a.job != nil && a.job.cancelled) {
 			due = append(due, a)
 		}
 	}
 	sortAttempts(due)
 	commands := []wire.Command{}
 	for _, a := range due {
-		if !a.haltSent {
-			a.haltSent = true
+		if !a.stop.sent {
+			a.stop.sent = true
 			s.countOperation(reconcile.StopOperation, a)
 		}
-		a.haltedAt = s.now.Mono
+		a.stop.sentAt = s.now.Mono
 		graceS := 0.0
-		if a.haltSave && a.job != nil {
+		if a.stop.checkpoint && a.job != nil {
 			graceS = a.job.spec.CheckpointSaveS + 1
 		}
 		commands = append(commands, wire.Command{Verb: wire.VerbStop, Task: wire.TaskName(a.ref.jobID, a.ref.index), Attempt: a.number, GracePeriodS: &graceS})
@@ -103,10 +112,10 @@
 	var due []*attempt
 	for _, a := range m.tasks {
 		//mutation:start-after-record
-		if !a.recorded || a.halt || a.seen || a.calling || a.nextProbe > s.now.Mono || a.job == nil || a.job.cancelled {
+		if !a.assignment.durable || a.stop.requested || a.start.acknowledged || a.start.callInFlight || a.retry.nextAt > s.now.Mono || a.job == nil || a.job.cancelled {
 			continue
 		}
-		if a.sent && a.firstSent == 0 {
+		if a.start.sent && a.start.firstSentAt == 0 {
 			continue // an earlier leader's: its fate has to be proven first
 		}
 		//mutation:start-after-forget
@@ -126,22 +135,22 @@
 // next probe: exponential, inside the task's time budget.
 func (s *Scheduler) markDispatched(a *attempt) {
 	now := s.now.Mono
-	if a.firstSent == 0 {
-		a.firstSent = now
+	if a.start.firstSentAt == 0 {
+		a.start.firstSentAt = now
 		s.countOperation(reconcile.StartOperation, a)
 	} else {
-		if a.machine.heardAt > a.firstSent+tuning.StartUnreceivedAfter {
+		if a.machine.connectivity.lastHeartbeatAt > a.start.firstSentAt+tuning.StartUnreceivedAfter {
 			//mutation:unacknowledged-start-marks-unreachable
 			s.markUnreachable(a.machine, "a start is not acknowledged") // its reports arrive, what we send does not
 		}
 		s.counters.DispatchRetries++
-		s.log(false, "start not acknowledged, probing again", "task", wire.TaskName(a.ref.jobID, a.ref.index), "machine", a.machine.name, "probe", a.probes)
+		s.log(false, "start not acknowledged, probing again", "task", wire.TaskName(a.ref.jobID, a.ref.index), "machine", a.machine.name, "probe", a.retry.count)
 	}
-	a.sent, a.session = true, a.machine.session
-	a.needFence = max(a.needFence, 0)
+	a.start.sent, a.start.incarnation = true, a.machine.heartbeats.incarnation
+	a.start.requiredFence = max(a.start.requiredFence, 0)
 	wait := s.dispatchRetryDelay(a)
-	a.probes++
-	a.nextProbe = now + wait
+	a.retry.count++
+	a.retry.nextAt = now + wait
 }
 
 // dispatchDeadline is when the task's time budget ends, counted from its job's creation.
@@ -150,7 +159,7 @@
 	if d := a.job.spec.DeadlineS; d != nil {
 		budget = time.Duration(*d * float64(time.Second))
 	}
-	return max(a.job.createdAt+budget, a.firstSent+tuning.MinDispatchBudget)
+	return max(a.job.createdAt+budget, a.start.firstSentAt+tuning.MinDispatchBudget)
 }
 
 // dispatchRetryDelay divides the budget that is left at the first start into the set
@@ -158,9 +167,9 @@
 // for so long that its job would wait beside room.
 func (s *Scheduler) dispatchRetryDelay(a *attempt) time.Duration {
 	attempts := max(1, s.settings.Policy.DispatchRetryCount)
-	base := float64(s.dispatchDeadline(a)-a.firstSent) / (math.Pow(2, float64(attempts)) - 1)
+	base := float64(s.dispatchDeadline(a)-a.start.firstSentAt) / (math.Pow(2, float64(attempts)) - 1)
 	first := max(float64(s.settings.Policy.AckTimeout), base)
-	wait := time.Duration(first * math.Pow(2, float64(min(a.probes, 30))))
+	wait := time.Duration(first * math.Pow(2, float64(min(a.retry.count, 30))))
 	// A budget of hours would put the second probe off by minutes: the task would wait
 	// on a machine that only lost one message.
 	//mutation:dispatch-retry-bound
@@ -172,8 +181,8 @@
 	if m.phase != machineUp || m.address == "" {
 		return
 	}
-	if m.calling {
-		m.callAgain = true
+	if m.calls.inFlight {
+		m.calls.again = true
 		return
 	}
 	commands := s.dueStops(m, false)
@@ -182,26 +191,26 @@
 	starts := s.dueStarts(m)
 	for _, a := range starts {
 		s.markDispatched(a)
-		a.calling = true
+		a.start.callInFlight = true
 		commands = append(commands, runCommand(a))
 	}
 	if len(commands) == 0 {
 		return
 	}
 	if len(starts) > 0 {
-		m.directUsed = true
+		m.fencing.usedDirectly = true
 	}
 	s.sendCommands(m, commands, starts)
 }
 
 func (s *Scheduler) sendCommands(m *machine, commands []wire.Command, starts []*attempt) {
 	s.nextEffectID++
-	s.calls[s.nextEffectID] = &commandCall{machine: m, fencingCounter: m.fence, starts: starts, statusProbe: len(commands) == 0}
-	m.calling = true
+	s.dispatcher.calls[s.nextEffectID] = &commandCall{machine: m, fencingCounter: m.fencing.counter, starts: starts, statusProbe: len(commands) == 0}
+	m.calls.inFlight = true
 	s.effects.DirectCalls = append(s.effects.DirectCalls, DirectCall{
 		ID: s.nextEffectID, Machine: m.name, Addr: m.address,
 		//mutation:direct-call-incarnation
-		Body: wire.DirectCommands{FencingToken: s.fencingToken(m), Incarnation: max(1, m.session), Commands: commands},
+		Body: wire.DirectCommands{FencingToken: s.fencingToken(m), Incarnation: max(1, m.heartbeats.incarnation), Commands: commands},
 	})
 }
 
@@ -218,18 +227,18 @@
 // CallDone takes the outcome of a direct call.
 func (s *Scheduler) CallDone(now Now, id uint64, result CallResult, heartbeat *wire.Heartbeat) {
 	s.now = now
-	call := s.calls[id]
+	call := s.dispatcher.calls[id]
 	if call == nil {
 		return
 	}
-	delete(s.calls, id)
+	delete(s.dispatcher.calls, id)
 	m := call.machine
-	m.calling = false
+	m.calls.inFlight = false
 	if call.statusProbe {
-		s.questions.inFlight--
+		s.dispatcher.probes.inFlight--
 	}
 	for _, a := range call.starts {
-		a.calling = false
+		a.start.callInFlight = false
 	}
 	if heartbeat != nil && s.supersededBy(heartbeat) {
 		result, heartbeat = CallLost, nil
@@ -238,55 +247,55 @@
 	if heartbeat != nil && heartbeat.Machine != m.name {
 		result, heartbeat = CallLost, nil // another machine has this address now
 	}
-	m.unansweredSinceHeard++
-	if m.unanswered++; result != CallLost {
-		m.unanswered, m.unansweredSinceHeard = 0, 0
+	m.calls.unansweredSinceHeartbeat++
+	if m.calls.unanswered++; result != CallLost {
+		m.calls.unanswered, m.calls.unansweredSinceHeartbeat = 0, 0
 	}
 	switch result {
 	case CallLost:
-		if len(call.starts) > 0 && m.fence == call.fencingCounter {
+		if len(call.starts) > 0 && m.fencing.counter == call.fencingCounter {
 			s.raiseFencingToken(m)
 		}
 		for _, a := range call.starts {
-			a.needFence = m.fence
+			a.start.requiredFence = m.fencing.counter
 			s.log(true, "start unanswered", "task", wire.TaskName(a.ref.jobID, a.ref.index), "machine", m.name)
 		}
 		for _, a := range m.tasks {
-			a.haltedAt = 0
+			a.stop.sentAt = 0
 		}
 	case CallRefused:
 		for _, a := range call.starts {
-			if !a.seen {
-				a.nextProbe = now.Mono // not executed: nothing to wait for
-				a.probes = max(0, a.probes-1)
+			if !a.start.acknowledged {
+				a.retry.nextAt = now.Mono // not executed: nothing to wait for
+				a.retry.count = max(0, a.retry.count-1)
 			}
 		}
 		for _, a := range m.tasks {
-			a.haltedAt = 0
+			a.stop.sentAt = 0
 		}
 		if heartbeat.FencingToken > s.fencingToken(m) {
-			m.fence = heartbeat.FencingToken & (1<<tuning.FencingBits - 1)
+			m.fencing.counter = heartbeat.FencingToken & (1<<tuning.FencingBits - 1)
 		}
-		m.callAgain = true
+		m.calls.again = true
 	}
 	if heartbeat != nil && m.phase == machineUp {
 		//mutation:direct-reply-counts-as-heartbeat
-		s.heardAny = now.Mono
-		m.heardAt = now.Mono
-		delete(s.zoneHeard, m.zone)
-		m.unreachableSince = 0 // it answered what we sent just now
+		s.monitor.lastHeartbeatAt = now.Mono
+		m.connectivity.lastHeartbeatAt = now.Mono
+		delete(s.monitor.zoneHeartbeatAt, m.zone)
+		m.connectivity.unreachableSince = 0 // it answered what we sent just now
 		//mutation:direct-reply-sequence
-		if heartbeat.NewerThan(m.session, m.tick) {
+		if heartbeat.NewerThan(m.heartbeats.incarnation, m.heartbeats.sequence) {
 			s.applyHeartbeat(m, heartbeat, false)
 		}
 	}
-	if m.callAgain && result != CallLost {
-		m.callAgain = false
+	if m.calls.again && result != CallLost {
+		m.calls.again = false
 		s.sendDue(m)
 		if !m.confirmed {
-			m.askedAt = 0
+			m.calls.probedAt = 0
 			s.probeStatus(m)
 		}
 	}
-	m.callAgain = false
+	m.calls.again = false
 }
--- a/internal/scheduler/export_test.go
+++ b/internal/scheduler/export_test.go
@@ -7,7 +7,7 @@
 func (s *Scheduler) Audit() error {
 	use := map[string]TeamQuota{}
 	perJob := map[string]map[int]int{}
-	for _, m := range s.machines {
+	for _, m := range s.cluster.machines {
 		cpus := 0.0
 		for ref, a := range m.tasks {
 			if a.machine != m || a.ref != ref {
@@ -25,16 +25,16 @@
 			}
 			perJob[ref.jobID][ref.index]++
 		}
-		if d := cpus - m.cpus; d > 0.01 || d < -0.01 {
-			return fmt.Errorf("%s: %v CPUs in use, booked %v", m.name, cpus, m.cpus)
+		if d := cpus - m.used.cpus; d > 0.01 || d < -0.01 {
+			return fmt.Errorf("%s: %v CPUs in use, booked %v", m.name, cpus, m.used.cpus)
 		}
 	}
-	for team, u := range s.usage {
+	for team, u := range s.cluster.usage {
 		if d := use[team].CPUs - u.CPUs; d > 0.01 || d < -0.01 {
 			return fmt.Errorf("team %s: %v CPUs in use, booked %v", team, use[team].CPUs, u.CPUs)
 		}
 	}
-	for id, j := range s.jobs {
+	for id, j := range s.cluster.jobs {
 		n := 0
 		for index, list := range j.active {
 			n++
@@ -46,11 +46,11 @@
 			return fmt.Errorf("%s: %d active, booked %d", id, n, j.activeCount)
 		}
 		free := map[int]bool{}
-		for _, i := range j.returned {
+		for _, i := range j.indices.freed {
 			free[i] = true
 		}
 		for i := 0; i < j.spec.Tasks; i++ {
-			if !j.done.Has(i) && len(j.active[i]) == 0 && i < j.cursor && !free[i] && !j.cancelled && !j.archived {
+			if !j.progress.done.Has(i) && len(j.active[i]) == 0 && i < j.indices.next && !free[i] && !j.cancelled && !j.archived {
 				return fmt.Errorf("%s/%d is neither done, nor active, nor waiting", id, i)
 			}
 		}
--- a/internal/scheduler/fault_injection_test.go
+++ b/internal/scheduler/fault_injection_test.go
@@ -139,7 +139,7 @@
 	}
 }
 
-// known are the machines that whoever leads has in its books.
+// knownMachines are the machines that whoever leads has in its books.
 func (sim *simulation) knownMachines() map[string]bool {
 	out := map[string]bool{}
 	for _, c := range sim.controllers {
--- a/internal/scheduler/fencing.go
+++ b/internal/scheduler/fencing.go
@@ -9,14 +9,16 @@
 const maxCounter = 1<<tuning.FencingBits - 1
 
 // attemptNumbersLeft is how many more attempts this term can number.
-func (s *Scheduler) attemptNumbersLeft() int { return maxCounter - int(min(s.nextTry, maxCounter)) }
+func (s *Scheduler) attemptNumbersLeft() int {
+	return maxCounter - int(min(s.dispatcher.lastAttemptNumber, maxCounter))
+}
 
 // watchCounterLimits resigns before this term's numbers are used up. The next term has all of
 // them again, and an election costs a fraction of a second.
 func (s *Scheduler) watchCounterLimits() {
-	highest := s.nextTry
-	for _, m := range s.machines {
-		highest = max(highest, m.fence)
+	highest := s.dispatcher.lastAttemptNumber
+	for _, m := range s.cluster.machines {
+		highest = max(highest, m.fencing.counter)
 	}
 	if float64(highest) > maxCounter*tuning.MaxFencingCounterUse {
 		s.effects.Resign = "this term's numbers are used up"
@@ -26,12 +28,14 @@
 // newAttempt makes an attempt under a number that was never used: terms only
 // grow, so it is above all earlier ones.
 func (s *Scheduler) newAttempt(j *job, index int, m *machine) *attempt {
-	s.nextTry++
-	return &attempt{ref: taskRef{j.id, index}, job: j, machine: m, number: s.term<<tuning.FencingBits | s.nextTry, placedAt: s.now.Mono}
+	s.dispatcher.lastAttemptNumber++
+	return &attempt{ref: taskRef{j.id, index}, job: j, machine: m, number: s.term<<tuning.FencingBits | s.dispatcher.lastAttemptNumber, placedAt: s.now.Mono}
 }
 
 // Token is the token to use with a machine: our term above, its fence below.
-func (s *Scheduler) fencingToken(m *machine) uint64 { return s.term<<tuning.FencingBits | m.fence }
+func (s *Scheduler) fencingToken(m *machine) uint64 {
+	return s.term<<tuning.FencingBits | m.fencing.counter
+}
 
 // TermOf of a token.
 func TermOf(token uint64) uint64 { return token >> tuning.FencingBits }
@@ -40,6 +44,6 @@
 // the present one are refused once it has seen the new one.
 func (s *Scheduler) raiseFencingToken(m *machine) {
 	//mutation:fencing-counter-raised
-	m.fence = min(m.fence+1, maxCounter) // watchCounterLimits has ended the term long before
-	m.directUsed = false
+	m.fencing.counter = min(m.fencing.counter+1, maxCounter) // watchCounterLimits has ended the term long before
+	m.fencing.usedDirectly = false
 }
--- a/internal/scheduler/fencing_test.go
+++ b/internal/scheduler/fencing_test.go
@@ -21,13 +21,13 @@
 		want := used > most*tuning.MaxFencingCounterUse
 		h := newHarness(t, false, nil, nil)
 		h.bringUp("n-1")
-		h.scheduler.nextTry = uint64(used)
+		h.scheduler.dispatcher.lastAttemptNumber = uint64(used)
 		if got := resigns(h); got != want {
 			t.Errorf("%v attempts: resigned %v", used, got)
 		}
 		h = newHarness(t, false, nil, nil)
 		h.bringUp("n-1")
-		h.scheduler.machines["n-1"].fence = uint64(used)
+		h.scheduler.cluster.machines["n-1"].fencing.counter = uint64(used)
 		if got := resigns(h); got != want {
 			t.Errorf("fence %v: resigned %v", used, got)
 		}
@@ -35,15 +35,15 @@
 
 	h := newHarness(t, false, nil, nil)
 	h.bringUp("n-1")
-	h.scheduler.nextTry = maxCounter - 2
+	h.scheduler.dispatcher.lastAttemptNumber = maxCounter - 2
 	h.submit(wire.Job{ID: "run-000001", Tasks: 5, CPUs: 1})
 	h.submit(wire.Job{ID: "run-000002", Tasks: 3, CPUs: 1, Shape: wire.ShapeGang, Team: "blue"})
 	h.now += time.Second
 	if s := h.startCommands(); len(s) != 2 || s[0].Attempt == s[1].Attempt || TermOf(s[0].Attempt) != harnessTerm || TermOf(s[1].Attempt) != harnessTerm {
 		t.Errorf("starts at the end of the numbers: %+v", s)
 	}
-	m := h.scheduler.machines["n-1"]
-	m.fence = maxCounter
+	m := h.scheduler.cluster.machines["n-1"]
+	m.fencing.counter = maxCounter
 	if h.scheduler.raiseFencingToken(m); TermOf(h.scheduler.fencingToken(m)) != harnessTerm {
 		t.Errorf("raised into term %d", TermOf(h.scheduler.fencingToken(m)))
 	}
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -60,7 +60,7 @@
 		for _, a := range placed {
 			s.detach(a)
 		}
-		s.dirtyPlace = false // nothing has changed
+		s.placement.due = false // nothing has changed
 		return false
 	}
 	for _, a := range placed {
@@ -115,7 +115,7 @@
 		return // it fits only once there are more machines: keeping these empties them in vain
 	}
 	// Those that are emptiest are free soonest.
-	sort.SliceStable(list, func(a, b int) bool { return list[a].cpus < list[b].cpus })
+	sort.SliceStable(list, func(a, b int) bool { return list[a].used.cpus < list[b].used.cpus })
 	taken := map[string]int{}
 	for _, m := range list {
 		if j.spec.SameZone && m.zone != best || n <= 0 {
@@ -127,7 +127,7 @@
 		}
 		taken[m.zone] += k
 		n -= k
-		m.keptFor, m.keptTo = j.id, s.now.Mono+tuning.PreemptionReservationTTL
+		m.reservation.jobID, m.reservation.until = j.id, s.now.Mono+tuning.PreemptionReservationTTL
 	}
 }
 
@@ -136,7 +136,7 @@
 // room is kept. What is on its way is waited for, for a while.
 func (s *Scheduler) hostableTasks(j *job, n int) int {
 	//mutation:reservation-wait-bound
-	if s.now.Mono-j.waitSince < tuning.ReservationTTL {
+	if s.now.Mono-j.waiting.since < tuning.ReservationTTL {
 		return n
 	}
 	z := j.attemptsByZone()
@@ -188,7 +188,7 @@
 func (j *job) hasStoppingAttempt() bool {
 	for _, list := range j.active {
 		for _, a := range list {
-			if a.halt {
+			if a.stop.requested {
 				return true
 			}
 		}
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -123,13 +123,13 @@
 	}
 }
 
-// report sends a machine's report, under the token it was last told.
+// heartbeat sends a machine's report, under the token it was last told.
 func (h *harness) heartbeat(name string, tasks ...wire.TaskStatus) wire.HeartbeatReply {
 	return h.heartbeatWithToken(name, h.fencingToken(name), tasks...)
 }
 
 func (h *harness) fencingToken(name string) uint64 {
-	if m := h.scheduler.machines[name]; m != nil {
+	if m := h.scheduler.cluster.machines[name]; m != nil {
 		return h.scheduler.fencingToken(m)
 	}
 	return 0
@@ -158,7 +158,7 @@
 	return reply
 }
 
-// up brings machines up: they report, and answer the question that follows.
+// bringUp brings machines up: they report, and answer the question that follows.
 func (h *harness) bringUp(names ...string) {
 	for _, n := range names {
 		h.heartbeat(n)
@@ -180,9 +180,9 @@
 	var heartbeat *wire.Heartbeat
 	if result != CallLost {
 		var tasks []wire.TaskStatus
-		m := h.scheduler.machines[c.Machine]
+		m := h.scheduler.cluster.machines[c.Machine]
 		for _, a := range m.sortedAttempts() {
-			if a.seen {
+			if a.start.acknowledged {
 				tasks = append(tasks, wire.TaskStatus{Task: wire.TaskName(a.ref.jobID, a.ref.index), Attempt: a.number, State: wire.TaskRunning})
 			}
 		}
@@ -222,7 +222,7 @@
 	h.settle()
 }
 
-// starts lists the start commands in answers and among the calls that are out.
+// startCommands lists the start commands in answers and among the calls that are out.
 func (h *harness) startCommands() (out []wire.Command) {
 	out = append(out, h.startsInReplies...)
 	for _, c := range h.calls {
@@ -270,10 +270,10 @@
 	return n
 }
 
-// on lists what a machine would report: all that is placed there, running.
+// runningTasks lists what a machine would report: all that is placed there, running.
 func (h *harness) runningTasks(name string) (out []wire.TaskStatus) {
-	for _, a := range h.scheduler.machines[name].sortedAttempts() {
-		if a.sent {
+	for _, a := range h.scheduler.cluster.machines[name].sortedAttempts() {
+		if a.start.sent {
 			out = append(out, wire.TaskStatus{Task: wire.TaskName(a.ref.jobID, a.ref.index), Attempt: a.number, State: wire.TaskRunning})
 		}
 	}
@@ -310,7 +310,7 @@
 	return workers
 }
 
-// work lets half a second go by.
+// step lets half a second go by.
 func (workers *fakeWorkers) step() {
 	h := workers.harness
 	h.now += 500 * time.Millisecond
--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -22,7 +22,7 @@
 	headroom := &fleetHeadroom{scheduler: s, fittingByZone: map[string]int{}, fittingOn: map[*machine]int{}}
 	headroom.usedCPUs, headroom.totalCPUs = s.cpuUsage()
 	size := func(service *job) float64 { return float64(service.spec.Tasks) * service.spec.CPUs }
-	for _, service := range s.jobs {
+	for _, service := range s.cluster.jobs {
 		if service.service && !service.cancelled && !service.archived && (headroom.largestService == nil || size(service) > size(headroom.largestService) || size(service) == size(headroom.largestService) && service.id < headroom.largestService.id) {
 			headroom.largestService = service
 		}
@@ -31,8 +31,8 @@
 		return headroom
 	}
 	service := headroom.largestService
-	for _, m := range s.machines {
-		if m.spot || m.phase != machineUp || m.machineSpec == nil || m.failed || m.leaveBy > 0 || m.unreachableSince > 0 || !service.allowsMachine(m.machineType, m.zone, m.spot) {
+	for _, m := range s.cluster.machines {
+		if m.spot || m.phase != machineUp || m.machineSpec == nil || m.cloud.failed || m.cloud.interruptionAt > 0 || m.connectivity.unreachableSince > 0 || !service.allowsMachine(m.machineType, m.zone, m.spot) {
 			continue
 		}
 		cpus, memoryGB := m.machineSpec.CPUs, m.machineSpec.MemoryGB
@@ -67,7 +67,7 @@
 	return total >= s.largestService.spec.Tasks
 }
 
-// without takes a machine away, if enough is left then.
+// removeIfSpare takes a machine away, if enough is left then.
 func (s *fleetHeadroom) removeIfSpare(m *machine) bool {
 	cpus := 0.0
 	if m.machineSpec != nil {
@@ -88,12 +88,12 @@
 
 // cpuUsage sums what is in use and what there is, in CPUs.
 func (s *Scheduler) cpuUsage() (used, total float64) {
-	for _, m := range s.machines {
-		if m.machineSpec == nil || m.phase == machineReleasing || m.failed || m.leaveBy > 0 {
+	for _, m := range s.cluster.machines {
+		if m.machineSpec == nil || m.phase == machineReleasing || m.cloud.failed || m.cloud.interruptionAt > 0 {
 			continue
 		}
 		total += m.machineSpec.CPUs
-		used += m.cpus
+		used += m.used.cpus
 	}
 	return used, total
 }
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -16,7 +16,7 @@
 		return reply, false
 	}
 	//mutation:heartbeat-of-released-machine
-	if s.gone[heartbeat.Machine] {
+	if s.cluster.released[heartbeat.Machine] {
 		// A late report of a machine that was given back.
 		return wire.HeartbeatReply{FencingToken: s.term << tuning.FencingBits}, true
 	}
@@ -26,8 +26,8 @@
 		// be kept, so that it goes on if the release fails, and is not asked for
 		// again then as if it were silent.
 		reply = wire.HeartbeatReply{FencingToken: s.fencingToken(m), Commands: []wire.Command{}}
-		if heartbeat.NewerThan(m.session, m.tick) {
-			m.heardAt, m.unansweredSinceHeard, s.heardAny = now.Mono, 0, now.Mono
+		if heartbeat.NewerThan(m.heartbeats.incarnation, m.heartbeats.sequence) {
+			m.connectivity.lastHeartbeatAt, m.calls.unansweredSinceHeartbeat, s.monitor.lastHeartbeatAt = now.Mono, 0, now.Mono
 			// A lease that is kept has to bring stops with it: where releases get no
 			// answer for long, cancelled tasks would run on here past their time.
 			//mutation:stops-while-releasing
@@ -38,13 +38,13 @@
 	// A copy of an earlier report, however late it comes, is no sign of life and
 	// changes nothing.
 	//mutation:heartbeat-sequence
-	fresh := heartbeat.NewerThan(m.session, m.tick)
+	fresh := heartbeat.NewerThan(m.heartbeats.incarnation, m.heartbeats.sequence)
 	if fresh {
 		s.watchReplyDelivery(m, heartbeat)
-		m.answeredAt = now.Mono
-		s.heardAny = now.Mono
-		m.heardAt, m.unansweredSinceHeard = now.Mono, 0
-		delete(s.zoneHeard, m.zone)
+		m.connectivity.heartbeatAnsweredAt = now.Mono
+		s.monitor.lastHeartbeatAt = now.Mono
+		m.connectivity.lastHeartbeatAt, m.calls.unansweredSinceHeartbeat = now.Mono, 0
+		delete(s.monitor.zoneHeartbeatAt, m.zone)
 		s.applyHeartbeat(m, heartbeat, true)
 	}
 	commands := []wire.Command{}
@@ -82,17 +82,17 @@
 // gets no new work, and is given back unless a direct call shows that it hears us.
 func (s *Scheduler) watchReplyDelivery(m *machine, heartbeat *wire.Heartbeat) {
 	switch {
-	case m.session > 0 && heartbeat.Incarnation > m.session && m.answeredAt > 0 && s.now.Mono-m.answeredAt < s.settings.WorkerLease*3/4 && s.now.Mono-s.startedAt > s.settings.WorkerLease:
+	case m.heartbeats.incarnation > 0 && heartbeat.Incarnation > m.heartbeats.incarnation && m.connectivity.heartbeatAnsweredAt > 0 && s.now.Mono-m.connectivity.heartbeatAnsweredAt < s.settings.WorkerLease*3/4 && s.now.Mono-s.startedAt > s.settings.WorkerLease:
 		//mutation:lost-incarnation-marks-unreachable
 		s.markUnreachable(m, "its lease ran out although it was answered")
-	case TermOf(heartbeat.FencingToken) == s.term && heartbeat.FencingToken > m.seenToken:
-		m.unreachableSince = 0 // it has heard a token that is new since its last report
+	case TermOf(heartbeat.FencingToken) == s.term && heartbeat.FencingToken > m.fencing.seenToken:
+		m.connectivity.unreachableSince = 0 // it has heard a token that is new since its last report
 	}
 }
 
 func (s *Scheduler) markUnreachable(m *machine, reason string) {
-	if m.unreachableSince == 0 {
-		m.unreachableSince = s.now.Mono
+	if m.connectivity.unreachableSince == 0 {
+		m.connectivity.unreachableSince = s.now.Mono
 		s.log(false, "machine seems not to hear us", "machine", m.name, "why", reason, "tasks", len(m.tasks))
 	}
 }
@@ -100,7 +100,7 @@
 // awaitsAcknowledgement reports whether something on the machine waits for proof.
 func (s *Scheduler) awaitsAcknowledgement(m *machine) bool {
 	for _, a := range m.tasks {
-		if a.sent && !a.seen {
+		if a.start.sent && !a.start.acknowledged {
 			return true
 		}
 	}
@@ -109,7 +109,7 @@
 
 // findOrAdoptMachine finds the machine of a report, or adopts it.
 func (s *Scheduler) findOrAdoptMachine(heartbeat *wire.Heartbeat) *machine {
-	m := s.machines[heartbeat.Machine]
+	m := s.cluster.machines[heartbeat.Machine]
 	if m == nil {
 		m = s.addMachine(heartbeat.Machine, heartbeat.Type, heartbeat.Zone, heartbeat.Spot, heartbeat.Address)
 		s.log(false, "machine adopted from its report", "machine", m.name, "type", m.machineType, "zone", m.zone, "spot", m.spot)
@@ -124,30 +124,30 @@
 }
 
 func (s *Scheduler) markUp(m *machine) {
-	m.phase, m.upAt, m.idleSince, m.heardAt = machineUp, s.now.Mono, s.now.Mono, s.now.Mono
+	m.phase, m.upAt, m.idleSince, m.connectivity.lastHeartbeatAt = machineUp, s.now.Mono, s.now.Mono, s.now.Mono
 	s.log(false, "machine up", "machine", m.name, "type", m.machineType, "zone", m.zone, "spot", m.spot,
-		"boot_s", (s.now.Mono - m.rentedAt).Seconds())
+		"boot_s", (s.now.Mono - m.cloud.provisionedAt).Seconds())
 }
 
 // provenAbsent reports whether an attempt that the report r does not list is
 // neither on the machine nor can be started there by anything sent before.
 func (s *Scheduler) provenAbsent(a *attempt, heartbeat *wire.Heartbeat, workerInitiated bool) bool {
-	if a.seen || !a.sent {
-		return a.seen
+	if a.start.acknowledged || !a.start.sent {
+		return a.start.acknowledged
 	}
 	//mutation:absence-needs-fencing-token
-	if heartbeat.FencingToken < s.term<<tuning.FencingBits|a.needFence {
+	if heartbeat.FencingToken < s.term<<tuning.FencingBits|a.start.requiredFence {
 		return false // a start under a lower token may still be executed
 	}
-	if a.session != 0 && heartbeat.Incarnation > a.session {
+	if a.start.incarnation != 0 && heartbeat.Incarnation > a.start.incarnation {
 		return true // starts for an earlier session are dropped
 	}
 	//mutation:absence-needs-finished-call
-	if a.calling {
+	if a.start.callInFlight {
 		return false // its direct call may be executed after this report
 	}
 	//mutation:absence-needs-next-heartbeat
-	if a.replyTick != 0 && !(workerInitiated && heartbeat.Sequence > a.replyTick) {
+	if a.start.replySequence != 0 && !(workerInitiated && heartbeat.Sequence > a.start.replySequence) {
 		// Only the next report shows that the answer to the last one was
 		// executed or dropped; a direct answer may overtake it.
 		return false
@@ -157,12 +157,12 @@
 
 // applyHeartbeat brings our picture of a machine up to date.
 func (s *Scheduler) applyHeartbeat(m *machine, heartbeat *wire.Heartbeat, workerInitiated bool) {
-	m.session, m.tick = heartbeat.Incarnation, heartbeat.Sequence
+	m.heartbeats.incarnation, m.heartbeats.sequence = heartbeat.Incarnation, heartbeat.Sequence
 	if workerInitiated {
-		m.checkinTick = heartbeat.Sequence
+		m.heartbeats.lastInitiated = heartbeat.Sequence
 	}
-	m.seenToken = max(m.seenToken, heartbeat.FencingToken)
-	m.underTerm = heartbeat.FencingToken >= s.term<<tuning.FencingBits && TermOf(heartbeat.FencingToken) == s.term
+	m.fencing.seenToken = max(m.fencing.seenToken, heartbeat.FencingToken)
+	m.heartbeats.underTerm = heartbeat.FencingToken >= s.term<<tuning.FencingBits && TermOf(heartbeat.FencingToken) == s.term
 	s.applySpotInterruption(m, heartbeat)
 	listed := make(map[taskRef]bool, len(heartbeat.Tasks))
 	stillListed := make(map[taskRef]taskExit, len(m.exited))
@@ -183,9 +183,9 @@
 	// A worker that has seen no token is new, if we rented its machine ourselves:
 	// of another it may be a late copy of its first report.
 	//mutation:confirm-only-own-new-machines
-	if !m.confirmed && (m.underTerm || len(m.tasks) == 0 && heartbeat.FencingToken == 0 && m.ours) {
+	if !m.confirmed && (m.heartbeats.underTerm || len(m.tasks) == 0 && heartbeat.FencingToken == 0 && m.cloud.provisionedInTerm) {
 		m.confirmed = true
-		s.dirtyPlace = true
+		s.placement.due = true
 		s.reconciler.ConfirmMachine(s.now.Mono, m.name)
 	}
 }
@@ -196,12 +196,12 @@
 		return
 	}
 	deadline := s.now.Mono + time.Duration(*heartbeat.InterruptionInS*float64(time.Second))
-	if m.leaveBy == 0 {
+	if m.cloud.interruptionAt == 0 {
 		s.log(false, "machine will be taken back", "machine", m.name, "in_s", *heartbeat.InterruptionInS, "tasks", len(m.tasks))
-		m.leaveBy = deadline
+		m.cloud.interruptionAt = deadline
 		s.drainMachine(m)
 	}
-	m.leaveBy = deadline
+	m.cloud.interruptionAt = deadline
 }
 
 // applyExit takes a listed attempt that has ended, and says whether it is the one that our
@@ -213,7 +213,7 @@
 		return true
 	}
 	s.classifyUnknownExit(m, ref, report)
-	if j := s.jobs[ref.jobID]; j != nil && report.Cause == wire.CauseDone && ref.index < j.spec.Tasks {
+	if j := s.cluster.jobs[ref.jobID]; j != nil && report.Cause == wire.CauseDone && ref.index < j.spec.Tasks {
 		s.markTaskDone(j, ref.index)
 	}
 	return false
@@ -255,9 +255,9 @@
 // If nothing else has it, it is adopted; otherwise it is stopped, and counts
 // until it is gone.
 func (s *Scheduler) handleUnexpectedAttempt(m *machine, ref taskRef, report *wire.TaskStatus) {
-	j := s.jobs[ref.jobID]
+	j := s.cluster.jobs[ref.jobID]
 	if known := m.tasks[ref]; known != nil {
-		if known.sent && !known.seen {
+		if known.start.sent && !known.start.acknowledged {
 			// Our start is refused while this one is there. It stays in our
 			// picture, and the other has to go.
 			s.reportSuperseded(m, ref, report)
@@ -266,7 +266,7 @@
 		}
 		s.detach(known) // a worker has one attempt of a task at a time
 	}
-	a := &attempt{ref: ref, machine: m, number: report.Attempt, sent: true, seen: true, placedAt: s.now.Mono}
+	a := &attempt{ref: ref, machine: m, number: report.Attempt, start: startState{sent: true, acknowledged: true}, placedAt: s.now.Mono}
 	if j != nil && ref.index < j.spec.Tasks {
 		a.job = j
 	}
@@ -285,10 +285,10 @@
 
 // updateTaskState takes a task's state while it is on the machine.
 func (s *Scheduler) updateTaskState(a *attempt, report *wire.TaskStatus) {
-	if !a.seen {
-		a.seen = true
-		if a.firstSent > 0 && s.ObserveAckLatency != nil {
-			s.ObserveAckLatency(s.now.Mono - a.firstSent)
+	if !a.start.acknowledged {
+		a.start.acknowledged = true
+		if a.start.firstSentAt > 0 && s.ObserveAckLatency != nil {
+			s.ObserveAckLatency(s.now.Mono - a.start.firstSentAt)
 		}
 	}
 	s.confirmActive(a)
--- a/internal/scheduler/heartbeat_test.go
+++ b/internal/scheduler/heartbeat_test.go
@@ -97,8 +97,8 @@
 		}
 		h.answerAll(CallLost)
 		h.now += tuning.TickInterval
-		m := h.scheduler.machines["n-1"]
-		h.scheduler.heardAny, m.heardAt, m.unreachableSince = h.now, h.now, 0 // neither silence nor deafness is the matter here
+		m := h.scheduler.cluster.machines["n-1"]
+		h.scheduler.monitor.lastHeartbeatAt, m.connectivity.lastHeartbeatAt, m.connectivity.unreachableSince = h.now, h.now, 0 // neither silence nor deafness is the matter here
 		h.scheduler.Tick(h.clock())
 		h.settle()
 	}
@@ -124,7 +124,7 @@
 	}
 	h.answerAll(CallLost)
 	h.heartbeatWithToken("n-1", token) // does not list it, but under the old token
-	if len(h.scheduler.machines["n-1"].tasks) != 1 {
+	if len(h.scheduler.cluster.machines["n-1"].tasks) != 1 {
 		t.Fatal("taken for gone without proof")
 	}
 	h.heartbeat("n-1")
@@ -140,10 +140,10 @@
 	h := newHarness(t, false, nil, nil)
 	h.bringUp("n-1")
 	h.submit(wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1})
-	a := h.scheduler.jobs["run-000001"].active[0][0]
-	a.calling, a.seen, a.replyTick, a.session = false, false, h.sequences["n-1"]+1, 1
+	a := h.scheduler.cluster.jobs["run-000001"].active[0][0]
+	a.start.callInFlight, a.start.acknowledged, a.start.replySequence, a.start.incarnation = false, false, h.sequences["n-1"]+1, 1
 	direct := h.newHeartbeat("n-1", h.fencingToken("n-1"))
-	direct.Sequence = a.replyTick + 1
+	direct.Sequence = a.start.replySequence + 1
 	if h.scheduler.provenAbsent(a, direct, false) {
 		t.Error("a direct answer counts as proof against a start in a report's answer")
 	}
@@ -230,7 +230,7 @@
 	if tries < 4 || tries > 10 {
 		t.Errorf("%d tries in a minute", tries)
 	}
-	if h.scheduler.machines["n-1"].suspect > h.now {
+	if h.scheduler.cluster.machines["n-1"].quarantine.until > h.now {
 		t.Error("one failing job made its machine suspect")
 	}
 	h.submit(wire.Job{ID: "run-000002", Tasks: 1, CPUs: 1})
@@ -242,7 +242,7 @@
 			}
 		}
 	}
-	if h.scheduler.machines["n-1"].suspect <= h.now {
+	if h.scheduler.cluster.machines["n-1"].quarantine.until <= h.now {
 		t.Error("two unrelated failing jobs did not")
 	}
 	if f := h.scheduler.Failures(0, 1); len(f) != 1 || f[0].Task != "run-000002/0" || f[0].Cause != wire.CauseError {
@@ -284,23 +284,23 @@
 	runUnreachable(time.Second, "n-2")
 	h.submit(wire.Job{ID: "run-000002", Tasks: 4, CPUs: 1})
 	runUnreachable(2*time.Second, "n-2")
-	if n := len(h.scheduler.machines["n-1"].tasks); n != 1 {
+	if n := len(h.scheduler.cluster.machines["n-1"].tasks); n != 1 {
 		t.Fatalf("%d tasks on the deaf machine, 1 may be there", n)
 	}
-	if n := len(h.scheduler.machines["n-2"].tasks); n != 4 {
+	if n := len(h.scheduler.cluster.machines["n-2"].tasks); n != 4 {
 		t.Errorf("%d of 4 tasks on the other", n)
 	}
 	runUnreachable(h.scheduler.settings.WorkerLease, "n-2")
 	if len(h.releases) != 1 || h.releases[0][0] != "n-1" {
 		t.Fatalf("given back: %v", h.releases)
 	}
-	if n := len(h.scheduler.machines["n-2"].tasks); n != 4 {
+	if n := len(h.scheduler.cluster.machines["n-2"].tasks); n != 4 {
 		t.Error("placed again before the release was answered")
 	}
 	h.scheduler.Released(h.clock(), h.releases[0], ReleaseDone)
 	h.settle()
 	runUnreachable(time.Second, "n-2")
-	if n := len(h.scheduler.machines["n-2"].tasks); n != 5 {
+	if n := len(h.scheduler.cluster.machines["n-2"].tasks); n != 5 {
 		t.Errorf("not placed again: %d tasks", n)
 	}
 }
@@ -315,11 +315,11 @@
 	h.answerAll(CallLost)
 	h.heartbeatWithToken("n-1", staleToken)
 	h.submit(wire.Job{ID: "run-000002", Tasks: 1, CPUs: 1})
-	if n := len(h.scheduler.machines["n-1"].tasks); n != 1 {
+	if n := len(h.scheduler.cluster.machines["n-1"].tasks); n != 1 {
 		t.Fatalf("%d tasks on a machine that did not answer", n)
 	}
 	h.advance(time.Second, "n-1") // under the token that it was told meanwhile
-	if n := len(h.scheduler.machines["n-1"].tasks); n != 2 {
+	if n := len(h.scheduler.cluster.machines["n-1"].tasks); n != 2 {
 		t.Fatalf("%d tasks on a machine that hears us", n)
 	}
 }
@@ -334,7 +334,7 @@
 	r := h.newHeartbeat("n-1", h.fencingToken("n-1"))
 	r.Incarnation = 2
 	h.scheduler.Heartbeat(h.clock(), r)
-	if m := h.scheduler.machines["n-1"]; m.unreachableSince == 0 || h.scheduler.schedulable(m) {
+	if m := h.scheduler.cluster.machines["n-1"]; m.connectivity.unreachableSince == 0 || h.scheduler.schedulable(m) {
 		t.Fatal("usable though its answers are lost")
 	}
 	h.scheduler.Tick(h.clock())
@@ -345,7 +345,7 @@
 	answer := h.newHeartbeat("n-1", h.calls[0].Body.FencingToken)
 	answer.Incarnation = 2
 	h.scheduler.CallDone(h.clock(), h.calls[0].ID, CallExecuted, answer)
-	if m := h.scheduler.machines["n-1"]; m.unreachableSince != 0 {
+	if m := h.scheduler.cluster.machines["n-1"]; m.connectivity.unreachableSince != 0 {
 		t.Error("still taken for deaf")
 	}
 }
@@ -359,23 +359,23 @@
 	h.submit(wire.Job{ID: "run-000001", Tasks: 1, CPUs: 8})
 	h.answerAll(CallExecuted)
 	var m *machine
-	for _, x := range h.scheduler.machines {
+	for _, x := range h.scheduler.cluster.machines {
 		if len(x.tasks) > 0 {
 			m = x
 		}
 	}
 	early.Machine, early.Address = m.name, m.address
 	h.heartbeat(m.name, h.runningTasks(m.name)...)
-	heard, any, session := m.heardAt, h.scheduler.heardAny, m.session
+	heard, any, session := m.connectivity.lastHeartbeatAt, h.scheduler.monitor.lastHeartbeatAt, m.heartbeats.incarnation
 	h.now += 5 * time.Second
 	for _, copy := range []*wire.Heartbeat{early, {Machine: m.name, Address: m.address, Type: "box", Zone: "a", Incarnation: 0, Sequence: 99, FencingToken: early.FencingToken}} {
 		reply, ok := h.scheduler.Heartbeat(h.clock(), copy)
-		if !ok || len(reply.Commands) != 0 || len(m.tasks) != 1 || m.heardAt != heard || h.scheduler.heardAny != any || m.session != session {
-			t.Errorf("a late copy: %+v, %d tasks, heard %v then %v", reply, len(m.tasks), heard, m.heardAt)
+		if !ok || len(reply.Commands) != 0 || len(m.tasks) != 1 || m.connectivity.lastHeartbeatAt != heard || h.scheduler.monitor.lastHeartbeatAt != any || m.heartbeats.incarnation != session {
+			t.Errorf("a late copy: %+v, %d tasks, heard %v then %v", reply, len(m.tasks), heard, m.connectivity.lastHeartbeatAt)
 		}
 	}
 	h.scheduler.Released(h.clock(), []string{m.name}, ReleaseDone)
-	if h.scheduler.Heartbeat(h.clock(), early); h.scheduler.machines[m.name] != nil {
+	if h.scheduler.Heartbeat(h.clock(), early); h.scheduler.cluster.machines[m.name] != nil {
 		t.Error("a machine that was given back is adopted by a late copy")
 	}
 	// To a new leader it is the first it hears: the machine may be there, but
@@ -391,7 +391,7 @@
 	e.submit(wire.Job{ID: "run-000002", Tasks: 20, CPUs: 1})
 	e.advance(3*e.scheduler.settings.WorkerLease, "n-6")
 	for _, name := range []string{"n-3", "n-4"} {
-		if x := e.scheduler.machines[name]; x != nil && len(x.tasks) > 0 {
+		if x := e.scheduler.cluster.machines[name]; x != nil && len(x.tasks) > 0 {
 			t.Errorf("placed on %s on the word of a late copy", name)
 		}
 	}
@@ -409,7 +409,7 @@
 	h.submit(wire.Job{ID: "run-000002", Tasks: 1, CPUs: 1, EstimatedRunS: 500})
 	h.answerAll(CallExecuted)
 	var tasks []wire.TaskStatus
-	for _, a := range h.scheduler.machines["n-1"].sortedAttempts() {
+	for _, a := range h.scheduler.cluster.machines["n-1"].sortedAttempts() {
 		tasks = append(tasks, runningReport(wire.Command{Task: wire.TaskName(a.ref.jobID, a.ref.index), Attempt: a.number}))
 	}
 	notice := func(left float64) map[string]bool {
@@ -419,8 +419,8 @@
 		h.scheduler.Tick(h.clock())
 		h.settle()
 		stopped := map[string]bool{}
-		for _, a := range h.scheduler.machines["n-1"].sortedAttempts() {
-			stopped[a.ref.jobID] = a.halt
+		for _, a := range h.scheduler.cluster.machines["n-1"].sortedAttempts() {
+			stopped[a.ref.jobID] = a.stop.requested
 		}
 		return stopped
 	}
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -17,56 +17,35 @@
 	rank        int
 
 	cancelled             bool
-	cancellationWatermark time.Duration  // cancelled: as of when we knew all cancellations before this one
-	archived              bool           // its live record is gone: it has ended
-	done                  records.Bitmap // known to be done
-	saved                 records.Bitmap // durably done
-	nDone                 int
-	nSaved                int
-	dirtyAt               time.Duration
-	writing               bool
-	blocked               time.Duration  // no write until then
-	chunks                map[int]uint64 // stamps of further bitmap chunks
+	cancellationWatermark time.Duration // cancelled: as of when we knew all cancellations before this one
+	archived              bool          // its live record is gone: it has ended
 
 	active          map[int][]*attempt
 	unsavedAttempts map[int]*attempt // completed attempts whose done bit is not durable yet
-	returned        []int            // indices given back by ended attempts
-	cursor          int              // indices below it have been handed out at least once
-	activeCount     int              // distinct indices with attempts
-	runningCount    int
-
-	failures   int
-	failsAfter time.Duration // the longest that a failed attempt ran
-	failedOn   map[string]bool
-	retryAt    time.Duration
-	waitSince  time.Duration // since when a task of it waits; 0: none does
-	turnSince  time.Duration // since when it has waited for machines with room to fetch other images; 0: it does not
-	dues       []float64     // see Leader.dues
-	placedOnce bool          // some task of it has been placed in this term
-	why        string        // why it waits, for people
-
-	roomAt    time.Duration // when fitsSomewhere was last asked, and what it said
-	room      bool
-	preemptAt time.Duration // last time that room was looked for by preemption
-	recovered bool          // from a time before our term
-
-	seenRuns int     // tasks seen from their start to their completion
-	seenRunS float64 // the time that these ran, in seconds
-
-	hope    int     // which of its deadlines it can still meet, as of the last round
-	begun   bool    // some task of it has come to stay
-	unbegun bool    // nothing of it has begun for long
-	overdue bool    // and it has not got its first tasks yet
-	old     bool    // has missed all its deadlines, long ago
-	within  bool    // inside its team's guarantee, as of the last round
-	slack   float64 // seconds until it is due, as of the last round
+
+	activeCount  int // distinct indices with attempts
+	runningCount int
+
+	placedOnce bool // some task of it has been placed in this term
+
+	recovered bool // from a time before our term
+
+	progress jobProgress
+	write    jobWriteState
+	indices  taskIndices
+	retry    retryState
+	waiting  waitState
+	headroom headroomCheck
+	plan     deadlinePlan
+	runtimes observedRuntimes
+	standing jobStanding
 }
 
 func (j *job) pendingTasks() int {
 	if j.cancelled || j.archived {
 		return 0
 	}
-	return j.spec.Tasks - j.nDone - j.activeCount
+	return j.spec.Tasks - j.progress.doneCount - j.activeCount
 }
 
 func (j *job) sortedAttempts() []*attempt {
@@ -85,17 +64,17 @@
 
 // takeFreeIndex takes an index of the job that neither is done nor has an attempt.
 func (j *job) takeFreeIndex() (int, bool) {
-	for len(j.returned) > 0 {
-		i := j.returned[len(j.returned)-1]
-		j.returned = j.returned[:len(j.returned)-1]
-		if !j.done.Has(i) && len(j.active[i]) == 0 {
+	for len(j.indices.freed) > 0 {
+		i := j.indices.freed[len(j.indices.freed)-1]
+		j.indices.freed = j.indices.freed[:len(j.indices.freed)-1]
+		if !j.progress.done.Has(i) && len(j.active[i]) == 0 {
 			return i, true
 		}
 	}
-	for j.cursor < j.spec.Tasks {
-		i := j.cursor
-		j.cursor++
-		if !j.done.Has(i) && len(j.active[i]) == 0 {
+	for j.indices.next < j.spec.Tasks {
+		i := j.indices.next
+		j.indices.next++
+		if !j.progress.done.Has(i) && len(j.active[i]) == 0 {
 			return i, true
 		}
 	}
@@ -109,14 +88,15 @@
 		service: record.Job.Service(), rank: wire.PriorityOrder(record.Job.Priority),
 		//mutation:recover-cancelled-flag
 		cancelled: record.Cancelled,
-		done:      records.NewBitmap(record.Job.Tasks), saved: records.NewBitmap(record.Job.Tasks),
-		active: map[int][]*attempt{}, chunks: map[int]uint64{}, failedOn: map[string]bool{},
+		progress:  jobProgress{done: records.NewBitmap(record.Job.Tasks), saved: records.NewBitmap(record.Job.Tasks)},
+		active:    map[int][]*attempt{}, write: jobWriteState{chunkRevisions: map[int]uint64{}},
+		retry: retryState{failedMachines: map[string]bool{}},
 	}
 	// The job's age by the time of day, moved onto our steady clock.
 	j.createdAt = s.now.Mono - time.Duration(max(0, s.now.Wall-record.Job.CreatedAtMilli))*time.Millisecond
-	j.dues = s.deadlinesOf(&j.spec)
+	j.plan.deadlines = s.deadlinesOf(&j.spec)
 	s.mergeDoneBits(j, 0, record.Done)
-	s.jobs[j.id] = j
+	s.cluster.jobs[j.id] = j
 	return j
 }
 
@@ -124,12 +104,12 @@
 	if encoded == "" {
 		return
 	}
-	if err := j.saved.MergeChunk(chunk, encoded); err != nil {
+	if err := j.progress.saved.MergeChunk(chunk, encoded); err != nil {
 		s.log(false, "job record has a bad bitmap", "job", j.id, "err", err.Error())
 		return
 	}
-	_ = j.done.MergeChunk(chunk, encoded) // as long as saved, which took it
-	j.nDone, j.nSaved = j.done.Count(), j.saved.Count()
+	_ = j.progress.done.MergeChunk(chunk, encoded) // as long as saved, which took it
+	j.progress.doneCount, j.progress.savedCount = j.progress.done.Count(), j.progress.saved.Count()
 }
 
 func (s *Scheduler) addDoneBits(item wire.KeyValue) {
@@ -138,12 +118,12 @@
 	if !ok || wire.Unmarshal(item.Value, &record) != nil {
 		return
 	}
-	j := s.jobs[id]
+	j := s.cluster.jobs[id]
 	if j == nil {
-		s.obsoleteKeys = append(s.obsoleteKeys, item.Key) // left by a job that has ended
+		s.persister.obsoleteKeys = append(s.persister.obsoleteKeys, item.Key) // left by a job that has ended
 		return
 	}
-	j.chunks[chunk] = item.ModRevision
+	j.write.chunkRevisions[chunk] = item.ModRevision
 	s.mergeDoneBits(j, chunk, record.Done)
 }
 
@@ -157,7 +137,7 @@
 		s.stopAttempt(a, false, "the job is over")
 	}
 	if j.activeCount == 0 {
-		delete(s.jobs, j.id)
+		delete(s.cluster.jobs, j.id)
 	}
 }
 
@@ -170,14 +150,80 @@
 
 // markDirty notes that there is something of the job to write.
 func (s *Scheduler) markDirty(j *job) {
-	if j.dirtyAt == 0 {
-		j.dirtyAt = s.now.Mono
-		s.dirtyJobs[j] = true
+	if j.write.dirtyAt == 0 {
+		j.write.dirtyAt = s.now.Mono
+		s.persister.dirtyJobs[j] = true
 	}
 }
 
 // markClean notes that there is not.
 func (s *Scheduler) markClean(j *job) {
-	j.dirtyAt = 0
-	delete(s.dirtyJobs, j)
+	j.write.dirtyAt = 0
+	delete(s.persister.dirtyJobs, j)
+}
+
+// jobProgress has the tasks that are done. Those in saved are durably so, and in done too.
+type jobProgress struct {
+	done, saved           records.Bitmap
+	doneCount, savedCount int
+}
+
+// jobWriteState is that of the writes of a job's records.
+type jobWriteState struct {
+	dirtyAt        time.Duration // since when there is something to write; 0: there is not
+	inFlight       bool
+	blockedUntil   time.Duration
+	chunkRevisions map[int]uint64 // mod revisions of further bitmap chunks
+}
+
+// taskIndices hands out indices of tasks to place.
+type taskIndices struct {
+	freed []int // of attempts that have ended
+	next  int   // indices below it have been handed out at least once
+}
+
+// retryState is that of a job's failed attempts.
+type retryState struct {
+	failures         int // in a row
+	longestFailedRun time.Duration
+	failedMachines   map[string]bool
+	at               time.Duration // no placement before then
+}
+
+// waitState says since when and why tasks of a job wait.
+type waitState struct {
+	since time.Duration // since when a task waits; 0: none does
+	// fetchSlotSince is since when it has waited for machines with capacity to fetch
+	// other images; 0: it does not.
+	fetchSlotSince    time.Duration
+	preemptionTriedAt time.Duration
+	reason            string // for people
+}
+
+// headroomCheck remembers whether there was capacity for a task of the job.
+type headroomCheck struct {
+	checkedAt time.Duration // 0: never
+	available bool
+}
+
+// deadlinePlan has a job's deadlines, and those that it can still meet by the last round.
+type deadlinePlan struct {
+	deadlines []float64 // in seconds from the submission, see Scheduler.deadlinesOf
+	feasible  int       // the first of them that can be met; their number: none
+	slackS    float64   // seconds until that one
+}
+
+// observedRuntimes sums up how long tasks ran that were followed from start to completion.
+type observedRuntimes struct {
+	completed int
+	totalS    float64
+}
+
+// jobStanding is what the last round found about a job's place in the queue.
+type jobStanding struct {
+	established     bool // a task of it has run for long enough to stay; never reset
+	starved         bool // nothing of it has been established for long
+	prioritized     bool // starved, and its first tasks go ahead of others
+	aged            bool // has missed all its deadlines, long ago
+	withinGuarantee bool // inside its team's guarantee
 }
--- a/internal/scheduler/leadership_change_test.go
+++ b/internal/scheduler/leadership_change_test.go
@@ -79,17 +79,17 @@
 		h.now += time.Second
 		h.scheduler.MachinesListed(h.clock(), list)
 		h.advance(2*time.Second, "n-1")
-		if n := len(h.scheduler.jobs[j.ID].active); n != 0 {
+		if n := len(h.scheduler.cluster.jobs[j.ID].active); n != 0 {
 			t.Fatal("placed while an unreadable record may be about it")
 		}
-		if n := len(h.scheduler.jobs["run-000002"].active); n != 1 {
+		if n := len(h.scheduler.cluster.jobs["run-000002"].active); n != 1 {
 			t.Fatal("a later job waits as well")
 		}
 		h.bringUp("n-2")
 		h.scheduler.MachinesListed(h.clock(), list)
 		h.advance(2*time.Second, "n-1", "n-2")
-		if n := len(h.scheduler.jobs[j.ID].active); n != 1 {
-			t.Fatalf("still waits: %s", h.scheduler.jobs[j.ID].why)
+		if n := len(h.scheduler.cluster.jobs[j.ID].active); n != 1 {
+			t.Fatalf("still waits: %s", h.scheduler.cluster.jobs[j.ID].waiting.reason)
 		}
 		if _, left := h.items[key]; left {
 			t.Error("the unreadable record is left")
@@ -134,7 +134,7 @@
 	h := newHarness(t, false, nil, nil)
 	h.bringUp("n-1")
 	h.submit(wire.Job{ID: "run-000001", Tasks: wire.MaxTasks, CPUs: 1})
-	j := h.scheduler.jobs["run-000001"]
+	j := h.scheduler.cluster.jobs["run-000001"]
 	for i := range wire.MaxTasks {
 		if i%10 != 9 {
 			h.scheduler.markTaskDone(j, i)
@@ -160,8 +160,8 @@
 		}
 	}
 	next := New(h.clock(), h.scheduler.settings, harnessTerm+1, rep, bits, nil, nil)
-	if n := next.jobs["run-000001"].nDone; n != j.nDone || len(bits) != wire.MaxTasks/tuning.TasksPerBitmap {
-		t.Fatalf("%d of %d done tasks recovered, from %d values", n, j.nDone, len(bits)+1)
+	if n := next.cluster.jobs["run-000001"].progress.doneCount; n != j.progress.doneCount || len(bits) != wire.MaxTasks/tuning.TasksPerBitmap {
+		t.Fatalf("%d of %d done tasks recovered, from %d values", n, j.progress.doneCount, len(bits)+1)
 	}
 	for i := range wire.MaxTasks {
 		h.scheduler.markTaskDone(j, i)
@@ -237,17 +237,17 @@
 	if _, ended := h.items[records.EndedJobKey(j.ID)]; !ended {
 		t.Error("the job was not ended though nothing of it is left")
 	}
-	if len(h.scheduler.ahead) != 0 {
-		t.Errorf("kept after the watch brought it: %v", h.scheduler.ahead)
+	if len(h.scheduler.cancellations.pending) != 0 {
+		t.Errorf("kept after the watch brought it: %v", h.scheduler.cancellations.pending)
 	}
 	// Of a job that is over nothing comes any more: a read that was sent later will do.
 	h.scheduler.Cancelled(h.clock(), []string{"run-000002"})
 	h.scheduler.JobsReadAt(h.now)
-	if len(h.scheduler.ahead) != 1 {
+	if len(h.scheduler.cancellations.pending) != 1 {
 		t.Error("a cancellation is dropped for a read that may not have it")
 	}
 	h.scheduler.JobsReadAt(h.now + time.Millisecond)
-	if len(h.scheduler.ahead) != 0 {
-		t.Errorf("kept for good: %v", h.scheduler.ahead)
+	if len(h.scheduler.cancellations.pending) != 0 {
+		t.Errorf("kept for good: %v", h.scheduler.cancellations.pending)
 	}
 }
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -21,50 +21,32 @@
 	spot                             bool
 	machineSpec                      *wire.MachineType
 
-	phase        machinePhase
-	knownAt      time.Duration // when this term first knew of it
-	rentedAt     time.Duration
-	upAt         time.Duration
-	heardAt      time.Duration // last sign of life
-	idleSince    time.Duration
-	leaveBy      time.Duration // when the cloud takes it; 0: not announced
-	askAgain     bool          // its release has to be asked for once more
-	failed       bool          // the cloud says that it has stopped
-	listedOnce   bool          // the cloud has listed it in this term
-	loggedReason string        // why it was last given back, for the log
-	missing      int           // lists since the last one that had it
-	suspect      time.Duration // avoided until then
-	pauseTo      time.Duration // no starts until then
-	failedBy     map[string]bool
-	keptFor      string        // job for which room was made here
-	keptTo       time.Duration // until when it is kept
-
-	// Order of its messages, and what it has seen.
-	session, tick, checkinTick uint64
-	seenToken                  uint64
-	underTerm                  bool   // its last report was sent under this term's token
-	confirmed                  bool   // its present tasks are known under our term
-	fence                      uint64 // low bits of the token now used with it
-	directUsed                 bool   // starts went directly under the present fence
-	calling                    bool   // a direct call is out
-	callAgain                  bool
-	askedAt                    time.Duration // last question, see probeStatus
+	phase   machinePhase
+	knownAt time.Duration // when this term first knew of it
+
+	upAt time.Duration
+
+	idleSince time.Duration
+
+	confirmed bool // its present tasks are known under our term
 
 	tasks           map[taskRef]*attempt
 	exited          map[taskRef]taskExit // told by the worker, dealt with by us, not yet forgotten
 	unexpectedStops []wire.Command       // stops of attempts that are not in our picture
 	images          []cachedImage        // most recently used last
-	cpus, gpus, mem float64
-	taskSummary     *taskSummary              // what placement asks of its tasks, until they change
-	batches         map[*assignmentBatch]bool // records that name it
 
-	// unreachableSince is since when it seems that nothing reaches it although its
-	// reports arrive; 0: it hears us. See deaf.
-	unreachableSince     time.Duration
-	unanswered           int           // direct calls in a row
-	unansweredSinceHeard int           // the same since its last sign of life
-	answeredAt           time.Duration // its last report, which we answered
-	ours                 bool          // rented in this term
+	taskSummary *taskSummary              // what placement asks of its tasks, until they change
+	batches     map[*assignmentBatch]bool // records that name it
+
+	cloud        cloudStatus
+	release      releaseState
+	quarantine   quarantineState
+	reservation  reservation
+	heartbeats   heartbeatOrder
+	fencing      fencingState
+	calls        callStatus
+	connectivity connectivity
+	used         resources
 }
 
 type cachedImage struct {
@@ -79,32 +61,34 @@
 
 func (s *Scheduler) addMachine(name, machineType, zone string, spot bool, address string) *machine {
 	m := &machine{
-		name: name, machineType: machineType, zone: zone, spot: spot, address: address, machineSpec: s.types[machineType],
-		rentedAt: s.now.Mono, knownAt: s.now.Mono, heardAt: s.now.Mono, idleSince: s.now.Mono,
-		tasks: map[taskRef]*attempt{}, exited: map[taskRef]taskExit{}, failedBy: map[string]bool{}, batches: map[*assignmentBatch]bool{},
+		name: name, machineType: machineType, zone: zone, spot: spot, address: address, machineSpec: s.cluster.machineTypes[machineType],
+		knownAt: s.now.Mono, idleSince: s.now.Mono,
+		cloud: cloudStatus{provisionedAt: s.now.Mono}, connectivity: connectivity{lastHeartbeatAt: s.now.Mono},
+		quarantine: quarantineState{failedJobs: map[string]bool{}},
+		tasks:      map[taskRef]*attempt{}, exited: map[taskRef]taskExit{}, batches: map[*assignmentBatch]bool{},
 	}
-	s.machines[name] = m
-	s.byName = nil
+	s.cluster.machines[name] = m
+	s.cluster.machinesByName = nil
 	return m
 }
 
 // sortedMachines gives the machines by name. The slice is not to be changed.
 func (s *Scheduler) sortedMachines() []*machine {
-	if s.byName == nil {
-		s.byName = make([]*machine, 0, len(s.machines))
-		for _, m := range s.machines {
-			s.byName = append(s.byName, m)
+	if s.cluster.machinesByName == nil {
+		s.cluster.machinesByName = make([]*machine, 0, len(s.cluster.machines))
+		for _, m := range s.cluster.machines {
+			s.cluster.machinesByName = append(s.cluster.machinesByName, m)
 		}
-		slices.SortFunc(s.byName, func(a, b *machine) int { return strings.Compare(a.name, b.name) })
+		slices.SortFunc(s.cluster.machinesByName, func(a, b *machine) int { return strings.Compare(a.name, b.name) })
 	}
-	return s.byName
+	return s.cluster.machinesByName
 }
 
 func (m *machine) queueUnexpectedStop(c wire.Command) {
 	m.unexpectedStops = append(m.unexpectedStops, c)
 }
 
-// fetched notes that the machine has an image, as the most recently used.
+// addImage notes that the machine has an image, as the most recently used.
 func (m *machine) addImage(name string, sizeGB float64) {
 	m.taskSummary = nil
 	for i, im := range m.images {
@@ -136,7 +120,7 @@
 	return false
 }
 
-// list gives the machine's attempts in a fixed order.
+// sortedAttempts gives the machine's attempts in a fixed order.
 func (m *machine) sortedAttempts() []*attempt {
 	out := make([]*attempt, 0, len(m.tasks))
 	for _, a := range m.tasks {
@@ -170,7 +154,7 @@
 			summary.serviceCPUs += a.job.spec.CPUs
 			summary.serviceMemoryGB += a.job.spec.MemoryGB
 		}
-		if !a.halt && a.state != wire.TaskRunning && !m.hasImage(a.job.spec.Image) {
+		if !a.stop.requested && a.state != wire.TaskRunning && !m.hasImage(a.job.spec.Image) {
 			if summary.fetching == nil {
 				summary.fetching = map[string]float64{}
 			}
@@ -180,3 +164,69 @@
 	m.taskSummary = summary
 	return summary
 }
+
+// cloudStatus is what the cloud says of a machine.
+type cloudStatus struct {
+	provisionedAt     time.Duration
+	provisionedInTerm bool
+	listed            bool          // the cloud has listed it in this term
+	missedLists       int           // lists since the last one that had it
+	failed            bool          // the cloud says that it has stopped
+	interruptionAt    time.Duration // when the cloud takes the spot machine; 0: not announced
+}
+
+// releaseState is that of a release that was asked for.
+type releaseState struct {
+	reason   string // of the last one, for the log
+	retryDue bool   // it has to be asked for once more
+}
+
+// quarantineState keeps work away from a machine on which it fails.
+type quarantineState struct {
+	until             time.Duration
+	startsPausedUntil time.Duration   // after it refused a start
+	failedJobs        map[string]bool // unrelated jobs that failed there
+}
+
+// reservation keeps a machine's capacity for a job.
+type reservation struct {
+	jobID string
+	until time.Duration
+}
+
+// heartbeatOrder is the place of a machine's last heartbeat: earlier ones are ignored.
+type heartbeatOrder struct {
+	incarnation, sequence uint64
+	lastInitiated         uint64
+	underTerm             bool // the last one was sent under this term's token
+}
+
+// fencingState is what is known of the fencing tokens used with a machine.
+type fencingState struct {
+	counter      uint64 // low bits of the token now used with it
+	usedDirectly bool   // starts went directly under the present counter
+	seenToken    uint64 // the highest that it has reported
+}
+
+// callStatus is that of direct calls to a machine, one at a time.
+type callStatus struct {
+	inFlight                 bool
+	again                    bool          // something is due once the call has ended
+	probedAt                 time.Duration // last status probe
+	unanswered               int           // in a row
+	unansweredSinceHeartbeat int
+}
+
+// connectivity says when a machine and this leader last reached each other.
+type connectivity struct {
+	lastHeartbeatAt     time.Duration // or answer to a call
+	heartbeatAnsweredAt time.Duration // its last heartbeat that we answered
+	// unreachableSince is since when it seems that nothing reaches it although its
+	// heartbeats arrive; 0: it hears us. See watchReplyDelivery.
+	unreachableSince time.Duration
+}
+
+// resources is an amount of what machines have and tasks take.
+type resources struct {
+	cpus, gpus, memoryGB float64
+}
--- a/internal/scheduler/machine_faults_test.go
+++ b/internal/scheduler/machine_faults_test.go
@@ -59,7 +59,7 @@
 			}
 		}
 		spell(15 * time.Second)
-		for _, m := range h.scheduler.machines {
+		for _, m := range h.scheduler.cluster.machines {
 			if !m.confirmed || len(m.tasks) != 1 {
 				t.Fatalf("seed %d: %s is not confirmed by its answers", seed, m.name)
 			}
@@ -82,7 +82,7 @@
 		}
 		h.submit(wire.Job{ID: "run-000003", Tasks: 1, CPUs: 1})
 		spell(40 * time.Second)
-		if len(h.releases) > 0 || len(h.scheduler.machines) != 2 {
+		if len(h.releases) > 0 || len(h.scheduler.cluster.machines) != 2 {
 			t.Fatalf("seed %d: given back though it answers: %v", seed, h.releases)
 		}
 	}
@@ -130,7 +130,7 @@
 			}
 			x := wire.TaskStatus{Task: c.task, Attempt: 3, State: c.state}
 			count(h.heartbeat("n-2", x).Commands)
-			m := h.scheduler.machines["n-2"]
+			m := h.scheduler.cluster.machines["n-2"]
 			if m == nil || m.phase != machineUp || len(m.tasks) != 1 {
 				t.Fatalf("not adopted with its task: %+v", m)
 			}
@@ -145,7 +145,7 @@
 			if (stops > 0) != c.stopped {
 				t.Errorf("%d stops", stops)
 			}
-			if id, _, _ := wire.ParseTaskName(c.task); !c.stopped && (h.recordedAttempts() != 1 || len(h.scheduler.jobs[id].active[0]) != 1) {
+			if id, _, _ := wire.ParseTaskName(c.task); !c.stopped && (h.recordedAttempts() != 1 || len(h.scheduler.cluster.jobs[id].active[0]) != 1) {
 				t.Errorf("not counted, or not written down: %d", h.recordedAttempts())
 			}
 			// Nothing of it is taken for gone, or placed elsewhere, by what is no newer.
@@ -176,8 +176,8 @@
 	h.now += 10 * time.Second
 	h.scheduler.Tick(h.clock())
 	h.settle()
-	m := h.scheduler.machines["n-1"]
-	heard := m.heardAt
+	m := h.scheduler.cluster.machines["n-1"]
+	heard := m.connectivity.lastHeartbeatAt
 	if len(h.calls) == 0 {
 		t.Fatal("not asked though it is silent")
 	}
@@ -185,8 +185,8 @@
 	other := h.newHeartbeat("n-2", c.Body.FencingToken)
 	other.Address, other.Sequence = m.address, 1000
 	h.scheduler.CallDone(h.clock(), c.ID, CallExecuted, other)
-	if len(m.tasks) != 1 || m.heardAt != heard || m.unansweredSinceHeard == 0 {
-		t.Errorf("%d tasks, heard %v then %v, %d questions in vain", len(m.tasks), heard, m.heardAt, m.unansweredSinceHeard)
+	if len(m.tasks) != 1 || m.connectivity.lastHeartbeatAt != heard || m.calls.unansweredSinceHeartbeat == 0 {
+		t.Errorf("%d tasks, heard %v then %v, %d questions in vain", len(m.tasks), heard, m.connectivity.lastHeartbeatAt, m.calls.unansweredSinceHeartbeat)
 	}
 }
 
@@ -206,18 +206,18 @@
 			resign bool
 		}{{absurd, false, false}, {absurd, true, false}, {ahead, true, true}, {ahead, false, true}} {
 			r := h.newHeartbeat("n-1", (harnessTerm+c.ahead)<<tuning.FencingBits)
-			m := h.scheduler.machines["n-1"]
-			tick := m.tick
+			m := h.scheduler.cluster.machines["n-1"]
+			tick := m.heartbeats.sequence
 			if c.direct {
-				m.askedAt = 0
+				m.calls.probedAt = 0
 				h.scheduler.probeStatus(m)
 				call := h.scheduler.TakeEffects().DirectCalls[0]
 				h.scheduler.CallDone(h.clock(), call.ID, CallRefused, r)
 			} else if _, ok := h.scheduler.Heartbeat(h.clock(), r); ok {
 				t.Fatalf("a report %d terms ahead is answered", c.ahead)
 			}
-			if resign := h.scheduler.TakeEffects().Resign != ""; resign != c.resign || m.tick != tick {
-				t.Fatalf("%d terms ahead, direct %v: resigns %v, tick %d then %d", c.ahead, c.direct, resign, tick, m.tick)
+			if resign := h.scheduler.TakeEffects().Resign != ""; resign != c.resign || m.heartbeats.sequence != tick {
+				t.Fatalf("%d terms ahead, direct %v: resigns %v, tick %d then %d", c.ahead, c.direct, resign, tick, m.heartbeats.sequence)
 			}
 		}
 	}
@@ -239,7 +239,7 @@
 		t.Fatalf("token %d after the stop of a start under %d", token, held)
 	}
 	h.heartbeatWithToken("n-1", held) // does not list it, but under the old token
-	if len(h.scheduler.machines["n-1"].tasks) != 1 {
+	if len(h.scheduler.cluster.machines["n-1"].tasks) != 1 {
 		t.Fatal("taken for gone while its start is on its way")
 	}
 }
--- a/internal/scheduler/machinescan.go
+++ b/internal/scheduler/machinescan.go
@@ -10,31 +10,44 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
+// monitorState follows the heartbeats of machines and zones as a whole, and pauses of
+// this process: what arrives late because of those is nobody else's fault.
+type monitorState struct {
+	lastHeartbeatAt time.Duration            // of any machine
+	zoneHeartbeatAt map[string]time.Duration // before this term, see ZoneHeard
+	zoneMissingAt   map[string]time.Duration // when a whole zone last missed its heartbeats
+	isolatedFor     time.Duration            // for how long ticks have found no new heartbeat
+	tickedAt        time.Duration
+	scannedAt       time.Duration // when a tick last scanned all machines
+	resumedAt       time.Duration // when this process last resumed after a pause
+	loadLoggedAt    time.Duration
+}
+
 // SetMachineTypes takes the cloud's machine types.
 func (s *Scheduler) SetMachineTypes(now Now, types []wire.MachineType) {
 	s.now = now
 	for i := range types {
 		t := types[i]
-		s.types[t.Name] = &t
+		s.cluster.machineTypes[t.Name] = &t
 	}
-	for _, m := range s.machines {
-		m.machineSpec = s.types[m.machineType]
+	for _, m := range s.cluster.machines {
+		m.machineSpec = s.cluster.machineTypes[m.machineType]
 	}
 }
 
 // ResignNoHeartbeats is why a leader resigns that serves nobody.
 const ResignNoHeartbeats = "no worker reaches this node"
 
-// Sequence does what falls due with time.
+// Tick does what falls due with time.
 func (s *Scheduler) Tick(now Now) {
 	s.now = now
-	if now.Mono-s.tickAt > tuning.ProcessPauseThreshold {
-		s.resumedAt = now.Mono
-		s.log(false, "this process stood still", "for_s", (now.Mono - s.tickAt).Seconds())
+	if now.Mono-s.monitor.tickedAt > tuning.ProcessPauseThreshold {
+		s.monitor.resumedAt = now.Mono
+		s.log(false, "this process stood still", "for_s", (now.Mono - s.monitor.tickedAt).Seconds())
 	}
-	scan := now.Mono-s.lookedAt >= s.scanInterval()
+	scan := now.Mono-s.monitor.scannedAt >= s.scanInterval()
 	if scan {
-		s.lookedAt = now.Mono
+		s.monitor.scannedAt = now.Mono
 		s.scanMachines()
 		//mutation:counter-check
 		s.watchCounterLimits()
@@ -43,15 +56,15 @@
 	if scan {
 		s.scaleIn()
 	}
-	if now.Mono-s.loadAt >= tuning.LoadLogInterval {
-		s.loadAt = now.Mono
+	if now.Mono-s.monitor.loadLoggedAt >= tuning.LoadLogInterval {
+		s.monitor.loadLoggedAt = now.Mono
 		s.logLoad()
 	}
 	s.reconciler.Advance(now.Mono)
 	s.resolveUnreadableRecords()
 	s.compactBatches()
-	if now.Mono-s.placedAt >= time.Second {
-		s.dirtyPlace = true // capacity may be offered again, machines heard again
+	if now.Mono-s.placement.lastRoundAt >= time.Second {
+		s.placement.due = true // capacity may be offered again, machines heard again
 	}
 	s.Settle(now)
 }
@@ -74,22 +87,22 @@
 // two reports. Time in which this process stood still does not count: whatever
 // came meanwhile has yet to be read.
 func (s *Scheduler) watchIsolation() {
-	if s.heardAny > s.tickAt {
-		s.alone = 0
+	if s.monitor.lastHeartbeatAt > s.monitor.tickedAt {
+		s.monitor.isolatedFor = 0
 	} else {
-		s.alone += min(s.now.Mono-s.tickAt, 2*tuning.TickInterval)
+		s.monitor.isolatedFor += min(s.now.Mono-s.monitor.tickedAt, 2*tuning.TickInterval)
 	}
-	s.tickAt = s.now.Mono
+	s.monitor.tickedAt = s.now.Mono
 	n := s.upMachineCount()
 	if n == 0 {
 		// Nobody can be silent. Else the first machine that the cloud lists, after a
 		// restart without records, would find that none was heard for long.
 		//mutation:isolation-clock-reset
-		s.alone = 0
+		s.monitor.isolatedFor = 0
 		return
 	}
 	limit := s.settings.HeartbeatInterval * tuning.ResignMissedHeartbeats * tuning.ResignReferenceMachines / time.Duration(max(n, tuning.ResignReferenceMachines))
-	if s.alone > max(limit, tuning.MinResignSilence) {
+	if s.monitor.isolatedFor > max(limit, tuning.MinResignSilence) {
 		s.effects.Resign = ResignNoHeartbeats
 	}
 }
@@ -98,16 +111,16 @@
 func (s *Scheduler) Settle(now Now) {
 	s.now = now
 	s.wakeBackedOffJobs()
-	if s.dirtyPlace && now.Mono-s.placedAt >= s.placementInterval() {
-		s.placedAt = now.Mono
-		s.rounds++
+	if s.placement.due && now.Mono-s.placement.lastRoundAt >= s.placementInterval() {
+		s.placement.lastRoundAt = now.Mono
+		s.placement.rounds++
 		unplaced := s.placePending()
 		s.scaleOut(unplaced)
 	}
 	s.flush()
-	for _, name := range slices.Sorted(maps.Keys(s.pushDue)) {
-		delete(s.pushDue, name)
-		if m := s.machines[name]; m != nil {
+	for _, name := range slices.Sorted(maps.Keys(s.dispatcher.machinesDue)) {
+		delete(s.dispatcher.machinesDue, name)
+		if m := s.cluster.machines[name]; m != nil {
 			s.sendDue(m)
 		}
 	}
@@ -115,12 +128,12 @@
 
 // placementInterval is the least time between two rounds: a round looks at every machine.
 func (s *Scheduler) placementInterval() time.Duration {
-	return tuning.MinPlacementInterval + s.scaleByCPUShare(time.Duration(len(s.machines))*tuning.PlacementIntervalPerMachine)
+	return tuning.MinPlacementInterval + s.scaleByCPUShare(time.Duration(len(s.cluster.machines))*tuning.PlacementIntervalPerMachine)
 }
 
 // scanInterval is the least time between two ticks that look at every machine.
 func (s *Scheduler) scanInterval() time.Duration {
-	return s.scaleByCPUShare(time.Duration(len(s.machines)) * tuning.ScanIntervalPerMachine)
+	return s.scaleByCPUShare(time.Duration(len(s.cluster.machines)) * tuning.ScanIntervalPerMachine)
 }
 
 // scaleByCPUShare stretches what was measured for a process with tuning.ReferenceCPUShare of a core, for
@@ -135,11 +148,11 @@
 
 // wakeBackedOffJobs wakes jobs whose pause after a failure is over.
 func (s *Scheduler) wakeBackedOffJobs() {
-	for j := range s.pausing {
-		if s.now.Mono >= j.retryAt {
-			delete(s.pausing, j)
-			j.retryAt = 0
-			s.dirtyPlace = true
+	for j := range s.placement.backingOff {
+		if s.now.Mono >= j.retry.at {
+			delete(s.placement.backingOff, j)
+			j.retry.at = 0
+			s.placement.due = true
 		}
 	}
 }
@@ -148,40 +161,40 @@
 func (s *Scheduler) logLoad() {
 	used, total := s.cpuUsage()
 	waitingByReason := map[string]int{}
-	for _, j := range s.jobs {
+	for _, j := range s.cluster.jobs {
 		if n := j.pendingTasks(); n > 0 {
-			waitingByReason[j.why] += n
+			waitingByReason[j.waiting.reason] += n
 		}
 	}
 	oldest := s.now.Mono
-	for _, a := range s.toRecord {
-		if !a.sent {
+	for _, a := range s.persister.unrecorded {
+		if !a.start.sent {
 			oldest = min(oldest, a.placedAt)
 		}
 	}
 	if delay := s.now.Mono - oldest; delay > tuning.LateRecordAfter {
 		waitingByReason := "starts wait for their records: too few changes a second"
-		if s.now.Mono < s.holdOff+tuning.StoreRetryDelay {
+		if s.now.Mono < s.persister.blockedUntil+tuning.StoreRetryDelay {
 			waitingByReason = "starts wait for their records: the state service takes no writes"
 		}
-		s.log(false, waitingByReason, "starts", len(s.toRecord), "longest_s", delay.Seconds(), "changes_a_second", s.settings.WriteRate)
+		s.log(false, waitingByReason, "starts", len(s.persister.unrecorded), "longest_s", delay.Seconds(), "changes_a_second", s.settings.WriteRate)
 	}
-	for _, name := range slices.Sorted(maps.Keys(s.usage)) {
-		if usage := s.usage[name]; usage.CPUs > 0 {
+	for _, name := range slices.Sorted(maps.Keys(s.cluster.usage)) {
+		if usage := s.cluster.usage[name]; usage.CPUs > 0 {
 			s.log(true, "team load", "team", name, "cpus_used", usage.CPUs, "cpus_max", s.settings.Teams[name].CPUsMax)
 		}
 	}
-	s.log(true, "load", "cpus_used", used, "cpus_total", total, "machines", len(s.machines), "jobs", len(s.jobs),
+	s.log(true, "load", "cpus_used", used, "cpus_total", total, "machines", len(s.cluster.machines), "jobs", len(s.cluster.jobs),
 		"no_room", waitingByReason["no machine has room"], "team_limit", waitingByReason["its team is at its limit"], "other", waitingByReason[""],
 		"unsettled_s", (s.now.Mono - s.EnforcedCancellationWatermark(s.now.Mono)).Seconds())
 }
 
 // PlacementPending reports whether placement waits for its gap to pass.
-func (s *Scheduler) PlacementPending() bool { return s.dirtyPlace }
+func (s *Scheduler) PlacementPending() bool { return s.placement.due }
 
 func (s *Scheduler) upMachineCount() int {
 	n := 0
-	for _, m := range s.machines {
+	for _, m := range s.cluster.machines {
 		if m.phase == machineUp {
 			n++
 		}
@@ -193,8 +206,8 @@
 // question the last time.
 func (s *Scheduler) scanMachines() {
 	list := s.sortedMachines()
-	first, _ := slices.BinarySearchFunc(list, s.questions.nextMachine, func(m *machine, name string) int { return strings.Compare(m.name, name) })
-	s.questions.nextMachine = ""
+	first, _ := slices.BinarySearchFunc(list, s.dispatcher.probes.nextMachine, func(m *machine, name string) int { return strings.Compare(m.name, name) })
+	s.dispatcher.probes.nextMachine = ""
 	for i := range list {
 		//mutation:status-probe-rotation
 		s.scanMachine(list[(first+i)%len(list)])
@@ -206,14 +219,14 @@
 	if m.phase != machineUp {
 		return
 	}
-	if m.leaveBy > 0 {
+	if m.cloud.interruptionAt > 0 {
 		s.drainMachine(m)
 	}
 	due, waiting := false, false
 	var expired []*attempt
 	for _, a := range m.tasks {
-		waiting = waiting || a.sent && !a.seen
-		if a.sent && !a.seen && !a.halt && a.firstSent > 0 && a.nextProbe <= s.now.Mono && !a.calling {
+		waiting = waiting || a.start.sent && !a.start.acknowledged
+		if a.start.sent && !a.start.acknowledged && !a.stop.requested && a.start.firstSentAt > 0 && a.retry.nextAt <= s.now.Mono && !a.start.callInFlight {
 			// The next probe would be sent now: give up if it is too late for it.
 			if s.now.Mono >= s.dispatchDeadline(a) {
 				expired = append(expired, a)
@@ -221,24 +234,24 @@
 			}
 			due = true
 		}
-		if a.halt && s.now.Mono-a.haltedAt >= tuning.StopResendInterval {
+		if a.stop.requested && s.now.Mono-a.stop.sentAt >= tuning.StopResendInterval {
 			due = true
 		}
 	}
 	sortAttempts(expired)
 	for _, a := range expired {
-		a.giveUp = true
+		a.retry.abandoned = true
 		s.counters.DispatchGiveUps++
-		s.log(false, "start never acknowledged, giving up", "task", wire.TaskName(a.ref.jobID, a.ref.index), "machine", m.name, "probes", a.probes)
-		s.failures = append(s.failures, Failure{wire.TaskName(a.ref.jobID, a.ref.index), a.number, m.name, "ack timeout", s.now.Wall})
+		s.log(false, "start never acknowledged, giving up", "task", wire.TaskName(a.ref.jobID, a.ref.index), "machine", m.name, "probes", a.retry.count)
+		s.cluster.failures = append(s.cluster.failures, Failure{wire.TaskName(a.ref.jobID, a.ref.index), a.number, m.name, "ack timeout", s.now.Wall})
 		s.stopAttempt(a, false, "start never acknowledged")
 	}
 	if due {
 		s.sendDue(m)
 	}
-	heartbeatAge := s.now.Mono - m.heardAt
+	heartbeatAge := s.now.Mono - m.connectivity.lastHeartbeatAt
 	//mutation:status-probe-when-overdue
-	if heartbeatAge > s.heartbeatOverdueAfter() || !m.confirmed || m.unreachableSince > 0 || waiting && m.seenToken < s.fencingToken(m) {
+	if heartbeatAge > s.heartbeatOverdueAfter() || !m.confirmed || m.connectivity.unreachableSince > 0 || waiting && m.fencing.seenToken < s.fencingToken(m) {
 		s.probeStatus(m)
 	}
 }
@@ -246,26 +259,26 @@
 // MachinesListed takes the cloud's list, as it was a while ago.
 func (s *Scheduler) MachinesListed(now Now, list []wire.ListedMachine) {
 	s.now = now
-	s.listed, s.listedAt = true, now.Mono
-	for _, m := range s.machines {
-		m.missing++
+	s.autoscaler.listed, s.autoscaler.listedAt = true, now.Mono
+	for _, m := range s.cluster.machines {
+		m.cloud.missedLists++
 	}
 	for i := range list {
 		listed := &list[i]
-		if s.gone[listed.Name] {
+		if s.cluster.released[listed.Name] {
 			continue
 		}
-		m := s.machines[listed.Name]
+		m := s.cluster.machines[listed.Name]
 		if m == nil {
 			m = s.addMachine(listed.Name, listed.Type, listed.Zone, listed.Spot, listed.Address)
-			m.rentedAt = now.Mono - time.Duration(listed.AgeS*float64(time.Second))
+			m.cloud.provisionedAt = now.Mono - time.Duration(listed.AgeS*float64(time.Second))
 			s.log(false, "machine adopted from the cloud's list", "machine", m.name, "type", m.machineType, "zone", m.zone, "spot", m.spot, "state", listed.State)
-			s.dirtyPlace = true
-			if listed.State == wire.MachineRunning && m.rentedAt < s.startedAt {
+			s.placement.due = true
+			if listed.State == wire.MachineRunning && m.cloud.provisionedAt < s.startedAt {
 				s.reconciler.ExpectMachine(m.name)
 			}
 		}
-		m.missing, m.listedOnce = 0, true
+		m.cloud.missedLists, m.cloud.listed = 0, true
 		if m.address == "" {
 			m.address = listed.Address
 		}
@@ -274,8 +287,8 @@
 			s.markUp(m)
 			s.probeStatus(m)
 		}
-		if listed.State == wire.MachineFailed && !m.failed {
-			m.failed = true
+		if listed.State == wire.MachineFailed && !m.cloud.failed {
+			m.cloud.failed = true
 			s.log(false, "machine failed", "machine", m.name, "tasks", len(m.tasks))
 		}
 	}
@@ -283,7 +296,7 @@
 }
 
 func (s *Scheduler) bootTime(machineType string) time.Duration {
-	if t := s.types[machineType]; t != nil {
+	if t := s.cluster.machineTypes[machineType]; t != nil {
 		return time.Duration(t.BootS * float64(time.Second))
 	}
 	return tuning.MinBootTimeout
