--- a/internal/scheduler/persist.go
+++ b/internal/scheduler/persist.go
@@ -12,6 +12,21 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
+// persistState has what is written or has to be: assignment batches, jobs' progress and
+// deletions, within the write budget.
+type persistState struct {
+	inFlight          map[uint64]*transactionContents
+	batches           map[string]*assignmentBatch
+	unrecorded        []*attempt    // to be written with the next batch
+	nextBatchAt       time.Duration // no batch before then
+	dirtyJobs         map[*job]bool // with something to write
+	unreadableRecords []string      // keys of records that could not be decoded
+	obsoleteKeys      []string      // keys to delete when there is time
+	writeBudget       float64       // changes that may be written now
+	refilledAt        time.Duration
+	blockedUntil      time.Duration // no writes until then: the key-value store refused one
+}
+
 // maxTransactionsInFlight is how many of the leader's transactions may be out at once; they
 // never share a key.
 const maxTransactionsInFlight = 4
@@ -28,24 +43,24 @@
 	return &transaction{request: wire.Txn{If: []wire.Compare{{Key: records.LeaderKey, ModRevision: leaderRevision}}}}
 }
 
-// room reports whether the transaction can take n more changes.
+// canAddChanges reports whether the transaction can take n more changes.
 func (s *Scheduler) canAddChanges(t *transaction, n int) bool {
 	//mutation:write-budget
 	return len(t.request.Then)+n <= s.settings.MaxTransactionOps && t.bytes < tuning.MaxTxnBytes &&
-		float64(len(t.request.Then)+n) <= s.budget
+		float64(len(t.request.Then)+n) <= s.persister.writeBudget
 }
 
 func (s *Scheduler) refillWriteBudget() {
 	rate := s.settings.WriteRate * tuning.StoreWriteRateShare
-	s.budget = min(max(rate, float64(s.settings.MaxTransactionOps)), s.budget+(s.now.Mono-s.budgetAt).Seconds()*rate)
-	s.budgetAt = s.now.Mono
+	s.persister.writeBudget = min(max(rate, float64(s.settings.MaxTransactionOps)), s.persister.writeBudget+(s.now.Mono-s.persister.refilledAt).Seconds()*rate)
+	s.persister.refilledAt = s.now.Mono
 }
 
 // flush writes what is due, the most urgent first: starts that wait for their record,
 // ended jobs, then what can wait.
 func (s *Scheduler) flush() {
 	s.refillWriteBudget()
-	for len(s.commits) < maxTransactionsInFlight && s.now.Mono >= s.holdOff {
+	for len(s.persister.inFlight) < maxTransactionsInFlight && s.now.Mono >= s.persister.blockedUntil {
 		t := s.newTransaction(s.term)
 		// Batches are spaced, and one change has dozens of starts where an end takes
 		// two: a swarm of small jobs that end would keep all starts waiting.
@@ -56,22 +71,22 @@
 		if len(t.request.Then) == 0 {
 			return
 		}
-		s.budget -= float64(len(t.request.Then))
+		s.persister.writeBudget -= float64(len(t.request.Then))
 		s.nextEffectID++
-		s.commits[s.nextEffectID] = &t.contents
+		s.persister.inFlight[s.nextEffectID] = &t.contents
 		s.effects.Commits = append(s.effects.Commits, Commit{ID: s.nextEffectID, Txn: t.request})
 	}
 }
 
 func (s *Scheduler) jobsDueForWrite(minAge time.Duration) []*job {
 	var due []*job
-	for j := range s.dirtyJobs {
-		if j.dirtyAt > 0 && !j.writing && !j.archived && s.now.Mono >= j.blocked && s.now.Mono-j.dirtyAt >= minAge {
+	for j := range s.persister.dirtyJobs {
+		if j.write.dirtyAt > 0 && !j.write.inFlight && !j.archived && s.now.Mono >= j.write.blockedUntil && s.now.Mono-j.write.dirtyAt >= minAge {
 			due = append(due, j)
 		}
 	}
 	slices.SortFunc(due, func(a, b *job) int {
-		if c := cmp.Compare(a.dirtyAt, b.dirtyAt); c != 0 {
+		if c := cmp.Compare(a.write.dirtyAt, b.write.dirtyAt); c != 0 {
 			return c
 		}
 		return strings.Compare(a.id, b.id)
@@ -84,7 +99,7 @@
 // whose limit it counts for.
 func (j *job) readyToArchive() bool {
 	//mutation:cancelled-job-outlives-attempts
-	return j.nDone == j.spec.Tasks || j.cancelled && j.activeCount == 0
+	return j.progress.doneCount == j.spec.Tasks || j.cancelled && j.activeCount == 0
 }
 
 func (s *Scheduler) addEndedJobs(t *transaction) {
@@ -104,9 +119,9 @@
 		t.request.If = append(t.request.If, wire.Compare{Key: records.JobKey(j.id), ModRevision: j.modRevision})
 		t.request.Then = append(t.request.Then,
 			wire.Op{Delete: records.JobKey(j.id)},
-			wire.Op{Set: records.EndedJobKey(j.id), Value: records.EndedJob{State: state, Done: j.nDone, Tasks: j.spec.Tasks, Class: j.spec.Class}})
+			wire.Op{Set: records.EndedJobKey(j.id), Value: records.EndedJob{State: state, Done: j.progress.doneCount, Tasks: j.spec.Tasks, Class: j.spec.Class}})
 		t.bytes += 400
-		j.writing = true
+		j.write.inFlight = true
 		t.contents.jobWrites = append(t.contents.jobWrites, jobWrite{job: j, ended: true})
 	}
 }
@@ -114,7 +129,7 @@
 // progressFlushDelay is how long done tasks wait for their write: longer where many jobs
 // have some, since each job's write is one of its own.
 func (s *Scheduler) progressFlushDelay() time.Duration {
-	return max(tuning.DoneFlushDelay, time.Duration(float64(len(s.dirtyJobs))/(s.settings.WriteRate*tuning.ProgressWriteShare)*float64(time.Second)))
+	return max(tuning.DoneFlushDelay, time.Duration(float64(len(s.persister.dirtyJobs))/(s.settings.WriteRate*tuning.ProgressWriteShare)*float64(time.Second)))
 }
 
 // addJobProgress writes done tasks of unfinished jobs.
@@ -123,17 +138,17 @@
 		if j.readyToArchive() {
 			continue
 		}
-		if s.budget-float64(len(t.request.Then)) < s.settings.WriteRate*tuning.StartWriteReserve {
+		if s.persister.writeBudget-float64(len(t.request.Then)) < s.settings.WriteRate*tuning.StartWriteReserve {
 			return // starts, and jobs that end, come first
 		}
-		if j.nDone == j.nSaved {
+		if j.progress.doneCount == j.progress.savedCount {
 			s.markClean(j)
 			continue
 		}
-		write := jobWrite{job: j, doneBits: append(records.Bitmap(nil), j.done...)}
-		for k := 0; k < j.done.ChunkCount(); k++ {
-			text := j.done.EncodeChunk(k)
-			if text == j.saved.EncodeChunk(k) {
+		write := jobWrite{job: j, doneBits: append(records.Bitmap(nil), j.progress.done...)}
+		for k := 0; k < j.progress.done.ChunkCount(); k++ {
+			text := j.progress.done.EncodeChunk(k)
+			if text == j.progress.saved.EncodeChunk(k) {
 				continue
 			}
 			if !s.canAddChanges(t, 1) {
@@ -147,7 +162,7 @@
 				write.wroteJobRecord = true
 			} else {
 				key := records.BitmapKey(j.id, k)
-				t.request.If = append(t.request.If, wire.Compare{Key: key, ModRevision: j.chunks[k]})
+				t.request.If = append(t.request.If, wire.Compare{Key: key, ModRevision: j.write.chunkRevisions[k]})
 				t.request.Then = append(t.request.Then, wire.Op{Set: key, Value: records.BitmapChunk{Done: text}})
 				write.chunks = append(write.chunks, k)
 			}
@@ -156,7 +171,7 @@
 		if !write.wroteJobRecord && len(write.chunks) == 0 {
 			return
 		}
-		j.writing = true
+		j.write.inFlight = true
 		t.contents.jobWrites = append(t.contents.jobWrites, write)
 	}
 }
@@ -164,9 +179,9 @@
 // addDeletions deletes batches that nothing needs any more, and the further done
 // bits of ended jobs.
 func (s *Scheduler) addDeletions(t *transaction) {
-	for len(s.obsoleteKeys) > 0 && s.canAddChanges(t, 1) {
-		key := s.obsoleteKeys[0]
-		s.obsoleteKeys = s.obsoleteKeys[1:]
+	for len(s.persister.obsoleteKeys) > 0 && s.canAddChanges(t, 1) {
+		key := s.persister.obsoleteKeys[0]
+		s.persister.obsoleteKeys = s.persister.obsoleteKeys[1:]
 		t.request.Then = append(t.request.Then, wire.Op{Delete: key})
 		t.contents.deletedKeys = append(t.contents.deletedKeys, key)
 	}
@@ -186,11 +201,11 @@
 // CommitDone takes the outcome of a transaction.
 func (s *Scheduler) CommitDone(now Now, id uint64, result CommitResult, revision uint64, failedKeys []string) {
 	s.now = now
-	commit := s.commits[id]
+	commit := s.persister.inFlight[id]
 	if commit == nil {
 		return
 	}
-	delete(s.commits, id)
+	delete(s.persister.inFlight, id)
 	conflicting := map[string]bool{}
 	if result == CommitConflict {
 		for _, k := range failedKeys {
@@ -202,10 +217,10 @@
 		}
 	}
 	if result == CommitRefused || result == CommitUnknown {
-		s.holdOff = now.Mono + tuning.StoreRetryDelay
+		s.persister.blockedUntil = now.Mono + tuning.StoreRetryDelay
 	}
 	if result != CommitDone {
-		s.obsoleteKeys = append(s.obsoleteKeys, commit.deletedKeys...)
+		s.persister.obsoleteKeys = append(s.persister.obsoleteKeys, commit.deletedKeys...)
 	}
 	for _, w := range commit.jobWrites {
 		s.jobWritten(w, result, revision, conflicting)
@@ -218,11 +233,11 @@
 
 func (s *Scheduler) jobWritten(write jobWrite, result CommitResult, revision uint64, conflicting map[string]bool) {
 	j := write.job
-	j.writing = false
+	j.write.inFlight = false
 	if result != CommitDone {
 		// After a conflict, or an answer that was lost, the watch brings the
 		// record as it is. Chunks are read again by a retry's conflict.
-		j.blocked = s.now.Mono + tuning.StoreRetryDelay
+		j.write.blockedUntil = s.now.Mono + tuning.StoreRetryDelay
 		for _, k := range write.chunks {
 			if conflicting[records.BitmapKey(j.id, k)] {
 				s.effects.Resign = "a job's bitmap changed under us"
@@ -235,29 +250,29 @@
 		if j.cancelled {
 			state = wire.JobCancelled
 		}
-		for _, k := range slices.Sorted(maps.Keys(j.chunks)) {
-			s.obsoleteKeys = append(s.obsoleteKeys, records.BitmapKey(j.id, k))
+		for _, k := range slices.Sorted(maps.Keys(j.write.chunkRevisions)) {
+			s.persister.obsoleteKeys = append(s.persister.obsoleteKeys, records.BitmapKey(j.id, k))
 		}
 		s.log(false, "job over", "job", j.id, "state", state, "after_s", (s.now.Mono - j.createdAt).Seconds())
-		j.saved = append(records.Bitmap(nil), j.done...)
-		j.nSaved = j.nDone
+		j.progress.saved = append(records.Bitmap(nil), j.progress.done...)
+		j.progress.savedCount = j.progress.doneCount
 		s.markClean(j)
 		s.archiveJob(j)
 		return
 	}
 	if write.wroteJobRecord {
 		j.modRevision = max(j.modRevision, revision)
-		_ = j.saved.MergeChunk(0, write.doneBits.EncodeChunk(0))
+		_ = j.progress.saved.MergeChunk(0, write.doneBits.EncodeChunk(0))
 	}
 	for _, k := range write.chunks {
-		j.chunks[k] = revision
-		_ = j.saved.MergeChunk(k, write.doneBits.EncodeChunk(k))
+		j.write.chunkRevisions[k] = revision
+		_ = j.progress.saved.MergeChunk(k, write.doneBits.EncodeChunk(k))
 	}
-	j.nSaved = j.saved.Count()
+	j.progress.savedCount = j.progress.saved.Count()
 	//mutation:release-saved-attempt
 	s.dropSavedAssignments(j)
 	s.markClean(j)
-	if j.nSaved != j.nDone || j.readyToArchive() {
+	if j.progress.savedCount != j.progress.doneCount || j.readyToArchive() {
 		s.markDirty(j)
 	}
 }
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -2,11 +2,20 @@
 
 import (
 	"math"
+	"time"
 
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
+// placementState says when the next placement round is due.
+type placementState struct {
+	due         bool // something changed that a round may act on
+	lastRoundAt time.Duration
+	rounds      uint64
+	backingOff  map[*job]bool // jobs that wait out a delay after failed attempts
+}
+
 // epsilon absorbs rounding in sums of amounts.
 const epsilon = 1e-6
 
@@ -44,7 +53,7 @@
 // newPlacementRound prepares a round over the queue.
 func (s *Scheduler) newPlacementRound(queue []*job, total float64) *placementRound {
 	r := &placementRound{claimedCPUs: map[*machine]float64{}, totalCPUs: total, reservedQuota: map[string]TeamQuota{}, tasksReserved: map[*job]int{}}
-	for _, j := range s.jobs {
+	for _, j := range s.cluster.jobs {
 		if j.rank == idleRank {
 			r.idleTasks += j.activeCount
 		}
@@ -52,7 +61,7 @@
 	s.findCapacity(r, queue)
 	r.agedShareCPUs = total * tuning.AgedShare
 	for _, j := range queue {
-		if j.old {
+		if j.standing.aged {
 			r.agedShareCPUs -= float64(j.activeCount) * j.spec.CPUs
 		}
 	}
@@ -81,9 +90,9 @@
 	limitedByAgedShare   bool // fewer are tried than could be, for the share of old jobs
 }
 
-// place assigns waiting tasks to machines, in order, and says what was left.
+// placePending assigns waiting tasks to machines, in order, and says what was left.
 func (s *Scheduler) placePending() []unplacedTasks {
-	s.dirtyPlace = false
+	s.placement.due = false
 	_, total := s.cpuUsage()
 	queue := s.schedulingQueue(total)
 	r := s.newPlacementRound(queue, total)
@@ -96,7 +105,7 @@
 			continue
 		}
 		if j.spec.Gang() && t.limit < t.waiting {
-			j.why = "its team is at its limit"
+			j.waiting.reason = "its team is at its limit"
 			r.reserveQuota(j, t.hostable)
 			continue
 		}
@@ -114,16 +123,16 @@
 		}
 		switch {
 		case rest > 0:
-			j.why = "no machine has room"
+			j.waiting.reason = "no machine has room"
 			//mutation:preempt-only-if-some-fit
 			if t.firstPass && t.hostable > 0 {
 				s.preemptFor(r, j, rest, math.Inf(1))
 			}
 			left = append(left, unplacedTasks{j, min(t.waiting, t.quotaHeadroom) - placed})
 		case t.waiting > placed:
-			j.why = "its team is at its limit"
+			j.waiting.reason = "its team is at its limit"
 		default:
-			j.why = ""
+			j.waiting.reason = ""
 		}
 	}
 	return left
@@ -135,22 +144,22 @@
 	if t.waiting == 0 {
 		return t, false
 	}
-	if j.waitSince == 0 {
-		j.waitSince = s.now.Mono
+	if j.waiting.since == 0 {
+		j.waiting.since = s.now.Mono
 	}
 	if s.mayBeInUnreadableRecord(j) {
-		j.why = "a record that may be about it cannot be read"
+		j.waiting.reason = "a record that may be about it cannot be read"
 		return t, false
 	}
 	//mutation:reconciliation-holds-recovered-work
 	if j.recovered && s.reconciler.HoldsRecoveredWork() {
-		j.why = "machines that may run it without a record have yet to report"
+		j.waiting.reason = "machines that may run it without a record have yet to report"
 		return t, false
 	}
 	if s.likelyInvalid(j) && !j.spec.Gang() {
 		// It is tried with one task at a time until one stays.
 		if t.waiting = min(t.waiting, 1-j.activeCount); t.waiting <= 0 {
-			j.why = "it has failed on every machine so far"
+			j.waiting.reason = "it has failed on every machine so far"
 			return t, false
 		}
 	}
@@ -164,7 +173,7 @@
 		s.preemptWithinTeam(j, t.hostable)
 	}
 	if j.spec.Gang() && j.hasStoppingAttempt() {
-		j.why = "its gang is being stopped"
+		j.waiting.reason = "its gang is being stopped"
 		return t, false
 	}
 	s.limitTasks(r, &t)
@@ -178,9 +187,9 @@
 	t.limit = min(t.waiting, t.quotaHeadroom)
 	switch {
 	case j.spec.Gang() || t.limit == 0: // a gang runs as a whole or not at all
-	case j.overdue:
+	case j.standing.prioritized:
 		t.limit = min(t.limit, s.starvedTaskAllowance(j, r.totalCPUs))
-	case j.old && t.firstPass:
+	case j.standing.aged && t.firstPass:
 		all := t.limit
 		t.limit = min(t.limit, int(max(0, r.agedShareCPUs)/max(j.spec.CPUs, 0.1)))
 		r.agedShareCPUs -= float64(t.limit) * j.spec.CPUs
@@ -195,7 +204,7 @@
 	case j.spec.Gang():
 		if s.placeGang(r, j, t.waiting) {
 			placed = t.waiting
-		} else if j.overdue && !r.gangReserved {
+		} else if j.standing.prioritized && !r.gangReserved {
 			r.gangReserved = true
 			s.reserveForGang(j, t.waiting)
 		}
@@ -219,7 +228,7 @@
 		return
 	}
 	for _, m := range s.sortedMachines() {
-		if m.machineSpec != nil && m.cpus+cpus <= m.machineSpec.CPUs+epsilon && m.mem+mem <= m.machineSpec.MemoryGB+epsilon && s.schedulable(m) && !m.summarize().hasUnknownTask {
+		if m.machineSpec != nil && m.used.cpus+cpus <= m.machineSpec.CPUs+epsilon && m.used.memoryGB+mem <= m.machineSpec.MemoryGB+epsilon && s.schedulable(m) && !m.summarize().hasUnknownTask {
 			r.withCapacity = append(r.withCapacity, m)
 		}
 	}
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -38,8 +38,8 @@
 			if at, ok := workers.firstStartAfter[id]; !ok || at > 240*time.Second {
 				t.Fatalf("%s begins after %v", id, at)
 			}
-			if j := h.scheduler.jobs[id]; j != nil {
-				t.Fatalf("%s: %d of %d done after 15 minutes", id, j.nDone, j.spec.Tasks)
+			if j := h.scheduler.cluster.jobs[id]; j != nil {
+				t.Fatalf("%s: %d of %d done after 15 minutes", id, j.progress.doneCount, j.spec.Tasks)
 			}
 		}
 	}
@@ -98,14 +98,14 @@
 			workers.step()
 		}
 		fail[m] = false
-		if n := h.scheduler.jobs["run-000001"]; n.activeCount != 6 && n.retryAt <= h.now {
+		if n := h.scheduler.cluster.jobs["run-000001"]; n.activeCount != 6 && n.retry.at <= h.now {
 			t.Errorf("after the failures on %d machines %d of 6 replicas are placed", i+1, n.activeCount)
 		}
 	}
 	for range 40 {
 		workers.step()
 	}
-	if n := h.scheduler.jobs["run-000001"].runningCount; n != 6 {
+	if n := h.scheduler.cluster.jobs["run-000001"].runningCount; n != 6 {
 		t.Errorf("%d of 6 replicas run: %+v", n, h.scheduler.Job(h.clock(), "run-000001"))
 	}
 }
@@ -124,7 +124,7 @@
 	for h.now < workers.startedAt+tuning.ArrayStarvationBound+15*time.Second {
 		workers.step()
 	}
-	if n := h.scheduler.jobs["run-000002"].activeCount; n != 20 {
+	if n := h.scheduler.cluster.jobs["run-000002"].activeCount; n != 20 {
 		t.Errorf("%d of 20 tasks run where there is room for all", n)
 	}
 }
@@ -163,17 +163,17 @@
 	if again := workers.startCount - tried - 60; again > 5*10 {
 		t.Errorf("jobs with a mistake were started %d times in three minutes", again)
 	}
-	for _, m := range h.scheduler.machines {
-		if m.suspect > h.now {
+	for _, m := range h.scheduler.cluster.machines {
+		if m.quarantine.until > h.now {
 			t.Errorf("%s counts as faulty", m.name)
 		}
 	}
 	for id, at := range came {
-		if begun, ok := workers.firstStartAfter[id]; !ok || h.scheduler.jobs[id] != nil || begun-at > 2*time.Second {
+		if begun, ok := workers.firstStartAfter[id]; !ok || h.scheduler.cluster.jobs[id] != nil || begun-at > 2*time.Second {
 			t.Errorf("%s, which came at %v, began at %v", id, at, begun)
 		}
 	}
-	if l := h.scheduler; l.likelyInvalid(l.jobs["run-000001"]) != true {
+	if l := h.scheduler; l.likelyInvalid(l.cluster.jobs["run-000001"]) != true {
 		t.Error("a job that fails everywhere is not doubted")
 	}
 	faulty = true
@@ -183,8 +183,8 @@
 			workers.step()
 		}
 	}
-	for name, m := range h.scheduler.machines {
-		if avoided := m.suspect > h.now; avoided != (name == "n-2") {
+	for name, m := range h.scheduler.cluster.machines {
+		if avoided := m.quarantine.until > h.now; avoided != (name == "n-2") {
 			t.Errorf("%s avoided: %v", name, avoided)
 		}
 	}
@@ -206,7 +206,7 @@
 		h.now += tuning.MinPlacementInterval
 		h.settle()
 	}
-	if j := h.scheduler.jobs["run-000002"]; j.runningCount != 2 {
+	if j := h.scheduler.cluster.jobs["run-000002"]; j.runningCount != 2 {
 		t.Fatalf("%d of 2 replicas run", j.runningCount)
 	}
 	if h.scheduler.counters.Preempted != 2 || h.scheduler.teamUsage("red").CPUs > 16 {
@@ -219,7 +219,7 @@
 	h := newHarness(t, false, nil, nil)
 	h.bringUp("n-1")
 	h.submit(wire.Job{ID: "run-000001", Tasks: 3, CPUs: 4, Shape: wire.ShapeGang})
-	if len(h.startCommands()) != 0 || h.scheduler.jobs["run-000001"].activeCount != 0 {
+	if len(h.startCommands()) != 0 || h.scheduler.cluster.jobs["run-000001"].activeCount != 0 {
 		t.Fatal("part of a gang was placed")
 	}
 	h.bringUp("n-2")
@@ -235,8 +235,8 @@
 	h.answerAll(CallExecuted)
 	h.heartbeat(where, exitedReport(lost, wire.CauseError))
 	left := 0
-	for _, a := range h.scheduler.jobs["run-000001"].sortedAttempts() {
-		if !a.halt {
+	for _, a := range h.scheduler.cluster.jobs["run-000001"].sortedAttempts() {
+		if !a.stop.requested {
 			left++
 		}
 	}
--- a/internal/scheduler/placement_wait_test.go
+++ b/internal/scheduler/placement_wait_test.go
@@ -29,8 +29,8 @@
 		for h.now < workers.startedAt+560*time.Second {
 			workers.step()
 		}
-		if j := h.scheduler.jobs["run-000001"]; j != nil {
-			t.Errorf("seed %d: %d of %d tasks done, %d on machines: %s", seed, j.nDone, j.spec.Tasks, j.activeCount, j.why)
+		if j := h.scheduler.cluster.jobs["run-000001"]; j != nil {
+			t.Errorf("seed %d: %d of %d tasks done, %d on machines: %s", seed, j.progress.doneCount, j.spec.Tasks, j.activeCount, j.waiting.reason)
 		}
 	}
 }
@@ -53,9 +53,9 @@
 		for from := h.now; h.now < from+maxWaitBesideCapacity; {
 			workers.step()
 		}
-		for id, j := range h.scheduler.jobs {
+		for id, j := range h.scheduler.cluster.jobs {
 			if j.rank != idleRank && j.activeCount == 0 {
-				t.Errorf("seed %d: %s waits beside room: %s", seed, id, j.why)
+				t.Errorf("seed %d: %s waits beside room: %s", seed, id, j.waiting.reason)
 			}
 		}
 	}
@@ -78,7 +78,7 @@
 				t.Errorf("due in %v s: sent again after %v, having been lost %d times", due, wait, lost)
 				break
 			}
-			if h.scheduler.jobs["run-000001"].activeCount == 0 {
+			if h.scheduler.cluster.jobs["run-000001"].activeCount == 0 {
 				break // given up, and to be placed anew
 			}
 			lost++
@@ -99,15 +99,15 @@
 	for h.now < workers.startedAt+maxWaitBesideCapacity {
 		workers.step()
 	}
-	if j := h.scheduler.jobs["run-000002"]; j != nil && j.nDone == 0 && j.runningCount == 0 {
-		t.Errorf("nothing of it runs: %s", j.why)
+	if j := h.scheduler.cluster.jobs["run-000002"]; j != nil && j.progress.doneCount == 0 && j.runningCount == 0 {
+		t.Errorf("nothing of it runs: %s", j.waiting.reason)
 	}
 	stopped := h.scheduler.counters.Preempted
 	for h.now < workers.startedAt+3*maxWaitBesideCapacity {
 		workers.step()
 	}
-	if j := h.scheduler.jobs["run-000002"]; j != nil {
-		t.Errorf("%d of %d tasks done", j.nDone, j.spec.Tasks)
+	if j := h.scheduler.cluster.jobs["run-000002"]; j != nil {
+		t.Errorf("%d of %d tasks done", j.progress.doneCount, j.spec.Tasks)
 	}
 	if n := h.scheduler.counters.Preempted - stopped; n > 0 {
 		t.Errorf("%d of its tasks were stopped for what cannot start", n)
@@ -129,9 +129,9 @@
 		for h.now < workers.startedAt+maxWaitBesideCapacity {
 			workers.step()
 		}
-		for id, j := range h.scheduler.jobs {
+		for id, j := range h.scheduler.cluster.jobs {
 			if j.activeCount == 0 {
-				t.Errorf("seed %d: %s waits: %s", seed, id, j.why)
+				t.Errorf("seed %d: %s waits: %s", seed, id, j.waiting.reason)
 			}
 		}
 	}
@@ -150,8 +150,8 @@
 	for from := h.now; h.now < from+maxWaitBesideCapacity; {
 		workers.step()
 	}
-	if j := h.scheduler.jobs["run-000002"]; j != nil {
-		t.Errorf("%d of 6 tasks done, %d running: %s", j.nDone, j.runningCount, j.why)
+	if j := h.scheduler.cluster.jobs["run-000002"]; j != nil {
+		t.Errorf("%d of 6 tasks done, %d running: %s", j.progress.doneCount, j.runningCount, j.waiting.reason)
 	}
 }
 
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -20,15 +20,15 @@
 	cpus := u.CPUs + float64(n)*j.spec.CPUs - team.CPUsMax
 	gpus := u.GPUs + float64(n)*j.spec.GPUs - team.GPUsMax
 	var victims []*attempt
-	for _, v := range s.jobs {
+	for _, v := range s.cluster.jobs {
 		if v.spec.Team != j.spec.Team || v == j {
 			continue
 		}
 		for _, a := range v.sortedAttempts() {
-			if a.halt {
+			if a.stop.requested {
 				cpus -= v.spec.CPUs // room on its way
 				gpus -= v.spec.GPUs
-			} else if v.rank > j.rank && (a.seen || !a.sent) {
+			} else if v.rank > j.rank && (a.start.acknowledged || !a.start.sent) {
 				victims = append(victims, a)
 			}
 		}
@@ -41,8 +41,8 @@
 		if ga, gb := good(a), good(b); ga != gb {
 			return ga
 		}
-		if a.job.hope != b.job.hope {
-			return a.job.hope > b.job.hope
+		if a.job.plan.feasible != b.job.plan.feasible {
+			return a.job.plan.feasible > b.job.plan.feasible
 		}
 		if a.placedAt != b.placedAt {
 			return a.placedAt > b.placedAt
@@ -64,7 +64,7 @@
 // mayPreempt reports whether the victim's end is a reason the rules know.
 func (s *Scheduler) mayPreempt(j *job, a *attempt) bool {
 	v := a.job
-	if v == nil || v == j || a.halt || a.sent && !a.seen {
+	if v == nil || v == j || a.stop.requested || a.start.sent && !a.start.acknowledged {
 		return false // the last: its start is on its way, and soon acknowledged
 	}
 	if a.ofStarvedJob() && j.rank > 0 {
@@ -73,18 +73,18 @@
 	if v.rank > j.rank {
 		return true
 	}
-	if !j.within || v.spec.Team == j.spec.Team || v.rank == 0 {
+	if !j.standing.withinGuarantee || v.spec.Team == j.spec.Team || v.rank == 0 {
 		return false
 	}
 	guarantee := s.settings.Teams[v.spec.Team]
 	u := s.teamUsage(v.spec.Team)
-	return !v.within && (u.CPUs-v.spec.CPUs >= guarantee.CPUs-epsilon || v.spec.GPUs > 0 && u.GPUs-v.spec.GPUs >= guarantee.GPUs-epsilon)
+	return !v.standing.withinGuarantee && (u.CPUs-v.spec.CPUs >= guarantee.CPUs-epsilon || v.spec.GPUs > 0 && u.GPUs-v.spec.GPUs >= guarantee.GPUs-epsilon)
 }
 
 // hasTightDeadline reports whether a task of the job that started anew now would miss the
 // deadline that the job can still meet.
 func (s *Scheduler) hasTightDeadline(j *job) bool {
-	return len(j.dues) > 0 && !j.missesAllDeadlines() && s.secondsToDeadline(j) < j.taskDuration()*tuning.DeadlineFeasibilityFactor
+	return len(j.plan.deadlines) > 0 && !j.missesAllDeadlines() && s.secondsToDeadline(j) < j.taskDuration()*tuning.DeadlineFeasibilityFactor
 }
 
 // preemptionSearch is a search for room that stops make for one job.
@@ -142,16 +142,16 @@
 	// Idle work makes room at once, for work beyond a guarantee too. Other work does
 	// for what is within one, and not right away: room may come by itself, and what
 	// is stopped is lost.
-	onlyIdle := j.rank > 0 && (!j.within || s.now.Mono-j.createdAt < s.settings.GuaranteedStartWithin/2)
+	onlyIdle := j.rank > 0 && (!j.standing.withinGuarantee || s.now.Mono-j.createdAt < s.settings.GuaranteedStartWithin/2)
 	if onlyIdle && (j.rank >= idleRank || r.idleTasks == 0) {
 		return 0
 	}
 	if j.rank > 0 {
-		if r.preemptionSearches >= tuning.PreemptionJobsPerRound || j.preemptAt > 0 && s.now.Mono-j.preemptAt < tuning.MinPreemptionInterval {
+		if r.preemptionSearches >= tuning.PreemptionJobsPerRound || j.waiting.preemptionTriedAt > 0 && s.now.Mono-j.waiting.preemptionTriedAt < tuning.MinPreemptionInterval {
 			return 0 // a look at every task of the cluster is not cheap
 		}
 		r.preemptionSearches++
-		j.preemptAt = s.now.Mono
+		j.waiting.preemptionTriedAt = s.now.Mono
 	}
 	p := &preemptionSearch{scheduler: s, round: r, job: j, wanted: n, belowCost: below, onlyIdle: onlyIdle, attemptsByZone: j.attemptsByZone(), replicasByMachine: j.replicasByMachine()}
 	options := p.collectOptions()
@@ -196,7 +196,7 @@
 	if !math.IsInf(p.belowCost, 1) && (!m.hasImage(j.spec.Image) || l.placementCost(j, m, p.attemptsByZone, p.replicasByMachine[m]) >= p.belowCost) {
 		return false
 	}
-	return l.schedulable(m) && j.allowsMachine(m.machineType, m.zone, m.spot) && j.allowsZone(p.attemptsByZone, m.zone) && !m.summarize().hasUnknownTask && m.suspect <= l.now.Mono
+	return l.schedulable(m) && j.allowsMachine(m.machineType, m.zone, m.spot) && j.allowsZone(p.attemptsByZone, m.zone) && !m.summarize().hasUnknownTask && m.quarantine.until <= l.now.Mono
 }
 
 // inspect gives what is free on the machine once stops that were sent are carried out, and
@@ -204,10 +204,10 @@
 func (p *preemptionSearch) inspect(m *machine) (*pendingCapacity, []*attempt) {
 	// What is being stopped already will make room too, once.
 	claimed := p.round.claimedCPUs[m]
-	free := &pendingCapacity{m, m.cpus + claimed, m.gpus, m.mem + claimed*p.job.spec.MemoryGB/max(p.job.spec.CPUs, epsilon)}
+	free := &pendingCapacity{m, m.used.cpus + claimed, m.used.gpus, m.used.memoryGB + claimed*p.job.spec.MemoryGB/max(p.job.spec.CPUs, epsilon)}
 	var victims []*attempt
 	for _, a := range m.tasks {
-		if a.halt && a.job != nil {
+		if a.stop.requested && a.job != nil {
 			free.remove(a)
 		} else if p.scheduler.mayPreempt(p.job, a) && (!p.onlyIdle || a.job.rank == idleRank) {
 			victims = append(victims, a)
@@ -221,10 +221,10 @@
 	l, j := p.scheduler, p.job
 	p.round.claimedCPUs[m] += j.spec.CPUs
 	//mutation:reservation-is-kept
-	if m.keptFor == j.id || m.keptTo <= l.now.Mono || j.rank == 0 {
+	if m.reservation.jobID == j.id || m.reservation.until <= l.now.Mono || j.rank == 0 {
 		// Whom it is kept for already goes first. Two jobs that took it from each
 		// other, each found it kept for the other once the room was there.
-		m.keptFor, m.keptTo = j.id, l.now.Mono+tuning.PreemptionReservationTTL
+		m.reservation.jobID, m.reservation.until = j.id, l.now.Mono+tuning.PreemptionReservationTTL
 	}
 	if p.attemptsByZone != nil {
 		p.attemptsByZone[m.zone]++
@@ -253,7 +253,7 @@
 	return preemptionOption{free.machine, victims[:k], cost}, k > 0 && free.fits(p.job)
 }
 
-// before reports whether an attempt is stopped rather than another.
+// stopsBefore reports whether an attempt is stopped rather than another.
 func (p *preemptionSearch) stopsBefore(x, y *attempt) bool {
 	if bx, by := x.ofStarvedJob(), y.ofStarvedJob(); bx != by {
 		return by
@@ -261,8 +261,8 @@
 	if x.job.rank != y.job.rank {
 		return x.job.rank > y.job.rank
 	}
-	if x.job.hope != y.job.hope {
-		return x.job.hope > y.job.hope // late already: the delay costs nothing
+	if x.job.plan.feasible != y.job.plan.feasible {
+		return x.job.plan.feasible > y.job.plan.feasible // late already: the delay costs nothing
 	}
 	if tx, ty := p.scheduler.hasTightDeadline(x.job), p.scheduler.hasTightDeadline(y.job); tx != ty {
 		return ty
--- a/internal/scheduler/reconciliation.go
+++ b/internal/scheduler/reconciliation.go
@@ -9,7 +9,7 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// recovery is what the term's recovery depends on.
+// reconcileConfig is what the term's recovery depends on.
 func (s Settings) reconcileConfig() reconcile.Config {
 	return reconcile.Config{
 		//mutation:reconciliation-enabled
@@ -32,7 +32,7 @@
 }
 
 // PlacementRounds is how many rounds of placement there were in this term.
-func (s *Scheduler) PlacementRounds() uint64 { return s.rounds }
+func (s *Scheduler) PlacementRounds() uint64 { return s.placement.rounds }
 
 // takeReconciliationEvents moves the recovery's events into the effects.
 func (s *Scheduler) takeReconciliationEvents() {
@@ -60,7 +60,7 @@
 
 // evidenceFor gathers what is known of an attempt from before the term.
 func (s *Scheduler) evidenceFor(a *attempt, observation reconcile.Observation) reconcile.Evidence {
-	e := reconcile.Evidence{Observation: observation, Recorded: a.class == reconcile.MissingUnproven}
+	e := reconcile.Evidence{Observation: observation, Recorded: a.reconciliation.class == reconcile.MissingUnproven}
 	j := a.job
 	if j == nil {
 		return e
@@ -68,7 +68,7 @@
 	//mutation:recovered-attempt-of-cancelled-job
 	e.JobIsLive = !j.cancelled && !j.archived
 	//mutation:recovered-attempt-of-done-task
-	e.TaskIsDone = j.done.Has(a.ref.index)
+	e.TaskIsDone = j.progress.done.Has(a.ref.index)
 	// Of two recorded attempts of a task, the first to be reported is the one that
 	// stays. A third, without a record, is stopped whatever became of these.
 	//mutation:recovered-attempt-duplicate
@@ -87,7 +87,7 @@
 func (s *Scheduler) hasDuplicate(a *attempt, reported bool) bool {
 	for _, other := range a.job.active[a.ref.index] {
 		//mutation:first-reported-duplicate-stays
-		if other != a && (!reported || other.seen && !other.halt) {
+		if other != a && (!reported || other.start.acknowledged && !other.stop.requested) {
 			return true
 		}
 	}
@@ -101,7 +101,7 @@
 
 // classifyRecorded takes the first sighting of an attempt that a record named.
 func (s *Scheduler) classifyRecorded(a *attempt, observation reconcile.Observation) {
-	if a.class != reconcile.MissingUnproven {
+	if a.reconciliation.class != reconcile.MissingUnproven {
 		return
 	}
 	verdict := reconcile.Classify(s.evidenceFor(a, observation))
@@ -109,7 +109,7 @@
 		return
 	}
 	if verdict.Class == reconcile.Confirmed {
-		a.class = reconcile.Confirmed
+		a.reconciliation.class = reconcile.Confirmed
 		s.reconciler.ConfirmAttempt(s.now.Mono, a.machine.name)
 		return
 	}
@@ -123,7 +123,7 @@
 // tells the recovery of it: a copy of an earlier one may list what is long gone. The
 // attempt counts all the same, from when it is first seen.
 func (s *Scheduler) confirmActive(a *attempt) {
-	if !a.machine.underTerm {
+	if !a.machine.heartbeats.underTerm {
 		return
 	}
 	s.classifyRecorded(a, reconcile.Active)
@@ -132,7 +132,7 @@
 
 // deferVerdict keeps the verdict on an unexpected attempt until it is confirmed, or has ended.
 func (s *Scheduler) deferVerdict(a *attempt, verdict reconcile.Verdict) {
-	a.pending = verdict
+	a.reconciliation.deferredVerdict = verdict
 	if s.fromEarlierTerm(a.number) {
 		s.reconciler.ExpectOperations(s.newDifference(a.machine, a.ref, a.number, verdict, false))
 	}
@@ -140,9 +140,9 @@
 
 // reportDeferredVerdict tells the recovery of an unexpected attempt.
 func (s *Scheduler) reportDeferredVerdict(a *attempt) {
-	if a.pending.Class != reconcile.None {
-		verdict := a.pending
-		a.pending = reconcile.Verdict{}
+	if a.reconciliation.deferredVerdict.Class != reconcile.None {
+		verdict := a.reconciliation.deferredVerdict
+		a.reconciliation.deferredVerdict = reconcile.Verdict{}
 		s.reportDifference(a, verdict, false)
 	}
 }
@@ -151,13 +151,13 @@
 // ended, or has a cancellation that the last leader did not see through. No watch tells of
 // these again.
 func (s *Scheduler) stopObsoleteAttempts() {
-	sortAttempts(s.obsolete)
-	for _, a := range s.obsolete {
+	sortAttempts(s.cluster.obsoleteAttempts)
+	for _, a := range s.cluster.obsoleteAttempts {
 		if a.machine.tasks[a.ref] == a {
 			s.classifyRecorded(a, reconcile.Unreported)
 		}
 	}
-	s.obsolete = nil
+	s.cluster.obsoleteAttempts = nil
 }
 
 // reportDifference hands a verdict to the recovery, if the attempt is from before the term.
@@ -165,9 +165,9 @@
 	if !s.fromEarlierTerm(a.number) {
 		return
 	}
-	a.class = verdict.Class
+	a.reconciliation.class = verdict.Class
 	if verdict.Action == reconcile.Stop {
-		a.awaitsStop = true
+		a.reconciliation.awaitsStop = true
 		s.reconciler.AwaitStop()
 	}
 	s.reconciler.AddDifference(s.now.Mono, s.newDifference(a.machine, a.ref, a.number, verdict, recorded))
@@ -180,13 +180,13 @@
 	}
 }
 
-// before reports whether an attempt's number is of a term before this one.
+// fromEarlierTerm reports whether an attempt's number is of a term before this one.
 func (s *Scheduler) fromEarlierTerm(number uint64) bool { return number>>tuning.FencingBits != s.term }
 
 // countStopProven takes note that an attempt is gone which a difference had to stop.
 func (s *Scheduler) countStopProven(a *attempt) {
-	if a.awaitsStop {
-		a.awaitsStop = false
+	if a.reconciliation.awaitsStop {
+		a.reconciliation.awaitsStop = false
 		s.reconciler.StopProven(s.now.Mono)
 	}
 }
@@ -197,8 +197,8 @@
 	if report.Cause != wire.CauseDone || !s.fromEarlierTerm(report.Attempt) {
 		return
 	}
-	a := &attempt{ref: ref, machine: m, number: report.Attempt, seen: true}
-	if j := s.jobs[ref.jobID]; j != nil && ref.index < j.spec.Tasks && !j.service {
+	a := &attempt{ref: ref, machine: m, number: report.Attempt, start: startState{acknowledged: true}}
+	if j := s.cluster.jobs[ref.jobID]; j != nil && ref.index < j.spec.Tasks && !j.service {
 		a.job = j
 	}
 	verdict := reconcile.Classify(s.evidenceFor(a, reconcile.Completed))
@@ -221,7 +221,7 @@
 // start it anew before the machine has reported.
 func (s *Scheduler) keepAssignmentUntilSaved(a *attempt) {
 	j := a.job
-	if j == nil || j.service || j.archived || len(a.batches) == 0 || a.ref.index >= j.spec.Tasks || j.saved.Has(a.ref.index) {
+	if j == nil || j.service || j.archived || len(a.assignment.batches) == 0 || a.ref.index >= j.spec.Tasks || j.progress.saved.Has(a.ref.index) {
 		return
 	}
 	if j.unsavedAttempts == nil {
@@ -241,7 +241,7 @@
 // ended.
 func (s *Scheduler) dropSavedAssignments(j *job) {
 	for index, a := range j.unsavedAttempts {
-		if !j.archived && !j.saved.Has(index) {
+		if !j.archived && !j.progress.saved.Has(index) {
 			continue
 		}
 		delete(j.unsavedAttempts, index)
@@ -251,10 +251,10 @@
 
 // removeFromBatches takes an attempt out of all its batches.
 func (s *Scheduler) removeFromBatches(a *attempt) {
-	for _, b := range a.batches {
+	for _, b := range a.assignment.batches {
 		s.removeFromBatch(b, a)
 	}
-	a.batches = nil
+	a.assignment.batches = nil
 }
 
 // eachUnconfirmedMachine visits the machines that may turn out to have room once they report, with
@@ -264,10 +264,10 @@
 		return
 	}
 	for _, m := range s.sortedMachines() {
-		if m.confirmed || m.phase == machineReleasing || m.machineSpec == nil || m.failed || m.leaveBy > 0 || !s.reconciler.MayHaveCapacity(m.name, m.unanswered > 0) {
+		if m.confirmed || m.phase == machineReleasing || m.machineSpec == nil || m.cloud.failed || m.cloud.interruptionAt > 0 || !s.reconciler.MayHaveCapacity(m.name, m.calls.unanswered > 0) {
 			continue
 		}
-		visit(m, capacitySlot{m.machineType, m.zone, m.spot, m.machineSpec, m.machineSpec.CPUs - m.cpus, m.machineSpec.GPUs - m.gpus, m.machineSpec.MemoryGB - m.mem})
+		visit(m, capacitySlot{m.machineType, m.zone, m.spot, m.machineSpec, m.machineSpec.CPUs - m.used.cpus, m.machineSpec.GPUs - m.used.gpus, m.machineSpec.MemoryGB - m.used.memoryGB})
 	}
 }
 
--- a/internal/scheduler/reconciliation_test.go
+++ b/internal/scheduler/reconciliation_test.go
@@ -82,14 +82,14 @@
 	h.bringUp("n-2") // the second task has a batch of its own
 	h.advance(time.Second, "n-2")
 	h.answerAll(CallExecuted)
-	live := map[string]*LiveJob{restartedJobID: {Record: &records.Job{Job: h.scheduler.jobs[restartedJobID].spec}, ModRevision: h.revision}}
+	live := map[string]*LiveJob{restartedJobID: {Record: &records.Job{Job: h.scheduler.cluster.jobs[restartedJobID].spec}, ModRevision: h.revision}}
 	h.heartbeat("n-1", exitedReport(first, wire.CauseDone))
 	h.advance(tuning.DoneFlushDelay / 2)
 	if n := h.recordedAttempts(); n != 2 {
 		t.Fatalf("%d attempts are recorded before the task is durably done, not 2", n)
 	}
 	next := newHarness(t, false, nil, nil)
-	next.startTerm(h.scheduler.settings, harnessTerm+10, live, slices.Collect(maps.Values(h.items)), []wire.MachineType{*h.scheduler.types["box"]})
+	next.startTerm(h.scheduler.settings, harnessTerm+10, live, slices.Collect(maps.Values(h.items)), []wire.MachineType{*h.scheduler.cluster.machineTypes["box"]})
 	next.bringUp("n-3")
 	next.advance(2*time.Second, "n-3")
 	if s := next.startCommands(); len(s) > 0 {
@@ -98,8 +98,8 @@
 	next.answerAll(CallLost)
 	next.heartbeat("n-1", exitedReport(first, wire.CauseDone))
 	next.heartbeat("n-1", exitedReport(first, wire.CauseDone))
-	if j := next.scheduler.jobs[restartedJobID]; j.nDone != 1 || next.differenceClasses()[reconcile.FinishedUnrecorded.String()] != 1 {
-		t.Errorf("%d done, classes %v", j.nDone, next.differenceClasses())
+	if j := next.scheduler.cluster.jobs[restartedJobID]; j.progress.doneCount != 1 || next.differenceClasses()[reconcile.FinishedUnrecorded.String()] != 1 {
+		t.Errorf("%d done, classes %v", j.progress.doneCount, next.differenceClasses())
 	}
 	h.advance(tuning.DoneFlushDelay+2*time.Second, "n-2")
 	if n := h.recordedAttempts(); n != 1 {
@@ -194,7 +194,7 @@
 	h.heartbeat("n-1", taskReport(5, wire.TaskRunning))
 	h.heartbeat("n-1", ended)
 	h.scheduler.MachinesListed(h.clock(), nil)
-	if m := h.scheduler.machines["n-1"]; len(m.tasks) > 0 || h.scheduler.reconciler.Phase() != reconcile.Settled {
+	if m := h.scheduler.cluster.machines["n-1"]; len(m.tasks) > 0 || h.scheduler.reconciler.Phase() != reconcile.Settled {
 		t.Errorf("%d tasks, %v", len(m.tasks), h.scheduler.reconciler.Phase())
 	}
 }
@@ -228,7 +228,7 @@
 			h.advance(tuning.TickInterval)
 			h.calls = nil
 		}
-		if m := h.scheduler.machines["n-1"]; len(h.provisionRequests) == 0 && !slices.ContainsFunc(m.sortedAttempts(), func(a *attempt) bool { return a.halt }) {
+		if m := h.scheduler.cluster.machines["n-1"]; len(h.provisionRequests) == 0 && !slices.ContainsFunc(m.sortedAttempts(), func(a *attempt) bool { return a.stop.requested }) {
 			t.Errorf("with recovery %v: still held after the bound", enabled)
 		}
 	}
@@ -298,7 +298,7 @@
 		t.Fatalf("after the release: started %v", h.startCommands())
 	}
 	h.calls = nil
-	if reply := h.heartbeat("n-1", taskReport(5, wire.TaskRunning)); len(reply.Commands) > 0 || h.scheduler.machines["n-1"] != nil {
+	if reply := h.heartbeat("n-1", taskReport(5, wire.TaskRunning)); len(reply.Commands) > 0 || h.scheduler.cluster.machines["n-1"] != nil {
 		t.Errorf("minutes later: commands %v", reply.Commands)
 	}
 }
@@ -353,7 +353,7 @@
 		for range seconds * int(time.Second/tuning.TickInterval) {
 			h.now += tuning.TickInterval
 			for _, it := range list {
-				h.scheduler.heardAny, h.scheduler.machines[it.Name].heardAt = h.now, h.now
+				h.scheduler.monitor.lastHeartbeatAt, h.scheduler.cluster.machines[it.Name].connectivity.lastHeartbeatAt = h.now, h.now
 			}
 			h.scheduler.Tick(h.clock())
 			h.settle()
--- a/internal/scheduler/replica.go
+++ b/internal/scheduler/replica.go
@@ -63,7 +63,7 @@
 	Live *LiveJob // nil if the job is no longer live
 }
 
-// Then brings the copy up to date. Entries at or before the copy's epoch were
+// Apply brings the copy up to date. Entries at or before the copy's epoch were
 // applied before, by another answer that overtook this one.
 func (r *Replica) Apply(changes wire.WatchReply) (touched []JobChange, bad []string) {
 	for _, entry := range changes.Events {
--- a/internal/scheduler/scalein.go
+++ b/internal/scheduler/scalein.go
@@ -9,7 +9,7 @@
 
 // scaleIn gives back what is broken, lost, too slow to come up, or idle.
 func (s *Scheduler) scaleIn() {
-	if s.now.Mono < s.releaseRetryAt || !s.holdsLease() || !s.reconciler.CloudCallReady(s.now.Mono) {
+	if s.now.Mono < s.autoscaler.releaseRetryAt || !s.holdsLease() || !s.reconciler.CloudCallReady(s.now.Mono) {
 		return
 	}
 	missingZones := s.zonesMissingHeartbeats()
@@ -31,22 +31,22 @@
 		if reason == "" {
 			continue
 		}
-		s.log(m.loggedReason == reason, "giving machine back", "machine", m.name, "type", m.machineType, "zone", m.zone, "spot", m.spot, "why", reason, "tasks", len(m.tasks))
-		if m.loggedReason == "" {
+		s.log(m.release.reason == reason, "giving machine back", "machine", m.name, "type", m.machineType, "zone", m.zone, "spot", m.spot, "why", reason, "tasks", len(m.tasks))
+		if m.release.reason == "" {
 			s.reconciler.CountOperation(s.now.Mono, reconcile.Operation{Kind: reconcile.ReleaseOperation, Machine: m.name})
 		}
-		m.phase, m.loggedReason = machineReleasing, reason // repeated while the cloud refuses
+		m.phase, m.release.reason = machineReleasing, reason // repeated while the cloud refuses
 		for _, a := range m.sortedAttempts() {
 			//mutation:release-detaches-unsent-only
-			if !a.sent {
+			if !a.start.sent {
 				s.detach(a)
 			}
 		}
 		names = append(names, m.name)
 	}
 	for _, m := range s.sortedMachines() {
-		if m.phase == machineReleasing && m.askAgain && len(names) < tuning.MaxReleaseBatch {
-			m.askAgain = false
+		if m.phase == machineReleasing && m.release.retryDue && len(names) < tuning.MaxReleaseBatch {
+			m.release.retryDue = false
 			names = append(names, m.name)
 		}
 	}
@@ -63,10 +63,10 @@
 		return ""
 	case machineBooting:
 		bootTimeout := max(tuning.MinBootTimeout, s.bootTime(m.machineType)*time.Duration(100*s.settings.Policy.BootTimeoutFactor)/100)
-		if m.failed {
+		if m.cloud.failed {
 			return "failed while starting"
 		}
-		if now-m.rentedAt > bootTimeout && now-max(m.knownAt, s.resumedAt) > tuning.FirstHeartbeatGrace {
+		if now-m.cloud.provisionedAt > bootTimeout && now-max(m.knownAt, s.monitor.resumedAt) > tuning.FirstHeartbeatGrace {
 			// The grace is for those that came up before our term, or while we
 			// stood still: they report within seconds, and were given back by
 			// mistake without it.
@@ -77,33 +77,33 @@
 	}
 	// Silence while this process stood still is not theirs: what they sent has yet
 	// to be read, or went elsewhere.
-	heartbeatAge := now - max(m.heardAt, s.resumedAt)
-	if m.failed && heartbeatAge > s.settings.HeartbeatInterval*2 {
+	heartbeatAge := now - max(m.connectivity.lastHeartbeatAt, s.monitor.resumedAt)
+	if m.cloud.failed && heartbeatAge > s.settings.HeartbeatInterval*2 {
 		return "failed"
 	}
 	if missingZones[m.zone] {
 		return s.zoneReleaseReason(m, heartbeatAge)
 	}
 	// Of a zone that was silent and is back, machines are heard one by one.
-	heartbeatAge = min(heartbeatAge, now-s.zoneBack[m.zone])
+	heartbeatAge = min(heartbeatAge, now-s.monitor.zoneMissingAt[m.zone])
 	//mutation:reconciliation-holds-release
-	if m.unansweredSinceHeard >= tuning.UnansweredProbeThreshold && !s.reconciler.HoldsRelease(now, m.name) && heartbeatAge > s.heartbeatOverdueAfter()+tuning.CommandTimeout*tuning.UnansweredProbeThreshold && len(m.tasks) > 0 {
+	if m.calls.unansweredSinceHeartbeat >= tuning.UnansweredProbeThreshold && !s.reconciler.HoldsRelease(now, m.name) && heartbeatAge > s.heartbeatOverdueAfter()+tuning.CommandTimeout*tuning.UnansweredProbeThreshold && len(m.tasks) > 0 {
 		// It is dead, hangs or is cut off. Until its lease ends its tasks could
 		// start nowhere else; the answer to the release lets them at once.
 		return "silent, and questions stay unanswered"
 	}
-	if m.listedOnce && m.missing >= tuning.MissingListThreshold && heartbeatAge > s.settings.HeartbeatInterval*2 {
+	if m.cloud.listed && m.cloud.missedLists >= tuning.MissingListThreshold && heartbeatAge > s.settings.HeartbeatInterval*2 {
 		// Once listed, a machine stays listed until it is gone, but a list can
 		// be old. So this proves nothing: the answer to the release does.
 		return "silent and no longer listed"
 	}
-	if m.unreachableSince > 0 && now-max(m.unreachableSince, s.resumedAt) > s.settings.WorkerLease {
+	if m.connectivity.unreachableSince > 0 && now-max(m.connectivity.unreachableSince, s.monitor.resumedAt) > s.settings.WorkerLease {
 		return "nothing reaches it"
 	}
 	if heartbeatAge > s.settings.WorkerLease-tuning.EarlyReleaseMargin {
 		return "silent for longer than its lease"
 	}
-	if len(m.tasks) == 0 && m.leaveBy == 0 && m.suspect > now {
+	if len(m.tasks) == 0 && m.cloud.interruptionAt == 0 && m.quarantine.until > now {
 		return "unrelated jobs fail there"
 	}
 	return ""
@@ -116,7 +116,7 @@
 
 // zoneReleaseReason is why a machine of a zone that is silent as a whole is given back.
 func (s *Scheduler) zoneReleaseReason(m *machine, heartbeatAge time.Duration) string {
-	if at, ok := s.zoneHeard[m.zone]; ok {
+	if at, ok := s.monitor.zoneHeartbeatAt[m.zone]; ok {
 		// The zone fell silent before our term, and was not heard in it.
 		heartbeatAge = max(heartbeatAge, s.now.Mono-at)
 	}
@@ -131,7 +131,7 @@
 
 // ZoneLastSeen tells a new leader when its process last heard a peer in a zone.
 func (s *Scheduler) ZoneLastSeen(zone string, at time.Duration) {
-	s.zoneHeard[zone] = max(at, s.zoneHeard[zone])
+	s.monitor.zoneHeartbeatAt[zone] = max(at, s.monitor.zoneHeartbeatAt[zone])
 }
 
 // canMoveElsewhere reports whether most of what is on a silent machine could start in
@@ -172,7 +172,7 @@
 		}
 	}
 	zones := map[string]bool{}
-	for _, t := range s.types {
+	for _, t := range s.cluster.machineTypes {
 		for _, other := range t.Zones {
 			zones[other] = other != zone && j.allowsMachine(t.Name, other, false)
 		}
@@ -205,15 +205,15 @@
 // them is given back by itself.
 func (s *Scheduler) zonesMissingHeartbeats() map[string]bool {
 	total, missed, overdue := map[string]int{}, map[string]int{}, map[string]int{}
-	for _, m := range s.machines {
+	for _, m := range s.cluster.machines {
 		if m.phase != machineUp {
 			continue
 		}
 		total[m.zone]++
-		if s.now.Mono-m.heardAt > s.heartbeatOverdueAfter() {
+		if s.now.Mono-m.connectivity.lastHeartbeatAt > s.heartbeatOverdueAfter() {
 			overdue[m.zone]++
 		}
-		if s.now.Mono-m.heardAt > s.settings.HeartbeatInterval {
+		if s.now.Mono-m.connectivity.lastHeartbeatAt > s.settings.HeartbeatInterval {
 			missed[m.zone]++
 		}
 	}
@@ -222,17 +222,17 @@
 		if machines > 1 && float64(missed[zone]) >= tuning.ZonePartitionShare*float64(machines) {
 			out[zone] = true
 			if float64(overdue[zone]) >= tuning.ZonePartitionShare*float64(machines) {
-				s.zoneBack[zone] = s.now.Mono // not by machines that are just between two reports
+				s.monitor.zoneMissingAt[zone] = s.now.Mono // not by machines that are just between two reports
 			}
 		}
 	}
 	return out
 }
 
-// idle reports whether the machine has stood idle for long enough.
+// idleLongEnough reports whether the machine has stood idle for long enough.
 func (s *Scheduler) idleLongEnough(m *machine) bool {
 	now := s.now.Mono
-	return m.phase == machineUp && len(m.tasks) == 0 && m.leaveBy == 0 && !s.dirtyPlace && !s.reconciler.HoldsIdleReleases() && now-m.heardAt < s.settings.HeartbeatInterval*2 &&
+	return m.phase == machineUp && len(m.tasks) == 0 && m.cloud.interruptionAt == 0 && !s.placement.due && !s.reconciler.HoldsIdleReleases() && now-m.connectivity.lastHeartbeatAt < s.settings.HeartbeatInterval*2 &&
 		now-max(m.idleSince, m.upAt) > s.idleTimeout(m)
 }
 
@@ -261,9 +261,9 @@
 	s.now = now
 	//mutation:release-needs-proof
 	if result != ReleaseDone {
-		s.releaseRetryAt = now.Mono + tuning.CloudRetryDelay
+		s.autoscaler.releaseRetryAt = now.Mono + tuning.CloudRetryDelay
 		for _, name := range names {
-			m := s.machines[name]
+			m := s.cluster.machines[name]
 			switch {
 			case m == nil:
 			case result == ReleaseRefused:
@@ -272,14 +272,14 @@
 					m.phase = machineBooting
 				}
 			default:
-				m.askAgain = true
+				m.release.retryDue = true
 			}
 		}
 		return
 	}
 	for _, name := range names {
-		m := s.machines[name]
-		s.gone[name] = true
+		m := s.cluster.machines[name]
+		s.cluster.released[name] = true
 		if m == nil {
 			continue
 		}
@@ -298,7 +298,7 @@
 	for b := range m.batches {
 		b.namesReleasedMachine = true
 	}
-	delete(s.machines, m.name)
-	s.byName = nil
-	s.dirtyPlace = true
+	delete(s.cluster.machines, m.name)
+	s.cluster.machinesByName = nil
+	s.placement.due = true
 }
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -15,6 +15,18 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
+// autoscalerState has the provisioning requests that are pending, what the cloud
+// refused lately, and what it has listed.
+type autoscalerState struct {
+	pending           map[string]*pendingRequest // by name
+	unavailableUntil  map[offer]time.Duration
+	nextRequestNumber uint64
+	scaledOutAt       time.Duration // when machines were last asked for
+	listed            bool          // the cloud's list was read in this term
+	listedAt          time.Duration
+	releaseRetryAt    time.Duration // no release before then
+}
+
 // capacitySlot is room on a machine that is on its way, or could be rented.
 type capacitySlot struct {
 	machineType, zone    string
@@ -65,10 +77,10 @@
 // scaleOut asks for machines for what could not be placed, counting those that are
 // on their way, and for spare ones where price is no aim.
 func (s *Scheduler) scaleOut(unplaced []unplacedTasks) {
-	if len(s.types) == 0 || !s.listed || !s.holdsLease() || s.rentAt > 0 && s.now.Mono-s.rentAt < s.scaleByCPUShare(tuning.MinScaleOutInterval) {
+	if len(s.cluster.machineTypes) == 0 || !s.autoscaler.listed || !s.holdsLease() || s.autoscaler.scaledOutAt > 0 && s.now.Mono-s.autoscaler.scaledOutAt < s.scaleByCPUShare(tuning.MinScaleOutInterval) {
 		return
 	}
-	s.rentAt = s.now.Mono
+	s.autoscaler.scaledOutAt = s.now.Mono
 	plan := s.newScaleOutPlan(unplaced)
 	plan.coverUnplaced(unplaced)
 	plan.coverNextService()
@@ -85,21 +97,21 @@
 			plan.machinesByZone[m.zone]++
 			plan.machineCount++
 		}
-		if m.phase == machineBooting && !m.failed && m.machineSpec != nil && !late[m] {
+		if m.phase == machineBooting && !m.cloud.failed && m.machineSpec != nil && !late[m] {
 			plan.incoming = append(plan.incoming, newCapacitySlot(m.machineSpec, m.zone, m.spot))
 		}
 	}
 	//mutation:provisioning-counts-unconfirmed-capacity
 	plan.incoming = append(plan.incoming, s.unconfirmedCapacity(minimumOf(unplaced))...)
-	for _, name := range slices.Sorted(maps.Keys(s.rentals)) {
-		plan.addPending(s.rentals[name])
+	for _, name := range slices.Sorted(maps.Keys(s.autoscaler.pending)) {
+		plan.addPending(s.autoscaler.pending[name])
 	}
 	return plan
 }
 
 // addPending counts the machines of a rental without an answer.
 func (p *scaleOutPlan) addPending(request *pendingRequest) {
-	machineSpec := p.scheduler.types[request.offer.machineType]
+	machineSpec := p.scheduler.cluster.machineTypes[request.offer.machineType]
 	if machineSpec == nil {
 		return
 	}
@@ -110,7 +122,7 @@
 	p.machineCount += request.count
 }
 
-// order orders the machine that is best for a job, or, without one, as spare. It returns
+// requestMachine orders the machine that is best for a job, or, without one, as spare. It returns
 // nil if there is none to have.
 func (p *scaleOutPlan) requestMachine(job *job) *capacitySlot {
 	if limit := p.scheduler.settings.Policy.MaxMachines; limit > 0 && p.machineCount >= limit {
@@ -123,7 +135,7 @@
 	p.requests[o]++
 	p.machinesByZone[o.zone]++
 	p.machineCount++
-	slot := newCapacitySlot(p.scheduler.types[o.machineType], o.zone, o.spot)
+	slot := newCapacitySlot(p.scheduler.cluster.machineTypes[o.machineType], o.zone, o.spot)
 	p.incoming = append(p.incoming, slot)
 	return slot
 }
@@ -186,13 +198,13 @@
 		return
 	}
 	used, total := l.cpuUsage()
-	for _, request := range l.rentals {
-		if machineSpec := l.types[request.offer.machineType]; machineSpec != nil {
+	for _, request := range l.autoscaler.pending {
+		if machineSpec := l.cluster.machineTypes[request.offer.machineType]; machineSpec != nil {
 			total += machineSpec.CPUs * float64(request.count)
 		}
 	}
 	for o, count := range p.requests {
-		total += l.types[o.machineType].CPUs * float64(count)
+		total += l.cluster.machineTypes[o.machineType].CPUs * float64(count)
 	}
 	for total < used*(1+l.settings.Policy.HeadroomShare) {
 		slot := p.requestMachine(nil)
@@ -203,7 +215,7 @@
 	}
 }
 
-// place sends the orders, a request for each kind of machine.
+// sendRequests sends the orders, a request for each kind of machine.
 func (p *scaleOutPlan) sendRequests() {
 	for _, o := range slices.SortedFunc(maps.Keys(p.requests), offer.compare) {
 		if !p.scheduler.reconciler.TakeCloudCall(p.scheduler.now.Mono) {
@@ -231,14 +243,14 @@
 // be as late, and renting would not end.
 func (s *Scheduler) delayedBoots() map[*machine]bool {
 	delayed, finished := map[*machine]bool{}, 0
-	for _, m := range s.machines {
+	for _, m := range s.cluster.machines {
 		usual := s.bootTime(m.machineType)
-		age := s.now.Mono - m.rentedAt
+		age := s.now.Mono - m.cloud.provisionedAt
 		switch {
 		case age < usual*tuning.LateBootPercent/100 || age > 4*usual:
-		case m.phase == machineBooting && !m.failed:
+		case m.phase == machineBooting && !m.cloud.failed:
 			delayed[m] = true
-		case m.phase == machineUp && m.ours:
+		case m.phase == machineUp && m.cloud.provisionedInTerm:
 			finished++
 		}
 	}
@@ -249,11 +261,11 @@
 }
 
 func (s *Scheduler) sendProvisionRequest(o offer, count int) {
-	s.nextHire++
+	s.autoscaler.nextRequestNumber++
 	// The term makes the name unlike any other leader's, the counter unlike
 	// any other of ours: a used name would rent nothing.
-	name := fmt.Sprintf("yg-%d-%d", s.term, s.nextHire)
-	s.rentals[name] = &pendingRequest{offer: o, count: count, sentAt: s.now.Mono}
+	name := fmt.Sprintf("yg-%d-%d", s.term, s.autoscaler.nextRequestNumber)
+	s.autoscaler.pending[name] = &pendingRequest{offer: o, count: count, sentAt: s.now.Mono}
 	s.reconciler.CountOperation(s.now.Mono, reconcile.Operation{Kind: reconcile.ProvisionOperation})
 	s.log(false, "renting", "hire", name, "type", o.machineType, "zone", o.zone, "spot", o.spot, "count", count)
 	s.effects.Provision = append(s.effects.Provision, ProvisionRequest{wire.ProvisionRequest{RequestID: name, Type: o.machineType, Zone: o.zone, Spot: o.spot, Count: count}})
@@ -270,7 +282,7 @@
 		for _, zone := range machineSpec.Zones {
 			for _, spot := range []bool{false, true} {
 				o := offer{machineSpec.Name, zone, spot}
-				if s.now.Mono < s.noCap[o] || s.hasPendingRequest(o) || spot && !s.settings.Policy.UseSpot {
+				if s.now.Mono < s.autoscaler.unavailableUntil[o] || s.hasPendingRequest(o) || spot && !s.settings.Policy.UseSpot {
 					continue
 				}
 				tasksPerMachine := 1.0
@@ -314,11 +326,11 @@
 	return best, !math.IsInf(bestScore, 1)
 }
 
-// asked reports whether a rental of the kind is unanswered. Its answer tells
+// hasPendingRequest reports whether a rental of the kind is unanswered. Its answer tells
 // whether there are more to have, so a second request would be a guess, and a
 // burst of them runs into the cloud's limit.
 func (s *Scheduler) hasPendingRequest(o offer) bool {
-	for _, r := range s.rentals {
+	for _, r := range s.autoscaler.pending {
 		if r.offer == o {
 			return true
 		}
@@ -327,8 +339,8 @@
 }
 
 func (s *Scheduler) sortedMachineTypes() []*wire.MachineType {
-	out := make([]*wire.MachineType, 0, len(s.types))
-	for _, t := range s.types {
+	out := make([]*wire.MachineType, 0, len(s.cluster.machineTypes))
+	for _, t := range s.cluster.machineTypes {
 		out = append(out, t)
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].Name < out[b].Name })
@@ -343,7 +355,7 @@
 		return tuning.MaxCapacityBackoff
 	}
 	offers := 0
-	for _, t := range s.types {
+	for _, t := range s.cluster.machineTypes {
 		offers += 2 * len(t.Zones)
 	}
 	pause := time.Duration(float64(offers) / (s.settings.CloudRate * tuning.CapacityRetryRateShare) * float64(time.Second))
@@ -361,38 +373,38 @@
 	ProvisionRefused                           // not carried out: trouble or too many requests
 )
 
-// Rented takes the answer to a rental.
+// Provisioned takes the answer to a rental.
 func (s *Scheduler) Provisioned(now Now, name string, result ProvisionResult, machines []string) {
 	s.now = now
-	request := s.rentals[name]
+	request := s.autoscaler.pending[name]
 	if request == nil {
 		return
 	}
-	delete(s.rentals, name)
+	delete(s.autoscaler.pending, name)
 	switch result {
 	case ProvisionDone:
 		s.counters.MachinesProvisioned += uint64(len(machines))
 		for _, n := range machines {
-			if s.gone[n] {
+			if s.cluster.released[n] {
 				continue
 			}
-			m := s.machines[n] // it may be up, and have reported, ahead of this answer
+			m := s.cluster.machines[n] // it may be up, and have reported, ahead of this answer
 			if m == nil {
 				m = s.addMachine(n, request.offer.machineType, request.offer.zone, request.offer.spot, "")
 			}
-			m.ours = true
+			m.cloud.provisionedInTerm = true
 		}
 		if len(machines) < request.count {
-			s.noCap[request.offer] = now.Mono + s.capacityBackoff()
+			s.autoscaler.unavailableUntil[request.offer] = now.Mono + s.capacityBackoff()
 		}
 	case ProvisionNoCapacity:
-		s.noCap[request.offer] = now.Mono + s.capacityBackoff()
+		s.autoscaler.unavailableUntil[request.offer] = now.Mono + s.capacityBackoff()
 	case ProvisionRefused:
-		s.noCap[request.offer] = now.Mono + 2*tuning.CloudRetryDelay
+		s.autoscaler.unavailableUntil[request.offer] = now.Mono + 2*tuning.CloudRetryDelay
 	case ProvisionUnknown:
 		// Whatever was rented is listed soon; until then nothing more of it.
-		s.noCap[request.offer] = now.Mono + s.capacityBackoff()
+		s.autoscaler.unavailableUntil[request.offer] = now.Mono + s.capacityBackoff()
 	}
 	s.log(false, "rental answered", "hire", name, "result", [...]string{"unknown", "rented", "no capacity", "refused"}[result], "machines", len(machines))
-	s.dirtyPlace = true
+	s.placement.due = true
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,4 +1,4 @@
-// Package core decides. It is a state machine without I/O, goroutines, clock or
+// Package scheduler decides. It is a state machine without I/O, goroutines, clock or
 // randomness of its own: inputs come in with the time at which they came, and
 // what is to be sent, written and answered comes out as Effects.
 //
@@ -77,66 +77,27 @@
 
 // Scheduler is the state of a leader during one term.
 type Scheduler struct {
-	settings Settings
-	term     uint64
-	now      Now
-	effects  Effects
-	counters Counters
-
-	machines map[string]*machine
-	jobs     map[string]*job
-	types    map[string]*wire.MachineType
-	usage    map[string]*TeamQuota // in use by team, in CPUs and GPUs
+	settings  Settings
+	term      uint64
+	startedAt time.Duration // of the term
+	now       Now
+	effects   Effects
+	counters  Counters
 
 	// ObserveAckLatency receives the time from a start to its acknowledgement.
 	ObserveAckLatency func(time.Duration)
 
-	failures   []Failure
-	reconciler *reconcile.Reconciler
-	rounds     uint64     // of placement
-	obsolete   []*attempt // recorded ones whose job is over or cancelled, until they are stopped
-
-	nextEffectID uint64
-	nextTry      uint64
-	nextHire     uint64
-	commits      map[uint64]*transactionContents
-	calls        map[uint64]*commandCall
-	rentals      map[string]*pendingRequest
-	noCap        map[offer]time.Duration
-
-	byName    []*machine // by name; nil after a machine came or went
-	batches   map[string]*assignmentBatch
-	toRecord  []*attempt
-	nextBatch time.Duration // no batch until then
-	dark      []string      // records that could not be read
-	dirtyJobs map[*job]bool // with something to write
-	pausing   map[*job]bool // after a failed attempt
-	questions statusProbes
-	rentAt    time.Duration // when machines were last asked for
-	listedAt  time.Duration // when the cloud's list last came
-	budget    float64
-	budgetAt  time.Duration
-	holdOff   time.Duration // no writes until then: the state service refused
-
-	dirtyPlace     bool
-	placedAt       time.Duration
-	loadAt         time.Duration
-	listed         bool // the cloud's list was read in this term
-	heardAny       time.Duration
-	zoneHeard      map[string]time.Duration // see ZoneLastSeen
-	zoneBack       map[string]time.Duration // when a zone was last silent as a whole
-	knewAsOf       time.Duration            // see AdvanceCancellationWatermark
-	ahead          map[string]time.Duration // cancelled jobs that the watch has yet to bring, and since when
-	leaseHeldUntil time.Duration            // until then the lead is ours for certain
-	tickAt         time.Duration            // last tick
-	lookedAt       time.Duration            // when a tick last looked at all machines
-	resumedAt      time.Duration            // when this process last went on after it stood still
-	alone          time.Duration            // for how long ticks have found that no worker was heard
-	startedAt      time.Duration
-	obsoleteKeys   []string        // keys to delete when there is time
-	gone           map[string]bool // given back in this term; names are never used again
-	releaseRetryAt time.Duration
-	pushDue        map[string]bool // machines for which a stop waits to be sent
+	nextEffectID   uint64
+	leaseHeldUntil time.Duration // until then leadership is ours for certain
+
+	cluster       clusterState
+	placement     placementState
+	autoscaler    autoscalerState
+	dispatcher    dispatchState
+	persister     persistState
+	cancellations cancellationState
+	monitor       monitorState
+	reconciler    *reconcile.Reconciler
 }
 
 type transactionContents struct {
@@ -174,52 +135,63 @@
 // New starts a term. records are those under records.BatchPrefix and
 // records.LegacyMachinePrefix.
 func New(now Now, settings Settings, term uint64, replica *Replica, doneBits []wire.KeyValue, storedRecords []wire.KeyValue, types []wire.MachineType) *Scheduler {
-	l := &Scheduler{
-		settings: settings, term: term, now: now,
-		machines: map[string]*machine{}, jobs: map[string]*job{},
-		types: map[string]*wire.MachineType{}, usage: map[string]*TeamQuota{},
-		commits: map[uint64]*transactionContents{}, calls: map[uint64]*commandCall{},
-		rentals: map[string]*pendingRequest{}, noCap: map[offer]time.Duration{},
-		gone: map[string]bool{}, zoneHeard: map[string]time.Duration{}, zoneBack: map[string]time.Duration{}, pushDue: map[string]bool{}, batches: map[string]*assignmentBatch{},
-		dirtyJobs: map[*job]bool{}, pausing: map[*job]bool{}, ahead: map[string]time.Duration{},
-		budget: settings.WriteRate, budgetAt: now.Mono, questions: statusProbes{budget: tuning.MinConcurrentStatusProbes, refilledAt: now.Mono},
-		heardAny: now.Mono, tickAt: now.Mono, startedAt: now.Mono, dirtyPlace: true, placedAt: now.Mono - time.Second,
+	s := &Scheduler{
+		settings: settings, term: term, now: now, startedAt: now.Mono,
+		cluster: clusterState{
+			machines: map[string]*machine{}, machineTypes: map[string]*wire.MachineType{}, jobs: map[string]*job{},
+			usage: map[string]*TeamQuota{}, released: map[string]bool{},
+		},
+		placement:  placementState{due: true, lastRoundAt: now.Mono - time.Second, backingOff: map[*job]bool{}},
+		autoscaler: autoscalerState{pending: map[string]*pendingRequest{}, unavailableUntil: map[offer]time.Duration{}},
+		dispatcher: dispatchState{
+			calls: map[uint64]*commandCall{}, machinesDue: map[string]bool{},
+			probes: statusProbes{budget: tuning.MinConcurrentStatusProbes, refilledAt: now.Mono},
+		},
+		persister: persistState{
+			inFlight: map[uint64]*transactionContents{}, batches: map[string]*assignmentBatch{}, dirtyJobs: map[*job]bool{},
+			writeBudget: settings.WriteRate, refilledAt: now.Mono,
+		},
+		cancellations: cancellationState{pending: map[string]time.Duration{}},
+		monitor: monitorState{
+			lastHeartbeatAt: now.Mono, tickedAt: now.Mono,
+			zoneHeartbeatAt: map[string]time.Duration{}, zoneMissingAt: map[string]time.Duration{},
+		},
 	}
-	l.reconciler = reconcile.New(now.Mono, settings.reconcileConfig())
-	l.SetMachineTypes(now, types)
+	s.reconciler = reconcile.New(now.Mono, settings.reconcileConfig())
+	s.SetMachineTypes(now, types)
 	for _, live := range replica.Live {
-		l.addJob(live).recovered = true
+		s.addJob(live).recovered = true
 	}
 	for _, item := range doneBits {
-		l.addDoneBits(item)
+		s.addDoneBits(item)
 	}
 	//mutation:recovery-reads-assignments
 	for _, item := range storedRecords {
 		//mutation:recovery-reads-each-assignment
-		l.restoreAssignments(item)
+		s.restoreAssignments(item)
 	}
 	//mutation:stop-obsolete-attempts
-	l.stopObsoleteAttempts()
-	for _, id := range slices.Sorted(maps.Keys(l.jobs)) {
-		l.markDirtyIfComplete(l.jobs[id])
+	s.stopObsoleteAttempts()
+	for _, id := range slices.Sorted(maps.Keys(s.cluster.jobs)) {
+		s.markDirtyIfComplete(s.cluster.jobs[id])
 	}
-	l.log(false, "recovered", "jobs", len(l.jobs), "machines", len(l.machines), "cold", settings.ColdRestart)
-	for _, m := range l.sortedMachines() {
-		if l.pushDue[m.name] {
-			l.sendDue(m) // its answer is the report that we ask the others for
+	s.log(false, "recovered", "jobs", len(s.cluster.jobs), "machines", len(s.cluster.machines), "cold", settings.ColdRestart)
+	for _, m := range s.sortedMachines() {
+		if s.dispatcher.machinesDue[m.name] {
+			s.sendDue(m) // its answer is the report that we ask the others for
 		}
-		l.probeStatus(m)
+		s.probeStatus(m)
 	}
-	return l
+	return s
 }
 
 // JobsChanged tells the leader what a watch saw.
 func (s *Scheduler) JobsChanged(now Now, changes []JobChange) {
 	s.now = now
 	for _, change := range changes {
-		j := s.jobs[change.ID]
+		j := s.cluster.jobs[change.ID]
 		if change.Live == nil || change.Live.Record.Cancelled {
-			delete(s.ahead, change.ID)
+			delete(s.cancellations.pending, change.ID)
 		}
 		switch {
 		case change.Live == nil && j != nil:
@@ -228,12 +200,12 @@
 			j = s.addJob(change.Live)
 			// An answer of the watch may be older than a peer's list, which is told
 			// once: a job that it has as new may have been cancelled since.
-			_, cancelled := s.ahead[change.ID]
+			_, cancelled := s.cancellations.pending[change.ID]
 			//mutation:pending-cancellations
 			j.cancelled = j.cancelled || cancelled
 			s.markDirtyIfComplete(j)
-			s.dirtyPlace = true
-			s.log(true, "job seen", "job", j.id, "class", j.spec.Class, "tasks", j.spec.Tasks, "team", j.spec.Team, "estimate_s", j.spec.EstimatedRunS, "due_s", j.dues)
+			s.placement.due = true
+			s.log(true, "job seen", "job", j.id, "class", j.spec.Class, "tasks", j.spec.Tasks, "team", j.spec.Team, "estimate_s", j.spec.EstimatedRunS, "due_s", j.plan.deadlines)
 		case change.Live != nil && change.Live.ModRevision > j.modRevision:
 			j.modRevision = change.Live.ModRevision
 			s.mergeDoneBits(j, 0, change.Live.Record.Done)
@@ -248,7 +220,7 @@
 // JobsReset tells the leader that the replica was read anew.
 func (s *Scheduler) JobsReset(now Now, replica *Replica) {
 	var changes []JobChange
-	for id := range s.jobs {
+	for id := range s.cluster.jobs {
 		if replica.Live[id] == nil {
 			changes = append(changes, JobChange{id, nil})
 		}
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -283,7 +283,7 @@
 
 const never = 1 << 60 * time.Nanosecond
 
-// boot rents a machine: some are up at once, most after about the usual time, and while
+// bootMachine rents a machine: some are up at once, most after about the usual time, and while
 // there is trouble some take several times that, or never come up.
 func (sim *simulation) bootMachine(machineType wire.MachineType, zone string, spot bool) string {
 	usual := time.Duration(machineType.BootS * float64(time.Second))
@@ -633,7 +633,7 @@
 // machineListDelay is the lag of the cloud's list.
 const machineListDelay = 5 * time.Second
 
-// list is the machine list as it was a while ago, at times twice as long, so that one may
+// machineList is the machine list as it was a while ago, at times twice as long, so that one may
 // be older than the one before: new machines are missing or still starting, gone ones are
 // there, and one that died shows as running for 30 s.
 func (sim *simulation) machineList() []wire.ListedMachine {
@@ -965,7 +965,7 @@
 	return 0
 }
 
-// submitRequest stores a job as a node does for a user, who comes again until it is accepted.
+// submit stores a job as a node does for a user, who comes again until it is accepted.
 func (sim *simulation) submit(j *wire.Job) {
 	j.CreatedAtMilli = sim.now.Milliseconds()
 	sim.checker.AddJob(j)
@@ -992,7 +992,7 @@
 	attempt()
 }
 
-// poll asks for a job's state as a node tells it; empty: no node can.
+// pollJob asks for a job's state as a node tells it; empty: no node can.
 func (sim *simulation) pollJob(id string) string {
 	c := sim.servingController()
 	sim.checker.PollFinished(sim.now, id, c != nil)
@@ -1029,7 +1029,7 @@
 	}
 }
 
-// cancellationBound asks for a job's cancellation until it gets an answer.
+// cancel asks for a job's cancellation until it gets an answer.
 func (sim *simulation) cancel(id string) {
 	sim.checker.CancelRequested(id)
 	if c := sim.servingController(); c != nil {
--- a/internal/scheduler/statusprobe.go
+++ b/internal/scheduler/statusprobe.go
@@ -19,20 +19,20 @@
 // probeStatus asks a machine for its report under our token, unless there is no place
 // for a question now; then the next look at all machines begins with it.
 func (s *Scheduler) probeStatus(m *machine) {
-	if m.phase != machineUp || m.address == "" || m.calling || s.pushDue[m.name] {
+	if m.phase != machineUp || m.address == "" || m.calls.inFlight || s.dispatcher.machinesDue[m.name] {
 		return // what is to be pushed asks as well
 	}
-	if m.askedAt > 0 && s.now.Mono-m.askedAt < tuning.MinStatusProbeInterval<<min(m.unanswered, 3) || s.heartbeatExpectedSoon(m) {
+	if m.calls.probedAt > 0 && s.now.Mono-m.calls.probedAt < tuning.MinStatusProbeInterval<<min(m.calls.unanswered, 3) || s.heartbeatExpectedSoon(m) {
 		return
 	}
-	if s.questions.inFlight >= s.statusProbeLimit(m) || !s.takeProbeBudget() {
-		if s.questions.nextMachine == "" {
-			s.questions.nextMachine = m.name
+	if s.dispatcher.probes.inFlight >= s.statusProbeLimit(m) || !s.takeProbeBudget() {
+		if s.dispatcher.probes.nextMachine == "" {
+			s.dispatcher.probes.nextMachine = m.name
 		}
 		return
 	}
-	m.askedAt = s.now.Mono
-	s.questions.inFlight++
+	m.calls.probedAt = s.now.Mono
+	s.dispatcher.probes.inFlight++
 	s.sendCommands(m, []wire.Command{}, nil)
 }
 
@@ -41,8 +41,8 @@
 // until its call is given up, and in a cut zone there are hundreds, while others only
 // wait to be asked.
 func (s *Scheduler) statusProbeLimit(m *machine) int {
-	limit := max(tuning.MinConcurrentStatusProbes, min(len(s.machines)/tuning.MachinesPerStatusProbe, tuning.MaxConcurrentStatusProbes))
-	if m.unanswered > 0 {
+	limit := max(tuning.MinConcurrentStatusProbes, min(len(s.cluster.machines)/tuning.MachinesPerStatusProbe, tuning.MaxConcurrentStatusProbes))
+	if m.calls.unanswered > 0 {
 		limit /= 2
 	}
 	return limit
@@ -58,7 +58,7 @@
 // help: it has just been answered, and with a token that it had not seen.
 func (s *Scheduler) heartbeatExpectedSoon(m *machine) bool {
 	//mutation:no-status-probe-before-heartbeat
-	return s.isCPULimited() && m.answeredAt > 0 && m.seenToken < s.fencingToken(m) && s.now.Mono-m.answeredAt < tuning.StatusProbeHoldOff
+	return s.isCPULimited() && m.connectivity.heartbeatAnsweredAt > 0 && m.fencing.seenToken < s.fencingToken(m) && s.now.Mono-m.connectivity.heartbeatAnsweredAt < tuning.StatusProbeHoldOff
 }
 
 // takeProbeBudget takes one question from the budget that a small share leaves for them.
@@ -67,7 +67,7 @@
 	if !s.isCPULimited() {
 		return true
 	}
-	probes := &s.questions
+	probes := &s.dispatcher.probes
 	rate := tuning.MaxStatusProbeRate * s.settings.CPUShare
 	probes.budget = min(tuning.MinConcurrentStatusProbes, probes.budget+(s.now.Mono-probes.refilledAt).Seconds()*rate)
 	probes.refilledAt = s.now.Mono
--- a/internal/scheduler/views.go
+++ b/internal/scheduler/views.go
@@ -10,7 +10,7 @@
 // RunningTasks is the number of running tasks by job, for display.
 func (s *Scheduler) RunningTasks() map[string]int {
 	out := map[string]int{}
-	for id, j := range s.jobs {
+	for id, j := range s.cluster.jobs {
 		if j.runningCount > 0 {
 			out[id] = j.runningCount
 		}
@@ -40,7 +40,7 @@
 	Quarantined   bool    `cbor:"avoided" json:"avoided"`
 }
 
-// MachineNames lists the machines by name, at most most of them after from.
+// Machines lists the machines by name, at most most of them after from.
 func (s *Scheduler) Machines(now Now, from string, limit int) []MachineView {
 	var out []MachineView
 	for _, m := range s.sortedMachines() {
@@ -54,11 +54,11 @@
 		if m.phase == machineUp && !m.confirmed {
 			state = "unconfirmed"
 		}
-		if m.leaveBy > 0 {
+		if m.cloud.interruptionAt > 0 {
 			state = "leaving"
 		}
-		out = append(out, MachineView{m.name, m.machineType, m.zone, m.spot, state, len(m.tasks), m.cpus, len(m.images),
-			(now.Mono - m.heardAt).Seconds(), m.suspect > now.Mono})
+		out = append(out, MachineView{m.name, m.machineType, m.zone, m.spot, state, len(m.tasks), m.used.cpus, len(m.images),
+			(now.Mono - m.connectivity.lastHeartbeatAt).Seconds(), m.quarantine.until > now.Mono})
 	}
 	return out
 }
@@ -100,14 +100,14 @@
 
 // Job describes a live job, or returns nil.
 func (s *Scheduler) Job(now Now, id string) *JobDetail {
-	j := s.jobs[id]
+	j := s.cluster.jobs[id]
 	if j == nil {
 		return nil
 	}
-	detail := &JobDetail{ID: id, State: j.state(), Class: j.spec.Class, Team: j.spec.Team, Tasks: j.spec.Tasks, Done: j.nDone, Running: j.runningCount,
-		Waiting: j.pendingTasks(), Reason: j.why, Failures: j.failures, Attempts: []TaskView{}}
-	if j.retryAt > now.Mono {
-		detail.Reason, detail.RetryInS = "waits after failed attempts", (j.retryAt - now.Mono).Seconds()
+	detail := &JobDetail{ID: id, State: j.state(), Class: j.spec.Class, Team: j.spec.Team, Tasks: j.spec.Tasks, Done: j.progress.doneCount, Running: j.runningCount,
+		Waiting: j.pendingTasks(), Reason: j.waiting.reason, Failures: j.retry.failures, Attempts: []TaskView{}}
+	if j.retry.at > now.Mono {
+		detail.Reason, detail.RetryInS = "waits after failed attempts", (j.retry.at - now.Mono).Seconds()
 	}
 	for _, a := range j.sortedAttempts() {
 		if len(detail.Attempts) == 200 {
@@ -115,14 +115,14 @@
 		}
 		state := a.state
 		switch {
-		case a.halt:
+		case a.stop.requested:
 			state = "stopping"
-		case !a.recorded:
+		case !a.assignment.durable:
 			state = "placed"
 		case state == "":
 			state = "starting"
 		}
-		detail.Attempts = append(detail.Attempts, TaskView{wire.TaskName(id, a.ref.index), a.number, a.machine.name, state, a.probes})
+		detail.Attempts = append(detail.Attempts, TaskView{wire.TaskName(id, a.ref.index), a.number, a.machine.name, state, a.retry.count})
 	}
 	return detail
 }
@@ -130,8 +130,8 @@
 // Failures lists failed attempts, the newest first, skipping skip of them.
 func (s *Scheduler) Failures(skip, limit int) []Failure {
 	out := []Failure{}
-	for i := len(s.failures) - 1 - skip; i >= 0 && len(out) < limit; i-- {
-		out = append(out, s.failures[i])
+	for i := len(s.cluster.failures) - 1 - skip; i >= 0 && len(out) < limit; i-- {
+		out = append(out, s.cluster.failures[i])
 	}
 	return out
 }
@@ -139,7 +139,7 @@
 // Waiting lists live jobs that wait, with the reason, by id after from.
 func (s *Scheduler) Waiting(now Now, from string, limit int) []JobDetail {
 	ids := []string{}
-	for id, j := range s.jobs {
+	for id, j := range s.cluster.jobs {
 		if id > from && j.pendingTasks() > 0 {
 			ids = append(ids, id)
 		}
@@ -157,9 +157,9 @@
 // LongestHeartbeatAge is how long the quietest machine has been silent.
 func (s *Scheduler) LongestHeartbeatAge(now Now) time.Duration {
 	var worst time.Duration
-	for _, m := range s.machines {
+	for _, m := range s.cluster.machines {
 		if m.phase == machineUp {
-			worst = max(worst, now.Mono-m.heardAt)
+			worst = max(worst, now.Mono-m.connectivity.lastHeartbeatAt)
 		}
 	}
 	return worst
@@ -167,7 +167,7 @@
 
 // RunningTasksOf is the number of the job's running tasks.
 func (s *Scheduler) RunningTasksOf(id string) int {
-	if j := s.jobs[id]; j != nil {
+	if j := s.cluster.jobs[id]; j != nil {
 		return j.runningCount
 	}
 	return 0
--- a/internal/simulator/deployment.go
+++ b/internal/simulator/deployment.go
@@ -113,7 +113,7 @@
 	s.kvStore.SetUnavailable(s.now(), on)
 }
 
-// Has reports whether the state service has a key.
+// HasKey reports whether the state service has a key.
 func (s *Deployment) HasKey(key string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,7 +153,7 @@
 	return wire.Unmarshal(b, v)
 }
 
-// State is the handler of the state service.
+// KVStoreHandler is the handler of the state service.
 func (s *Deployment) KVStoreHandler() http.Handler {
 	m := http.NewServeMux()
 	locked := func(f func(w http.ResponseWriter, r *http.Request)) http.HandlerFunc {
--- a/internal/simulator/kv_store.go
+++ b/internal/simulator/kv_store.go
@@ -1,4 +1,4 @@
-// Package standin holds stand-ins for the outside systems, written from the
+// Package simulator holds stand-ins for the outside systems, written from the
 // protocol: the state service, the cloud and the workers, with a checker of the
 // rules. They are models that are told the time; tests drive them directly, in
 // simulated time, or over HTTP.
@@ -13,7 +13,7 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// State is a stand-in for the state service.
+// KVStore is a stand-in for the state service.
 type KVStore struct {
 	Revision    uint64
 	Unavailable bool // refuses everything, and no lease ends
--- a/internal/simulator/rule_checker_test.go
+++ b/internal/simulator/rule_checker_test.go
@@ -57,7 +57,7 @@
 	return &j
 }
 
-// polls asks about jobs every five seconds; fails says which questions fail.
+// poll asks about jobs every five seconds; fails says which questions fail.
 func (s *ruleFixture) poll(from, to time.Duration, fails func(id string) bool, ids ...string) {
 	for now := from; now <= to; now += 5 * time.Second {
 		for _, id := range ids {
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -336,7 +336,7 @@
 	return r
 }
 
-// Has reports whether a task of a job is on the machine or waits there for its image.
+// HasJob reports whether a task of a job is on the machine or waits there for its image.
 func (w *Worker) HasJob(id string) bool {
 	for k, t := range w.tasks {
 		if job, _, _ := wire.ParseTaskName(k.task); job == id && t.state != wire.TaskExited {
@@ -367,7 +367,7 @@
 // nothing but a true release ends a silent machine's tasks.
 func (w *Worker) OutlastTest() { w.leaseDuration = time.Hour }
 
-// RestartMachine ends all tasks and begins a new session, as after a lease that ran out.
+// Restart ends all tasks and begins a new session, as after a lease that ran out.
 func (w *Worker) Restart(now time.Duration) {
 	w.leaseRenewedAt = now - w.leaseDuration - time.Second
 	w.Advance(now)
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -14,7 +14,7 @@
 // Client talks to workers.
 type Client struct{ rpc *rpc.Client }
 
-// NewHandler makes a client.
+// New makes a client.
 func New() *Client {
 	return &Client{rpc: rpc.New(2, tuning.MaxIdleWorkerConns, tuning.CommandTimeout, 1<<20)}
 }
--- a/wire/job.go
+++ b/wire/job.go
@@ -250,7 +250,7 @@
 	State string `cbor:"standing" json:"standing"`
 }
 
-// Error is the body of a refusal.
+// ErrorReply is the body of a refusal.
 type ErrorReply struct {
 	Message string `cbor:"error" json:"error"`
 }
