--- a/cmd/simulator/main.go
+++ b/cmd/simulator/main.go
@@ -43,7 +43,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	types := []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 32, CacheGB: 40, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 2, Zones: []string{"a", "b"}}}
-	site := simulator.NewDeployment(types, map[string]float64{c.Team: c.Limit}, c.Node, 2*time.Second, time.Second, 12*time.Second)
+	site := simulator.NewDeployment(simulator.DeploymentConfig{MachineTypes: types, QuotaLimits: map[string]float64{c.Team: c.Limit}, Controllers: c.Node, BootTime: 2 * time.Second, HeartbeatInterval: time.Second, LeaseDuration: 12 * time.Second})
 	failed := make(chan error, 2)
 	for addr, h := range map[string]http.Handler{
 		c.Listen:                                withUploadHandler(site, site.KVStoreHandler()),
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -96,7 +96,10 @@
 		nodes[fmt.Sprintf("drover-%d", i)] = c.userAddrs[i]
 	}
 	types := []wire.MachineType{{Name: "box", CPUs: 4, MemoryGB: 16, CacheGB: 40, FetchGBPerS: 50, Price: 1, SpotPrice: 0.4, BootS: 0.2, Zones: []string{"a"}}}
-	c.simulation = simulator.NewDeployment(types, map[string]float64{"crew": limit}, nodes, 200*time.Millisecond, 200*time.Millisecond, 12*time.Second)
+	c.simulation = simulator.NewDeployment(simulator.DeploymentConfig{
+		MachineTypes: types, QuotaLimits: map[string]float64{"crew": limit}, Controllers: nodes,
+		BootTime: 200 * time.Millisecond, HeartbeatInterval: 200 * time.Millisecond, LeaseDuration: 12 * time.Second,
+	})
 	state, cloud := httptest.NewServer(c.simulation.KVStoreHandler()), httptest.NewServer(c.simulation.CloudHandler(ctx))
 	for i := range size {
 		var b strings.Builder
@@ -310,7 +313,7 @@
 		_, v, _ := c.request(0, "GET", "/v2/runs/run-000020", nil)
 		return v.State == wire.JobDone
 	})
-	c.simulation.SetKVStoreDown(true)
+	c.simulation.StartKVStoreOutage()
 	if s, v, _ := c.request(0, "GET", "/v2/runs/run-000020", nil); s != 200 || v.State != wire.JobDone {
 		t.Errorf("ended job: %d %q", s, v.State)
 	}
@@ -323,7 +326,7 @@
 			t.Errorf("%s %s: the connection is kept", q.method, q.path)
 		}
 	}
-	c.simulation.SetKVStoreDown(false)
+	c.simulation.EndKVStoreOutage()
 	c.eventually("a poll answered again", func() bool { s, _, _ := c.request(0, "GET", "/v2/runs/run-000021", nil); return s == 404 })
 	c.eventually("service again", func() bool {
 		s, _, _ := c.request(0, "POST", "/v2/runs", encodeSubmission(t, newJob(21, 1)))
@@ -339,7 +342,7 @@
 	c.simulation.UploadJob(j, 0)
 	c.eventually("acceptance", func() bool { s, _, _ := c.request(0, "POST", "/v2/runs", encodeSubmission(t, j)); return s == 201 })
 	c.eventually("types in the state service", func() bool { return c.simulation.HasKey("type/box") })
-	c.simulation.SetCloudDown(true)
+	c.simulation.StartCloudOutage()
 	again := c.restartController(1)
 	c.eventually("acceptance while the cloud is down", func() bool {
 		s, _, _ := c.request(again, "POST", "/v2/runs", encodeSubmission(t, newJob(31, 1)))
--- a/internal/api/consistency_test.go
+++ b/internal/api/consistency_test.go
@@ -703,7 +703,7 @@
 		}
 	})
 	// What cannot be told now is refused for now: it may be a known job's.
-	c.simulation.SetKVStoreDown(true)
+	c.simulation.StartKVStoreOutage()
 	each(func(k int, o invalidSubmission) {
 		if s, v, ok := send(k%2, o.fields(known.ID)); s != 503 || !ok {
 			t.Errorf("%s, for a known job in an outage: %d %q, said when to come back: %v", o.name, s, v.State, ok)
--- a/internal/api/idempotency_test.go
+++ b/internal/api/idempotency_test.go
@@ -33,13 +33,13 @@
 			t.Errorf("a repeat that %s gets %d", name, s)
 		}
 	}
-	c.simulation.SetKVStoreDown(true)
+	c.simulation.StartKVStoreOutage()
 	for name, b := range repeats {
 		if s, _, _ := c.request(0, "POST", "/v2/runs", b); s != 503 {
 			t.Errorf("a repeat that %s gets %d while the state service refuses", name, s)
 		}
 	}
-	c.simulation.SetKVStoreDown(false)
+	c.simulation.EndKVStoreOutage()
 	if t.Failed() {
 		return
 	}
--- a/internal/api/reconcile_test.go
+++ b/internal/api/reconcile_test.go
@@ -204,7 +204,7 @@
 		}
 		resp.Body.Close()
 	}
-	c.simulation.SetKVStoreDown(true) // nobody can be elected
+	c.simulation.StartKVStoreOutage() // nobody can be elected
 	c.stopAllControllers()
 	c.startAllControllers()
 	var says struct{ Error string }
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -24,7 +24,7 @@
 	const id = "run-000001"
 	c := newTestController(t)
 	c.membership.peers = map[string]*peerState{}
-	state, recovering := simulator.NewDeployment(nil, nil, nil, 0, 0, 0).KVStoreHandler(), false
+	state, recovering := simulator.NewDeployment(simulator.DeploymentConfig{}).KVStoreHandler(), false
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !recovering || r.URL.Path != "/kv" || !strings.HasPrefix(r.URL.Query().Get("starts"), records.LiveJobPrefix) {
 			state.ServeHTTP(w, r)
@@ -69,7 +69,7 @@
 	const jobs = 3
 	c := newTestController(t)
 	c.membership.peers = map[string]*peerState{}
-	state, calls, phases := simulator.NewDeployment(nil, nil, nil, 0, 0, 0).KVStoreHandler(), 0, map[string]int{}
+	state, calls, phases := simulator.NewDeployment(simulator.DeploymentConfig{}).KVStoreHandler(), 0, map[string]int{}
 	var mu sync.Mutex
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/kv" {
--- a/internal/controller/queries_test.go
+++ b/internal/controller/queries_test.go
@@ -21,7 +21,7 @@
 // newControllerWithStore makes a node over the stand-in state service. Answers to requests that hold
 // picks are read at once and come when let is closed; came tells that one was read.
 func newControllerWithStore(t *testing.T, holdBack func(*http.Request) bool) (c *Controller, client *kvstore.Client, received, proceed chan struct{}) {
-	simulated := simulator.NewDeployment(nil, nil, nil, 0, time.Second, time.Second)
+	simulated := simulator.NewDeployment(simulator.DeploymentConfig{HeartbeatInterval: time.Second, LeaseDuration: time.Second})
 	state := simulated.KVStoreHandler()
 	received, proceed = make(chan struct{}, 16), make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/restartsim/cluster.go
+++ b/internal/restartsim/cluster.go
@@ -144,8 +144,10 @@
 func (f *cluster) bootMachine(zone string, boot time.Duration) string {
 	name := fmt.Sprintf("n-%06d", len(f.machineNames)+1)
 	up := f.now + boot
-	worker := simulator.NewWorker(up, leaseDuration, name, f.types[0], zone, false, f.checker,
-		func(string) time.Duration { return 24 * time.Hour }, func(string) bool { return false })
+	worker := simulator.NewWorker(up, simulator.WorkerConfig{
+		Name: name, MachineType: f.types[0], Zone: zone, LeaseDuration: leaseDuration, Checker: f.checker,
+		RunTime: func(string) time.Duration { return 24 * time.Hour },
+	})
 	f.machineNames = append(f.machineNames, name)
 	f.machines[name] = &machine{Worker: worker, provisionedAt: f.now, bootedAt: up}
 	f.after(boot+f.randomUpTo(heartbeatInterval), func() { f.sendHeartbeat(f.machines[name]) })
--- a/internal/scheduler/fault_injection_test.go
+++ b/internal/scheduler/fault_injection_test.go
@@ -41,7 +41,10 @@
 		j := &wire.Job{ID: "run-000001", Team: "red", Shape: wire.ShapeArray, Tasks: 1, CPUs: 1, Image: "img"}
 		rules.AddJob(j)
 		mt := wire.MachineType{Name: "small", CPUs: 8, MemoryGB: 8, FetchGBPerS: 1}
-		wk := simulator.NewWorker(0, 12*time.Second, "n-000001", mt, "a", false, rules, func(string) time.Duration { return 2 * time.Second }, func(string) bool { return false })
+		wk := simulator.NewWorker(0, simulator.WorkerConfig{
+			Name: "n-000001", MachineType: mt, Zone: "a", LeaseDuration: 12 * time.Second, Checker: rules,
+			RunTime: func(string) time.Duration { return 2 * time.Second },
+		})
 		wk.HandleHeartbeatReply(0, 0, 1, wire.HeartbeatReply{FencingToken: 1, Commands: []wire.Command{{Verb: wire.VerbRun, Task: "run-000001/0", Attempt: 1}}})
 		end := time.Second + hang
 		for now := time.Second; now <= end; now += 100 * time.Millisecond {
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -307,15 +307,17 @@
 	sim.faultyMachines[name] = sim.rng.Float64() < 0.1
 	// Clocks of different machines drift apart by up to 0.05%.
 	lease := sim.workerLease + time.Duration((sim.rng.Float64()-0.5)*0.001*float64(sim.workerLease))
-	worker := simulator.NewWorker(sim.now+d, lease, name, machineType, zone, spot, sim.checker,
-		func(string) time.Duration {
+	worker := simulator.NewWorker(sim.now+d, simulator.WorkerConfig{
+		Name: name, MachineType: machineType, Zone: zone, Spot: spot, LeaseDuration: lease, Checker: sim.checker,
+		RunTime: func(string) time.Duration {
 			// Most tasks take seconds; some of a job end far apart from the others.
 			if sim.rng.IntN(8) == 0 {
 				return time.Duration(30+sim.rng.IntN(25)) * time.Second
 			}
 			return time.Duration(2+sim.rng.IntN(15)) * time.Second
 		},
-		func(string) bool { return sim.faultsActive && sim.faultyMachines[name] && sim.rng.Float64() < 0.5 })
+		TaskFails: func(string) bool { return sim.faultsActive && sim.faultyMachines[name] && sim.rng.Float64() < 0.5 },
+	})
 	sim.workers[name] = worker
 	controllerIndex := sim.rng.IntN(len(sim.controllers))
 	var next func()
@@ -995,7 +997,11 @@
 // pollJob asks for a job's state as a node tells it; empty: no node can.
 func (sim *simulation) pollJob(id string) string {
 	c := sim.servingController()
-	sim.checker.PollFinished(sim.now, id, c != nil)
+	if c != nil {
+		sim.checker.PollAnswered(sim.now, id)
+	} else {
+		sim.checker.PollFailed(sim.now, id)
+	}
 	if c == nil {
 		return ""
 	}
--- /dev/null
+++ b/internal/simulator/cloud.go
@@ -0,0 +1,166 @@
+package simulator
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"net/http"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/yarrowgap/yarrowgap/wire"
+)
+
+// Bounds of the cloud's requests.
+const (
+	maxProvisionCount  = 50
+	maxReleaseMachines = 100
+)
+
+// cloud is what the simulated cloud remembers.
+type cloud struct {
+	machinesByRequest map[string][]string // so that a repeated request provisions nothing
+	provisionedAt     map[string]time.Duration
+	machineCount      int
+}
+
+func newCloud() cloud {
+	return cloud{machinesByRequest: map[string][]string{}, provisionedAt: map[string]time.Duration{}}
+}
+
+// nextMachineName names a new machine.
+func (c *cloud) nextMachineName() string {
+	c.machineCount++
+	return fmt.Sprintf("n-%06d", c.machineCount)
+}
+
+// cloudServer serves the cloud of a deployment.
+type cloudServer struct {
+	deployment *Deployment
+	ctx        context.Context // ends the agents on provisioned machines
+}
+
+// CloudHandler returns the HTTP handler of the cloud. The agents on the machines that it
+// provisions run until the context ends.
+func (d *Deployment) CloudHandler(ctx context.Context) http.Handler {
+	server := cloudServer{d, ctx}
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /flavors", server.whenAvailable(server.listMachineTypes))
+	mux.HandleFunc("POST /rentals", server.whenAvailable(server.provision))
+	mux.HandleFunc("POST /rentals/release", server.whenAvailable(server.release))
+	mux.HandleFunc("GET /rentals", server.whenAvailable(server.listMachines))
+	return mux
+}
+
+// whenAvailable runs a handler with the deployment locked, unless the cloud is down.
+func (s cloudServer) whenAvailable(handler http.HandlerFunc) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		s.deployment.mu.Lock()
+		defer s.deployment.mu.Unlock()
+		if s.deployment.faults.cloudDown {
+			writeError(w, http.StatusServiceUnavailable, "trouble")
+			return
+		}
+		handler(w, r)
+	}
+}
+
+func (s cloudServer) listMachineTypes(w http.ResponseWriter, _ *http.Request) {
+	writeReply(w, http.StatusOK, wire.MachineTypeList{Types: s.deployment.config.MachineTypes})
+}
+
+func (s cloudServer) provision(w http.ResponseWriter, r *http.Request) {
+	var request wire.ProvisionRequest
+	if readBody(r, &request) != nil || request.Count < 1 || request.Count > maxProvisionCount {
+		writeError(w, http.StatusBadRequest, "malformed")
+		return
+	}
+	names := s.machinesOf(request)
+	if len(names) == 0 {
+		writeError(w, http.StatusServiceUnavailable, "no capacity")
+		return
+	}
+	writeReply(w, http.StatusOK, wire.MachineNames{Machines: names})
+}
+
+// machinesOf provisions the machines of a request, or finds those of an earlier request
+// with the same id.
+func (s cloudServer) machinesOf(request wire.ProvisionRequest) []string {
+	d := s.deployment
+	if names, repeated := d.cloud.machinesByRequest[request.RequestID]; repeated {
+		return names
+	}
+	var names []string
+	for _, machineType := range d.config.MachineTypes {
+		if machineType.Name != request.Type {
+			continue
+		}
+		for range request.Count {
+			names = append(names, s.startMachine(machineType, request.Zone, request.Spot))
+		}
+	}
+	d.cloud.machinesByRequest[request.RequestID] = names
+	d.orders.counts.Provisioned += len(names)
+	return names
+}
+
+// startMachine provisions a machine and lets it boot.
+func (s cloudServer) startMachine(machineType wire.MachineType, zone string, spot bool) string {
+	d := s.deployment
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		panic(err) // there is no loopback interface
+	}
+	name := d.cloud.nextMachineName()
+	worker := NewWorker(d.now()+d.config.BootTime, WorkerConfig{
+		Name: name, MachineType: machineType, Zone: zone, Spot: spot,
+		LeaseDuration: d.config.LeaseDuration, Checker: d.checker, RunTime: d.runTimeOf,
+	})
+	worker.Address = listener.Addr().String()
+	d.workers[name], d.cloud.provisionedAt[name] = worker, d.now()
+	go newWorkerAgent(d, worker).run(s.ctx, listener)
+	return name
+}
+
+func (s cloudServer) release(w http.ResponseWriter, r *http.Request) {
+	var request wire.MachineNames
+	if readBody(r, &request) != nil || len(request.Machines) > maxReleaseMachines {
+		writeError(w, http.StatusBadRequest, "malformed")
+		return
+	}
+	for _, name := range request.Machines {
+		if worker := s.deployment.workers[name]; worker != nil {
+			s.deployment.orders.countRelease(name)
+			worker.Terminate()
+		}
+	}
+	writeReply(w, http.StatusOK, struct{}{})
+}
+
+func (s cloudServer) listMachines(w http.ResponseWriter, r *http.Request) {
+	query := r.URL.Query()
+	reply := wire.MachineList{Machines: s.machinesAfter(query.Get("from"))}
+	if limit, _ := strconv.Atoi(query.Get("most")); limit > 0 && len(reply.Machines) > limit {
+		reply.Machines, reply.More = reply.Machines[:limit], true
+	}
+	writeReply(w, http.StatusOK, reply)
+}
+
+// machinesAfter lists the machines that run, by name, after a name.
+func (s cloudServer) machinesAfter(from string) []wire.ListedMachine {
+	d := s.deployment
+	machines := []wire.ListedMachine{}
+	for name, worker := range d.workers {
+		if worker.Terminated || name <= from {
+			continue
+		}
+		machines = append(machines, wire.ListedMachine{
+			Name: name, Address: worker.Address, Type: worker.Type, Zone: worker.Zone, Spot: worker.Spot,
+			State: wire.MachineRunning, AgeS: (d.now() - d.cloud.provisionedAt[name]).Seconds(),
+		})
+	}
+	slices.SortFunc(machines, func(a, b wire.ListedMachine) int { return strings.Compare(a.Name, b.Name) })
+	return machines
+}
--- /dev/null
+++ b/internal/simulator/kv_store_watch.go
@@ -0,0 +1,41 @@
+package simulator
+
+import (
+	"strings"
+	"time"
+
+	"github.com/yarrowgap/yarrowgap/wire"
+)
+
+// appendLog adds a change to the log, whose oldest entries are dropped.
+func (s *KVStore) appendLog(event wire.WatchEvent) {
+	s.log = append(s.log, event)
+	if len(s.log) > s.maxLogEntries {
+		s.log = s.log[len(s.log)-s.maxLogEntries:]
+	}
+}
+
+// Changes lists the changes of keys with the prefix after the revision from. ok is false
+// if the log does not reach back to it.
+func (s *KVStore) Changes(now time.Duration, prefix string, from uint64) (reply wire.WatchReply, ok bool) {
+	s.ExpireLeases(now)
+	reply = wire.WatchReply{Revision: s.Revision, Events: []wire.WatchEvent{}}
+	if len(s.log) == s.maxLogEntries && from+1 < s.log[0].ModRevision {
+		return reply, false
+	}
+	for _, event := range s.log {
+		if event.ModRevision > from && concerns(event, prefix) {
+			reply.Events = append(reply.Events, event)
+		}
+	}
+	return reply, true
+}
+
+// concerns reports whether an event sets or deletes a key with the prefix.
+func concerns(event wire.WatchEvent, prefix string) bool {
+	key := event.Set
+	if key == "" {
+		key = event.Delete
+	}
+	return key != "" && strings.HasPrefix(key, prefix)
+}
--- /dev/null
+++ b/internal/simulator/submission.go
@@ -0,0 +1,39 @@
+package simulator
+
+import "github.com/yarrowgap/yarrowgap/wire"
+
+// submission is a job as users submit it. Unlike wire.Job it has every field in its
+// encoding, also those without a value.
+type submission struct {
+	ID                  string   `cbor:"uid"`
+	Class               string   `cbor:"docket"`
+	Team                string   `cbor:"crew"`
+	Shape               string   `cbor:"shape"`
+	Priority            string   `cbor:"rank"`
+	Tasks               int      `cbor:"shifts"`
+	CPUs                float64  `cbor:"cpus"`
+	GPUs                float64  `cbor:"gpus"`
+	MemoryGB            float64  `cbor:"memory_gb"`
+	Image               string   `cbor:"kit"`
+	ImageGB             float64  `cbor:"pull_gb"`
+	MachineTypes        []string `cbor:"breeds"`
+	Zone                *string  `cbor:"pasture"` // none of the simulated users asks for one
+	SameZone            bool     `cbor:"together"`
+	SpreadZones         bool     `cbor:"scatter"`
+	Spot                bool     `cbor:"loaners"`
+	EstimatedRunS       float64  `cbor:"reckon_s"`
+	CheckpointIntervalS float64  `cbor:"tally_s"`
+	CheckpointSaveS     float64  `cbor:"stow_s"`
+	DeadlineS           *float64 `cbor:"due_s"`
+}
+
+// EncodeSubmission encodes a job as users submit it, without its zone.
+func EncodeSubmission(job *wire.Job) ([]byte, error) {
+	return wire.Marshal(submission{
+		ID: job.ID, Class: job.Class, Team: job.Team, Shape: job.Shape, Priority: job.Priority, Tasks: job.Tasks,
+		CPUs: job.CPUs, GPUs: job.GPUs, MemoryGB: job.MemoryGB, Image: job.Image, ImageGB: job.ImageGB,
+		MachineTypes: job.MachineTypes, SameZone: job.SameZone, SpreadZones: job.SpreadZones, Spot: job.Spot,
+		EstimatedRunS: job.EstimatedRunS, CheckpointIntervalS: job.CheckpointIntervalS,
+		CheckpointSaveS: job.CheckpointSaveS, DeadlineS: job.DeadlineS,
+	})
+}
