--- a/internal/restartsim/restart.go
+++ b/internal/restartsim/restart.go
@@ -1,213 +1,166 @@
 package restartsim
 
 import (
-	"fmt"
 	"math"
 	"time"
 
-	"github.com/yarrowgap/yarrowgap/wire"
+	"github.com/yarrowgap/yarrowgap/internal/reconcile"
 )
 
-// Plan is what is to be played.
+// Plan describes a restart.
 type Plan struct {
 	Machines int
-	// Changed is the share of machines that are not as they were when the controllers
-	// come back.
+	// Changed is the share of machines that change while no controller runs.
 	Changed  float64
 	Seed     uint64
 	Recovery bool // the operators' setting
 }
 
-// Orders counts what a restart needs, and what the leader ordered.
+// Orders counts orders to machines and to the cloud.
 type Orders struct {
 	Starts, Stops, Provisioned, Released int
 }
 
-// Result is what came of a plan. Times count from the restart; 0 means never.
+// Result is the outcome of a plan. Times count from the restart; 0 means never.
 type Result struct {
 	Needed, Issued   Orders
 	KVStoreCalls     int
 	CloudCalls       int
 	DirectCalls      int
 	FirstStartAfter  time.Duration
-	SettledAfter     time.Duration // by the leader's word
-	LastTeamAfter    time.Duration // when the last team's tasks all ran
-	LastMachineAfter time.Duration // when the last machine was answered, of those still there
+	SettledAfter     time.Duration // as the scheduler reports it
+	LastTeamAfter    time.Duration // when all tasks of the last team ran
+	LastMachineAfter time.Duration // when the last machine was first answered, of those still there
 	Violations       []string
 }
 
-// Times of a play.
+// Times of a run.
 const (
 	fillTime            = 40 * time.Second
 	outageTime          = 8 * time.Second // well within the workers' lease
 	observationTime     = 90 * time.Second
 	observationInterval = 100 * time.Millisecond
-	// A late machine is back after one of these, counted from the restart: within the
-	// lease, which it has from before the controllers ended.
-	minReturnDelay = 8 * time.Second
-	maxReturnDelay = 16 * time.Second
 )
 
-// Shares of the fleet that run tasks, and that jobs need which were accepted right before
-// the controllers ended.
+// Shares of the machines' capacity: what jobs use before the outage, and what jobs need
+// that are accepted right before it.
 const (
 	filledShare  = 0.85
 	backlogShare = 0.05
 )
 
-// machineChange is what happened to a machine while the controllers were away.
-type machineChange int
-
-const (
-	changeTerminated  machineChange = iota // it is gone, and no longer listed
-	changeRestart                          // it lost its tasks with its session
-	changeUnreachable                      // it comes back later than the others
-	changeUnknownTask                      // it runs a task of a job that nobody knows
-
-	changeCount
-)
-
-// unknownJobTeam has the jobs that no controller knows.
-const unknownJobTeam = "stray"
-
-// Run plays a plan: a fleet is filled, all controllers end, some machines change, and a
-// controller comes back.
+// Run simulates a plan: machines are filled, all controllers end, some machines change,
+// and a controller comes back.
 func Run(plan Plan) Result {
-	f := newCluster(plan)
+	c := newCluster(plan)
 	slots := float64(plan.Machines) * machineCPUs / taskCPUs
-	f.startTerm()
-	f.run(2 * heartbeatInterval)
-	filled := int(slots * filledShare)
-	next := f.fill(1, filled)
-	f.applyChanges()
-	f.run(f.now + fillTime)
-
-	f.scheduler = nil
-	backlog := int(slots * backlogShare)
-	f.fill(next, backlog)
-	p := &restartRun{cluster: f, initialMachines: plan.Machines, needed: Orders{Starts: backlog}, expected: map[string]float64{}}
-	for i := range teamCount {
-		p.expected[teamName(i)] = f.checker.CPUsInUse(teamName(i))
-	}
-	for number, left := next, backlog; left > 0; number, left = number+1, left-jobTasks {
-		p.expected[teamName(number)] += taskCPUs * float64(min(left, jobTasks))
-	}
-	p.changeMachines(plan.Changed)
-	missing := float64(filled+backlog) - float64(plan.Machines-p.terminatedMachines)*machineCPUs/taskCPUs
-	p.needed.Provisioned = int(max(0, math.Ceil(missing*taskCPUs/machineCPUs)))
-	f.run(f.now + outageTime)
-	return p.restart()
+	filled, backlog := int(slots*filledShare), int(slots*backlogShare)
+
+	c.startTerm()
+	c.run(2 * heartbeatInterval)
+	nextJob := c.submitTasks(1, filled)
+	c.applyChanges()
+	c.run(c.now + fillTime)
+
+	c.scheduler = nil
+	c.submitTasks(nextJob, backlog)
+	r := &restartRun{cluster: c, initialMachines: plan.Machines, needed: Orders{Starts: backlog}}
+	r.expectUsage(nextJob, backlog)
+	r.changeMachines(plan.Changed)
+	r.needed.Provisioned = machinesFor(filled+backlog) - (plan.Machines - r.terminatedMachines)
+	r.needed.Provisioned = max(0, r.needed.Provisioned)
+	c.run(c.now + outageTime)
+	return r.restart()
 }
 
-// fill submits jobs with that many tasks and returns the next job's number.
-func (f *cluster) fill(number, tasks int) int {
-	for ; tasks > 0; tasks -= jobTasks {
-		f.submit(number, min(tasks, jobTasks))
-		number++
-	}
-	return number
+// machinesFor is how many machines hold that many tasks.
+func machinesFor(tasks int) int {
+	return int(math.Ceil(float64(tasks) * taskCPUs / machineCPUs))
 }
 
-// restartRun is a restart that is being played.
+// restartRun is the part of a run from the end of the controllers.
 type restartRun struct {
 	*cluster
+	initialMachines    int
+	terminatedMachines int
+	expectedCPUs       map[string]float64 // by team, when all of its tasks run
 	needed             Orders
-	terminatedMachines int                // machines
-	initialMachines    int                // machines when the controllers ended
-	expected           map[string]float64 // CPUs that each team uses when all of its tasks run
-	result             Result
 	restartedAt        time.Duration
+	result             Result
 }
 
-// changeMachines changes a share of the machines and notes what that needs.
-func (p *restartRun) changeMachines(share float64) {
-	machines := len(p.machineNames)
-	chosen := p.random.Perm(machines)[:int(math.Round(share*float64(machines)))]
-	for i, index := range chosen {
-		m := p.machines[p.machineNames[index]]
-		switch machineChange(i) % changeCount {
-		case changeTerminated:
-			p.terminatedMachines++
-			if lost := len(m.ActiveAttempts()); lost > 0 {
-				p.needed.Starts += lost
-				p.needed.Released++ // the proof that lets them start elsewhere
-			}
-			p.terminate(m.Name)
-		case changeRestart:
-			p.needed.Starts += len(m.ActiveAttempts())
-			m.Restart(p.now)
-		case changeUnreachable:
-			m.partitionedUntil = p.now + outageTime + minReturnDelay + p.randomUpTo(maxReturnDelay-minReturnDelay)
-		case changeUnknownTask:
-			p.startUnknownTask(m, i)
-		}
+// expectUsage sets what each team uses when all of its tasks run: what it uses now, and
+// its part of the backlog, whose first job is given.
+func (r *restartRun) expectUsage(firstJob, backlog int) {
+	r.expectedCPUs = map[string]float64{}
+	for team := range teamCount {
+		r.expectedCPUs[teamName(team)] = r.checker.CPUsInUse(teamName(team))
 	}
-}
-
-// startUnknownTask starts a task on a machine whose job was never accepted.
-func (p *restartRun) startUnknownTask(m *machine, number int) {
-	j := &wire.Job{ID: fmt.Sprintf("run-9%05d", number), Team: unknownJobTeam, Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: 1,
-		CPUs: 0.01, MemoryGB: 0.1, Image: "img-0", ImageGB: 1}
-	p.checker.AddJob(j)
-	start := wire.Command{Verb: wire.VerbRun, Task: wire.TaskName(j.ID, 0), Attempt: uint64(1 + number)}
-	m.HandleCommands(p.now, wire.DirectCommands{FencingToken: m.FencingToken, Incarnation: m.Incarnation, Commands: []wire.Command{start}})
-	if _, runs := m.ActiveAttempts()[start.Task]; runs { // a full machine refuses it
-		p.needed.Stops++
+	for job, left := firstJob, backlog; left > 0; job, left = job+1, left-tasksPerJob {
+		r.expectedCPUs[teamName(job)] += taskCPUs * float64(min(left, tasksPerJob))
 	}
 }
 
-// restart brings a controller back and watches until all is over.
-func (p *restartRun) restart() Result {
-	p.restartedAt, p.counts = p.now, newCounts()
-	for _, m := range p.machines {
+// restart brings a controller back and observes what it does.
+func (r *restartRun) restart() Result {
+	r.restartedAt, r.counts = r.now, newOrderCounter()
+	for _, m := range r.machines {
 		m.firstAnsweredAt = 0
 	}
-	p.startTerm()
-	for p.now < p.restartedAt+observationTime {
-		p.run(p.now + observationInterval)
-		p.observe()
+	r.startTerm()
+	for r.now < r.restartedAt+observationTime {
+		r.run(r.now + observationInterval)
+		r.observe()
 	}
-	r := &p.result
-	r.Needed = p.needed
-	r.Issued = Orders{Starts: p.counts.starts, Stops: p.counts.stops, Provisioned: p.counts.provisioned, Released: p.counts.releases}
-	r.KVStoreCalls, r.CloudCalls, r.DirectCalls = p.counts.kvStoreCalls, p.counts.cloudCalls, p.counts.directCalls
-	if p.counts.firstStart > 0 {
-		r.FirstStartAfter = p.counts.firstStart - p.restartedAt
+	r.collect()
+	return r.result
+}
+
+// observe notes what has been reached since the last observation.
+func (r *restartRun) observe() {
+	if r.result.SettledAfter == 0 {
+		r.result.SettledAfter = r.settledAfter()
 	}
-	for _, name := range p.machineNames[:p.initialMachines] {
-		if m := p.machines[name]; !m.terminated {
-			r.LastMachineAfter = max(r.LastMachineAfter, m.firstAnsweredAt-p.restartedAt)
-		}
+	switch {
+	case !r.allTeamsComplete():
+		r.result.LastTeamAfter = 0
+	case r.result.LastTeamAfter == 0:
+		r.result.LastTeamAfter = r.now - r.restartedAt
 	}
-	r.Violations = p.checker.Violations
-	return *r
 }
 
-// observe notes what has come to its end.
-func (p *restartRun) observe() {
-	if p.result.SettledAfter == 0 {
-		p.result.SettledAfter = p.settledAfter()
-	}
-	whole := 0
-	for i := range teamCount {
-		if p.checker.CPUsInUse(teamName(i)) >= p.expected[teamName(i)]-taskCPUs/2 {
-			whole++
+func (r *restartRun) allTeamsComplete() bool {
+	const tolerance = taskCPUs / 2
+	for team, expected := range r.expectedCPUs {
+		if r.checker.CPUsInUse(team) < expected-tolerance {
+			return false
 		}
 	}
-	switch {
-	case whole < teamCount:
-		p.result.LastTeamAfter = 0
-	case p.result.LastTeamAfter == 0:
-		p.result.LastTeamAfter = p.now - p.restartedAt
-	}
+	return true
 }
 
-// settledAfter is when the recovery was settled, or 0.
-func (p *restartRun) settledAfter() time.Duration {
-	for _, entered := range p.scheduler.ReconciliationStatus(p.schedulerNow()).History {
-		if entered.Phase == "settled" {
+// settledAfter is when the reconciliation was settled, or 0.
+func (r *restartRun) settledAfter() time.Duration {
+	for _, entered := range r.scheduler.ReconciliationStatus(r.schedulerNow()).History {
+		if entered.Phase == reconcile.Settled.String() {
 			return time.Duration(entered.AfterS * float64(time.Second))
 		}
 	}
 	return 0
 }
+
+// collect completes the result.
+func (r *restartRun) collect() {
+	result := &r.result
+	result.Needed, result.Issued = r.needed, r.counts.orders
+	result.KVStoreCalls, result.CloudCalls, result.DirectCalls = r.counts.kvStoreCalls, r.counts.cloudCalls, r.counts.directCalls
+	if r.counts.firstStartAt > 0 {
+		result.FirstStartAfter = r.counts.firstStartAt - r.restartedAt
+	}
+	for _, name := range r.machineNames[:r.initialMachines] {
+		if m := r.machines[name]; !m.terminated {
+			result.LastMachineAfter = max(result.LastMachineAfter, m.firstAnsweredAt-r.restartedAt)
+		}
+	}
+	result.Violations = r.checker.Violations
+}
--- a/internal/restartsim/restart_test.go
+++ b/internal/restartsim/restart_test.go
@@ -2,29 +2,29 @@
 
 import "testing"
 
-// With the recovery on, starts, stops and releases are exactly what the stand-ins know to
-// be needed, and rentals next to it; without, the same plan orders more of each. No rule
-// is broken, and in the end everything runs.
+// With the recovery on, starts, stops and releases are exactly those that the simulation
+// knows to be needed, and provisioned machines close to it. Without it, the same plan
+// issues more of each. No rule is violated, and in the end everything runs.
 func TestRecoveryIssuesOnlyNeededOrders(t *testing.T) {
 	for _, changed := range []float64{0, 0.1, 0.5} {
 		plan := Plan{Machines: 120, Changed: changed, Seed: 3}
-		before := Run(plan)
+		without := Run(plan)
 		plan.Recovery = true
-		r := Run(plan)
-		if r.Issued.Starts != r.Needed.Starts || r.Issued.Stops != r.Needed.Stops || r.Issued.Released != r.Needed.Released {
-			t.Errorf("%v changed: ordered %+v, needed %+v", changed, r.Issued, r.Needed)
+		with := Run(plan)
+		if with.Issued.Starts != with.Needed.Starts || with.Issued.Stops != with.Needed.Stops || with.Issued.Released != with.Needed.Released {
+			t.Errorf("%v changed: issued %+v, needed %+v", changed, with.Issued, with.Needed)
 		}
-		if most := r.Needed.Provisioned + plan.Machines/20; r.Issued.Provisioned > most {
-			t.Errorf("%v changed: rented %d, needed %d", changed, r.Issued.Provisioned, r.Needed.Provisioned)
+		if most := with.Needed.Provisioned + plan.Machines/20; with.Issued.Provisioned > most {
+			t.Errorf("%v changed: provisioned %d, needed %d", changed, with.Issued.Provisioned, with.Needed.Provisioned)
 		}
-		if r.LastTeamAfter == 0 || r.SettledAfter == 0 || len(r.Violations)+len(before.Violations) > 0 {
-			t.Errorf("%v changed: %+v", changed, r)
+		if with.LastTeamAfter == 0 || with.SettledAfter == 0 || len(with.Violations)+len(without.Violations) > 0 {
+			t.Errorf("%v changed: %+v", changed, with)
 		}
-		if before.Needed != r.Needed {
-			t.Errorf("%v changed: another plan is played without the recovery: %+v, %+v", changed, before.Needed, r.Needed)
+		if without.Needed != with.Needed {
+			t.Errorf("%v changed: another plan was run without the recovery: %+v, %+v", changed, without.Needed, with.Needed)
 		}
-		if changed > 0 && (before.Issued.Starts <= r.Issued.Starts || before.Issued.Released <= r.Issued.Released) {
-			t.Errorf("%v changed: without the recovery ordered %+v: the test shows nothing", changed, before.Issued)
+		if changed > 0 && (without.Issued.Starts <= with.Issued.Starts || without.Issued.Released <= with.Issued.Released) {
+			t.Errorf("%v changed: without the recovery issued %+v, so the test shows nothing", changed, without.Issued)
 		}
 	}
 }
