--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -1,5 +1,5 @@
 // Package mutation_test takes safeguards out of the program, one at a time, and shows
-// that the test of the scenario that a safeguard is for fails then. docs/meetings.md is
+// that the test of the scenario that a safeguard is for fails then. docs/combined-faults.md is
 // the table for people.
 //
 // A safeguard is marked in the code by a comment, //mutation:NAME, on the line above the
@@ -19,7 +19,7 @@
 
 // mutation is a change to the program that a test has to notice.
 type mutation struct {
-	scenario string   // the combined faults that need the safeguard, as in docs/meetings.md
+	scenario string   // the combined faults that need the safeguard, as in docs/combined-faults.md
 	marker   string   // of the safeguard in the code, without "//mutation:"
 	operator operator // what takes the safeguard out
 	test     string   // the test that must fail then: package directory, colon, -run pattern
