--- a/internal/mutation/reconcile_test.go
+++ b/internal/mutation/reconcile_test.go
@@ -72,7 +72,7 @@
 	{
 		scenario: "two machines report the same recorded task",
 		marker:   "first-reported-duplicate-stays",
-		operator: dropOperands(4, 2, 3),
+		operator: setCondition(false),
 		test:     "internal/scheduler:^TestFirstOfTwoReportedAttemptsIsKept$",
 	},
 	{
--- a/internal/scheduler/attempt.go
+++ b/internal/scheduler/attempt.go
@@ -1,7 +1,8 @@
 package scheduler
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 	"time"
 
 	"github.com/yarrowgap/yarrowgap/internal/reconcile"
@@ -14,17 +15,19 @@
 	index int
 }
 
-// attempt is one try of a task on one machine.
+// name is the task's name on the wire.
+func (ref taskRef) name() string { return wire.TaskName(ref.jobID, ref.index) }
+
+// attempt is one attempt at running a task, on one machine.
 type attempt struct {
 	ref     taskRef
 	job     *job // nil if the job is not live
 	machine *machine
 	number  uint64
 
-	state string
-
+	state     string // as its worker last listed it; empty: not listed yet
 	placedAt  time.Duration
-	runningAt time.Duration
+	runningAt time.Duration // when it was first seen running; 0: not yet
 
 	assignment     assignmentState
 	start          startState
@@ -33,94 +36,77 @@
 	reconciliation reconciliationState
 }
 
-// attach enters an attempt everywhere that counts it.
-func (s *Scheduler) attach(a *attempt) {
-	a.machine.tasks[a.ref] = a
-	a.machine.taskSummary = nil
-	if a.job == nil {
-		return
-	}
-	j := a.job
-	if len(j.active[a.ref.index]) == 0 {
-		j.activeCount++
-	}
-	j.active[a.ref.index] = append(j.active[a.ref.index], a)
-	a.machine.used.cpus += j.spec.CPUs
-	a.machine.used.gpus += j.spec.GPUs
-	a.machine.used.memoryGB += j.spec.MemoryGB
-	u := s.teamUsage(j.spec.Team)
-	u.CPUs += j.spec.CPUs
-	u.GPUs += j.spec.GPUs
+// assignmentState says which durable records name an attempt.
+type assignmentState struct {
+	durable bool
+	queued  bool // to be written with the next batch
+	batches []*assignmentBatch
 }
 
-func (s *Scheduler) teamUsage(team string) *TeamQuota {
-	u := s.cluster.usage[team]
-	if u == nil {
-		u = &TeamQuota{}
-		s.cluster.usage[team] = u
-	}
-	return u
+// startState is what is known of an attempt's latest start, and what has to be known
+// before the start counts as not executed. See provenAbsent.
+type startState struct {
+	sent          bool   // it has been or may have been sent
+	acknowledged  bool   // the worker has listed the attempt
+	incarnation   uint64 // of the worker to which it was sent
+	replySequence uint64 // of the heartbeat in whose reply it went; 0: in none
+	requiredFence uint64 // fencing counter below which it may still be executed late
+	callInFlight  bool   // a direct call with it
+	firstSentAt   time.Duration
 }
 
-// detach removes an attempt that is proven gone.
+// dispatchRetry plans when a start that is not acknowledged is sent again.
+type dispatchRetry struct {
+	count     int
+	nextAt    time.Duration
+	abandoned bool
+}
+
+// stopRequest is that of an attempt that has to stop. Once requested it stays so; a stop
+// without a checkpoint replaces one with.
+type stopRequest struct {
+	requested  bool
+	sent       bool
+	checkpoint bool          // it may save its progress first
+	sentAt     time.Duration // last time; 0: due now
+}
+
+// reconciliationState is that of an attempt from before the term.
+type reconciliationState struct {
+	class           reconcile.Class
+	deferredVerdict reconcile.Verdict // on an unexpected one, until a heartbeat under this term's token lists it
+	awaitsStop      bool              // a difference asked for its stop
+}
+
+// attached reports whether the attempt counts as being on its machine.
+func (a *attempt) attached() bool { return a.machine.tasks[a.ref] == a }
+
+// attach counts an attempt as being on its machine.
+func (s *Scheduler) attach(a *attempt) { s.cluster.attach(a) }
+
+func (s *Scheduler) teamUsage(team string) *teamUsage { return s.cluster.usageOf(team) }
+
+// detach removes an attempt that is proven to be gone, with what was kept because of it.
 func (s *Scheduler) detach(a *attempt) {
-	m := a.machine
-	if m.tasks[a.ref] != a {
+	if !a.attached() {
 		return
 	}
-	delete(m.tasks, a.ref)
-	m.taskSummary = nil
+	s.cluster.detach(a, s.now.Mono)
 	s.countStopProven(a)
-	if len(m.tasks) == 0 {
-		m.idleSince = s.now.Mono
-		m.used.cpus, m.used.gpus, m.used.memoryGB = 0, 0, 0 // sheds rounding
-	}
 	if !a.awaitsDurableCompletion() {
 		s.removeFromBatches(a)
 	}
 	s.placement.due = true
-	j := a.job
-	if j == nil {
-		return
-	}
-	if a.state == wire.TaskRunning {
-		j.runningCount--
-	}
-	if len(m.tasks) > 0 {
-		m.used.cpus -= j.spec.CPUs
-		m.used.gpus -= j.spec.GPUs
-		m.used.memoryGB -= j.spec.MemoryGB
-	}
-	u := s.teamUsage(j.spec.Team)
-	u.CPUs -= j.spec.CPUs
-	u.GPUs -= j.spec.GPUs
-	list := j.active[a.ref.index]
-	for i, x := range list {
-		if x == a {
-			list = append(list[:i:i], list[i+1:]...)
-			break
-		}
-	}
-	if len(list) > 0 {
-		j.active[a.ref.index] = list
-		return
-	}
-	delete(j.active, a.ref.index)
-	j.activeCount--
-	if j.archived && j.activeCount == 0 {
-		delete(s.cluster.jobs, j.id)
-	}
-	if !j.progress.done.Has(a.ref.index) {
-		j.indices.freed = append(j.indices.freed, a.ref.index)
-	}
 }
 
-// stopAttempt asks for an attempt's end and sends that at once. An attempt that was
-// never sent simply ends.
-func (s *Scheduler) stopAttempt(a *attempt, checkpoint bool, reason string) {
+// stopNow asks for an attempt's end without a checkpoint.
+func (s *Scheduler) stopNow(a *attempt, reason StopReason) { s.stopAttempt(a, false, reason) }
+
+// stopAttempt asks for an attempt's end, with a checkpoint if it may have the time for
+// one. The stop is sent at once. An attempt whose start was never sent simply ends.
+func (s *Scheduler) stopAttempt(a *attempt, checkpoint bool, reason StopReason) {
 	if !a.stop.requested {
-		a.stop.reason = reason
-		s.log(true, "stop", "task", wire.TaskName(a.ref.jobID, a.ref.index), "machine", a.machine.name, "why", reason)
+		s.logDebug("task stop requested", "task", a.ref.name(), "machine", a.machine.name, "reason", reason)
 	}
 	if a.stop.requested && (checkpoint || !a.stop.checkpoint) {
 		return
@@ -133,8 +119,8 @@
 		return
 	}
 	if !a.start.acknowledged {
-		// The start may still be on its way: only a report under a higher token
-		// will show that it is not.
+		// The start may still be in flight. Only a heartbeat under a higher token will
+		// show that it is not.
 		//mutation:stop-raises-fencing-token
 		s.raiseFencingToken(a.machine)
 		a.start.requiredFence = a.machine.fencing.counter
@@ -144,66 +130,13 @@
 }
 
 func sortAttempts(list []*attempt) {
-	sort.Slice(list, func(a, b int) bool {
-		x, y := list[a], list[b]
-		if x.ref.jobID != y.ref.jobID {
-			return x.ref.jobID < y.ref.jobID
-		}
-		if x.ref.index != y.ref.index {
-			return x.ref.index < y.ref.index
-		}
-		return x.number < y.number
+	slices.SortFunc(list, func(a, b *attempt) int {
+		return cmp.Or(cmp.Compare(a.ref.jobID, b.ref.jobID), cmp.Compare(a.ref.index, b.ref.index), cmp.Compare(a.number, b.number))
 	})
 }
 
 func sortCommands(list []wire.Command) {
-	sort.Slice(list, func(a, b int) bool {
-		if list[a].Task != list[b].Task {
-			return list[a].Task < list[b].Task
-		}
-		return list[a].Attempt < list[b].Attempt
+	slices.SortFunc(list, func(a, b wire.Command) int {
+		return cmp.Or(cmp.Compare(a.Task, b.Task), cmp.Compare(a.Attempt, b.Attempt))
 	})
 }
-
-// assignmentState says which durable records name an attempt.
-type assignmentState struct {
-	durable bool
-	queued  bool // to be written with the next batch
-	batches []*assignmentBatch
-}
-
-// startState is what is known of an attempt's latest start: all that has to be known
-// before it counts as not executed. See provenAbsent.
-type startState struct {
-	sent          bool   // it has been or may have been sent
-	acknowledged  bool   // the worker has listed the attempt
-	incarnation   uint64 // of the worker to which it was sent
-	replySequence uint64 // of the heartbeat in whose reply it went; 0 if none
-	requiredFence uint64 // fencing counter below which it may still be executed late
-	callInFlight  bool   // a direct call with it
-	firstSentAt   time.Duration
-}
-
-// dispatchRetry plans when a start that is not acknowledged is sent again.
-type dispatchRetry struct {
-	count     int
-	nextAt    time.Duration
-	abandoned bool
-}
-
-// stopRequest is that of an attempt that has to stop. Once requested it stays so; a stop
-// without a checkpoint replaces one with.
-type stopRequest struct {
-	requested  bool
-	sent       bool
-	checkpoint bool // save progress first
-	reason     string
-	sentAt     time.Duration // last time
-}
-
-// reconciliationState is that of an attempt from before the term.
-type reconciliationState struct {
-	class           reconcile.Class
-	deferredVerdict reconcile.Verdict // on an unexpected one, until a heartbeat under our token shows it
-	awaitsStop      bool              // a difference asked for its stop
-}
--- a/internal/scheduler/attempt_outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -1,14 +1,28 @@
 package scheduler
 
 import (
+	"slices"
+	"time"
+
 	"github.com/yarrowgap/yarrowgap/internal/reconcile"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// handleExit deals with the end of one of our attempts.
+// causeLost is that of an attempt which its worker no longer lists.
+const causeLost = "lost"
+
+// Failure is a failed attempt, kept for operators to ask about.
+type Failure struct {
+	Task    string `cbor:"task" json:"task"`
+	Attempt uint64 `cbor:"attempt" json:"attempt"`
+	Machine string `cbor:"machine" json:"machine"`
+	Cause   string `cbor:"cause" json:"cause"`
+	At      int64  `cbor:"at_ms" json:"at_ms"`
+}
+
+// handleExit takes the end of an attached attempt, as its worker lists it.
 func (s *Scheduler) handleExit(a *attempt, report *wire.TaskStatus) {
-	j, m := a.job, a.machine
 	a.start.acknowledged = true
 	s.reportDeferredVerdict(a)
 	if report.Cause == wire.CauseDone {
@@ -18,35 +32,37 @@
 	} else {
 		s.classifyRecorded(a, reconcile.Ended)
 	}
-	if a.state == "" && report.Cause == wire.CauseDone || a.state != "" {
-		if j != nil {
-			m.addImage(j.spec.Image, j.spec.ImageGB)
-		}
+	if a.job != nil && (a.state != "" || report.Cause == wire.CauseDone) {
+		a.machine.addImage(a.job.spec.Image, a.job.spec.ImageGB) // it was fetched
 	}
 	s.detach(a)
-	if report.Cause != wire.CauseDone {
+	if report.Cause == wire.CauseDone {
+		s.handleCompletedAttempt(a)
+	} else {
 		s.handleFailedAttempt(a, report.Cause)
-	} else if j != nil {
-		if a.runningAt > 0 {
-			j.runtimes.completed++
-			j.runtimes.totalS += (s.now.Mono - a.runningAt).Seconds()
-		}
-		j.retry.failures = 0
-		s.markTaskDone(j, a.ref.index)
 	}
 }
 
-// handleFailedAttempt decides what follows an attempt that did not complete.
+func (s *Scheduler) handleCompletedAttempt(a *attempt) {
+	j := a.job
+	if j == nil {
+		return
+	}
+	if a.runningAt > 0 {
+		j.runtimes.completed++
+		j.runtimes.totalS += (s.now.Mono - a.runningAt).Seconds()
+	}
+	j.retry.failures = 0
+	s.markTaskDone(j, a.ref.index)
+}
+
+// handleFailedAttempt decides what follows a detached attempt that did not complete.
 func (s *Scheduler) handleFailedAttempt(a *attempt, cause string) {
-	j, m := a.job, a.machine
-	name := wire.TaskName(a.ref.jobID, a.ref.index)
 	if cause != wire.CauseStopped {
-		s.cluster.failures = append(s.cluster.failures, Failure{name, a.number, m.name, cause, s.now.Wall})
-		if len(s.cluster.failures) > tuning.MaxListedFailures {
-			s.cluster.failures = append([]Failure(nil), s.cluster.failures[len(s.cluster.failures)-tuning.MaxListedFailures/2:]...)
-		}
-		s.log(cause == wire.CauseNoCapacity, "attempt ended", "task", name, "machine", m.name, "cause", cause)
+		s.listFailure(a, cause)
+		s.logFailedAttempt(a, cause)
 	}
+	j := a.job
 	if j == nil {
 		return
 	}
@@ -56,134 +72,186 @@
 	}
 	s.counters.TaskRetries++
 	if j.spec.Gang() {
-		// The others wait for this one in vain: they stop, and the gang queues
-		// again as a whole.
-		for _, b := range j.sortedAttempts() {
-			s.stopAttempt(b, false, "a member of its gang ended")
-		}
+		s.stopGang(j)
 	}
 	switch cause {
 	case wire.CauseError:
-		if ran := s.now.Mono - a.runningAt; a.runningAt > 0 {
-			j.retry.longestFailedRun = max(j.retry.longestFailedRun, ran)
-			if ran >= tuning.EstablishedAfter {
-				j.standing.established, j.retry.failures = true, 0 // it worked: what failed before is no pattern
-			}
-		}
-		j.retry.failures++
-		j.retry.failedMachines[m.name] = true
-		s.backoff(j)
-		s.recordFailure(m, j)
+		s.handleTaskError(a)
 	case wire.CauseUnknown:
-		j.retry.failures++
 		s.backoff(j)
 	case wire.CauseNoCapacity, wire.CauseDuplicate:
-		m.quarantine.startsPausedUntil = s.now.Mono + tuning.RefusedStartBackoff
-	}
-}
-
-// recordFailure tells faulty machines from jobs that were submitted with a mistake, by who
-// fails where: a machine on which several jobs fail is avoided, and a job that fails
-// wherever it runs says nothing about machines, those that it was held against
-// before included.
-func (s *Scheduler) recordFailure(m *machine, j *job) {
-	if !s.likelyInvalid(j) {
-		m.quarantine.failedJobs[j.id] = true
-		if len(m.quarantine.failedJobs) >= tuning.QuarantineJobThreshold {
-			if m.quarantine.until < s.now.Mono {
-				s.log(false, "machine avoided: unrelated jobs fail there", "machine", m.name)
-			}
-			m.quarantine.until = s.now.Mono + tuning.QuarantineDuration
+		a.machine.quarantine.startsPausedUntil = s.now.Mono + tuning.RefusedStartBackoff
+	}
+}
+
+// listFailure keeps a failed attempt for operators.
+func (s *Scheduler) listFailure(a *attempt, cause string) {
+	failures := append(s.cluster.failures, Failure{a.ref.name(), a.number, a.machine.name, cause, s.now.Wall})
+	if len(failures) > tuning.MaxListedFailures {
+		failures = slices.Clone(failures[len(failures)-tuning.MaxListedFailures/2:])
+	}
+	s.cluster.failures = failures
+}
+
+func (s *Scheduler) logFailedAttempt(a *attempt, cause string) {
+	log := s.logInfo
+	if cause == wire.CauseNoCapacity {
+		log = s.logDebug // it is placed again at once
+	}
+	log("task attempt failed", "task", a.ref.name(), "attempt", a.number, "machine", a.machine.name, "cause", cause)
+}
+
+// stopGang stops a gang of which a member has failed. The others would wait for that one
+// in vain; the gang is queued again as a whole.
+func (s *Scheduler) stopGang(j *job) {
+	for _, member := range j.sortedAttempts() {
+		s.stopNow(member, StopGangMemberEnded)
+	}
+}
+
+// handleTaskError takes the failure of a task that ended with an error of its own.
+func (s *Scheduler) handleTaskError(a *attempt) {
+	j := a.job
+	if a.runningAt > 0 {
+		ran := s.now.Mono - a.runningAt
+		j.retry.longestFailedRun = max(j.retry.longestFailedRun, ran)
+		if ran >= tuning.EstablishedAfter {
+			// It worked for long: earlier failures are no sign of an invalid job.
+			j.standing.established, j.retry.failures = true, 0
 		}
+	}
+	j.retry.failedMachines[a.machine.name] = true
+	s.backoff(j)
+	s.attributeFailure(a.machine, j)
+}
+
+// attributeFailure tells faulty machines from jobs that are invalid, by which of them
+// fail where: a machine on which several jobs fail is quarantined, and a job that fails
+// wherever it runs says nothing about machines. Those that it was held against before
+// are acquitted.
+func (s *Scheduler) attributeFailure(m *machine, j *job) {
+	if s.likelyInvalid(j) {
+		s.acquitMachines(j)
 		return
 	}
+	m.quarantine.failedJobs[j.id] = true
+	if len(m.quarantine.failedJobs) < tuning.QuarantineJobThreshold {
+		return
+	}
+	if m.quarantine.until < s.now.Mono {
+		s.logInfo("machine quarantined", "machine", m.name, "failed_jobs", len(m.quarantine.failedJobs))
+	}
+	m.quarantine.until = s.now.Mono + tuning.QuarantineDuration
+}
+
+// acquitMachines no longer holds an invalid job's failures against machines.
+func (s *Scheduler) acquitMachines(j *job) {
 	for name := range j.retry.failedMachines {
-		if other := s.cluster.machines[name]; other != nil && other.quarantine.failedJobs[j.id] {
-			delete(other.quarantine.failedJobs, j.id)
-			if len(other.quarantine.failedJobs) < tuning.QuarantineJobThreshold {
-				other.quarantine.until = 0
-			}
+		m := s.cluster.machines[name]
+		if m == nil || !m.quarantine.failedJobs[j.id] {
+			continue
+		}
+		delete(m.quarantine.failedJobs, j.id)
+		if len(m.quarantine.failedJobs) < tuning.QuarantineJobThreshold {
+			m.quarantine.until = 0
 		}
 	}
 }
 
+// maxBackoffDoublings bounds the shift in backoff: the maximum is reached long before.
+const maxBackoffDoublings = 19
+
+// backoff counts one more failure in a row, and keeps the job from placement for a time
+// that doubles with each.
 func (s *Scheduler) backoff(j *job) {
-	d := s.settings.Policy.MaxErrorBackoff
-	if j.retry.failures < 20 {
-		d = min(d, s.settings.Policy.ErrorBackoff<<(j.retry.failures-1))
+	j.retry.failures++
+	delay := s.settings.Policy.MaxErrorBackoff
+	if doublings := j.retry.failures - 1; doublings < maxBackoffDoublings {
+		delay = min(delay, s.settings.Policy.ErrorBackoff<<doublings)
 	}
-	j.retry.at = s.now.Mono + d
+	j.retry.at = s.now.Mono + delay
 	s.placement.backingOff[j] = true
 }
 
-// handleAbsence deals with an attempt that is proven not to be on its machine.
+// handleAbsence takes an attached attempt that is proven not to be on its machine.
 func (s *Scheduler) handleAbsence(a *attempt) {
-	name := wire.TaskName(a.ref.jobID, a.ref.index)
 	s.classifyRecorded(a, reconcile.Absent)
 	switch {
 	case a.start.acknowledged:
-		// The worker's lease ran out, or the machine lost it otherwise.
-		s.log(false, "task lost with its worker's session", "task", name, "machine", a.machine.name)
+		// The worker's lease has expired, or the machine has lost the task otherwise.
+		s.logInfo("task lost with its worker's incarnation", "task", a.ref.name(), "attempt", a.number, "machine", a.machine.name)
 		s.detach(a)
-		s.handleFailedAttempt(a, "lost")
+		s.handleFailedAttempt(a, causeLost)
 	case a.stop.requested || a.retry.abandoned:
 		s.detach(a)
 		s.handleFailedAttempt(a, wire.CauseStopped)
 	case a.start.firstSentAt == 0:
-		// Recorded by an earlier leader, never started.
-		s.detach(a)
+		s.detach(a) // recorded by an earlier leader, and never started
 	default:
-		// A start that no worker acknowledged: the one thing that is sent again.
+		// The start was not executed. It is the one kind of command that is sent again.
 		a.start.replySequence = 0
-		if a.retry.nextAt > s.now.Mono {
-			return
+		if a.retry.nextAt <= s.now.Mono {
+			s.sendDue(a.machine)
 		}
-		s.sendDue(a.machine)
 	}
 }
 
+// markTaskDone counts a task as done. That is durable only once the job's record says so.
 func (s *Scheduler) markTaskDone(j *job, index int) {
 	//mutation:done-counted-once
 	if index >= j.spec.Tasks || j.progress.done.Has(index) || j.service {
 		return
 	}
-	j.progress.done.Add(index)
-	j.progress.doneCount++
-	s.log(true, "task done", "task", wire.TaskName(j.id, index))
+	j.progress.add(index)
+	s.logDebug("task done", "task", wire.TaskName(j.id, index))
 	s.counters.Finished++
 	s.markDirty(j)
 	s.placement.due = true
-	for _, a := range append([]*attempt(nil), j.active[index]...) {
-		s.stopAttempt(a, false, "already done")
+	for _, a := range slices.Clone(j.active[index]) {
+		s.stopNow(a, StopTaskDone)
 	}
 	s.markDirtyIfComplete(j)
 }
 
-// drainMachine stops what had better start again elsewhere before a machine is taken.
-// What can save does so. What cannot loses as much by a stop now as by the end of
-// the machine, so it runs on while it may complete in the time left, or while
-// there is no room for it elsewhere. Shortly before the end everything is stopped:
-// an exit that is reported frees the task at once, a machine that is silent
-// frees it only when its release is answered.
+// drainMachine stops tasks that had better start again elsewhere before the cloud takes
+// a spot machine. What can write a checkpoint does so. What cannot loses as much by a
+// stop now as by the end of the machine: it runs on while it may complete in the time
+// left, or while it fits nowhere else. Shortly before the end everything is stopped,
+// since an exit in a heartbeat lets the task start elsewhere at once, and without one
+// only the machine's release does.
 func (s *Scheduler) drainMachine(m *machine) {
-	secondsLeft := (m.cloud.interruptionAt - s.now.Mono).Seconds()
+	left := m.cloud.interruptionAt - s.now.Mono
 	for _, a := range m.sortedAttempts() {
-		j := a.job
-		if j == nil || a.stop.requested {
+		if a.job == nil || a.stop.requested {
 			continue
 		}
-		checkpoint := j.spec.CheckpointIntervalS > 0 && j.spec.CheckpointSaveS < secondsLeft-1
-		if a.state == wire.TaskRunning && !j.service && !checkpoint {
-			rest := j.taskDuration() - (s.now.Mono - a.runningAt).Seconds()
-			if secondsLeft > tuning.MinDrainTimeS && (rest <= secondsLeft || !s.fitsSomewhereCached(j)) {
-				continue
-			}
+		checkpoint := a.job.canCheckpointWithin(left)
+		if !checkpoint && s.mayRunUntilInterruption(a, left) {
+			continue
 		}
-		s.stopAttempt(a, checkpoint, "machine is taken back")
+		s.stopAttempt(a, checkpoint, StopSpotInterruption)
+	}
+}
+
+// canCheckpointWithin reports whether a task of the job can save its progress in the time
+// left, but for a second that its stop may take to arrive.
+func (j *job) canCheckpointWithin(left time.Duration) bool {
+	return j.spec.CheckpointIntervalS > 0 && j.spec.CheckpointSaveS < left.Seconds()-1
+}
+
+// mayRunUntilInterruption reports whether nothing is gained by a stop before the cloud
+// takes the attempt's machine.
+func (s *Scheduler) mayRunUntilInterruption(a *attempt, left time.Duration) bool {
+	j := a.job
+	if a.state != wire.TaskRunning || j.service || left.Seconds() <= tuning.MinDrainTimeS {
+		return false
 	}
+	remainingS := j.taskDuration() - (s.now.Mono - a.runningAt).Seconds()
+	return remainingS <= left.Seconds() || !s.fitsSomewhereCached(j)
 }
 
-// fitsSomewhereCached remembers fitsSomewhere for a moment: many tasks ask at once.
+// fitsSomewhereCached remembers what fitsSomewhere says for a moment: many tasks ask at
+// once.
 func (s *Scheduler) fitsSomewhereCached(j *job) bool {
 	if j.headroom.checkedAt == 0 || s.now.Mono-j.headroom.checkedAt > tuning.FreeCapacityMemory {
 		j.headroom.checkedAt, j.headroom.available = s.now.Mono, s.fitsSomewhere(j)
--- a/internal/scheduler/cancellations.go
+++ b/internal/scheduler/cancellations.go
@@ -8,13 +8,13 @@
 type cancellationState struct {
 	// watermark is the time as of which all cancellations are known.
 	watermark time.Duration
-	// pending has the cancelled jobs that the watch has yet to bring, and since when.
+	// pending has the cancelled jobs that the watch has yet to show, and since when.
 	pending map[string]time.Duration
 }
 
-// Cancelled tells the leader of jobs that are durably cancelled, ahead of the watch.
-// Those that it does not know yet are kept until a read that was sent later is in: that
-// one has them as cancelled or ended, or has nothing of them any more.
+// Cancelled takes the ids of jobs that are durably cancelled, ahead of the watch. Those
+// that are not known yet are kept until a read that was sent later has arrived: that one
+// has them as cancelled or ended, or has nothing of them any more.
 func (s *Scheduler) Cancelled(now Now, ids []string) {
 	s.now = now
 	for _, id := range ids {
@@ -29,9 +29,9 @@
 	}
 }
 
-// JobsReadAt tells the leader that the jobs as it is told of them next were asked for at
-// the given time. What was told before needs no keeping then, or a term of days would
-// gather all the cancellations that peers list once a job is over.
+// JobsReadAt takes the time at which the next JobsChanged or JobsReset was asked for.
+// Cancellations that were known before need not be kept any longer: else a term of days
+// would gather all those that peers list once their jobs are over.
 func (s *Scheduler) JobsReadAt(at time.Duration) {
 	for id, since := range s.cancellations.pending {
 		if since < at {
@@ -40,15 +40,16 @@
 	}
 }
 
-// AdvanceCancellationWatermark tells the leader as of when it knows of all cancellations, before it is
-// told of more.
+// AdvanceCancellationWatermark takes the time as of which all cancellations are known. It
+// comes before any later ones.
 func (s *Scheduler) AdvanceCancellationWatermark(at time.Duration) {
 	s.cancellations.watermark = max(s.cancellations.watermark, at)
 }
 
-// EnforcedCancellationWatermark is the moment, at most at, as of which all cancellations are not only
-// known but seen through: nothing of the jobs is on any machine. Who keeps workers
-// alive for us counts from it, since what we could not stop may be there.
+// EnforcedCancellationWatermark is the time, at most the given one, as of which all
+// cancellations are not only known but enforced: nothing of the jobs is on any machine.
+// Peers that keep workers' leases alive for this leader count from it, since tasks that
+// could not be stopped may be there.
 func (s *Scheduler) EnforcedCancellationWatermark(at time.Duration) time.Duration {
 	for _, j := range s.cluster.jobs {
 		//mutation:watermark-waits-for-unreadable-records
@@ -60,12 +61,13 @@
 	return at
 }
 
+// cancelJob stops what runs of a job that was cancelled.
 func (s *Scheduler) cancelJob(j *job) {
 	j.cancelled, j.cancellationWatermark = true, s.cancellations.watermark
 	s.placement.due = true
-	s.log(false, "job cancelled", "job", j.id, "tasks", j.activeCount)
+	s.logInfo("job cancelled", "job", j.id, "tasks", j.activeCount)
 	for _, a := range j.sortedAttempts() {
-		s.stopAttempt(a, false, "cancelled")
+		s.stopNow(a, StopJobCancelled)
 	}
 	s.markDirtyIfComplete(j)
 }
--- a/internal/scheduler/cluster.go
+++ b/internal/scheduler/cluster.go
@@ -1,15 +1,23 @@
 package scheduler
 
-import "github.com/yarrowgap/yarrowgap/wire"
+import (
+	"cmp"
+	"slices"
+	"time"
 
-// clusterState has the machines, the live jobs and what runs of them, with the sums
-// that follow from it: what is in use by team, and what failed lately.
+	"github.com/yarrowgap/yarrowgap/wire"
+)
+
+// clusterState has the machines, the live jobs and the attempts that may be on machines,
+// with the sums over them. Only attach and detach, setState of attempts and the methods
+// of jobProgress count up or down, and keep this invariant: the resources in use on a
+// machine and by a team, and a job's active tasks, are the sums over attached attempts.
 type clusterState struct {
 	machines       map[string]*machine
 	machinesByName []*machine // in that order; nil after a machine was added or removed
 	machineTypes   map[string]*wire.MachineType
 	jobs           map[string]*job
-	usage          map[string]*TeamQuota // in use by team, in CPUs and GPUs
+	usage          map[string]*teamUsage // by team
 	released       map[string]bool       // machines released in this term; names are never reused
 	failures       []Failure             // the latest failed attempts
 
@@ -17,3 +25,102 @@
 	// the term began, until they are stopped.
 	obsoleteAttempts []*attempt
 }
+
+// teamUsage is what a team's attempts take.
+type teamUsage struct {
+	CPUs, GPUs float64
+}
+
+// resources is an amount of what machines have and tasks take.
+type resources struct {
+	cpus, gpus, memoryGB float64
+}
+
+// addTask adds what one task of a job takes.
+func (r *resources) addTask(spec *wire.Job) {
+	r.cpus += spec.CPUs
+	r.gpus += spec.GPUs
+	r.memoryGB += spec.MemoryGB
+}
+
+// removeTask subtracts what one task of a job takes.
+func (r *resources) removeTask(spec *wire.Job) {
+	r.cpus -= spec.CPUs
+	r.gpus -= spec.GPUs
+	r.memoryGB -= spec.MemoryGB
+}
+
+// addMachine enters a new machine.
+func (c *clusterState) addMachine(m *machine) {
+	m.machineSpec = c.machineTypes[m.machineType]
+	c.machines[m.name] = m
+	c.machinesByName = nil
+}
+
+// sortedMachines gives the machines by name. The slice is not to be changed.
+func (c *clusterState) sortedMachines() []*machine {
+	if c.machinesByName == nil {
+		c.machinesByName = make([]*machine, 0, len(c.machines))
+		for _, m := range c.machines {
+			c.machinesByName = append(c.machinesByName, m)
+		}
+		slices.SortFunc(c.machinesByName, func(a, b *machine) int { return cmp.Compare(a.name, b.name) })
+	}
+	return c.machinesByName
+}
+
+// usageOf gives what a team uses. It may be changed by attach and detach alone.
+func (c *clusterState) usageOf(team string) *teamUsage {
+	usage := c.usage[team]
+	if usage == nil {
+		usage = &teamUsage{}
+		c.usage[team] = usage
+	}
+	return usage
+}
+
+// attach counts an attempt as being on its machine.
+func (c *clusterState) attach(a *attempt) {
+	a.machine.tasks[a.ref] = a
+	a.machine.taskSummary = nil
+	j := a.job
+	if j == nil {
+		return
+	}
+	j.addActive(a)
+	a.machine.used.addTask(&j.spec)
+	usage := c.usageOf(j.spec.Team)
+	usage.CPUs += j.spec.CPUs
+	usage.GPUs += j.spec.GPUs
+}
+
+// detach takes back what attach has counted. An ended job is forgotten with its last
+// attempt.
+func (c *clusterState) detach(a *attempt, now time.Duration) {
+	c.detachFromMachine(a, now)
+	j := a.job
+	if j == nil {
+		return
+	}
+	usage := c.usageOf(j.spec.Team)
+	usage.CPUs -= j.spec.CPUs
+	usage.GPUs -= j.spec.GPUs
+	j.removeActive(a)
+	if j.archived && j.activeCount == 0 {
+		delete(c.jobs, j.id)
+	}
+}
+
+func (c *clusterState) detachFromMachine(a *attempt, now time.Duration) {
+	m := a.machine
+	delete(m.tasks, a.ref)
+	m.taskSummary = nil
+	if len(m.tasks) == 0 {
+		m.idleSince = now
+		m.used = resources{} // without the rounding errors of sums
+		return
+	}
+	if a.job != nil {
+		m.used.removeTask(&a.job.spec)
+	}
+}
--- a/internal/scheduler/effects.go
+++ b/internal/scheduler/effects.go
@@ -5,15 +5,15 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Effects are what the node has to do after an input.
+// Effects are what the controller has to do after an input, by the scheduler's decision.
 type Effects struct {
 	DirectCalls []DirectCall
 	Commits     []Commit
 	Provision   []ProvisionRequest
-	Release     [][]string
-	Resign      string // why the lead has to be given up, if it has to
+	Release     [][]string   // names of machines, one slice a request
+	Resign      ResignReason // empty: leadership goes on
 	Log         []LogLine
-	// Reconciliation has what happened in the term's recovery, for traces.
+	// Reconciliation has the events of the term's reconciliation, for traces.
 	Reconciliation []reconcile.Event
 }
 
@@ -36,7 +36,7 @@
 	Request wire.ProvisionRequest
 }
 
-// LogLine is a line for the log.
+// LogLine is a line for the log, with attributes in pairs of key and value.
 type LogLine struct {
 	Debug bool
 	Msg   string
@@ -46,9 +46,9 @@
 // TakeEffects returns the effects gathered since the last call.
 func (s *Scheduler) TakeEffects() Effects {
 	s.takeReconciliationEvents()
-	e := s.effects
+	effects := s.effects
 	s.effects = Effects{}
-	return e
+	return effects
 }
 
 func (s *Scheduler) log(debug bool, message string, args ...any) {
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -1,34 +1,33 @@
 package scheduler
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 	"time"
 
 	"github.com/yarrowgap/yarrowgap/internal/records"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
+// job is a live job, or an ended one of which attempts may still be on machines.
 type job struct {
 	id          string
 	spec        wire.Job
-	modRevision uint64
+	modRevision uint64        // of its record
 	createdAt   time.Duration // Mono; may be negative
 	service     bool
-	rank        int
+	rank        int // order of its priority, the highest first
 
+	recovered             bool // submitted before this term
+	placedOnce            bool // a task of it has been placed in this term
+	archived              bool // it has ended: its live record is gone
 	cancelled             bool
-	cancellationWatermark time.Duration // cancelled: as of when we knew all cancellations before this one
-	archived              bool          // its live record is gone: it has ended
+	cancellationWatermark time.Duration // if cancelled: as of when all cancellations were known before this one
 
-	active          map[int][]*attempt
-	unsavedAttempts map[int]*attempt // completed attempts whose done bit is not durable yet
-
-	activeCount  int // distinct indices with attempts
-	runningCount int
-
-	placedOnce bool // some task of it has been placed in this term
-
-	recovered bool // from a time before our term
+	active          map[int][]*attempt // attached attempts by task index
+	activeCount     int                // tasks with attached attempts
+	runningCount    int                // attached attempts that run
+	unsavedAttempts map[int]*attempt   // completed ones whose done bit is not durable yet
 
 	progress jobProgress
 	write    jobWriteState
@@ -41,46 +40,69 @@
 	standing jobStanding
 }
 
-func (j *job) pendingTasks() int {
-	if j.cancelled || j.archived {
-		return 0
-	}
-	return j.spec.Tasks - j.progress.doneCount - j.activeCount
+// jobWriteState is that of the writes of a job's records.
+type jobWriteState struct {
+	dirtyAt        time.Duration // since when there is something to write; 0: there is nothing
+	inFlight       bool
+	blockedUntil   time.Duration
+	chunkRevisions map[int]uint64 // mod revisions of further bitmap chunks
 }
 
-func (j *job) sortedAttempts() []*attempt {
-	var out []*attempt
-	for _, list := range j.active {
-		out = append(out, list...)
-	}
-	sort.Slice(out, func(a, b int) bool {
-		if out[a].ref.index != out[b].ref.index {
-			return out[a].ref.index < out[b].ref.index
-		}
-		return out[a].number < out[b].number
-	})
-	return out
+// taskIndices hands out the indices of tasks to place.
+type taskIndices struct {
+	freed []int // of attempts that have ended
+	next  int   // indices below it have been handed out at least once
 }
 
-// takeFreeIndex takes an index of the job that neither is done nor has an attempt.
-func (j *job) takeFreeIndex() (int, bool) {
-	for len(j.indices.freed) > 0 {
-		i := j.indices.freed[len(j.indices.freed)-1]
-		j.indices.freed = j.indices.freed[:len(j.indices.freed)-1]
-		if !j.progress.done.Has(i) && len(j.active[i]) == 0 {
-			return i, true
-		}
-	}
-	for j.indices.next < j.spec.Tasks {
-		i := j.indices.next
-		j.indices.next++
-		if !j.progress.done.Has(i) && len(j.active[i]) == 0 {
-			return i, true
-		}
-	}
-	return 0, false
+// retryState is that of a job's failed attempts.
+type retryState struct {
+	failures         int // in a row
+	longestFailedRun time.Duration
+	failedMachines   map[string]bool
+	at               time.Duration // no placement before then
+}
+
+// waitState says since when and why tasks of a job wait.
+type waitState struct {
+	since time.Duration // since when a task waits; 0: none does
+	// fetchSlotSince is since when all machines with capacity have been fetching other
+	// images; 0: they are not.
+	fetchSlotSince    time.Duration
+	preemptionTriedAt time.Duration
+	reason            string // for people
+}
+
+// headroomCheck remembers whether there was capacity for a task of the job.
+type headroomCheck struct {
+	checkedAt time.Duration // 0: never
+	available bool
+}
+
+// deadlinePlan has a job's deadlines, and which of them it can still meet by the last
+// placement round.
+type deadlinePlan struct {
+	deadlines []float64 // in seconds from the submission, see deadlinesOf
+	feasible  int       // index of the first that can be met; len(deadlines): none can
+	slackS    float64   // seconds until that one
+}
+
+// observedRuntimes sums up the run times of tasks that were followed from start to
+// completion.
+type observedRuntimes struct {
+	completed int
+	totalS    float64
+}
+
+// jobStanding is what the last placement round found about a job's place in the queue.
+type jobStanding struct {
+	established     bool // a task of it has run for long enough to stay; never reset
+	starved         bool // nothing of it has been established for long
+	prioritized     bool // starved, and its first tasks are placed ahead of others
+	aged            bool // it missed all its deadlines, long ago
+	withinGuarantee bool // it fits in its team's quota guarantee
 }
 
+// addJob adds a live job that this term did not know of.
 func (s *Scheduler) addJob(live *LiveJob) *job {
 	record := live.Record
 	j := &job{
@@ -88,11 +110,11 @@
 		service: record.Job.Service(), rank: wire.PriorityOrder(record.Job.Priority),
 		//mutation:recover-cancelled-flag
 		cancelled: record.Cancelled,
-		progress:  jobProgress{done: records.NewBitmap(record.Job.Tasks), saved: records.NewBitmap(record.Job.Tasks)},
+		progress:  newJobProgress(record.Job.Tasks),
 		active:    map[int][]*attempt{}, write: jobWriteState{chunkRevisions: map[int]uint64{}},
 		retry: retryState{failedMachines: map[string]bool{}},
 	}
-	// The job's age by the time of day, moved onto our steady clock.
+	// Its age is known by the time of day; the clock of the process is a steady one.
 	j.createdAt = s.now.Mono - time.Duration(max(0, s.now.Wall-record.Job.CreatedAtMilli))*time.Millisecond
 	j.plan.deadlines = s.deadlinesOf(&j.spec)
 	s.mergeDoneBits(j, 0, record.Done)
@@ -100,19 +122,18 @@
 	return j
 }
 
+// mergeDoneBits takes a chunk of done bits from a stored record.
 func (s *Scheduler) mergeDoneBits(j *job, chunk int, encoded string) {
 	if encoded == "" {
 		return
 	}
-	if err := j.progress.saved.MergeChunk(chunk, encoded); err != nil {
-		s.log(false, "job record has a bad bitmap", "job", j.id, "err", err.Error())
-		return
+	if err := j.progress.mergeSaved(chunk, encoded); err != nil {
+		s.logInfo("invalid done bitmap in a job record", "job", j.id, "err", err.Error())
 	}
-	_ = j.progress.done.MergeChunk(chunk, encoded) // as long as saved, which took it
-	j.progress.doneCount, j.progress.savedCount = j.progress.done.Count(), j.progress.saved.Count()
 }
 
-func (s *Scheduler) addDoneBits(item wire.KeyValue) {
+// restoreDoneBits takes a stored record of further done bits.
+func (s *Scheduler) restoreDoneBits(item wire.KeyValue) {
 	var record records.BitmapChunk
 	id, chunk, ok := wire.ParseTaskName(records.IDFromKey(records.BitmapPrefix, item.Key))
 	if !ok || wire.Unmarshal(item.Value, &record) != nil {
@@ -120,28 +141,28 @@
 	}
 	j := s.cluster.jobs[id]
 	if j == nil {
-		s.persister.obsoleteKeys = append(s.persister.obsoleteKeys, item.Key) // left by a job that has ended
+		s.persister.obsoleteKeys = append(s.persister.obsoleteKeys, item.Key) // left over from a job that has ended
 		return
 	}
 	j.write.chunkRevisions[chunk] = item.ModRevision
 	s.mergeDoneBits(j, chunk, record.Done)
 }
 
-// archiveJob takes note that a job's live record is gone: it has ended. Attempts
-// that are still about are stopped, and count against their machine and team
-// until they are proven gone.
+// archiveJob takes note that a job has ended: its live record is gone. Attempts that
+// may still be on machines are stopped, and count against their machine and team until
+// they are proven to be gone.
 func (s *Scheduler) archiveJob(j *job) {
 	j.archived = true
 	s.dropSavedAssignments(j)
 	for _, a := range j.sortedAttempts() {
-		s.stopAttempt(a, false, "the job is over")
+		s.stopNow(a, StopJobEnded)
 	}
 	if j.activeCount == 0 {
 		delete(s.cluster.jobs, j.id)
 	}
 }
 
-// markDirtyIfComplete marks a job as due for its last write once nothing of it is left.
+// markDirtyIfComplete has a job's last write made once it is over.
 func (s *Scheduler) markDirtyIfComplete(j *job) {
 	if j.readyToArchive() {
 		s.markDirty(j)
@@ -156,74 +177,83 @@
 	}
 }
 
-// markClean notes that there is not.
+// markClean notes that there is nothing of the job to write.
 func (s *Scheduler) markClean(j *job) {
 	j.write.dirtyAt = 0
 	delete(s.persister.dirtyJobs, j)
 }
 
-// jobProgress has the tasks that are done. Those in saved are durably so, and in done too.
-type jobProgress struct {
-	done, saved           records.Bitmap
-	doneCount, savedCount int
-}
-
-// jobWriteState is that of the writes of a job's records.
-type jobWriteState struct {
-	dirtyAt        time.Duration // since when there is something to write; 0: there is not
-	inFlight       bool
-	blockedUntil   time.Duration
-	chunkRevisions map[int]uint64 // mod revisions of further bitmap chunks
-}
-
-// taskIndices hands out indices of tasks to place.
-type taskIndices struct {
-	freed []int // of attempts that have ended
-	next  int   // indices below it have been handed out at least once
-}
-
-// retryState is that of a job's failed attempts.
-type retryState struct {
-	failures         int // in a row
-	longestFailedRun time.Duration
-	failedMachines   map[string]bool
-	at               time.Duration // no placement before then
+// pendingTasks is how many tasks are neither done nor have an attempt.
+func (j *job) pendingTasks() int {
+	if j.cancelled || j.archived {
+		return 0
+	}
+	return j.spec.Tasks - j.progress.doneCount - j.activeCount
 }
 
-// waitState says since when and why tasks of a job wait.
-type waitState struct {
-	since time.Duration // since when a task waits; 0: none does
-	// fetchSlotSince is since when it has waited for machines with capacity to fetch
-	// other images; 0: it does not.
-	fetchSlotSince    time.Duration
-	preemptionTriedAt time.Duration
-	reason            string // for people
+// sortedAttempts gives the job's attached attempts in a fixed order.
+func (j *job) sortedAttempts() []*attempt {
+	var list []*attempt
+	for _, attempts := range j.active {
+		list = append(list, attempts...)
+	}
+	slices.SortFunc(list, func(a, b *attempt) int {
+		return cmp.Or(cmp.Compare(a.ref.index, b.ref.index), cmp.Compare(a.number, b.number))
+	})
+	return list
 }
 
-// headroomCheck remembers whether there was capacity for a task of the job.
-type headroomCheck struct {
-	checkedAt time.Duration // 0: never
-	available bool
+// addActive counts an attempt as one of its task.
+func (j *job) addActive(a *attempt) {
+	index := a.ref.index
+	if len(j.active[index]) == 0 {
+		j.activeCount++
+	}
+	j.active[index] = append(j.active[index], a)
 }
 
-// deadlinePlan has a job's deadlines, and those that it can still meet by the last round.
-type deadlinePlan struct {
-	deadlines []float64 // in seconds from the submission, see Scheduler.deadlinesOf
-	feasible  int       // the first of them that can be met; their number: none
-	slackS    float64   // seconds until that one
+// removeActive takes back what addActive has counted. With the last attempt of a task,
+// the task's index is free to be placed again.
+func (j *job) removeActive(a *attempt) {
+	if a.state == wire.TaskRunning {
+		j.runningCount--
+	}
+	index := a.ref.index
+	rest := j.active[index]
+	if position := slices.Index(rest, a); position >= 0 {
+		rest = slices.Concat(rest[:position], rest[position+1:])
+	}
+	if len(rest) > 0 {
+		j.active[index] = rest
+		return
+	}
+	delete(j.active, index)
+	j.activeCount--
+	if !j.progress.done.Has(index) {
+		j.indices.freed = append(j.indices.freed, index)
+	}
 }
 
-// observedRuntimes sums up how long tasks ran that were followed from start to completion.
-type observedRuntimes struct {
-	completed int
-	totalS    float64
+// takeFreeIndex takes the index of a task that neither is done nor has an attempt.
+func (j *job) takeFreeIndex() (index int, ok bool) {
+	for len(j.indices.freed) > 0 {
+		last := len(j.indices.freed) - 1
+		index = j.indices.freed[last]
+		j.indices.freed = j.indices.freed[:last]
+		if j.isFree(index) {
+			return index, true
+		}
+	}
+	for j.indices.next < j.spec.Tasks {
+		index = j.indices.next
+		j.indices.next++
+		if j.isFree(index) {
+			return index, true
+		}
+	}
+	return 0, false
 }
 
-// jobStanding is what the last round found about a job's place in the queue.
-type jobStanding struct {
-	established     bool // a task of it has run for long enough to stay; never reset
-	starved         bool // nothing of it has been established for long
-	prioritized     bool // starved, and its first tasks go ahead of others
-	aged            bool // has missed all its deadlines, long ago
-	withinGuarantee bool // inside its team's guarantee
+func (j *job) isFree(index int) bool {
+	return !j.progress.done.Has(index) && len(j.active[index]) == 0
 }
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -2,41 +2,43 @@
 
 import (
 	"slices"
-	"strings"
 	"time"
 
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
+// machinePhase is how far a machine is on its way from provisioning to release.
 type machinePhase int
 
 const (
-	machineBooting   machinePhase = iota // rented, its worker has not reported yet
-	machineUp                            // its worker has reported
-	machineReleasing                     // being given back; nothing is sent to it any more
+	machineBooting   machinePhase = iota // provisioned; its worker has sent no heartbeat yet
+	machineUp                            // its worker has sent a heartbeat
+	machineReleasing                     // its release was asked for; it gets no new work
 )
 
+func (p machinePhase) String() string {
+	return [...]string{"booting", "up", "releasing"}[p]
+}
+
+// machine is a machine with a worker, by what this leader knows of it.
 type machine struct {
 	name, machineType, zone, address string
 	spot                             bool
-	machineSpec                      *wire.MachineType
-
-	phase   machinePhase
-	knownAt time.Duration // when this term first knew of it
-
-	upAt time.Duration
-
-	idleSince time.Duration
+	machineSpec                      *wire.MachineType // nil: the cloud has not told of the type
 
-	confirmed bool // its present tasks are known under our term
+	phase     machinePhase
+	knownAt   time.Duration // when this term first knew of it
+	upAt      time.Duration
+	idleSince time.Duration // when it last became empty
+	confirmed bool          // what it runs is known by a heartbeat under this term's token
 
 	tasks           map[taskRef]*attempt
-	exited          map[taskRef]taskExit // told by the worker, dealt with by us, not yet forgotten
-	unexpectedStops []wire.Command       // stops of attempts that are not in our picture
-	images          []cachedImage        // most recently used last
-
-	taskSummary *taskSummary              // what placement asks of its tasks, until they change
-	batches     map[*assignmentBatch]bool // records that name it
+	exited          map[taskRef]taskExit // ended, listed by the worker and not yet forgotten there
+	unexpectedStops []wire.Command       // stops of attempts that are not among tasks
+	used            resources            // by tasks
+	images          imageCache
+	taskSummary     *taskSummary              // see summarize; nil after tasks or images have changed
+	batches         map[*assignmentBatch]bool // assignment batches that name it
 
 	cloud        cloudStatus
 	release      releaseState
@@ -46,125 +48,14 @@
 	fencing      fencingState
 	calls        callStatus
 	connectivity connectivity
-	used         resources
-}
-
-type cachedImage struct {
-	name   string
-	sizeGB float64
 }
 
+// taskExit is the end of an attempt as its worker lists it.
 type taskExit struct {
 	attempt uint64
 	done    bool
 }
 
-func (s *Scheduler) addMachine(name, machineType, zone string, spot bool, address string) *machine {
-	m := &machine{
-		name: name, machineType: machineType, zone: zone, spot: spot, address: address, machineSpec: s.cluster.machineTypes[machineType],
-		knownAt: s.now.Mono, idleSince: s.now.Mono,
-		cloud: cloudStatus{provisionedAt: s.now.Mono}, connectivity: connectivity{lastHeartbeatAt: s.now.Mono},
-		quarantine: quarantineState{failedJobs: map[string]bool{}},
-		tasks:      map[taskRef]*attempt{}, exited: map[taskRef]taskExit{}, batches: map[*assignmentBatch]bool{},
-	}
-	s.cluster.machines[name] = m
-	s.cluster.machinesByName = nil
-	return m
-}
-
-// sortedMachines gives the machines by name. The slice is not to be changed.
-func (s *Scheduler) sortedMachines() []*machine {
-	if s.cluster.machinesByName == nil {
-		s.cluster.machinesByName = make([]*machine, 0, len(s.cluster.machines))
-		for _, m := range s.cluster.machines {
-			s.cluster.machinesByName = append(s.cluster.machinesByName, m)
-		}
-		slices.SortFunc(s.cluster.machinesByName, func(a, b *machine) int { return strings.Compare(a.name, b.name) })
-	}
-	return s.cluster.machinesByName
-}
-
-func (m *machine) queueUnexpectedStop(c wire.Command) {
-	m.unexpectedStops = append(m.unexpectedStops, c)
-}
-
-// addImage notes that the machine has an image, as the most recently used.
-func (m *machine) addImage(name string, sizeGB float64) {
-	m.taskSummary = nil
-	for i, im := range m.images {
-		if im.name == name {
-			m.images = append(append(m.images[:i:i], m.images[i+1:]...), cachedImage{name, sizeGB})
-			return
-		}
-	}
-	m.images = append(m.images, cachedImage{name, sizeGB})
-	if m.machineSpec == nil || m.machineSpec.CacheGB <= 0 {
-		return
-	}
-	sum := 0.0
-	for _, im := range m.images {
-		sum += im.sizeGB
-	}
-	for len(m.images) > 1 && sum > m.machineSpec.CacheGB {
-		sum -= m.images[0].sizeGB
-		m.images = m.images[1:]
-	}
-}
-
-func (m *machine) hasImage(name string) bool {
-	for _, im := range m.images {
-		if im.name == name {
-			return true
-		}
-	}
-	return false
-}
-
-// sortedAttempts gives the machine's attempts in a fixed order.
-func (m *machine) sortedAttempts() []*attempt {
-	out := make([]*attempt, 0, len(m.tasks))
-	for _, a := range m.tasks {
-		out = append(out, a)
-	}
-	sortAttempts(out)
-	return out
-}
-
-// taskSummary is what placement asks of a machine's tasks.
-type taskSummary struct {
-	hasUnknownTask               bool // something is there whose size we do not know
-	services                     int  // tasks of services, and what they take
-	serviceCPUs, serviceMemoryGB float64
-	fetching                     map[string]float64 // images on their way, without those of stopped tasks
-}
-
-// summarize gives the machine's taskSummary, made anew after its tasks have changed.
-func (m *machine) summarize() *taskSummary {
-	if m.taskSummary != nil {
-		return m.taskSummary
-	}
-	summary := &taskSummary{}
-	for _, a := range m.tasks {
-		if a.job == nil {
-			summary.hasUnknownTask = true
-			continue
-		}
-		if a.job.service {
-			summary.services++
-			summary.serviceCPUs += a.job.spec.CPUs
-			summary.serviceMemoryGB += a.job.spec.MemoryGB
-		}
-		if !a.stop.requested && a.state != wire.TaskRunning && !m.hasImage(a.job.spec.Image) {
-			if summary.fetching == nil {
-				summary.fetching = map[string]float64{}
-			}
-			summary.fetching[a.job.spec.Image] = a.job.spec.ImageGB
-		}
-	}
-	m.taskSummary = summary
-	return summary
-}
-
 // cloudStatus is what the cloud says of a machine.
 type cloudStatus struct {
 	provisionedAt     time.Duration
@@ -188,13 +79,14 @@
 	failedJobs        map[string]bool // unrelated jobs that failed there
 }
 
-// reservation keeps a machine's capacity for a job.
+// reservation keeps a machine's free capacity for a job.
 type reservation struct {
 	jobID string
 	until time.Duration
 }
 
-// heartbeatOrder is the place of a machine's last heartbeat: earlier ones are ignored.
+// heartbeatOrder is the position of a machine's last heartbeat: earlier ones that arrive
+// after it are ignored.
 type heartbeatOrder struct {
 	incarnation, sequence uint64
 	lastInitiated         uint64
@@ -204,29 +96,146 @@
 // fencingState is what is known of the fencing tokens used with a machine.
 type fencingState struct {
 	counter      uint64 // low bits of the token now used with it
-	usedDirectly bool   // starts went directly under the present counter
-	seenToken    uint64 // the highest that it has reported
+	usedDirectly bool   // direct calls have sent starts under the present counter
+	seenToken    uint64 // the highest that a heartbeat of it has named
 }
 
-// callStatus is that of direct calls to a machine, one at a time.
+// callStatus is that of direct calls to a machine, of which one at a time is in flight.
 type callStatus struct {
 	inFlight                 bool
 	again                    bool          // something is due once the call has ended
-	probedAt                 time.Duration // last status probe
+	probedAt                 time.Duration // when the last status probe was sent
 	unanswered               int           // in a row
 	unansweredSinceHeartbeat int
 }
 
 // connectivity says when a machine and this leader last reached each other.
 type connectivity struct {
-	lastHeartbeatAt     time.Duration // or answer to a call
-	heartbeatAnsweredAt time.Duration // its last heartbeat that we answered
-	// unreachableSince is since when it seems that nothing reaches it although its
-	// heartbeats arrive; 0: it hears us. See watchReplyDelivery.
+	lastHeartbeatAt     time.Duration // or reply to a direct call
+	heartbeatAnsweredAt time.Duration // when a heartbeat was last replied to
+	// unreachableSince is since when it seems that nothing reaches the machine although
+	// its heartbeats arrive; 0: it is reachable. See watchReplyDelivery.
 	unreachableSince time.Duration
 }
 
-// resources is an amount of what machines have and tasks take.
-type resources struct {
-	cpus, gpus, memoryGB float64
+// addMachine adds a machine that this term did not know of.
+func (s *Scheduler) addMachine(name, machineType, zone string, spot bool, address string) *machine {
+	m := &machine{
+		name: name, machineType: machineType, zone: zone, spot: spot, address: address,
+		knownAt: s.now.Mono, idleSince: s.now.Mono,
+		cloud: cloudStatus{provisionedAt: s.now.Mono}, connectivity: connectivity{lastHeartbeatAt: s.now.Mono},
+		quarantine: quarantineState{failedJobs: map[string]bool{}},
+		tasks:      map[taskRef]*attempt{}, exited: map[taskRef]taskExit{}, batches: map[*assignmentBatch]bool{},
+	}
+	s.cluster.addMachine(m)
+	return m
+}
+
+// sortedMachines gives the machines by name. The slice is not to be changed.
+func (s *Scheduler) sortedMachines() []*machine { return s.cluster.sortedMachines() }
+
+// queueUnexpectedStop has a command sent with what is next sent to the machine.
+func (m *machine) queueUnexpectedStop(command wire.Command) {
+	m.unexpectedStops = append(m.unexpectedStops, command)
+}
+
+// sortedAttempts gives the machine's attempts in a fixed order.
+func (m *machine) sortedAttempts() []*attempt {
+	list := make([]*attempt, 0, len(m.tasks))
+	for _, a := range m.tasks {
+		list = append(list, a)
+	}
+	sortAttempts(list)
+	return list
+}
+
+// imageCache has the images on a machine as far as is known, the most recently used last.
+type imageCache []cachedImage
+
+type cachedImage struct {
+	name   string
+	sizeGB float64 // 0: unknown
+}
+
+func (c imageCache) has(name string) bool {
+	return slices.ContainsFunc(c, func(image cachedImage) bool { return image.name == name })
+}
+
+func (c imageCache) sizeGB() float64 {
+	sum := 0.0
+	for _, image := range c {
+		sum += image.sizeGB
+	}
+	return sum
+}
+
+// withUsed gives the cache after an image was used. An image that is new to it evicts
+// those that were used longest ago, until what is left fits the capacity; 0: unknown.
+func (c imageCache) withUsed(image cachedImage, capacityGB float64) imageCache {
+	index := slices.IndexFunc(c, func(known cachedImage) bool { return known.name == image.name })
+	if index >= 0 {
+		return append(slices.Delete(c, index, index+1), image)
+	}
+	c = append(c, image)
+	if capacityGB <= 0 {
+		return c
+	}
+	size := c.sizeGB()
+	for len(c) > 1 && size > capacityGB {
+		size -= c[0].sizeGB
+		c = c[1:]
+	}
+	return c
+}
+
+// addImage notes that the machine has an image, as the most recently used.
+func (m *machine) addImage(name string, sizeGB float64) {
+	m.taskSummary = nil
+	capacityGB := 0.0
+	if m.machineSpec != nil {
+		capacityGB = m.machineSpec.CacheGB
+	}
+	m.images = m.images.withUsed(cachedImage{name, sizeGB}, capacityGB)
+}
+
+// hasImage reports whether the machine needs no fetch for the image.
+func (m *machine) hasImage(name string) bool { return m.images.has(name) }
+
+// taskSummary is what placement needs to know of a machine's tasks.
+type taskSummary struct {
+	hasUnknownTask               bool // an attempt's job is not live, and so its size unknown
+	services                     int  // tasks of services, and what they take
+	serviceCPUs, serviceMemoryGB float64
+	fetching                     map[string]float64 // images being fetched, but for tasks that are stopped
+}
+
+// summarize gives the machine's taskSummary, made anew after its tasks have changed.
+func (m *machine) summarize() *taskSummary {
+	if m.taskSummary == nil {
+		m.taskSummary = m.newTaskSummary()
+	}
+	return m.taskSummary
+}
+
+func (m *machine) newTaskSummary() *taskSummary {
+	summary := &taskSummary{}
+	for _, a := range m.tasks {
+		if a.job == nil {
+			summary.hasUnknownTask = true
+			continue
+		}
+		spec := &a.job.spec
+		if a.job.service {
+			summary.services++
+			summary.serviceCPUs += spec.CPUs
+			summary.serviceMemoryGB += spec.MemoryGB
+		}
+		if !a.stop.requested && a.state != wire.TaskRunning && !m.hasImage(spec.Image) {
+			if summary.fetching == nil {
+				summary.fetching = map[string]float64{}
+			}
+			summary.fetching[spec.Image] = spec.ImageGB
+		}
+	}
+	return summary
 }
--- a/internal/scheduler/replica.go
+++ b/internal/scheduler/replica.go
@@ -15,13 +15,13 @@
 	ModRevision uint64
 }
 
-// Replica is a node's copy of the jobs in the state service. All live jobs are
-// in it; of the ended ones, as many as fit. It says what was true at Epoch and
-// is brought up to date by changes.
+// Replica is a controller's copy of the jobs in the key-value store: all live jobs, and
+// as many of the ended ones as fit. It says what was true at Revision, and is brought up
+// to date by watch replies.
 type Replica struct {
 	Loaded   bool
 	Revision uint64
-	Resets   int // how often changes were passed over
+	Resets   int // how often changes were skipped by a full read
 	Live     map[string]*LiveJob
 	ended    map[string]*list.Element
 	recency  *list.List // of endedEntry, the most recently used first
@@ -38,11 +38,11 @@
 	return &Replica{Live: map[string]*LiveJob{}, ended: map[string]*list.Element{}, recency: list.New(), absent: map[string]bool{}}
 }
 
-// Reset replaces the live jobs by a full read made at epoch. Ended jobs stay:
-// their state never changes.
-func (r *Replica) Reset(items []wire.KeyValue, epoch uint64) (bad []string) {
+// Reset replaces the live jobs by a full read made at a revision. Ended jobs stay: their
+// records never change. It returns the keys of records that cannot be decoded.
+func (r *Replica) Reset(items []wire.KeyValue, revision uint64) (bad []string) {
 	//mutation:reset-clears-absences
-	clear(r.absent) // changes were passed over
+	clear(r.absent) // the changes that were skipped may have made such a job
 	r.Resets++
 	r.Live = make(map[string]*LiveJob, len(items))
 	for _, item := range items {
@@ -53,7 +53,7 @@
 		}
 		r.Live[record.Job.ID] = &LiveJob{Record: record, ModRevision: item.ModRevision}
 	}
-	r.Revision, r.Loaded = epoch, true
+	r.Revision, r.Loaded = revision, true
 	return bad
 }
 
@@ -63,45 +63,54 @@
 	Live *LiveJob // nil if the job is no longer live
 }
 
-// Apply brings the copy up to date. Entries at or before the copy's epoch were
-// applied before, by another answer that overtook this one.
-func (r *Replica) Apply(changes wire.WatchReply) (touched []JobChange, bad []string) {
-	for _, entry := range changes.Events {
+// Apply brings the copy up to date. Events at or before the copy's revision were applied
+// before, from another reply that overtook this one. It returns the live jobs that were
+// touched, and the keys of records that cannot be decoded.
+func (r *Replica) Apply(reply wire.WatchReply) (touched []JobChange, bad []string) {
+	for _, event := range reply.Events {
 		//mutation:change-order
-		if entry.ModRevision <= r.Revision {
+		if event.ModRevision <= r.Revision {
 			continue
 		}
 		switch {
-		case strings.HasPrefix(entry.Set, records.LiveJobPrefix):
-			record, err := records.DecodeJob(wire.KeyValue{Key: entry.Set, Value: entry.Value, ModRevision: entry.ModRevision})
+		case strings.HasPrefix(event.Set, records.LiveJobPrefix):
+			change, err := r.applyLiveJob(wire.KeyValue{Key: event.Set, Value: event.Value, ModRevision: event.ModRevision})
 			if err != nil {
-				bad = append(bad, entry.Set)
+				bad = append(bad, event.Set)
 				continue
 			}
-			live := &LiveJob{Record: record, ModRevision: entry.ModRevision}
-			r.Live[record.Job.ID] = live
-			delete(r.absent, record.Job.ID)
-			touched = append(touched, JobChange{record.Job.ID, live})
-		case strings.HasPrefix(entry.Set, records.EndedJobPrefix):
+			touched = append(touched, change)
+		case strings.HasPrefix(event.Set, records.EndedJobPrefix):
 			var record records.EndedJob
-			if err := wire.Unmarshal(entry.Value, &record); err != nil {
-				bad = append(bad, entry.Set)
+			if err := wire.Unmarshal(event.Value, &record); err != nil {
+				bad = append(bad, event.Set)
 				continue
 			}
-			r.RememberEnded(records.IDFromKey(records.EndedJobPrefix, entry.Set), record)
-		case strings.HasPrefix(entry.Delete, records.LiveJobPrefix):
-			id := records.IDFromKey(records.LiveJobPrefix, entry.Delete)
+			r.RememberEnded(records.IDFromKey(records.EndedJobPrefix, event.Set), record)
+		case strings.HasPrefix(event.Delete, records.LiveJobPrefix):
+			id := records.IDFromKey(records.LiveJobPrefix, event.Delete)
 			delete(r.Live, id)
 			touched = append(touched, JobChange{id, nil})
 		}
 	}
-	r.Revision = max(r.Revision, changes.Revision)
+	r.Revision = max(r.Revision, reply.Revision)
 	return touched, bad
 }
 
-// NoteAbsent notes that there is no ended job of the id, by a read sent after the copy
-// was brought up to date, and not reset since: what a reset passed over may have been the
-// job's whole life. Until a change makes one, neither is there a live one.
+func (r *Replica) applyLiveJob(item wire.KeyValue) (JobChange, error) {
+	record, err := records.DecodeJob(item)
+	if err != nil {
+		return JobChange{}, err
+	}
+	live := &LiveJob{Record: record, ModRevision: item.ModRevision}
+	r.Live[record.Job.ID] = live
+	delete(r.absent, record.Job.ID)
+	return JobChange{record.Job.ID, live}, nil
+}
+
+// NoteAbsent notes that there is no ended job of the id, by a read that was sent after
+// the copy was brought up to date, with no reset since: the changes that a reset skips may
+// have been the job's whole life. Until a change makes one, there is no live one either.
 func (r *Replica) NoteAbsent(id string) {
 	if len(r.absent) >= tuning.MaxCachedEndedJobs {
 		clear(r.absent)
@@ -111,10 +120,11 @@
 	}
 }
 
-// Absent reports whether there is no job of the id, as of the copy's epoch.
+// Absent reports whether there is no job of the id, as of the copy's revision.
 func (r *Replica) Absent(id string) bool { return r.absent[id] }
 
-// RememberEnded notes how a job ended.
+// RememberEnded notes how a job ended. The least recently used one is forgotten when
+// there are too many.
 func (r *Replica) RememberEnded(id string, record records.EndedJob) {
 	delete(r.absent, id)
 	if element, ok := r.ended[id]; ok {
--- a/internal/scheduler/views.go
+++ b/internal/scheduler/views.go
@@ -1,29 +1,62 @@
 package scheduler
 
 import (
-	"sort"
+	"maps"
+	"slices"
 	"time"
 
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// RunningTasks is the number of running tasks by job, for display.
+// Counters are the running totals of a term.
+type Counters struct {
+	DispatchRetries, DispatchGiveUps, TaskRetries uint64
+	Started, Finished, Preempted                  uint64
+	MachinesProvisioned, MachinesReleased         uint64
+	// Of reconciliations: operations until they were settled, those of them that a
+	// difference asked for, and differences, late ones included.
+	ReconcileOperations, ReconcileAttributed, Differences uint64
+}
+
+// Counters returns the running totals.
+func (s *Scheduler) Counters() Counters {
+	counters := s.counters
+	operations, attributed, differences := s.reconciler.Totals()
+	counters.ReconcileOperations, counters.ReconcileAttributed, counters.Differences = uint64(operations), uint64(attributed), uint64(differences)
+	return counters
+}
+
+// PlacementRounds is how many placement rounds there were in this term.
+func (s *Scheduler) PlacementRounds() uint64 { return s.placement.rounds }
+
+// RunningTasks is the number of running tasks by job.
 func (s *Scheduler) RunningTasks() map[string]int {
-	out := map[string]int{}
+	running := map[string]int{}
 	for id, j := range s.cluster.jobs {
 		if j.runningCount > 0 {
-			out[id] = j.runningCount
+			running[id] = j.runningCount
 		}
 	}
-	return out
+	return running
 }
 
-// Counters returns the running totals.
-func (s *Scheduler) Counters() Counters {
-	c := s.counters
-	orders, traced, differences := s.reconciler.Totals()
-	c.ReconcileOperations, c.ReconcileAttributed, c.Differences = uint64(orders), uint64(traced), uint64(differences)
-	return c
+// RunningTasksOf is the number of a job's running tasks.
+func (s *Scheduler) RunningTasksOf(id string) int {
+	if j := s.cluster.jobs[id]; j != nil {
+		return j.runningCount
+	}
+	return 0
+}
+
+// LongestHeartbeatAge is the longest time since a heartbeat of a machine that is up.
+func (s *Scheduler) LongestHeartbeatAge(now Now) time.Duration {
+	var longest time.Duration
+	for _, m := range s.cluster.machines {
+		if m.phase == machineUp {
+			longest = max(longest, now.Mono-m.connectivity.lastHeartbeatAt)
+		}
+	}
+	return longest
 }
 
 // MachineView is a machine as operators see it.
@@ -40,27 +73,39 @@
 	Quarantined   bool    `cbor:"avoided" json:"avoided"`
 }
 
-// Machines lists the machines by name, at most most of them after from.
+// Machines lists machines by name, those after from, up to the limit.
 func (s *Scheduler) Machines(now Now, from string, limit int) []MachineView {
-	var out []MachineView
+	var views []MachineView
 	for _, m := range s.sortedMachines() {
 		if m.name <= from {
 			continue
 		}
-		if len(out) == limit {
+		if len(views) == limit {
 			break
 		}
-		state := [...]string{"booting", "up", "releasing"}[m.phase]
-		if m.phase == machineUp && !m.confirmed {
-			state = "unconfirmed"
-		}
-		if m.cloud.interruptionAt > 0 {
-			state = "leaving"
-		}
-		out = append(out, MachineView{m.name, m.machineType, m.zone, m.spot, state, len(m.tasks), m.used.cpus, len(m.images),
-			(now.Mono - m.connectivity.lastHeartbeatAt).Seconds(), m.quarantine.until > now.Mono})
+		views = append(views, m.view(now))
+	}
+	return views
+}
+
+func (m *machine) view(now Now) MachineView {
+	return MachineView{
+		Name: m.name, Type: m.machineType, Zone: m.zone, Spot: m.spot, State: m.displayState(),
+		Tasks: len(m.tasks), CPUs: m.used.cpus, Images: len(m.images),
+		HeartbeatAgeS: (now.Mono - m.connectivity.lastHeartbeatAt).Seconds(),
+		Quarantined:   m.quarantine.until > now.Mono,
+	}
+}
+
+// displayState is the machine's state in words that operators see.
+func (m *machine) displayState() string {
+	switch {
+	case m.cloud.interruptionAt > 0:
+		return "leaving"
+	case m.phase == machineUp && !m.confirmed:
+		return "unconfirmed"
 	}
-	return out
+	return m.phase.String()
 }
 
 // TaskView is an attempt as operators see it.
@@ -72,6 +117,23 @@
 	DispatchRetries int    `cbor:"probes" json:"probes"`
 }
 
+func (a *attempt) view() TaskView {
+	return TaskView{Task: a.ref.name(), Attempt: a.number, Machine: a.machine.name, State: a.displayState(), DispatchRetries: a.retry.count}
+}
+
+// displayState is the attempt's state in words that operators see.
+func (a *attempt) displayState() string {
+	switch {
+	case a.stop.requested:
+		return "stopping"
+	case !a.assignment.durable:
+		return "placed"
+	case a.state == "":
+		return "starting"
+	}
+	return a.state
+}
+
 // JobDetail is a job as operators see it.
 type JobDetail struct {
 	ID       string     `cbor:"id" json:"id"`
@@ -88,15 +150,8 @@
 	Attempts []TaskView `cbor:"attempts" json:"attempts"`
 }
 
-func (j *job) state() string {
-	switch {
-	case j.cancelled:
-		return wire.JobCancelled
-	case j.runningCount > 0:
-		return wire.JobRunning
-	}
-	return wire.JobPending
-}
+// maxAttemptsShown is how many attempts a JobDetail lists. Its counts are of all.
+const maxAttemptsShown = 200
 
 // Job describes a live job, or returns nil.
 func (s *Scheduler) Job(now Now, id string) *JobDetail {
@@ -104,71 +159,64 @@
 	if j == nil {
 		return nil
 	}
-	detail := &JobDetail{ID: id, State: j.state(), Class: j.spec.Class, Team: j.spec.Team, Tasks: j.spec.Tasks, Done: j.progress.doneCount, Running: j.runningCount,
-		Waiting: j.pendingTasks(), Reason: j.waiting.reason, Failures: j.retry.failures, Attempts: []TaskView{}}
-	if j.retry.at > now.Mono {
-		detail.Reason, detail.RetryInS = "waits after failed attempts", (j.retry.at - now.Mono).Seconds()
-	}
+	detail := j.summary(now)
 	for _, a := range j.sortedAttempts() {
-		if len(detail.Attempts) == 200 {
-			break // a page for people; counts are above
-		}
-		state := a.state
-		switch {
-		case a.stop.requested:
-			state = "stopping"
-		case !a.assignment.durable:
-			state = "placed"
-		case state == "":
-			state = "starting"
+		if len(detail.Attempts) == maxAttemptsShown {
+			break
 		}
-		detail.Attempts = append(detail.Attempts, TaskView{wire.TaskName(id, a.ref.index), a.number, a.machine.name, state, a.retry.count})
+		detail.Attempts = append(detail.Attempts, a.view())
 	}
-	return detail
+	return &detail
 }
 
-// Failures lists failed attempts, the newest first, skipping skip of them.
-func (s *Scheduler) Failures(skip, limit int) []Failure {
-	out := []Failure{}
-	for i := len(s.cluster.failures) - 1 - skip; i >= 0 && len(out) < limit; i-- {
-		out = append(out, s.cluster.failures[i])
+// Waiting lists live jobs with tasks that wait, by id, those after from, up to the limit.
+// Attempts are not listed.
+func (s *Scheduler) Waiting(now Now, from string, limit int) []JobDetail {
+	details := []JobDetail{}
+	for _, id := range slices.Sorted(maps.Keys(s.cluster.jobs)) {
+		j := s.cluster.jobs[id]
+		if id <= from || j.pendingTasks() <= 0 {
+			continue
+		}
+		if len(details) == limit {
+			break
+		}
+		detail := j.summary(now)
+		detail.Attempts = nil
+		details = append(details, detail)
 	}
-	return out
+	return details
 }
 
-// Waiting lists live jobs that wait, with the reason, by id after from.
-func (s *Scheduler) Waiting(now Now, from string, limit int) []JobDetail {
-	ids := []string{}
-	for id, j := range s.cluster.jobs {
-		if id > from && j.pendingTasks() > 0 {
-			ids = append(ids, id)
-		}
+// summary describes the job without its attempts.
+func (j *job) summary(now Now) JobDetail {
+	detail := JobDetail{
+		ID: j.id, State: j.displayState(), Class: j.spec.Class, Team: j.spec.Team,
+		Tasks: j.spec.Tasks, Done: j.progress.doneCount, Running: j.runningCount, Waiting: j.pendingTasks(),
+		Reason: j.waiting.reason, Failures: j.retry.failures, Attempts: []TaskView{},
 	}
-	sort.Strings(ids)
-	out := []JobDetail{}
-	for _, id := range ids[:min(len(ids), limit)] {
-		detail := s.Job(now, id)
-		detail.Attempts = nil
-		out = append(out, *detail)
+	if j.retry.at > now.Mono {
+		detail.Reason, detail.RetryInS = "waits after failed attempts", (j.retry.at - now.Mono).Seconds()
 	}
-	return out
+	return detail
 }
 
-// LongestHeartbeatAge is how long the quietest machine has been silent.
-func (s *Scheduler) LongestHeartbeatAge(now Now) time.Duration {
-	var worst time.Duration
-	for _, m := range s.cluster.machines {
-		if m.phase == machineUp {
-			worst = max(worst, now.Mono-m.connectivity.lastHeartbeatAt)
-		}
+// displayState is the job's state as users see it.
+func (j *job) displayState() string {
+	switch {
+	case j.cancelled:
+		return wire.JobCancelled
+	case j.runningCount > 0:
+		return wire.JobRunning
 	}
-	return worst
+	return wire.JobPending
 }
 
-// RunningTasksOf is the number of the job's running tasks.
-func (s *Scheduler) RunningTasksOf(id string) int {
-	if j := s.cluster.jobs[id]; j != nil {
-		return j.runningCount
+// Failures lists failed attempts, the newest first, up to the limit after those to skip.
+func (s *Scheduler) Failures(skip, limit int) []Failure {
+	listed := []Failure{}
+	for i := len(s.cluster.failures) - 1 - skip; i >= 0 && len(listed) < limit; i-- {
+		listed = append(listed, s.cluster.failures[i])
 	}
-	return 0
+	return listed
 }
