--- a/internal/reconcile/classify.go
+++ b/internal/reconcile/classify.go
@@ -3,25 +3,25 @@
 // Class is the one class that an attempt from before the term falls into.
 type Class uint8
 
-// Classes of attempts. None is that of attempts which the term itself has made.
+// Classes of attempts. None is that of attempts of the term itself.
 const (
 	None Class = iota
-	// MissingUnproven is expected, and nothing proves yet whether it is there.
+	// MissingUnproven is recorded, and nothing shows yet whether it is there.
 	MissingUnproven
-	// MissingProven is expected and proven to be gone.
+	// MissingProven is recorded, and proven to be gone.
 	MissingProven
-	// Confirmed is expected, and its machine reports it.
+	// Confirmed is recorded, and its worker lists it.
 	Confirmed
-	// Failed is expected, and has ended without completing.
+	// Failed is recorded, and has ended without completing.
 	Failed
 	// FinishedUnrecorded has completed, and its task was not recorded as done.
 	FinishedUnrecorded
-	// Unrecorded is reported, and no record names it.
+	// Unrecorded is listed by a worker, and no record names it.
 	Unrecorded
-	// Superseded is reported beside another attempt of its task.
+	// Superseded is listed beside another attempt of its task.
 	Superseded
-	// Obsolete is recorded or reported although its job is over, or its task recorded as
-	// done.
+	// Obsolete is recorded or listed although its job has ended, or its task is recorded
+	// as done.
 	Obsolete
 
 	classCount
@@ -41,7 +41,7 @@
 
 func (c Class) String() string { return classNames[c] }
 
-// ParseClass finds a class by its name.
+// ParseClass finds a class by its name. There is none for None.
 func ParseClass(name string) (Class, bool) {
 	for c, n := range classNames {
 		if n == name && Class(c) != None {
@@ -54,17 +54,17 @@
 // Action is what a leader has to do about an attempt.
 type Action uint8
 
-// Actions. Only Replace and Stop lead to orders for machines.
+// Actions. Only Replace and Stop lead to operations on machines.
 const (
 	// Keep leaves the attempt as it is.
 	Keep Action = iota
-	// Await waits for a report, or for the release of the machine.
+	// Await waits for a heartbeat, or for the release of the machine.
 	Await
-	// Replace starts the task anew, as a new attempt.
+	// Replace starts the task again, as a new attempt.
 	Replace
-	// Drop forgets the attempt, since nobody needs it any more.
+	// Drop forgets the attempt, which is not needed any more.
 	Drop
-	// Adopt records an attempt that runs without a record.
+	// Adopt keeps and records an attempt that runs without a record.
 	Adopt
 	// Stop ends the attempt on its machine.
 	Stop
@@ -80,18 +80,18 @@
 
 func (a Action) String() string { return actionNames[a] }
 
-// Observation is how a machine's report mentions an attempt.
+// Observation is how a worker's heartbeat lists an attempt.
 type Observation uint8
 
-// Sightings.
+// Observations.
 const (
-	// Unreported means that no report tells of the attempt yet.
+	// Unreported means that there was no heartbeat of the worker yet.
 	Unreported Observation = iota
-	// Absent means that a report, or the machine's release, proves it gone.
+	// Absent means that a heartbeat, or the machine's release, proves that it is gone.
 	Absent
-	// Active means that it fetches its image, runs or saves.
+	// Active means that it fetches its image, runs or writes a checkpoint.
 	Active
-	// Completed means that it has ended with its task done.
+	// Completed means that it has ended, and its task is done.
 	Completed
 	// Ended means that it has ended otherwise.
 	Ended
@@ -105,9 +105,9 @@
 	Recorded       bool // a record names the attempt
 	JobIsLive      bool // its job has a live record and is not cancelled
 	TaskIsDone     bool // its task is recorded as done
-	HasDuplicate   bool // another attempt of its task counts as being on a machine
+	HasDuplicate   bool // another attempt of its task has the better claim
 	MachineAllowed bool // its job allows the machine
-	OverQuota      bool // its team is over its limit by what machines have reported
+	OverQuota      bool // its team's quota limit leaves no space for it
 }
 
 // Verdict is an attempt's class and what follows from it.
@@ -116,8 +116,8 @@
 	Action Action
 }
 
-// Classify gives the one verdict on an attempt. It never starts a second copy of what
-// may still be there: Replace needs the proof that Absent and Ended are.
+// Classify gives the one verdict on an attempt. It never starts a task again while an
+// attempt of it may still be there: Replace needs the proof that Absent and Ended are.
 func Classify(e Evidence) Verdict {
 	needed := e.JobIsLive && !e.TaskIsDone
 	switch e.Observation {
--- a/internal/reconcile/operations.go
+++ b/internal/reconcile/operations.go
@@ -6,27 +6,27 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// Attempt names an attempt of a task on a machine.
+// Attempt identifies an attempt of a task on a machine.
 type Attempt struct {
 	Machine string `json:"machine"`
 	Task    string `json:"task"`
 	Number  uint64 `json:"attempt"`
 }
 
-// Difference is an attempt whose report and record do not agree, and what follows.
+// Difference is an attempt whose record and listing do not agree, and what follows.
 type Difference struct {
 	Attempt
 	Class    Class
 	Action   Action
-	Recorded bool
-	Late     bool // found after the recovery was settled
+	Recorded bool // a record names the attempt
+	Late     bool // found after the reconciliation was settled
 	At       time.Duration
 }
 
-// OperationKind is a kind of order.
+// OperationKind is a kind of operation.
 type OperationKind uint8
 
-// Kinds of orders.
+// Kinds of operations.
 const (
 	StartOperation OperationKind = iota
 	StopOperation
@@ -37,20 +37,23 @@
 	operationKindCount
 )
 
-var operationKindNames = [operationKindCount]string{"start", "stop", "forget", "rental", "release"}
+var operationKindNames = [operationKindCount]string{
+	StartOperation: "start", StopOperation: "stop", ForgetOperation: "forget",
+	ProvisionOperation: "rental", ReleaseOperation: "release",
+}
 
 func (k OperationKind) String() string { return operationKindNames[k] }
 
-// Operation is a first order of its kind about a task, a machine or a rental. Repeats of an
-// order whose answer was lost are none.
+// Operation is the first command or cloud call of its kind for an attempt, a machine or a
+// provisioning request. Retries are not counted.
 type Operation struct {
 	Kind    OperationKind
-	Machine string // empty for rentals
-	Task    string // empty for rentals and releases
+	Machine string // empty for provisioning
+	Task    string // empty for provisioning and releases
 	Number  uint64 // the attempt
 }
 
-// OperationCount counts orders: all, and those that a difference asked for.
+// OperationCount counts operations: all, and those that a difference asked for.
 type OperationCount struct {
 	Total      int `json:"total"`
 	Attributed int `json:"traced"`
@@ -66,27 +69,27 @@
 	OperationCounted
 )
 
-// Event is something that a trace or a log tells.
+// Event is something that traces and logs show.
 type Event struct {
 	Kind       EventKind
 	At         time.Duration
 	Phase      Phase     // of PhaseEntered
-	Operation  Operation // of OperationCounted; of MachineConfirmed the machine
-	Attributed bool      // a difference asked for the order
+	Operation  Operation // of OperationCounted; of MachineConfirmed only the machine
+	Attributed bool      // a difference asked for the operation
 }
 
-// operationLedger finds the difference that an order follows from.
+// operationLedger counts operations, and attributes them to differences.
 type operationLedger struct {
 	counts         [operationKindCount]OperationCount
-	expectedStops  map[Attempt]bool // attempts that differences have to stop
-	expectedStarts map[string]bool  // tasks that differences have to start anew
+	expectedStops  map[Attempt]bool // attempts that differences stop
+	expectedStarts map[string]bool  // tasks that differences start again
 }
 
 func newOperationLedger() operationLedger {
 	return operationLedger{expectedStops: map[Attempt]bool{}, expectedStarts: map[string]bool{}}
 }
 
-// expect notes the orders that a difference leads to.
+// expect notes the operations that a difference leads to.
 func (l *operationLedger) expect(d Difference) {
 	switch d.Action {
 	case Stop:
@@ -96,7 +99,7 @@
 	}
 }
 
-// attribute reports whether a difference asked for the order, which it does once.
+// attribute reports whether a difference asked for the operation. Each asks once.
 func (l *operationLedger) attribute(o Operation) bool {
 	switch o.Kind {
 	case StartOperation:
@@ -112,7 +115,8 @@
 	return false
 }
 
-// recordDifference keeps a difference for the operators, and the orders it leads to.
+// recordDifference keeps a difference for operators, and notes the operations that it
+// leads to.
 func (r *Reconciler) recordDifference(d Difference) {
 	if !d.Late {
 		r.operations.expect(d)
@@ -124,7 +128,7 @@
 	r.differences = append(r.differences, d)
 }
 
-// CountOperation counts an order that the leader gives. A settled recovery counts none.
+// CountOperation counts an operation, unless the reconciliation is settled.
 func (r *Reconciler) CountOperation(now time.Duration, o Operation) {
 	if r.phase == Settled {
 		return
@@ -132,7 +136,7 @@
 	attributed := r.operations.attribute(o)
 	switch m := r.machines[o.Machine]; o.Kind {
 	case ReleaseOperation:
-		// A machine that holds attempts without proof: its release is that proof.
+		// The release of a machine is the proof that attempts on it are gone.
 		attributed = m != nil && m.unproven > 0
 	case ForgetOperation:
 		attributed = m != nil
@@ -147,8 +151,8 @@
 	}
 }
 
-// Totals counts the orders until the recovery was settled, those of them that a
-// difference asked for, and all differences.
+// Totals counts the operations until the reconciliation was settled, those of them that
+// a difference asked for, and all differences.
 func (r *Reconciler) Totals() (operations, attributed, differences int) {
 	for _, c := range r.operations.counts {
 		operations += c.Total
--- a/internal/reconcile/reconciler_test.go
+++ b/internal/reconcile/reconciler_test.go
@@ -26,7 +26,7 @@
 }
 
 // Each attempt gets one class and one action, and none that a rule forbids: a task is
-// placed anew only by proof, and an attempt is stopped or adopted for a reason.
+// placed again only on proof, and an attempt is stopped or adopted for a reason.
 func TestClassifyObeysEveryRule(t *testing.T) {
 	seen := map[Class]int{}
 	for _, e := range allEvidence() {
@@ -38,7 +38,7 @@
 		case v.Class == None || v.Class >= classCount || v.Action >= actionCount:
 			wrong = "no verdict"
 		case v.Action == Replace && (e.Observation != Absent && e.Observation != Ended || !needed || e.HasDuplicate):
-			wrong = "placed anew without proof, or though not needed"
+			wrong = "placed again without proof, or though not needed"
 		case v.Action == Adopt && (e.Recorded || e.HasDuplicate || !needed || !e.MachineAllowed || e.OverQuota):
 			wrong = "adopted against a rule"
 		case v.Action == Keep && (!e.Recorded || !needed):
@@ -46,7 +46,7 @@
 		case v.Action == Stop && e.Observation != Active && (e.Observation != Unreported || e.JobIsLive):
 			wrong = "stopped though it does not run"
 		case e.Observation == Active && !needed && v.Action != Stop:
-			wrong = "runs on though its job is over"
+			wrong = "runs on though its job has ended"
 		case e.Observation == Completed && needed && v.Action != RecordDone:
 			wrong = "its completion is lost"
 		}
@@ -64,9 +64,9 @@
 	}
 }
 
-// inventory is a generated fleet: what the records say, and what its machines will.
+// inventory is a generated cluster: what the records say, and what its workers will list.
 type inventory struct {
-	expected, reported map[Attempt]Evidence // observed ones only of machines that report
+	expected, reported map[Attempt]Evidence // reported ones only of workers that send heartbeats
 	silent             map[string]bool
 	machines           []string
 }
@@ -94,15 +94,15 @@
 	return inv
 }
 
-// reportMachine hands all that a machine tells to the recovery, as a leader does, and says how
-// many orders followed from it.
-func (inv inventory) reportMachine(r *Reconciler, now time.Duration, machine string, open map[Attempt]bool) (orders int) {
+// reportMachine hands all that a worker lists to the reconciler, as a scheduler does, and
+// says how many operations followed.
+func (inv inventory) reportMachine(r *Reconciler, now time.Duration, machine string, unproven map[Attempt]bool) (operations int) {
 	for a, e := range inv.reported {
 		v := Classify(e)
-		if a.Machine != machine || v.Class == MissingUnproven || e.Recorded && !open[a] {
+		if a.Machine != machine || v.Class == MissingUnproven || e.Recorded && !unproven[a] {
 			continue
 		}
-		delete(open, a)
+		delete(unproven, a)
 		if v.Class == Confirmed {
 			r.ConfirmAttempt(now, a.Machine)
 			continue
@@ -115,34 +115,34 @@
 			r.AwaitStop()
 			r.CountOperation(now, Operation{StopOperation, a.Machine, a.Task, a.Number})
 			r.StopProven(now)
-			orders++
+			operations++
 		case Replace:
 			r.CountOperation(now, Operation{StartOperation, "another", a.Task, a.Number + 100})
-			orders++
+			operations++
 		}
 	}
 	r.ConfirmMachine(now, machine)
-	return orders
+	return operations
 }
 
-// Over generated inventories: every attempt is in exactly one class, each order belongs
-// to one difference, a second pass over the same reports finds nothing and orders nothing,
-// phases only go forward, and nothing is held back for longer than the bounds.
+// Over generated inventories: every attempt is in exactly one class, each operation belongs
+// to one difference, a second pass over the same heartbeats finds nothing and leads to
+// nothing, phases only go forward, and nothing is held back for longer than the bounds.
 func TestReconciliationOfGeneratedInventories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		inv := generateInventory(t)
 		config := Config{Enabled: true, Cold: rapid.Bool().Draw(t, "cold"), HeartbeatInterval: 2 * time.Second, WorkerLease: 30 * time.Second, CloudRate: 5}
 		r := New(0, config)
-		open := map[Attempt]bool{}
+		unproven := map[Attempt]bool{}
 		for a := range inv.expected {
 			r.ExpectAttempt(a.Machine)
-			open[a] = true
+			unproven[a] = true
 		}
 		for _, m := range inv.machines {
 			r.ExpectMachine(m)
 		}
 		r.CloudListed(0)
-		orders, phase := 0, r.Phase()
+		operations, phase := 0, r.Phase()
 		step := func(now time.Duration) {
 			r.Advance(now)
 			if r.Phase() < phase {
@@ -152,14 +152,14 @@
 		}
 		for i, m := range rapid.Permutation(inv.machines).Draw(t, "order") {
 			if !inv.silent[m] {
-				orders += inv.reportMachine(r, time.Duration(i)*time.Second, m, open)
+				operations += inv.reportMachine(r, time.Duration(i)*time.Second, m, unproven)
 				step(time.Duration(i) * time.Second)
 			}
 		}
 		first := r.Status(10 * time.Second)
 		for _, m := range inv.machines {
-			if again := inv.reportMachine(r, 11*time.Second, m, open); !inv.silent[m] && again != 0 {
-				t.Fatalf("%s: %d orders in a second pass", m, again)
+			if again := inv.reportMachine(r, 11*time.Second, m, unproven); !inv.silent[m] && again != 0 {
+				t.Fatalf("%s: %d operations in a second pass", m, again)
 			}
 		}
 		unrecorded := 0
@@ -175,13 +175,13 @@
 		if classified != len(inv.expected)+unrecorded {
 			t.Fatalf("%d attempts in classes, there are %d and %d: %+v", classified, len(inv.expected), unrecorded, first.Classes)
 		}
-		total, traced := 0, 0
+		total, attributed := 0, 0
 		for _, c := range first.Operations {
-			total, traced = total+c.Total, traced+c.Attributed
+			total, attributed = total+c.Total, attributed+c.Attributed
 		}
-		// What comes after the recovery is settled is counted as late, and not as an order.
-		if total != traced || total > orders || phase != Settled && total != orders {
-			t.Fatalf("%d orders counted, %d traced, %d given", total, traced, orders)
+		// What comes after the reconciliation is settled is late, and no operation.
+		if total != attributed || total > operations || phase != Settled && total != operations {
+			t.Fatalf("%d operations counted, %d attributed, %d given", total, attributed, operations)
 		}
 		for _, m := range inv.machines {
 			if r.MayHaveCapacity(m, false) && config.CollectBound() <= 11*time.Second {
@@ -199,8 +199,8 @@
 	})
 }
 
-// What is held back, while it is; and with the setting off, or under a leader whose
-// predecessor was outlived, nothing that would cost a failover time.
+// What is held back, and until when; and with the setting off, or after a failover that a
+// controller survived, nothing that would make the failover slower.
 func TestWhatReconciliationHoldsBack(t *testing.T) {
 	const machine, other = "n-1", "n-2"
 	begin := func(enabled, cold bool) *Reconciler {
@@ -213,9 +213,9 @@
 		return r
 	}
 	for _, tc := range []struct {
-		name                         string
-		enabled, cold                bool
-		room, unanswered, kept, work bool
+		name                             string
+		enabled, cold                    bool
+		capacity, unanswered, kept, work bool
 	}{
 		{"off", false, true, false, false, false, false},
 		{"failover", true, false, true, false, false, true},
@@ -223,20 +223,20 @@
 	} {
 		r := begin(tc.enabled, tc.cold)
 		now := time.Second
-		if got := r.MayHaveCapacity(machine, false); got != tc.room {
-			t.Errorf("%s: room of a machine that is asked: %v", tc.name, got)
+		if got := r.MayHaveCapacity(machine, false); got != tc.capacity {
+			t.Errorf("%s: capacity of a machine that is probed: %v", tc.name, got)
 		}
 		if got := r.MayHaveCapacity(machine, true); got != tc.unanswered {
-			t.Errorf("%s: room of one that did not answer: %v", tc.name, got)
+			t.Errorf("%s: capacity of one that did not answer: %v", tc.name, got)
 		}
 		if r.MayHaveCapacity(other, false) {
-			t.Errorf("%s: a machine that was heard is waited for", tc.name)
+			t.Errorf("%s: a confirmed machine is waited for", tc.name)
 		}
 		if got := r.HoldsRelease(now, machine); got != tc.kept {
 			t.Errorf("%s: kept: %v", tc.name, got)
 		}
 		if r.HoldsRelease(20*time.Second-tuning.EarlyReleaseMargin, machine) {
-			t.Errorf("%s: kept though its lease has ended", tc.name)
+			t.Errorf("%s: kept though its lease has expired", tc.name)
 		}
 		if got := r.HoldsRecoveredWork(); got != tc.work {
 			t.Errorf("%s: work held after a task without a record: %v", tc.name, got)
@@ -248,11 +248,11 @@
 	r := begin(true, true)
 	r.ControllerSurvived()
 	if r.HoldsRelease(time.Second, machine) || r.MayHaveCapacity(machine, true) {
-		t.Error("held as after a cold restart though a controller outlived it")
+		t.Error("held as after a cold restart though a controller survived")
 	}
 }
 
-// Calls to the cloud are paced until the recovery is settled, and free afterwards.
+// Calls to the cloud are paced until the reconciliation is settled, and free afterwards.
 func TestCloudCallsArePaced(t *testing.T) {
 	r := New(0, Config{Enabled: true, HeartbeatInterval: time.Second, WorkerLease: 20 * time.Second, CloudRate: 4})
 	r.ExpectAttempt("n-1")
@@ -271,7 +271,7 @@
 	r.Advance(time.Minute)
 	for range 1000 {
 		if !r.TakeCloudCall(time.Minute) {
-			t.Fatal("paced after the recovery")
+			t.Fatal("paced after the reconciliation")
 		}
 	}
 }
