--- a/internal/scheduler/attempt_outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -98,7 +98,7 @@
 	if cause == wire.CauseNoCapacity {
 		log = s.logDebug // it is placed again at once
 	}
-	log("task attempt failed", "task", a.ref.name(), "attempt", a.number, "machine", a.machine.name, "cause", cause)
+	log("attempt ended", "task", a.ref.name(), "attempt", a.number, "machine", a.machine.name, "cause", cause)
 }
 
 // stopGang stops a gang of which a member has failed. The others would wait for that one
