--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -312,7 +312,7 @@
 
 // stepDown gives up the lead. The lease is ended, so that the others need not
 // wait for it to run out.
-func (c *Controller) stepDown(sched *scheduler.Scheduler, reason scheduler.ResignReason) {
+func (c *Controller) stepDown(sched *scheduler.Scheduler, reason string) {
 	if c.leadership.scheduler != sched {
 		return
 	}
--- a/internal/scheduler/attempt.go
+++ b/internal/scheduler/attempt.go
@@ -100,11 +100,11 @@
 }
 
 // stopNow asks for an attempt's end without a checkpoint.
-func (s *Scheduler) stopNow(a *attempt, reason StopReason) { s.stopAttempt(a, false, reason) }
+func (s *Scheduler) stopNow(a *attempt, reason StopReason) { s.stopAttempt(a, false, string(reason)) }
 
 // stopAttempt asks for an attempt's end, with a checkpoint if it may have the time for
 // one. The stop is sent at once. An attempt whose start was never sent simply ends.
-func (s *Scheduler) stopAttempt(a *attempt, checkpoint bool, reason StopReason) {
+func (s *Scheduler) stopAttempt(a *attempt, checkpoint bool, reason string) {
 	if !a.stop.requested {
 		s.logDebug("task stop requested", "task", a.ref.name(), "machine", a.machine.name, "reason", reason)
 	}
--- a/internal/scheduler/attempt_outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -229,7 +229,7 @@
 		if !checkpoint && s.mayRunUntilInterruption(a, left) {
 			continue
 		}
-		s.stopAttempt(a, checkpoint, StopSpotInterruption)
+		s.stopAttempt(a, checkpoint, string(StopSpotInterruption))
 	}
 }
 
--- a/internal/scheduler/fencing.go
+++ b/internal/scheduler/fencing.go
@@ -21,7 +21,7 @@
 		highest = max(highest, m.fencing.counter)
 	}
 	if float64(highest) > maxCounter*tuning.MaxFencingCounterUse {
-		s.effects.Resign = ResignCountersExhausted
+		s.effects.Resign = "this term's numbers are used up"
 	}
 }
 
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -72,7 +72,7 @@
 		s.log(false, "report with a token that nobody can have given", "machine", heartbeat.Machine, "token", heartbeat.FencingToken)
 	default:
 		//mutation:resign-on-higher-fencing-token
-		s.effects.Resign = ResignHigherToken
+		s.effects.Resign = "a worker has seen a higher token"
 	}
 	return true
 }
@@ -280,7 +280,7 @@
 		return
 	}
 	s.log(false, "unexpected task", "task", report.Task, "machine", m.name, "class", verdict.Class)
-	s.stopNow(a, stopReasonOf(verdict.Class))
+	s.stopAttempt(a, false, verdict.Class.String())
 }
 
 // updateTaskState takes a task's state while it is on the machine.
--- a/internal/scheduler/machinescan.go
+++ b/internal/scheduler/machinescan.go
@@ -35,6 +35,9 @@
 	}
 }
 
+// ResignNoHeartbeats is why a leader resigns that serves nobody.
+const ResignNoHeartbeats = "no worker reaches this node"
+
 // Tick does what falls due with time.
 func (s *Scheduler) Tick(now Now) {
 	s.now = now
--- a/internal/scheduler/persist.go
+++ b/internal/scheduler/persist.go
@@ -211,7 +211,7 @@
 		for _, k := range failedKeys {
 			conflicting[k] = true
 			if k == records.LeaderKey {
-				s.effects.Resign = ResignLeaderKeyChanged
+				s.effects.Resign = "another leader holds the key"
 				return
 			}
 		}
@@ -240,7 +240,7 @@
 		j.write.blockedUntil = s.now.Mono + tuning.StoreRetryDelay
 		for _, k := range write.chunks {
 			if conflicting[records.BitmapKey(j.id, k)] {
-				s.effects.Resign = ResignBitmapChanged
+				s.effects.Resign = "a job's bitmap changed under us"
 			}
 		}
 		return
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -57,7 +57,7 @@
 		gpus -= a.job.spec.GPUs
 		s.counters.Preempted++
 		s.log(true, "preempted under its team's limit", "task", wire.TaskName(a.ref.jobID, a.ref.index), "machine", a.machine.name, "for", j.id)
-		s.stopAttempt(a, false, StopPreempted)
+		s.stopAttempt(a, false, "preempted for "+j.id)
 	}
 }
 
@@ -300,7 +300,7 @@
 			p.scheduler.counters.Preempted++
 			save := v.job.spec.CheckpointIntervalS > 0 && p.job.rank > 0
 			p.scheduler.log(true, "preempted", "task", wire.TaskName(v.ref.jobID, v.ref.index), "machine", o.machine.name, "for", p.job.id)
-			p.scheduler.stopAttempt(v, save, StopPreempted)
+			p.scheduler.stopAttempt(v, save, "preempted for "+p.job.id)
 		}
 	}
 }
