--- a/internal/scheduler/attempt_outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -22,24 +22,24 @@
 }
 
 // handleExit takes the end of an attached attempt, as its worker lists it.
-func (s *Scheduler) handleExit(a *attempt, report *wire.TaskStatus) {
+func (s *Scheduler) handleExit(a *attempt, status *wire.TaskStatus) {
 	a.start.acknowledged = true
 	s.reportDeferredVerdict(a)
-	if report.Cause == wire.CauseDone {
+	if status.Cause == wire.CauseDone {
 		s.classifyRecorded(a, reconcile.Completed)
 		//mutation:keep-attempt-until-saved
 		s.keepAssignmentUntilSaved(a)
 	} else {
 		s.classifyRecorded(a, reconcile.Ended)
 	}
-	if a.job != nil && (a.state != "" || report.Cause == wire.CauseDone) {
+	if a.job != nil && (a.state != "" || status.Cause == wire.CauseDone) {
 		a.machine.addImage(a.job.spec.Image, a.job.spec.ImageGB) // it was fetched
 	}
 	s.detach(a)
-	if report.Cause == wire.CauseDone {
+	if status.Cause == wire.CauseDone {
 		s.handleCompletedAttempt(a)
 	} else {
-		s.handleFailedAttempt(a, report.Cause)
+		s.handleFailedAttempt(a, status.Cause)
 	}
 }
 
--- a/internal/scheduler/reconciliation.go
+++ b/internal/scheduler/reconciliation.go
@@ -211,25 +211,25 @@
 // classifyUnknownExit takes the end of an attempt that is not attached, as a worker lists
 // it. One that is neither recorded nor needed is no difference: its worker only has to
 // forget it.
-func (s *Scheduler) classifyUnknownExit(m *machine, ref taskRef, report *wire.TaskStatus) {
-	if report.Cause != wire.CauseDone || !s.fromEarlierTerm(report.Attempt) {
+func (s *Scheduler) classifyUnknownExit(m *machine, ref taskRef, status *wire.TaskStatus) {
+	if status.Cause != wire.CauseDone || !s.fromEarlierTerm(status.Attempt) {
 		return
 	}
-	a := &attempt{ref: ref, machine: m, number: report.Attempt, start: startState{acknowledged: true}}
+	a := &attempt{ref: ref, machine: m, number: status.Attempt, start: startState{acknowledged: true}}
 	if j := s.cluster.jobs[ref.jobID]; j != nil && ref.index < j.spec.Tasks && !j.service {
 		a.job = j
 	}
 	verdict := reconcile.Classify(s.evidenceFor(a, reconcile.Completed))
 	if verdict.Action == reconcile.RecordDone {
-		s.reconciler.AddDifference(s.now.Mono, newDifference(m, ref, report.Attempt, verdict))
+		s.reconciler.AddDifference(s.now.Mono, newDifference(m, ref, status.Attempt, verdict))
 	}
 }
 
 // reportSuperseded takes an attempt that runs where another attempt of its task is to
 // start.
-func (s *Scheduler) reportSuperseded(m *machine, ref taskRef, report *wire.TaskStatus) {
-	if s.fromEarlierTerm(report.Attempt) {
+func (s *Scheduler) reportSuperseded(m *machine, ref taskRef, status *wire.TaskStatus) {
+	if s.fromEarlierTerm(status.Attempt) {
 		verdict := reconcile.Verdict{Class: reconcile.Superseded, Action: reconcile.Stop}
-		s.reconciler.AddDifference(s.now.Mono, newDifference(m, ref, report.Attempt, verdict))
+		s.reconciler.AddDifference(s.now.Mono, newDifference(m, ref, status.Attempt, verdict))
 	}
 }
