--- a/internal/mutation/heartbeat_test.go
+++ b/internal/mutation/heartbeat_test.go
@@ -19,13 +19,13 @@
 	{
 		scenario: "a delayed heartbeat reaches every controller just as a new leader takes over",
 		marker:   "absence-needs-fencing-token",
-		operator: setCondition(false),
+		operator: replace("false"),
 		test:     heartbeatFaults + "just_as_a_new_leader_begins",
 	},
 	{
 		scenario: "a heartbeat is delayed until a new leader has acted",
 		marker:   "absence-needs-fencing-token",
-		operator: setCondition(false),
+		operator: replace("false"),
 		test:     heartbeatFaults + "held_back",
 	},
 	{
@@ -67,13 +67,13 @@
 	{
 		scenario: "a heartbeat carries a fencing token below the one the start needs",
 		marker:   "absence-needs-fencing-token",
-		operator: replace("0", term(3, 4)),
+		operator: replace("0", term(1, 2), argument(1, 2)),
 		test:     absenceTest,
 	},
 	{
 		scenario: "a heartbeat arrives while the call with the start is in flight",
 		marker:   "absence-needs-finished-call",
-		operator: setCondition(false),
+		operator: replace("false"),
 		test:     absenceTest,
 	},
 	{
@@ -151,7 +151,7 @@
 	{
 		scenario: "machines open no connections, and answer direct calls",
 		marker:   "direct-reply-counts-as-heartbeat",
-		operator: removeStatements(2),
+		operator: remove(),
 		test:     "internal/scheduler:^TestMachineWithoutHeartbeatsIsDrivenByStatusProbes$",
 	},
 	{
--- a/internal/mutation/leadership_test.go
+++ b/internal/mutation/leadership_test.go
@@ -55,7 +55,7 @@
 	{
 		scenario: "ten leaders in two minutes",
 		marker:   "absence-needs-fencing-token",
-		operator: setCondition(false),
+		operator: replace("false"),
 		test:     "internal/scheduler:^TestCombinedLeadershipFaults$/^ten_leaders$",
 	},
 	{
--- a/internal/scheduler/absence_proof_test.go
+++ b/internal/scheduler/absence_proof_test.go
@@ -26,37 +26,37 @@
 			return &wire.Heartbeat{Incarnation: session, Sequence: tick + 1 + rng.Uint64N(5), FencingToken: term<<tuning.FencingBits | fence + rng.Uint64N(3)}
 		}
 		for _, c := range []struct {
-			name    string
-			change  func(a *attempt, r *wire.Heartbeat)
-			checkin bool
-			absent  bool
+			name   string
+			change func(a *attempt, r *wire.Heartbeat)
+			via    exchange
+			absent bool
 		}{
-			{"nothing speaks against it", func(*attempt, *wire.Heartbeat) {}, true, true},
+			{"nothing speaks against it", func(*attempt, *wire.Heartbeat) {}, workerInitiated, true},
 			{"the report is under an earlier term's token", func(_ *attempt, r *wire.Heartbeat) {
 				r.FencingToken = (term-1-rng.Uint64N(5))<<tuning.FencingBits | 1<<tuning.FencingBits - 1
-			}, true, false},
+			}, workerInitiated, false},
 			{"the report is under a token below the start's fence", func(_ *attempt, r *wire.Heartbeat) {
 				r.FencingToken = term<<tuning.FencingBits | rng.Uint64N(fence)
-			}, true, false},
+			}, workerInitiated, false},
 			{"the same, though the session is a later one", func(_ *attempt, r *wire.Heartbeat) {
 				r.Incarnation++
 				r.FencingToken = term<<tuning.FencingBits | rng.Uint64N(fence)
-			}, true, false},
-			{"a direct call with it is out", func(a *attempt, _ *wire.Heartbeat) { a.start.callInFlight = true }, true, false},
-			{"the report is the one whose answer took the start", func(a *attempt, r *wire.Heartbeat) { r.Sequence = a.start.replySequence }, true, false},
-			{"a direct answer overtakes the answer that took the start", func(*attempt, *wire.Heartbeat) {}, false, false},
-			{"a direct answer, and the start went directly", func(a *attempt, _ *wire.Heartbeat) { a.start.replySequence = 0 }, false, true},
+			}, workerInitiated, false},
+			{"a direct call with it is out", func(a *attempt, _ *wire.Heartbeat) { a.start.callInFlight = true }, workerInitiated, false},
+			{"the report is the one whose answer took the start", func(a *attempt, r *wire.Heartbeat) { r.Sequence = a.start.replySequence }, workerInitiated, false},
+			{"a direct answer overtakes the answer that took the start", func(*attempt, *wire.Heartbeat) {}, leaderInitiated, false},
+			{"a direct answer, and the start went directly", func(a *attempt, _ *wire.Heartbeat) { a.start.replySequence = 0 }, leaderInitiated, true},
 			{"a later session, though a call is out", func(a *attempt, r *wire.Heartbeat) {
 				a.start.callInFlight = true
 				r.Incarnation += 1 + rng.Uint64N(3)
-			}, true, true},
-			{"of an earlier leader, whose session nobody knows, a call is out", func(a *attempt, _ *wire.Heartbeat) { a.start.incarnation, a.start.callInFlight = 0, true }, true, false},
-			{"it was never sent", func(a *attempt, _ *wire.Heartbeat) { a.start.sent = false }, true, false},
-			{"it was listed before", func(a *attempt, _ *wire.Heartbeat) { a.start.acknowledged = true }, true, true},
+			}, workerInitiated, true},
+			{"of an earlier leader, whose session nobody knows, a call is out", func(a *attempt, _ *wire.Heartbeat) { a.start.incarnation, a.start.callInFlight = 0, true }, workerInitiated, false},
+			{"it was never sent", func(a *attempt, _ *wire.Heartbeat) { a.start.sent = false }, workerInitiated, false},
+			{"it was listed before", func(a *attempt, _ *wire.Heartbeat) { a.start.acknowledged = true }, workerInitiated, true},
 		} {
 			a, r := start(), report()
 			c.change(a, r)
-			if got := l.provenAbsent(a, r, c.checkin); got != c.absent {
+			if got := l.provenAbsent(a, r, c.via); got != c.absent {
 				t.Fatalf("%s: proven absent: %v\n%+v\n%+v", c.name, got, a, r)
 			}
 		}
--- a/internal/scheduler/assignments.go
+++ b/internal/scheduler/assignments.go
@@ -135,7 +135,7 @@
 			a.assignment.batches = []*assignmentBatch{b}
 			if !a.assignment.durable {
 				a.assignment.durable = true
-				s.dispatcher.machinesDue[a.machine.name] = true
+				s.dispatcher.markDue(a.machine)
 			}
 		}
 		s.deleteBatchIfUnneeded(b)
--- a/internal/scheduler/attempt.go
+++ b/internal/scheduler/attempt.go
@@ -136,11 +136,11 @@
 		// The start may still be on its way: only a report under a higher token
 		// will show that it is not.
 		//mutation:stop-raises-fencing-token
-		s.raiseFencingToken(a.machine)
+		a.machine.fencing.raise()
 		a.start.requiredFence = a.machine.fencing.counter
 	}
 	//mutation:stop-is-sent-at-once
-	s.dispatcher.machinesDue[a.machine.name] = true // with all other stops of this input
+	s.dispatcher.markDue(a.machine) // with all other stops of this input
 }
 
 func sortAttempts(list []*attempt) {
--- /dev/null
+++ b/internal/scheduler/directcall.go
@@ -0,0 +1,159 @@
+package scheduler
+
+import (
+	"time"
+
+	"github.com/yarrowgap/yarrowgap/wire"
+)
+
+// commandCall is a direct call that is in flight.
+type commandCall struct {
+	machine        *machine
+	fencingCounter uint64     // of the token that it was sent under
+	starts         []*attempt // whose start it carries
+	statusProbe    bool       // it carries no commands
+}
+
+// sendCommands makes a direct call to a machine, with commands or as a status probe.
+func (s *Scheduler) sendCommands(m *machine, commands []wire.Command, starts []*attempt) {
+	s.nextEffectID++
+	s.dispatcher.calls[s.nextEffectID] = &commandCall{machine: m, fencingCounter: m.fencing.counter, starts: starts, statusProbe: len(commands) == 0}
+	m.calls.inFlight = true
+	s.effects.DirectCalls = append(s.effects.DirectCalls, DirectCall{
+		ID: s.nextEffectID, Machine: m.name, Addr: m.address,
+		//mutation:direct-call-incarnation
+		Body: wire.DirectCommands{FencingToken: s.fencingToken(m), Incarnation: max(1, m.heartbeats.incarnation), Commands: commands},
+	})
+}
+
+// endCall takes a call out of those in flight; nil if it is not one of them.
+func (d *dispatchState) endCall(id uint64) *commandCall {
+	call := d.calls[id]
+	if call == nil {
+		return nil
+	}
+	delete(d.calls, id)
+	call.machine.calls.inFlight = false
+	if call.statusProbe {
+		d.probes.inFlight--
+	}
+	for _, a := range call.starts {
+		a.start.callInFlight = false
+	}
+	return call
+}
+
+// CallResult says what became of a direct call.
+type CallResult int
+
+// Outcomes of a direct call: see worker.Outcome.
+const (
+	CallLost     CallResult = iota // no answer: executed, or not, or later
+	CallExecuted                   // the commands were executed
+	CallRefused                    // no command was executed
+)
+
+// CallDone takes the outcome of a direct call, and the heartbeat in its reply.
+func (s *Scheduler) CallDone(now Now, id uint64, result CallResult, heartbeat *wire.Heartbeat) {
+	s.now = now
+	call := s.dispatcher.endCall(id)
+	if call == nil {
+		return
+	}
+	m := call.machine
+	if heartbeat != nil && s.supersededBy(heartbeat) {
+		result, heartbeat = CallLost, nil
+	}
+	//mutation:direct-reply-of-another-machine
+	if heartbeat != nil && heartbeat.Machine != m.name {
+		result, heartbeat = CallLost, nil // another machine has this address now
+	}
+	m.calls.countResult(result)
+	switch result {
+	case CallLost:
+		s.handleLostCall(call)
+	case CallRefused:
+		s.handleRefusedCall(call, heartbeat.FencingToken)
+	}
+	if heartbeat != nil && m.phase == machineUp {
+		s.handleDirectReply(m, heartbeat)
+	}
+	if m.calls.again && result != CallLost {
+		s.sendAgain(m)
+	}
+	m.calls.again = false
+}
+
+// countResult counts the calls in a row that got no answer.
+func (c *callStatus) countResult(result CallResult) {
+	if result != CallLost {
+		c.unanswered, c.unansweredSinceHeartbeat = 0, 0
+		return
+	}
+	c.unanswered++
+	c.unansweredSinceHeartbeat++
+}
+
+// handleLostCall deals with a call whose commands may have been executed, or may be yet:
+// its starts stay possible until a heartbeat under a higher token shows otherwise.
+func (s *Scheduler) handleLostCall(call *commandCall) {
+	m := call.machine
+	if len(call.starts) > 0 && m.fencing.counter == call.fencingCounter {
+		m.fencing.raise()
+	}
+	for _, a := range call.starts {
+		a.start.requiredFence = m.fencing.counter
+		s.logDebug("start call unanswered", "task", a.ref.String(), "attempt", a.number, "machine", m.name)
+	}
+	m.resendStops()
+}
+
+// handleRefusedCall deals with a call whose commands were not executed, for the worker has
+// seen a higher token or has another incarnation: all of it is due again.
+func (s *Scheduler) handleRefusedCall(call *commandCall, seenToken uint64) {
+	m := call.machine
+	for _, a := range call.starts {
+		if !a.start.acknowledged {
+			a.retry.undo(s.now.Mono)
+		}
+	}
+	m.resendStops()
+	if seenToken > s.fencingToken(m) {
+		m.fencing.counter = counterOf(seenToken)
+	}
+	m.calls.again = true
+}
+
+// undo takes back a dispatch that is known not to have been executed.
+func (r *dispatchRetry) undo(now time.Duration) {
+	r.nextAt = now
+	r.count = max(0, r.count-1)
+}
+
+// resendStops makes all stops that were sent to the machine due again.
+func (m *machine) resendStops() {
+	for _, a := range m.tasks {
+		a.stop.sentAt = 0
+	}
+}
+
+// handleDirectReply takes the heartbeat in the reply to a direct call.
+func (s *Scheduler) handleDirectReply(m *machine, heartbeat *wire.Heartbeat) {
+	//mutation:direct-reply-counts-as-heartbeat
+	s.markHeartbeatReceived(m)
+	m.connectivity.unreachableSince = 0 // what was sent to it just now got through
+	//mutation:direct-reply-sequence
+	if m.heartbeats.precedes(heartbeat) {
+		s.applyHeartbeat(m, heartbeat, leaderInitiated)
+	}
+}
+
+// sendAgain sends what has fallen due while a call to the machine was in flight.
+func (s *Scheduler) sendAgain(m *machine) {
+	m.calls.again = false
+	s.sendDue(m)
+	if !m.confirmed {
+		m.calls.probedAt = 0
+		s.probeStatus(m)
+	}
+}
--- a/internal/scheduler/dispatch.go
+++ b/internal/scheduler/dispatch.go
@@ -1,7 +1,8 @@
 package scheduler
 
 import (
-	"math"
+	"maps"
+	"slices"
 	"time"
 
 	"github.com/yarrowgap/yarrowgap/internal/reconcile"
@@ -9,81 +10,112 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// dispatchState has the direct calls that are in flight, and the machines that commands
-// are due for.
+// dispatchState has the direct calls that are in flight and the machines that commands are
+// due for. A machine has at most one call in flight; what falls due meanwhile is sent when
+// the call is done.
 type dispatchState struct {
 	calls             map[uint64]*commandCall
 	probes            statusProbes
-	machinesDue       map[string]bool
-	lastAttemptNumber uint64 // in this term
+	machinesDue       map[string]bool // by name; commands for them are sent at the end of the input
+	lastAttemptNumber uint64          // in this term
 }
 
-// heartbeatCommands gathers what the answer to a report carries.
+func newDispatchState(now time.Duration) dispatchState {
+	return dispatchState{
+		calls:       map[uint64]*commandCall{},
+		machinesDue: map[string]bool{},
+		probes:      statusProbes{rate: tokenBucket{tokens: tuning.MinConcurrentStatusProbes, refilledAt: now}},
+	}
+}
+
+// markDue has what is due for a machine sent at the end of the input, so that all of it
+// shares one call.
+func (d *dispatchState) markDue(m *machine) { d.machinesDue[m.name] = true }
+
+// takeDue gives the names of the machines that commands are due for, in order, and none of
+// them again until it is marked anew.
+func (d *dispatchState) takeDue() []string {
+	names := slices.Sorted(maps.Keys(d.machinesDue))
+	clear(d.machinesDue)
+	return names
+}
+
+// exchange says who opened the connection by which commands and a heartbeat pass.
+type exchange int
+
+const (
+	// workerInitiated is a heartbeat that the worker sent by itself. Commands go in the
+	// reply, which renews the worker's lease.
+	workerInitiated exchange = iota
+	// leaderInitiated is a direct call with commands. The heartbeat comes in its reply.
+	leaderInitiated
+)
+
+// heartbeatCommands gathers the commands for the reply to a heartbeat.
 func (s *Scheduler) heartbeatCommands(m *machine, heartbeat *wire.Heartbeat) []wire.Command {
 	//mutation:stops-before-confirmation
-	commands := s.dueStops(m, true)
+	commands := s.dueStops(m, workerInitiated)
 	if TermOf(heartbeat.FencingToken) != s.term && len(m.tasks) > 0 && !m.confirmed {
 		return commands
 	}
-	commands = append(commands, m.unexpectedStops...)
-	m.unexpectedStops = nil
+	commands = append(commands, m.takeUnexpectedStops()...)
 	for _, a := range s.dueStarts(m) {
 		a.start.replySequence = heartbeat.Sequence
 		s.markDispatched(a)
-		commands = append(commands, runCommand(a))
+		commands = append(commands, startCommand(a))
 	}
 	forgets := s.dueForgets(m)
 	//mutation:forget-raises-fencing-token
 	if len(forgets) > 0 && m.fencing.usedDirectly {
-		// A copy of a start that was carried out may turn up again, and after
-		// the forget the worker would take it for a new one. A higher token,
-		// in the same answer, makes it refuse such copies.
-		s.raiseFencingToken(m)
-		for _, a := range m.tasks {
-			if a.start.sent && !a.start.acknowledged && a.start.replySequence != heartbeat.Sequence {
-				a.start.requiredFence = m.fencing.counter
-			}
-		}
+		m.fenceBeforeForget(heartbeat.Sequence)
 	}
 	return append(commands, forgets...)
 }
 
-func (s *Scheduler) dueForgets(m *machine) []wire.Command {
-	var commands []wire.Command
-	for ref, ended := range m.exited {
-		if a := m.tasks[ref]; a != nil && a.number == ended.attempt {
-			continue
-		}
-		//mutation:forget-after-durable-end
-		if j := s.cluster.jobs[ref.jobID]; ended.done && j != nil && ref.index < j.spec.Tasks && !j.progress.saved.Has(ref.index) && !j.service && !j.cancelled {
-			continue // done, but not yet durably so
+// fenceBeforeForget raises the fencing token in the reply that forgets attempts. A duplicate
+// of a start that was executed may still arrive, and after the forget the worker would take
+// it for a new one; under the higher token it refuses it.
+func (m *machine) fenceBeforeForget(replySequence uint64) {
+	m.fencing.raise()
+	for _, a := range m.tasks {
+		if a.start.sent && !a.start.acknowledged && a.start.replySequence != replySequence {
+			a.start.requiredFence = m.fencing.counter
 		}
-		name := wire.TaskName(ref.jobID, ref.index)
-		s.reconciler.CountOperation(s.now.Mono, reconcile.Operation{Kind: reconcile.ForgetOperation, Machine: m.name, Task: name, Number: ended.attempt})
-		commands = append(commands, wire.Command{Verb: wire.VerbForget, Task: name, Attempt: ended.attempt})
 	}
-	sortCommands(commands)
-	return commands
-}
-
-func runCommand(a *attempt) wire.Command {
-	return wire.Command{Verb: wire.VerbRun, Task: wire.TaskName(a.ref.jobID, a.ref.index), Attempt: a.number}
 }
 
-// queueUnexpectedStop stops an attempt that is not in our picture.
-func (s *Scheduler) queueUnexpectedStop(m *machine, ref taskRef, number uint64) {
-	zero := 0.0
-	m.queueUnexpectedStop(wire.Command{Verb: wire.VerbStop, Task: wire.TaskName(ref.jobID, ref.index), Attempt: number, GracePeriodS: &zero})
+// sendDue sends a machine what is due for it by a direct call. While another call to it is
+// in flight, this is done when that one has ended.
+func (s *Scheduler) sendDue(m *machine) {
+	if m.phase != machineUp || m.address == "" {
+		return
+	}
+	if m.calls.inFlight {
+		m.calls.again = true
+		return
+	}
+	commands := s.dueStops(m, leaderInitiated)
+	commands = append(commands, m.takeUnexpectedStops()...)
+	starts := s.dueStarts(m)
+	for _, a := range starts {
+		s.markDispatched(a)
+		a.start.callInFlight = true
+		commands = append(commands, startCommand(a))
+	}
+	if len(commands) == 0 {
+		return
+	}
+	if len(starts) > 0 {
+		m.fencing.usedDirectly = true
+	}
+	s.sendCommands(m, commands, starts)
 }
 
-// dueStops gathers the stops that are due. An answer to a report renews the worker's
-// lease, so it carries those of cancelled tasks each time: the last one may have been
-// lost, and if nothing reaches the machine from now on, they run for a whole lease.
-func (s *Scheduler) dueStops(m *machine, renewsLease bool) []wire.Command {
+// dueStops gathers the stops that are due and notes that they are sent.
+func (s *Scheduler) dueStops(m *machine, via exchange) []wire.Command {
 	var due []*attempt
 	for _, a := range m.tasks {
-		//mutation:renewal-repeats-stops
-		if a.stop.requested && a.start.sent && (a.stop.sentAt == 0 || s.now.Mono-a.stop.sentAt >= tuning.StopResendInterval || renewsLease && a.job != nil && a.job.cancelled) {
+		if a.stopIsDue(s.now.Mono, via) {
 			due = append(due, a)
 		}
 	}
@@ -95,207 +127,107 @@
 			s.countOperation(reconcile.StopOperation, a)
 		}
 		a.stop.sentAt = s.now.Mono
-		graceS := 0.0
-		if a.stop.checkpoint && a.job != nil {
-			graceS = a.job.spec.CheckpointSaveS + 1
-		}
-		commands = append(commands, wire.Command{Verb: wire.VerbStop, Task: wire.TaskName(a.ref.jobID, a.ref.index), Attempt: a.number, GracePeriodS: &graceS})
+		commands = append(commands, stopCommand(a.ref, a.number, a.stopGraceS()))
 	}
 	return commands
 }
 
-// dueStarts gathers the starts and re-probes that are due.
+// stopIsDue reports whether a stop of the attempt has to be sent now. The reply to a
+// heartbeat renews the worker's lease, so it repeats the stops of cancelled tasks each time:
+// the last one may have been lost, and if nothing reaches the machine from now on, they run
+// for a whole lease.
+func (a *attempt) stopIsDue(now time.Duration, via exchange) bool {
+	//mutation:renewal-repeats-stops
+	return a.stop.requested && a.start.sent &&
+		(a.stop.sentAt == 0 || now-a.stop.sentAt >= tuning.StopResendInterval || via == workerInitiated && a.job != nil && a.job.cancelled)
+}
+
+// stopGraceS is how long a stopped attempt has to save its checkpoint, in seconds.
+func (a *attempt) stopGraceS() float64 {
+	if !a.stop.checkpoint || a.job == nil {
+		return 0
+	}
+	return a.job.spec.CheckpointSaveS + 1
+}
+
+// takeUnexpectedStops gives the stops of attempts that this leader does not keep track of.
+// Each is given once: the next heartbeat asks for it again if it is needed.
+func (m *machine) takeUnexpectedStops() []wire.Command {
+	stops := m.unexpectedStops
+	m.unexpectedStops = nil
+	return stops
+}
+
+// dueStarts gathers the attempts whose start has to be sent now, for the first time or again.
 func (s *Scheduler) dueStarts(m *machine) []*attempt {
 	if !m.confirmed || m.phase != machineUp {
 		return nil
 	}
 	var due []*attempt
 	for _, a := range m.tasks {
-		//mutation:start-after-record
-		if !a.assignment.durable || a.stop.requested || a.start.acknowledged || a.start.callInFlight || a.retry.nextAt > s.now.Mono || a.job == nil || a.job.cancelled {
-			continue
-		}
-		if a.start.sent && a.start.firstSentAt == 0 {
-			continue // an earlier leader's: its fate has to be proven first
-		}
-		//mutation:start-after-forget
-		if ended, ok := m.exited[a.ref]; ok && ended.attempt != a.number {
-			// An ended attempt of the same task has to be forgotten first, under
-			// a higher token: else a late copy of its start could be taken for a
-			// new one once this attempt has replaced it.
-			continue
+		if a.startIsDue(s.now.Mono) {
+			due = append(due, a)
 		}
-		due = append(due, a)
 	}
 	sortAttempts(due)
 	return due
 }
 
-// markDispatched keeps the books of a start that is about to be sent, and plans its
-// next probe: exponential, inside the task's time budget.
-func (s *Scheduler) markDispatched(a *attempt) {
-	now := s.now.Mono
-	if a.start.firstSentAt == 0 {
-		a.start.firstSentAt = now
-		s.countOperation(reconcile.StartOperation, a)
-	} else {
-		if a.machine.connectivity.lastHeartbeatAt > a.start.firstSentAt+tuning.StartUnreceivedAfter {
-			//mutation:unacknowledged-start-marks-unreachable
-			s.markUnreachable(a.machine, "a start is not acknowledged") // its reports arrive, what we send does not
-		}
-		s.counters.DispatchRetries++
-		s.log(false, "start not acknowledged, probing again", "task", wire.TaskName(a.ref.jobID, a.ref.index), "machine", a.machine.name, "probe", a.retry.count)
+// startIsDue reports whether the attempt's start may and has to be sent now.
+func (a *attempt) startIsDue(now time.Duration) bool {
+	//mutation:start-after-record
+	if !a.assignment.durable || a.stop.requested || a.start.acknowledged || a.start.callInFlight || a.retry.nextAt > now || a.job == nil || a.job.cancelled {
+		return false
 	}
-	a.start.sent, a.start.incarnation = true, a.machine.heartbeats.incarnation
-	a.start.requiredFence = max(a.start.requiredFence, 0)
-	wait := s.dispatchRetryDelay(a)
-	a.retry.count++
-	a.retry.nextAt = now + wait
-}
-
-// dispatchDeadline is when the task's time budget ends, counted from its job's creation.
-func (s *Scheduler) dispatchDeadline(a *attempt) time.Duration {
-	budget := s.settings.Policy.DefaultDispatchBudget
-	if d := a.job.spec.DeadlineS; d != nil {
-		budget = time.Duration(*d * float64(time.Second))
+	if a.start.sent && a.start.firstSentAt == 0 {
+		return false // sent by an earlier leader: it has to be proven absent first
+	}
+	//mutation:start-after-forget
+	if ended, listed := a.machine.exited[a.ref]; listed && ended.attempt != a.number {
+		// An ended attempt of the same task has to be forgotten first, under a higher
+		// token: else a late duplicate of its start could be taken for a new one once
+		// this attempt has replaced it.
+		return false
 	}
-	return max(a.job.createdAt+budget, a.start.firstSentAt+tuning.MinDispatchBudget)
+	return true
 }
 
-// dispatchRetryDelay divides the budget that is left at the first start into the set
-// number of probes, each wait twice the one before, none under the ack wait, and none
-// for so long that its job would wait beside room.
-func (s *Scheduler) dispatchRetryDelay(a *attempt) time.Duration {
-	attempts := max(1, s.settings.Policy.DispatchRetryCount)
-	base := float64(s.dispatchDeadline(a)-a.start.firstSentAt) / (math.Pow(2, float64(attempts)) - 1)
-	first := max(float64(s.settings.Policy.AckTimeout), base)
-	wait := time.Duration(first * math.Pow(2, float64(min(a.retry.count, 30))))
-	// A budget of hours would put the second probe off by minutes: the task would wait
-	// on a machine that only lost one message.
-	//mutation:dispatch-retry-bound
-	return min(wait, max(s.settings.Policy.AckTimeout, tuning.MaxDispatchRetryInterval))
+// dueForgets gathers the ended attempts that the worker need not list any longer.
+func (s *Scheduler) dueForgets(m *machine) []wire.Command {
+	var commands []wire.Command
+	for ref, ended := range m.exited {
+		if !s.mayForget(m, ref, ended) {
+			continue
+		}
+		task := ref.String()
+		s.reconciler.CountOperation(s.now.Mono, reconcile.Operation{Kind: reconcile.ForgetOperation, Machine: m.name, Task: task, Number: ended.attempt})
+		commands = append(commands, wire.Command{Verb: wire.VerbForget, Task: task, Attempt: ended.attempt})
+	}
+	sortCommands(commands)
+	return commands
 }
 
-// sendDue sends a machine what is due for it, directly.
-func (s *Scheduler) sendDue(m *machine) {
-	if m.phase != machineUp || m.address == "" {
-		return
-	}
-	if m.calls.inFlight {
-		m.calls.again = true
-		return
-	}
-	commands := s.dueStops(m, false)
-	commands = append(commands, m.unexpectedStops...)
-	m.unexpectedStops = nil
-	starts := s.dueStarts(m)
-	for _, a := range starts {
-		s.markDispatched(a)
-		a.start.callInFlight = true
-		commands = append(commands, runCommand(a))
-	}
-	if len(commands) == 0 {
-		return
+// mayForget reports whether nothing depends any longer on the worker's list of an ended
+// attempt. Of a completed task it is the only evidence until that is durable.
+func (s *Scheduler) mayForget(m *machine, ref taskRef, ended taskExit) bool {
+	if a := m.tasks[ref]; a != nil && a.number == ended.attempt {
+		return false
 	}
-	if len(starts) > 0 {
-		m.fencing.usedDirectly = true
+	j := s.cluster.jobs[ref.jobID]
+	if !ended.done || j == nil || ref.index >= j.spec.Tasks || j.service || j.cancelled {
+		return true
 	}
-	s.sendCommands(m, commands, starts)
+	//mutation:forget-after-durable-end
+	return j.progress.saved.Has(ref.index)
 }
 
-func (s *Scheduler) sendCommands(m *machine, commands []wire.Command, starts []*attempt) {
-	s.nextEffectID++
-	s.dispatcher.calls[s.nextEffectID] = &commandCall{machine: m, fencingCounter: m.fencing.counter, starts: starts, statusProbe: len(commands) == 0}
-	m.calls.inFlight = true
-	s.effects.DirectCalls = append(s.effects.DirectCalls, DirectCall{
-		ID: s.nextEffectID, Machine: m.name, Addr: m.address,
-		//mutation:direct-call-incarnation
-		Body: wire.DirectCommands{FencingToken: s.fencingToken(m), Incarnation: max(1, m.heartbeats.incarnation), Commands: commands},
-	})
-}
+// String gives the task's name on the wire.
+func (r taskRef) String() string { return wire.TaskName(r.jobID, r.index) }
 
-// CallResult says what became of a direct call.
-type CallResult int
-
-// Outcomes of a direct call: see worker.Outcome.
-const (
-	CallLost CallResult = iota
-	CallExecuted
-	CallRefused
-)
+func startCommand(a *attempt) wire.Command {
+	return wire.Command{Verb: wire.VerbRun, Task: a.ref.String(), Attempt: a.number}
+}
 
-// CallDone takes the outcome of a direct call.
-func (s *Scheduler) CallDone(now Now, id uint64, result CallResult, heartbeat *wire.Heartbeat) {
-	s.now = now
-	call := s.dispatcher.calls[id]
-	if call == nil {
-		return
-	}
-	delete(s.dispatcher.calls, id)
-	m := call.machine
-	m.calls.inFlight = false
-	if call.statusProbe {
-		s.dispatcher.probes.inFlight--
-	}
-	for _, a := range call.starts {
-		a.start.callInFlight = false
-	}
-	if heartbeat != nil && s.supersededBy(heartbeat) {
-		result, heartbeat = CallLost, nil
-	}
-	//mutation:direct-reply-of-another-machine
-	if heartbeat != nil && heartbeat.Machine != m.name {
-		result, heartbeat = CallLost, nil // another machine has this address now
-	}
-	m.calls.unansweredSinceHeartbeat++
-	if m.calls.unanswered++; result != CallLost {
-		m.calls.unanswered, m.calls.unansweredSinceHeartbeat = 0, 0
-	}
-	switch result {
-	case CallLost:
-		if len(call.starts) > 0 && m.fencing.counter == call.fencingCounter {
-			s.raiseFencingToken(m)
-		}
-		for _, a := range call.starts {
-			a.start.requiredFence = m.fencing.counter
-			s.log(true, "start unanswered", "task", wire.TaskName(a.ref.jobID, a.ref.index), "machine", m.name)
-		}
-		for _, a := range m.tasks {
-			a.stop.sentAt = 0
-		}
-	case CallRefused:
-		for _, a := range call.starts {
-			if !a.start.acknowledged {
-				a.retry.nextAt = now.Mono // not executed: nothing to wait for
-				a.retry.count = max(0, a.retry.count-1)
-			}
-		}
-		for _, a := range m.tasks {
-			a.stop.sentAt = 0
-		}
-		if heartbeat.FencingToken > s.fencingToken(m) {
-			m.fencing.counter = heartbeat.FencingToken & (1<<tuning.FencingBits - 1)
-		}
-		m.calls.again = true
-	}
-	if heartbeat != nil && m.phase == machineUp {
-		//mutation:direct-reply-counts-as-heartbeat
-		s.monitor.lastHeartbeatAt = now.Mono
-		m.connectivity.lastHeartbeatAt = now.Mono
-		delete(s.monitor.zoneHeartbeatAt, m.zone)
-		m.connectivity.unreachableSince = 0 // it answered what we sent just now
-		//mutation:direct-reply-sequence
-		if heartbeat.NewerThan(m.heartbeats.incarnation, m.heartbeats.sequence) {
-			s.applyHeartbeat(m, heartbeat, false)
-		}
-	}
-	if m.calls.again && result != CallLost {
-		m.calls.again = false
-		s.sendDue(m)
-		if !m.confirmed {
-			m.calls.probedAt = 0
-			s.probeStatus(m)
-		}
-	}
-	m.calls.again = false
+func stopCommand(ref taskRef, number uint64, graceS float64) wire.Command {
+	return wire.Command{Verb: wire.VerbStop, Task: ref.String(), Attempt: number, GracePeriodS: &graceS}
 }
--- a/internal/scheduler/fencing_test.go
+++ b/internal/scheduler/fencing_test.go
@@ -44,7 +44,7 @@
 	}
 	m := h.scheduler.cluster.machines["n-1"]
 	m.fencing.counter = maxCounter
-	if h.scheduler.raiseFencingToken(m); TermOf(h.scheduler.fencingToken(m)) != harnessTerm {
+	if m.fencing.raise(); TermOf(h.scheduler.fencingToken(m)) != harnessTerm {
 		t.Errorf("raised into term %d", TermOf(h.scheduler.fencingToken(m)))
 	}
 }
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -197,7 +197,6 @@
 // heartbeatOrder is the place of a machine's last heartbeat: earlier ones are ignored.
 type heartbeatOrder struct {
 	incarnation, sequence uint64
-	lastInitiated         uint64
 	underTerm             bool // the last one was sent under this term's token
 }
 
--- a/internal/scheduler/machinescan.go
+++ b/internal/scheduler/machinescan.go
@@ -118,8 +118,7 @@
 		s.scaleOut(unplaced)
 	}
 	s.flush()
-	for _, name := range slices.Sorted(maps.Keys(s.dispatcher.machinesDue)) {
-		delete(s.dispatcher.machinesDue, name)
+	for _, name := range s.dispatcher.takeDue() {
 		if m := s.cluster.machines[name]; m != nil {
 			s.sendDue(m)
 		}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -18,7 +18,6 @@
 	"github.com/yarrowgap/yarrowgap/internal/policy"
 	"github.com/yarrowgap/yarrowgap/internal/reconcile"
 	"github.com/yarrowgap/yarrowgap/internal/records"
-	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
@@ -114,13 +113,6 @@
 	wroteJobRecord bool // the job's own key was written
 }
 
-type commandCall struct {
-	machine        *machine
-	fencingCounter uint64
-	starts         []*attempt
-	statusProbe    bool // only a question
-}
-
 type offer struct {
 	machineType, zone string
 	spot              bool
@@ -143,10 +135,7 @@
 		},
 		placement:  placementState{due: true, lastRoundAt: now.Mono - time.Second, backingOff: map[*job]bool{}},
 		autoscaler: autoscalerState{pending: map[string]*pendingRequest{}, unavailableUntil: map[offer]time.Duration{}},
-		dispatcher: dispatchState{
-			calls: map[uint64]*commandCall{}, machinesDue: map[string]bool{},
-			probes: statusProbes{budget: tuning.MinConcurrentStatusProbes, refilledAt: now.Mono},
-		},
+		dispatcher: newDispatchState(now.Mono),
 		persister: persistState{
 			inFlight: map[uint64]*transactionContents{}, batches: map[string]*assignmentBatch{}, dirtyJobs: map[*job]bool{},
 			writeBudget: settings.WriteRate, refilledAt: now.Mono,
--- a/internal/scheduler/statusprobe.go
+++ b/internal/scheduler/statusprobe.go
@@ -7,39 +7,56 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// statusProbes bounds how machines are asked for their reports: each question costs a
-// connection, and a new leader has thousands to ask.
+// maxProbeBackoffDoublings bounds how often the interval between status probes of a machine
+// that does not answer doubles.
+const maxProbeBackoffDoublings = 3
+
+// statusProbes limits how many status probes are in flight and how fast they are sent: each
+// costs a connection, and a new leader has thousands of machines to probe.
 type statusProbes struct {
-	inFlight    int           // questions without an answer yet
-	budget      float64       // questions that may be sent now, where their rate is bounded
-	refilledAt  time.Duration // when it was last added to
-	nextMachine string        // the first machine that found no place; empty: none did
+	inFlight int
+	rate     tokenBucket // used only while the process has a small share of a core
+	// nextMachine is the first machine whose probe was put off since the last scan; empty
+	// if none was. The next scan begins there, so that every machine has its turn.
+	nextMachine string
+}
+
+// putOff notes that a machine could not be probed now.
+func (p *statusProbes) putOff(m *machine) {
+	if p.nextMachine == "" {
+		p.nextMachine = m.name
+	}
 }
 
-// probeStatus asks a machine for its report under our token, unless there is no place
-// for a question now; then the next look at all machines begins with it.
+// probeStatus asks a machine for a heartbeat under this term's fencing token, by a call
+// without commands. If no probe may be sent now, the next scan begins with this machine.
 func (s *Scheduler) probeStatus(m *machine) {
 	if m.phase != machineUp || m.address == "" || m.calls.inFlight || s.dispatcher.machinesDue[m.name] {
-		return // what is to be pushed asks as well
+		return // what is due for the machine will bring a heartbeat too
 	}
-	if m.calls.probedAt > 0 && s.now.Mono-m.calls.probedAt < tuning.MinStatusProbeInterval<<min(m.calls.unanswered, 3) || s.heartbeatExpectedSoon(m) {
+	if s.probedLately(m) || s.heartbeatExpectedSoon(m) {
 		return
 	}
-	if s.dispatcher.probes.inFlight >= s.statusProbeLimit(m) || !s.takeProbeBudget() {
-		if s.dispatcher.probes.nextMachine == "" {
-			s.dispatcher.probes.nextMachine = m.name
-		}
+	probes := &s.dispatcher.probes
+	if probes.inFlight >= s.statusProbeLimit(m) || !s.takeProbeBudget() {
+		probes.putOff(m)
 		return
 	}
 	m.calls.probedAt = s.now.Mono
-	s.dispatcher.probes.inFlight++
+	probes.inFlight++
 	s.sendCommands(m, []wire.Command{}, nil)
 }
 
-// statusProbeLimit is how many questions may be out when the machine is asked. Machines
-// that did not answer last time have half of the places at the most: each holds one
-// until its call is given up, and in a cut zone there are hundreds, while others only
-// wait to be asked.
+// probedLately reports whether it is too early for another probe of the machine.
+func (s *Scheduler) probedLately(m *machine) bool {
+	interval := time.Duration(tuning.MinStatusProbeInterval) << min(m.calls.unanswered, maxProbeBackoffDoublings)
+	return m.calls.probedAt > 0 && s.now.Mono-m.calls.probedAt < interval
+}
+
+// statusProbeLimit is how many probes may be in flight when this machine is probed. Machines
+// that did not answer the last call get at most half of the limit: each occupies a place
+// until its call times out, and in a partitioned zone there are hundreds of them, while
+// others would answer at once.
 func (s *Scheduler) statusProbeLimit(m *machine) int {
 	limit := max(tuning.MinConcurrentStatusProbes, min(len(s.cluster.machines)/tuning.MachinesPerStatusProbe, tuning.MaxConcurrentStatusProbes))
 	if m.calls.unanswered > 0 {
@@ -48,32 +65,28 @@
 	return limit
 }
 
-// isCPULimited reports whether the process has so little of a core that work which could
-// wait is spaced.
+// takeProbeBudget takes one probe from what a small share of a core leaves for them.
+func (s *Scheduler) takeProbeBudget() bool {
+	//mutation:status-probe-budget
+	if !s.isCPULimited() {
+		return true
+	}
+	rate := &s.dispatcher.probes.rate
+	rate.refill(s.now.Mono, tuning.MaxStatusProbeRate*s.settings.CPUShare, tuning.MinConcurrentStatusProbes)
+	return rate.take(1)
+}
+
+// isCPULimited reports whether the process has so small a share of a core that work which
+// can wait is spread out.
 func (s *Scheduler) isCPULimited() bool {
 	return s.settings.CPUShare > 0 && s.settings.CPUShare < tuning.ReferenceCPUShare
 }
 
-// heartbeatExpectedSoon reports whether the machine will report by itself before a question would
-// help: it has just been answered, and with a token that it had not seen.
+// heartbeatExpectedSoon reports whether the machine's next heartbeat will come before a
+// probe would help: its last one has just been answered, with a fencing token that is new
+// to it.
 func (s *Scheduler) heartbeatExpectedSoon(m *machine) bool {
+	answeredAt := m.connectivity.heartbeatAnsweredAt
 	//mutation:no-status-probe-before-heartbeat
-	return s.isCPULimited() && m.connectivity.heartbeatAnsweredAt > 0 && m.fencing.seenToken < s.fencingToken(m) && s.now.Mono-m.connectivity.heartbeatAnsweredAt < tuning.StatusProbeHoldOff
-}
-
-// takeProbeBudget takes one question from the budget that a small share leaves for them.
-func (s *Scheduler) takeProbeBudget() bool {
-	//mutation:status-probe-budget
-	if !s.isCPULimited() {
-		return true
-	}
-	probes := &s.dispatcher.probes
-	rate := tuning.MaxStatusProbeRate * s.settings.CPUShare
-	probes.budget = min(tuning.MinConcurrentStatusProbes, probes.budget+(s.now.Mono-probes.refilledAt).Seconds()*rate)
-	probes.refilledAt = s.now.Mono
-	if probes.budget < 1 {
-		return false
-	}
-	probes.budget--
-	return true
+	return s.isCPULimited() && answeredAt > 0 && m.fencing.seenToken < s.fencingToken(m) && s.now.Mono-answeredAt < tuning.StatusProbeHoldOff
 }
--- /dev/null
+++ b/internal/scheduler/tasklist.go
@@ -0,0 +1,168 @@
+package scheduler
+
+import (
+	"github.com/yarrowgap/yarrowgap/internal/reconcile"
+	"github.com/yarrowgap/yarrowgap/wire"
+)
+
+// applyTaskList takes the attempts that a heartbeat lists, and gives the tasks whose tracked
+// attempt is accounted for by it.
+func (s *Scheduler) applyTaskList(m *machine, tasks []wire.TaskStatus) map[taskRef]bool {
+	listed := make(map[taskRef]bool, len(tasks))
+	exited := make(map[taskRef]taskExit, len(m.exited))
+	for i := range tasks {
+		status := &tasks[i]
+		id, index, _ := wire.ParseTaskName(status.Task)
+		ref := taskRef{id, index}
+		if status.State == wire.TaskExited {
+			listed[ref] = s.applyExit(m, ref, status) || listed[ref]
+			exited[ref] = taskExit{attempt: status.Attempt, done: status.Cause == wire.CauseDone}
+		} else {
+			listed[ref] = true
+			s.applyActive(m, ref, status)
+		}
+	}
+	m.exited = exited
+	return listed
+}
+
+// applyExit takes a listed attempt that has ended, and reports whether it is the one that is
+// tracked of the task.
+func (s *Scheduler) applyExit(m *machine, ref taskRef, status *wire.TaskStatus) bool {
+	a := m.tasks[ref]
+	if a != nil && a.number == status.Attempt {
+		s.handleExit(a, status)
+		return true
+	}
+	s.classifyUnknownExit(m, ref, status)
+	if j := s.cluster.jobs[ref.jobID]; j != nil && status.Cause == wire.CauseDone && ref.index < j.spec.Tasks {
+		s.markTaskDone(j, ref.index)
+	}
+	return false
+}
+
+// applyActive takes a listed attempt that fetches, runs or saves.
+func (s *Scheduler) applyActive(m *machine, ref taskRef, status *wire.TaskStatus) {
+	a := m.tasks[ref]
+	if a != nil && a.number != status.Attempt {
+		// Another attempt of this task is here, which has to go before the tracked one
+		// can start.
+		s.handleUnexpectedAttempt(m, ref, status)
+		return
+	}
+	if a == nil {
+		s.handleUnexpectedAttempt(m, ref, status)
+		a = m.tasks[ref]
+	}
+	if a != nil {
+		s.updateTaskState(a, status.State)
+	}
+}
+
+// handleUnexpectedAttempt deals with an attempt that is on the worker and was not placed
+// there in this term. If nothing else has the task, it is adopted; otherwise it is stopped,
+// and counts until it is gone.
+func (s *Scheduler) handleUnexpectedAttempt(m *machine, ref taskRef, status *wire.TaskStatus) {
+	if tracked := m.tasks[ref]; tracked != nil {
+		if tracked.start.sent && !tracked.start.acknowledged {
+			// The worker refuses the start while the other attempt is there. The
+			// tracked one stays so, and the other has to go.
+			s.reportSuperseded(m, ref, status)
+			m.queueUnexpectedStop(stopCommand(ref, status.Attempt, 0))
+			return
+		}
+		s.detach(tracked) // a worker has one attempt of a task at a time
+	}
+	a := &attempt{ref: ref, machine: m, number: status.Attempt, start: startState{sent: true, acknowledged: true}, placedAt: s.now.Mono}
+	if j := s.cluster.jobs[ref.jobID]; j != nil && ref.index < j.spec.Tasks {
+		a.job = j
+	}
+	verdict := reconcile.Classify(s.evidenceFor(a, reconcile.Active))
+	s.deferVerdict(a, verdict)
+	s.attach(a)
+	//mutation:record-unexpected-attempt
+	s.queueAssignment(a)
+	if verdict.Action == reconcile.Adopt {
+		s.logInfo("attempt adopted", "task", status.Task, "attempt", a.number, "machine", m.name)
+		return
+	}
+	s.logInfo("unexpected attempt", "task", status.Task, "attempt", a.number, "machine", m.name, "reason", verdict.Class)
+	s.stopAttempt(a, false, verdict.Class.String())
+}
+
+// updateTaskState takes the state of an attempt that is on the machine.
+func (s *Scheduler) updateTaskState(a *attempt, state string) {
+	s.acknowledgeStart(a)
+	s.confirmActive(a)
+	if a.state == state {
+		return
+	}
+	a.machine.taskSummary = nil
+	s.logDebug("task state changed", "task", a.ref.String(), "attempt", a.number, "machine", a.machine.name, "state", state)
+	if a.job != nil {
+		if a.state == wire.TaskRunning {
+			a.job.runningCount--
+		}
+		if state == wire.TaskRunning {
+			a.job.runningCount++
+			a.runningAt = s.now.Mono
+			a.machine.addImage(a.job.spec.Image, a.job.spec.ImageGB)
+			s.counters.Started++
+		}
+	}
+	a.state = state
+}
+
+// acknowledgeStart takes note that the worker has listed the attempt.
+func (s *Scheduler) acknowledgeStart(a *attempt) {
+	if a.start.acknowledged {
+		return
+	}
+	a.start.acknowledged = true
+	if a.start.firstSentAt > 0 && s.ObserveAckLatency != nil {
+		s.ObserveAckLatency(s.now.Mono - a.start.firstSentAt)
+	}
+}
+
+// applyAbsences takes what a heartbeat does not list: what it proves absent is gone.
+func (s *Scheduler) applyAbsences(m *machine, heartbeat *wire.Heartbeat, via exchange, listed map[taskRef]bool) {
+	var absent []*attempt
+	for _, a := range m.tasks {
+		if !listed[a.ref] && s.provenAbsent(a, heartbeat, via) {
+			absent = append(absent, a)
+		}
+	}
+	sortAttempts(absent)
+	for _, a := range absent {
+		s.handleAbsence(a)
+	}
+}
+
+// provenAbsent reports whether an attempt that the heartbeat does not list is neither on the
+// machine nor can be started there by anything that was sent before. An attempt leaves the
+// scheduler's state on this proof alone, or with its machine.
+func (s *Scheduler) provenAbsent(a *attempt, heartbeat *wire.Heartbeat, via exchange) bool {
+	start := &a.start
+	// The worker has not seen the token under which it refuses the start.
+	//mutation:absence-needs-fencing-token
+	mayPassFencing := heartbeat.FencingToken < newFencingToken(s.term, start.requiredFence)
+	// Commands to an earlier incarnation are dropped.
+	isForEarlierIncarnation := start.incarnation != 0 && heartbeat.Incarnation > start.incarnation
+	// A direct call may be executed after the heartbeat was sent.
+	//mutation:absence-needs-finished-call
+	mayComeInCall := start.callInFlight
+	// Only the worker's next heartbeat shows that the reply to the last one was executed or
+	// dropped: the reply to a direct call may overtake it.
+	//mutation:absence-needs-next-heartbeat
+	mayComeInReply := start.replySequence != 0 && !(via == workerInitiated && heartbeat.Sequence > start.replySequence)
+
+	switch {
+	case start.acknowledged:
+		return true // it was there
+	case !start.sent, mayPassFencing:
+		return false
+	case isForEarlierIncarnation:
+		return true
+	}
+	return !mayComeInCall && !mayComeInReply
+}
