--- a/internal/mutation/userapi_test.go
+++ b/internal/mutation/userapi_test.go
@@ -140,7 +140,7 @@
 	{
 		scenario: "a leader's transaction commits late, after its leadership term",
 		marker:   "transaction-needs-leadership",
-		operator: dropElement(0, 1),
+		operator: remove(),
 		test:     "internal/api:^TestDelayedWritesAreRejected$/^a_batch_after_its_leader's_term$",
 	},
 	{
--- /dev/null
+++ b/internal/scheduler/assignmentrestore.go
@@ -0,0 +1,167 @@
+package scheduler
+
+import (
+	"maps"
+	"slices"
+	"strings"
+
+	"github.com/yarrowgap/yarrowgap/internal/reconcile"
+	"github.com/yarrowgap/yarrowgap/internal/records"
+	"github.com/yarrowgap/yarrowgap/internal/tuning"
+	"github.com/yarrowgap/yarrowgap/wire"
+)
+
+// restoreAssignments takes over the attempts of a stored record. Each may run, or may yet be
+// started by a command of an earlier leader, so it stays until its worker sends a heartbeat
+// under this term's fencing token.
+func (s *Scheduler) restoreAssignments(item wire.KeyValue) {
+	b := &assignmentBatch{key: item.Key, neededBy: map[*attempt]bool{}, createdAt: s.now.Mono}
+	s.persister.batches[b.key] = b
+	var err error
+	if name, legacy := strings.CutPrefix(item.Key, records.LegacyMachinePrefix); legacy {
+		err = s.restoreLegacyMachine(b, name, item.Value)
+	} else {
+		err = s.restoreBatch(b, item.Value)
+	}
+	if err != nil {
+		s.noteUnreadableRecord(b, err)
+		return
+	}
+	b.attemptCount = len(b.neededBy)
+	s.persister.deleteIfUnneeded(b)
+}
+
+// restoreLegacyMachine takes over a machine's record in the layout before batches.
+func (s *Scheduler) restoreLegacyMachine(b *assignmentBatch, name string, value wire.Raw) error {
+	var record records.LegacyMachine
+	if err := wire.Unmarshal(value, &record); err != nil {
+		return err
+	}
+	m := s.restoreMachine(b, recordedMachine{
+		name: name, machineType: record.Type, zone: record.Zone, spot: record.Spot, address: record.Address, images: record.Images,
+	})
+	for _, id := range slices.Sorted(maps.Keys(record.Tasks)) {
+		for _, assigned := range record.Tasks[id] {
+			s.restoreAttempt(b, m, taskRef{id, assigned.Index}, assigned.Attempt)
+		}
+	}
+	return nil
+}
+
+func (s *Scheduler) restoreBatch(b *assignmentBatch, value wire.Raw) error {
+	record, err := records.DecodeBatch(value)
+	if err != nil {
+		return err
+	}
+	for _, entry := range record.Machines {
+		recorded := recordedMachine{
+			name: entry.Name, machineType: record.Types[entry.Type], zone: record.Zones[entry.Zone], spot: entry.Spot, address: entry.Address,
+		}
+		for _, image := range entry.Images {
+			recorded.images = append(recorded.images, record.Images[image])
+		}
+		m := s.restoreMachine(b, recorded)
+		for _, run := range entry.Runs {
+			jobID := record.Jobs[run[runJob]]
+			for i := range run[runLength] {
+				s.restoreAttempt(b, m, taskRef{jobID, int(run[runFirstTask] + i)}, record.Base+run[runFirstAttempt]+i)
+			}
+		}
+	}
+	return nil
+}
+
+// recordedMachine is what a record says of a machine.
+type recordedMachine struct {
+	name, machineType, zone, address string
+	spot                             bool
+	images                           []string
+}
+
+// restoreMachine adds a machine that a record names, unless an earlier one has.
+func (s *Scheduler) restoreMachine(b *assignmentBatch, recorded recordedMachine) *machine {
+	m := s.cluster.machines[recorded.name]
+	if m == nil {
+		m = s.addMachine(recorded.name, recorded.machineType, recorded.zone, recorded.spot, recorded.address)
+		m.phase, m.upAt = machineUp, s.now.Mono
+		// It sent heartbeats in an earlier term, so the cloud lists it, but for the lag
+		// of the list; a few more lists make up for that.
+		m.cloud.listed, m.cloud.missedLists = true, -tuning.MissingListThreshold
+		s.reconciler.ExpectMachine(recorded.name)
+	}
+	for _, name := range recorded.images {
+		if !m.hasImage(name) {
+			m.images = append(m.images, cachedImage{name: name})
+		}
+	}
+	b.machines = append(b.machines, m)
+	m.batches[b] = true
+	return m
+}
+
+// restoreAttempt adds an attempt that a record names, unless a record of a later attempt
+// shows that it is gone.
+func (s *Scheduler) restoreAttempt(b *assignmentBatch, m *machine, ref taskRef, number uint64) {
+	j := s.cluster.jobs[ref.jobID]
+	if j != nil && (ref.index >= j.spec.Tasks || j.progress.done.Has(ref.index)) {
+		return
+	}
+	if known := m.tasks[ref]; known != nil {
+		switch {
+		case known.number == number:
+			b.neededBy[known] = true
+			known.assignment.batches = append(known.assignment.batches, b)
+			return
+		case known.number > number:
+			return // the task was placed there again only after this one was proven absent
+		}
+		s.reconciler.UnexpectAttempt(m.name)
+		s.detach(known)
+	}
+	a := &attempt{
+		ref: ref, job: j, machine: m, number: number, placedAt: s.now.Mono,
+		assignment: assignmentState{durable: true, batches: []*assignmentBatch{b}},
+		//mutation:recovered-attempt-counts-as-sent
+		start: startState{sent: true},
+	}
+	b.neededBy[a] = true
+	s.attach(a)
+	a.reconciliation.class = reconcile.MissingUnproven
+	s.reconciler.ExpectAttempt(m.name)
+	if j == nil || j.cancelled {
+		s.cluster.obsoleteAttempts = append(s.cluster.obsoleteAttempts, a)
+	}
+}
+
+// noteUnreadableRecord deals with a record that cannot be decoded: any task that no other
+// record names may have been started by it. See resolveUnreadableRecords.
+func (s *Scheduler) noteUnreadableRecord(b *assignmentBatch, err error) {
+	delete(s.persister.batches, b.key)
+	s.persister.unreadableRecords = append(s.persister.unreadableRecords, b.key)
+	s.logInfo("assignment record unreadable", "key", b.key, "err", err.Error())
+}
+
+// mayBeInUnreadableRecord reports whether a record that cannot be decoded may concern the
+// job. Until that is settled, none of it is placed, and its end is not written if it is
+// cancelled: a later leader would not know whose quota its attempts count against, and
+// nothing of a job whose attempts nobody has seen is known to be gone.
+func (p *persistState) mayBeInUnreadableRecord(j *job) bool {
+	return len(p.unreadableRecords) > 0 && j.recovered
+}
+
+// resolveUnreadableRecords ends the wait for what unreadable records may have held: when the
+// cloud's list is of this term, and every machine that it has has sent a heartbeat under this
+// term's token.
+func (s *Scheduler) resolveUnreadableRecords() {
+	if len(s.persister.unreadableRecords) == 0 || s.autoscaler.listedAt-s.startedAt <= 3*s.settings.CloudListLag {
+		return
+	}
+	for _, m := range s.cluster.machines {
+		if !m.confirmed && m.cloud.provisionedAt < s.startedAt {
+			return
+		}
+	}
+	s.persister.deleteLater(s.persister.unreadableRecords...)
+	s.persister.unreadableRecords = nil
+	s.placement.due = true
+}
--- a/internal/scheduler/assignments_test.go
+++ b/internal/scheduler/assignments_test.go
@@ -114,11 +114,12 @@
 				break
 			}
 		}
-		raw, err := wire.Marshal(w.finish())
+		batch := w.finish()
+		raw, err := wire.Marshal(batch)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if size := wire.JSONSize(w.record); size > limit || size > w.size {
+		if size := wire.JSONSize(batch); size > limit || size > w.size {
 			t.Fatalf("%d tasks take %d bytes of %d, thought %d", len(w.attempts), size, limit, w.size)
 		}
 		next := New(Now{}, Settings{}, l.term+1, NewReplica(), nil, []wire.KeyValue{{Key: records.BatchKey(1, 1), Value: raw, ModRevision: 3}}, nil)
--- a/internal/scheduler/cancellations.go
+++ b/internal/scheduler/cancellations.go
@@ -52,7 +52,7 @@
 func (s *Scheduler) EnforcedCancellationWatermark(at time.Duration) time.Duration {
 	for _, j := range s.cluster.jobs {
 		//mutation:watermark-waits-for-unreadable-records
-		if j.cancelled && (j.activeCount > 0 || s.mayBeInUnreadableRecord(j)) {
+		if j.cancelled && (j.activeCount > 0 || s.persister.mayBeInUnreadableRecord(j)) {
 			//mutation:watermark-of-unconfirmed-stops
 			at = min(at, j.cancellationWatermark)
 		}
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -64,7 +64,7 @@
 		return false
 	}
 	for _, a := range placed {
-		s.queueAssignment(a)
+		s.persister.queueAssignment(a)
 	}
 	return true
 }
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -169,7 +169,8 @@
 	}
 	m.fencing.seenToken = max(m.fencing.seenToken, heartbeat.FencingToken)
 	s.applySpotInterruption(m, heartbeat)
-	listed := s.applyTaskList(m, heartbeat.Tasks)
+	listed := make(map[taskRef]bool, len(heartbeat.Tasks))
+	s.applyTaskList(m, heartbeat.Tasks, listed)
 	s.applyAbsences(m, heartbeat, via, listed)
 	// A worker that has seen no token is new, if its machine was provisioned in this term:
 	// of another it may be a late duplicate of its first heartbeat.
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -120,7 +120,7 @@
 	}
 	j := s.cluster.jobs[id]
 	if j == nil {
-		s.persister.obsoleteKeys = append(s.persister.obsoleteKeys, item.Key) // left by a job that has ended
+		s.persister.deleteLater(item.Key) // left by a job that has ended
 		return
 	}
 	j.write.chunkRevisions[chunk] = item.ModRevision
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -147,7 +147,7 @@
 	if j.waiting.since == 0 {
 		j.waiting.since = s.now.Mono
 	}
-	if s.mayBeInUnreadableRecord(j) {
+	if s.persister.mayBeInUnreadableRecord(j) {
 		j.waiting.reason = "a record that may be about it cannot be read"
 		return t, false
 	}
@@ -287,6 +287,6 @@
 func (s *Scheduler) assign(j *job, index int, m *machine) *attempt {
 	a := s.newAttempt(j, index, m)
 	s.attach(a)
-	s.queueAssignment(a)
+	s.persister.queueAssignment(a)
 	return a
 }
--- a/internal/scheduler/reconciliation.go
+++ b/internal/scheduler/reconciliation.go
@@ -252,7 +252,7 @@
 // removeFromBatches takes an attempt out of all its batches.
 func (s *Scheduler) removeFromBatches(a *attempt) {
 	for _, b := range a.assignment.batches {
-		s.removeFromBatch(b, a)
+		s.persister.removeFromBatch(b, a)
 	}
 	a.assignment.batches = nil
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -17,7 +17,6 @@
 
 	"github.com/yarrowgap/yarrowgap/internal/policy"
 	"github.com/yarrowgap/yarrowgap/internal/reconcile"
-	"github.com/yarrowgap/yarrowgap/internal/records"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
@@ -99,20 +98,6 @@
 	reconciler    *reconcile.Reconciler
 }
 
-type transactionContents struct {
-	batches     []*assignmentBatch
-	jobWrites   []jobWrite
-	deletedKeys []string // keys deleted
-}
-
-type jobWrite struct {
-	job            *job
-	ended          bool
-	chunks         []int
-	doneBits       records.Bitmap
-	wroteJobRecord bool // the job's own key was written
-}
-
 type offer struct {
 	machineType, zone string
 	spot              bool
@@ -133,13 +118,10 @@
 			machines: map[string]*machine{}, machineTypes: map[string]*wire.MachineType{}, jobs: map[string]*job{},
 			usage: map[string]*TeamQuota{}, released: map[string]bool{},
 		},
-		placement:  placementState{due: true, lastRoundAt: now.Mono - time.Second, backingOff: map[*job]bool{}},
-		autoscaler: autoscalerState{pending: map[string]*pendingRequest{}, unavailableUntil: map[offer]time.Duration{}},
-		dispatcher: newDispatchState(now.Mono),
-		persister: persistState{
-			inFlight: map[uint64]*transactionContents{}, batches: map[string]*assignmentBatch{}, dirtyJobs: map[*job]bool{},
-			writeBudget: settings.WriteRate, refilledAt: now.Mono,
-		},
+		placement:     placementState{due: true, lastRoundAt: now.Mono - time.Second, backingOff: map[*job]bool{}},
+		autoscaler:    autoscalerState{pending: map[string]*pendingRequest{}, unavailableUntil: map[offer]time.Duration{}},
+		dispatcher:    newDispatchState(now.Mono),
+		persister:     newPersistState(now.Mono, settings.WriteRate),
 		cancellations: cancellationState{pending: map[string]time.Duration{}},
 		monitor: monitorState{
 			lastHeartbeatAt: now.Mono, tickedAt: now.Mono,
--- a/internal/scheduler/tasklist.go
+++ b/internal/scheduler/tasklist.go
@@ -5,10 +5,9 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// applyTaskList takes the attempts that a heartbeat lists, and gives the tasks whose tracked
-// attempt is accounted for by it.
-func (s *Scheduler) applyTaskList(m *machine, tasks []wire.TaskStatus) map[taskRef]bool {
-	listed := make(map[taskRef]bool, len(tasks))
+// applyTaskList takes the attempts that a heartbeat lists, and marks the tasks whose tracked
+// attempt is accounted for by it. The caller makes the map, which then needs no allocation.
+func (s *Scheduler) applyTaskList(m *machine, tasks []wire.TaskStatus, listed map[taskRef]bool) {
 	exited := make(map[taskRef]taskExit, len(m.exited))
 	for i := range tasks {
 		status := &tasks[i]
@@ -23,7 +22,6 @@
 		}
 	}
 	m.exited = exited
-	return listed
 }
 
 // applyExit takes a listed attempt that has ended, and reports whether it is the one that is
@@ -81,7 +79,7 @@
 	s.deferVerdict(a, verdict)
 	s.attach(a)
 	//mutation:record-unexpected-attempt
-	s.queueAssignment(a)
+	s.persister.queueAssignment(a)
 	if verdict.Action == reconcile.Adopt {
 		s.logInfo("attempt adopted", "task", status.Task, "attempt", a.number, "machine", m.name)
 		return
--- a/internal/scheduler/tokenbucket.go
+++ b/internal/scheduler/tokenbucket.go
@@ -21,6 +21,9 @@
 	if b.tokens < n {
 		return false
 	}
-	b.tokens -= n
+	b.spend(n)
 	return true
 }
+
+// spend takes tokens that the caller knows to be there.
+func (b *tokenBucket) spend(n float64) { b.tokens -= n }
