--- a/internal/scheduler/completed_assignments.go
+++ b/internal/scheduler/completed_assignments.go
@@ -38,7 +38,7 @@
 // removeFromBatches takes an attempt out of all its batches.
 func (s *Scheduler) removeFromBatches(a *attempt) {
 	for _, batch := range a.assignment.batches {
-		s.removeFromBatch(batch, a)
+		s.persister.removeFromBatch(batch, a)
 	}
 	a.assignment.batches = nil
 }
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -141,7 +141,7 @@
 	}
 	j := s.cluster.jobs[id]
 	if j == nil {
-		s.persister.obsoleteKeys = append(s.persister.obsoleteKeys, item.Key) // left over from a job that has ended
+		s.persister.deleteLater(item.Key) // left over from a job that has ended
 		return
 	}
 	j.write.chunkRevisions[chunk] = item.ModRevision
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -89,7 +89,6 @@
 // after it are ignored.
 type heartbeatOrder struct {
 	incarnation, sequence uint64
-	lastInitiated         uint64
 	underTerm             bool // the last one was sent under this term's token
 }
 
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -21,8 +21,6 @@
 	"time"
 
 	"github.com/yarrowgap/yarrowgap/internal/reconcile"
-	"github.com/yarrowgap/yarrowgap/internal/records"
-	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
@@ -58,27 +56,6 @@
 	reconciler    *reconcile.Reconciler
 }
 
-type transactionContents struct {
-	batches     []*assignmentBatch
-	jobWrites   []jobWrite
-	deletedKeys []string // keys deleted
-}
-
-type jobWrite struct {
-	job            *job
-	ended          bool
-	chunks         []int
-	doneBits       records.Bitmap
-	wroteJobRecord bool // the job's own key was written
-}
-
-type commandCall struct {
-	machine        *machine
-	fencingCounter uint64
-	starts         []*attempt
-	statusProbe    bool // only a question
-}
-
 type offer struct {
 	machineType, zone string
 	spot              bool
@@ -120,16 +97,10 @@
 			machines: map[string]*machine{}, machineTypes: map[string]*wire.MachineType{}, jobs: map[string]*job{},
 			usage: map[string]*teamUsage{}, released: map[string]bool{},
 		},
-		placement:  placementState{due: true, lastRoundAt: now.Mono - time.Second, backingOff: map[*job]bool{}},
-		autoscaler: autoscalerState{pending: map[string]*pendingRequest{}, unavailableUntil: map[offer]time.Duration{}},
-		dispatcher: dispatchState{
-			calls: map[uint64]*commandCall{}, machinesDue: map[string]bool{},
-			probes: statusProbes{budget: tuning.MinConcurrentStatusProbes, refilledAt: now.Mono},
-		},
-		persister: persistState{
-			inFlight: map[uint64]*transactionContents{}, batches: map[string]*assignmentBatch{}, dirtyJobs: map[*job]bool{},
-			writeBudget: settings.WriteRate, refilledAt: now.Mono,
-		},
+		placement:     placementState{due: true, lastRoundAt: now.Mono - time.Second, backingOff: map[*job]bool{}},
+		autoscaler:    autoscalerState{pending: map[string]*pendingRequest{}, unavailableUntil: map[offer]time.Duration{}},
+		dispatcher:    newDispatchState(now.Mono),
+		persister:     newPersistState(now.Mono, settings.WriteRate),
 		cancellations: cancellationState{pending: map[string]time.Duration{}},
 		monitor: monitorState{
 			lastHeartbeatAt: now.Mono, tickedAt: now.Mono,
