--- a/internal/scheduler/dispatch.go
+++ b/internal/scheduler/dispatch.go
@@ -222,7 +222,7 @@
 }
 
 // String gives the task's name on the wire.
-func (r taskRef) String() string { return wire.TaskName(r.jobID, r.index) }
+func (ref taskRef) String() string { return wire.TaskName(ref.jobID, ref.index) }
 
 func startCommand(a *attempt) wire.Command {
 	return wire.Command{Verb: wire.VerbRun, Task: a.ref.String(), Attempt: a.number}
