--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"net/http"
 	"net/url"
+	"strconv"
 	"strings"
 
 	"github.com/yarrowgap/yarrowgap/internal/rpc"
@@ -14,16 +15,32 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// What can become of a call besides an answer.
+// Errors of a request, tested by errors.Is. After all but ErrOutcomeUnknown the request
+// was not carried out.
 var (
-	ErrNoCapacity     = errors.New("no capacity")
-	ErrUnavailable    = errors.New("cloud in trouble")
-	ErrRateLimited    = errors.New("cloud limits requests")
-	ErrOutcomeUnknown = errors.New("cloud did not answer")
-	ErrRejected       = errors.New("cloud refused the request")
+	// ErrNoCapacity means that there are no machines of the type and zone now.
+	ErrNoCapacity = errors.New("cloud has no capacity")
+	// ErrUnavailable means that the cloud's interface is down.
+	ErrUnavailable = errors.New("cloud unavailable")
+	// ErrRateLimited means that there were too many requests.
+	ErrRateLimited = errors.New("cloud request rate exceeded")
+	// ErrOutcomeUnknown means that there was no usable answer: the request may have been
+	// carried out, or may yet be carried out later.
+	ErrOutcomeUnknown = errors.New("cloud request has an unknown outcome")
+	// ErrRejected means that the cloud rejected the request.
+	ErrRejected = errors.New("cloud rejected the request")
 )
 
-// Client talks to the cloud.
+// noCapacityReply tells ErrNoCapacity from ErrUnavailable, which have the same status.
+const noCapacityReply = "no capacity"
+
+// Bounds on connections to the cloud and on the size of an answer.
+const (
+	maxConns       = 4
+	maxAnswerBytes = 4 << 20
+)
+
+// Client talks to the cloud. It is safe for concurrent use.
 type Client struct {
 	baseURL string
 	rpc     *rpc.Client
@@ -31,7 +48,7 @@
 
 // New makes a client for the cloud at addr.
 func New(addr string) *Client {
-	return &Client{baseURL: "http://" + addr, rpc: rpc.New(4, 4, tuning.CloudTimeout, 4<<20)}
+	return &Client{baseURL: "http://" + addr, rpc: rpc.New(maxConns, maxConns, tuning.CloudTimeout, maxAnswerBytes)}
 }
 
 func (c *Client) call(ctx context.Context, method, path string, request, answer any) error {
@@ -40,7 +57,7 @@
 	var raw wire.Raw
 	code, err := c.rpc.Call(ctx, method, c.baseURL+path, request, &raw)
 	if err != nil {
-		return fmt.Errorf("%w: %v", ErrOutcomeUnknown, err)
+		return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	switch code {
 	case http.StatusOK:
@@ -48,14 +65,14 @@
 			return nil
 		}
 		if err := wire.Unmarshal(raw, answer); err != nil {
-			return fmt.Errorf("%w: %w: %v", ErrOutcomeUnknown, rpc.ErrMalformedAnswer, err)
+			return fmt.Errorf("%w: %w: %w", ErrOutcomeUnknown, rpc.ErrMalformedAnswer, err)
 		}
 		return nil
 	case http.StatusTooManyRequests:
 		return ErrRateLimited
 	case http.StatusServiceUnavailable:
 		var e wire.ErrorReply
-		if wire.Unmarshal(raw, &e) == nil && e.Message == "no capacity" {
+		if wire.Unmarshal(raw, &e) == nil && e.Message == noCapacityReply {
 			return ErrNoCapacity
 		}
 		return ErrUnavailable
@@ -65,52 +82,58 @@
 
 // MachineTypes reads the machine types with their current prices.
 func (c *Client) MachineTypes(ctx context.Context) ([]wire.MachineType, error) {
-	var out wire.MachineTypeList
-	if err := c.call(ctx, http.MethodGet, "/flavors", nil, &out); err != nil {
-		return nil, err
+	var reply wire.MachineTypeList
+	if err := c.call(ctx, http.MethodGet, "/flavors", nil, &reply); err != nil {
+		return nil, fmt.Errorf("read machine types: %w", err)
 	}
-	for _, t := range out.Types {
+	for _, t := range reply.Types {
 		if t.Name == "" || !(t.CPUs > 0) || !(t.MemoryGB >= 0) {
-			return nil, fmt.Errorf("%w: %w: type %q", ErrOutcomeUnknown, rpc.ErrMalformedAnswer, t.Name)
+			return nil, fmt.Errorf("read machine types: %w: %w: type %q", ErrOutcomeUnknown, rpc.ErrMalformedAnswer, t.Name)
 		}
 	}
-	return out.Types, nil
+	return reply.Types, nil
 }
 
-// Provision rents machines. After ErrOutcomeUnknown they may have been rented, now or later.
+// Provision requests machines and returns their names. After ErrOutcomeUnknown they may
+// have been provisioned, or may yet be.
 func (c *Client) Provision(ctx context.Context, request wire.ProvisionRequest) ([]string, error) {
-	var out wire.MachineNames
-	err := c.call(ctx, http.MethodPost, "/rentals", request, &out)
-	return out.Machines, err
+	var reply wire.MachineNames
+	if err := c.call(ctx, http.MethodPost, "/rentals", request, &reply); err != nil {
+		return nil, fmt.Errorf("provision %s: %w", request.RequestID, err)
+	}
+	return reply.Machines, nil
 }
 
-// Release gives machines back. Without an error they are gone.
+// Release releases machines. Without an error they are gone.
 func (c *Client) Release(ctx context.Context, names []string) error {
-	return c.call(ctx, http.MethodPost, "/rentals/release", wire.MachineNames{Machines: names}, nil)
+	if err := c.call(ctx, http.MethodPost, "/rentals/release", wire.MachineNames{Machines: names}, nil); err != nil {
+		return fmt.Errorf("release machines: %w", err)
+	}
+	return nil
 }
 
-// ListMachines reads the whole list of machines, as it was a while ago.
+// ListMachines reads the whole list of machines, which lags behind the cloud's state.
 func (c *Client) ListMachines(ctx context.Context) ([]wire.ListedMachine, error) {
 	var all []wire.ListedMachine
 	from := ""
 	for {
-		q := url.Values{"most": {fmt.Sprint(tuning.MachineListPageSize)}}
+		query := url.Values{"most": {strconv.Itoa(tuning.MachineListPageSize)}}
 		if from != "" {
-			q.Set("from", from)
+			query.Set("from", from)
 		}
-		var p wire.MachineList
-		if err := c.call(ctx, http.MethodGet, "/rentals?"+q.Encode(), nil, &p); err != nil {
-			return nil, err
+		var page wire.MachineList
+		if err := c.call(ctx, http.MethodGet, "/rentals?"+query.Encode(), nil, &page); err != nil {
+			return nil, fmt.Errorf("list machines: %w", err)
 		}
-		for _, m := range p.Machines {
+		for _, m := range page.Machines {
 			if m.Name == "" || strings.ContainsAny(m.Name, " /") {
-				return nil, fmt.Errorf("%w: %w: machine %q", ErrOutcomeUnknown, rpc.ErrMalformedAnswer, m.Name)
+				return nil, fmt.Errorf("list machines: %w: %w: machine %q", ErrOutcomeUnknown, rpc.ErrMalformedAnswer, m.Name)
 			}
 		}
-		all = append(all, p.Machines...)
-		if !p.More || len(p.Machines) == 0 {
+		all = append(all, page.Machines...)
+		if !page.More || len(page.Machines) == 0 {
 			return all, nil
 		}
-		from = p.Machines[len(p.Machines)-1].Name
+		from = page.Machines[len(page.Machines)-1].Name
 	}
 }
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -1,5 +1,5 @@
-// Package kvstore is the client of the state service, and holds the formats of
-// the records kept there.
+// Package kvstore is the client of the consensus-backed key-value store: reads, watches,
+// leases and compare-and-swap transactions, within a request budget of its own.
 package kvstore
 
 import (
@@ -8,8 +8,7 @@
 	"fmt"
 	"net/http"
 	"net/url"
-	"sync"
-	"sync/atomic"
+	"strconv"
 	"time"
 
 	"github.com/yarrowgap/yarrowgap/internal/rpc"
@@ -17,166 +16,137 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// What can become of a request besides an answer.
+// Errors of a request, tested by errors.Is.
 var (
-	// ErrUnavailable means that the request was not executed: the service is down
-	// or refuses this node.
-	ErrUnavailable = errors.New("state service refused")
-	// ErrRateLimited means that the request was not executed: too many requests.
-	ErrRateLimited = errors.New("state service limits requests")
-	// ErrOutcomeUnknown means that there was no usable answer: the request may have
-	// been executed, or may yet be executed later.
-	ErrOutcomeUnknown = errors.New("state service did not answer")
-	// ErrConflict means that a condition of a transaction did not hold.
-	ErrConflict = errors.New("conflict")
-	// ErrLeaseNotFound means that the lease of a write has ended.
-	ErrLeaseNotFound = errors.New("no such lease")
-	// ErrCompacted means that a watch's start is no longer kept.
-	ErrCompacted = errors.New("revision too old")
-	// ErrMalformedRequest means that the service called the request malformed.
-	ErrMalformedRequest = errors.New("state service calls the request malformed")
+	// ErrUnavailable means that the request was not executed: the store is down or refuses
+	// this controller.
+	ErrUnavailable = errors.New("key-value store unavailable")
+	// ErrRateLimited means that the request was not executed: there were too many requests,
+	// by the store's count or by the client's own budget.
+	ErrRateLimited = errors.New("key-value store request rate exceeded")
+	// ErrOutcomeUnknown means that there was no usable answer: the request may have been
+	// executed, or may yet be executed later.
+	ErrOutcomeUnknown = errors.New("key-value store request has an unknown outcome")
+	// ErrConflict means that a comparison of a transaction did not hold.
+	ErrConflict = errors.New("compare-and-swap conflict")
+	// ErrLeaseNotFound means that the lease has ended.
+	ErrLeaseNotFound = errors.New("lease not found")
+	// ErrCompacted means that the revision that a watch starts from is no longer kept.
+	ErrCompacted = errors.New("revision compacted")
+	// ErrMalformedRequest means that the store called the request malformed.
+	ErrMalformedRequest = errors.New("key-value store calls the request malformed")
 )
 
-// Priority orders requests under the rate limit.
-type Priority int
+// leaseNotFoundReply is what the store answers to a transaction with a lease that has ended.
+const leaseNotFoundReply = "no such lease"
 
-// Ranks, highest first: the lease and the leader's writes, then what users
-// wait for, then the rest.
-const (
-	PriorityLeader Priority = iota
-	PriorityUser
-	PriorityBackground
-)
-
-// Client talks to the state service.
+// Client talks to the key-value store. It is safe for concurrent use.
 type Client struct {
-	baseURL           string
-	rpc               *rpc.Client
-	mu                sync.Mutex
-	availableRequests float64 // requests that may be sent now
-	refilledAt        time.Time
-	requestsPerSecond float64
-
-	// When the last request that the service answered was sent, and the last that it
-	// did not, in nanoseconds since epoch. Not when the answer was read: a process
-	// that stood still reads answers of long ago.
-	createdAt                  time.Time
-	lastServedAt, lastFailedAt atomic.Int64
+	baseURL string
+	rpc     *rpc.Client
+	budget  *requestBudget
+	health  healthTracker
 }
 
-// New makes a client for the service at addr; rps is the request rate that
-// this node allows itself.
+// New makes a client for the store at addr that allows itself requestsPerSecond.
 func New(addr string, requestsPerSecond float64) *Client {
-	c := &Client{
-		baseURL:           "http://" + addr,
-		rpc:               rpc.New(tuning.MaxStoreConns, tuning.MaxStoreConns, tuning.StoreTimeout, tuning.MaxStoreResponseBytes),
-		availableRequests: requestsPerSecond, requestsPerSecond: requestsPerSecond, refilledAt: time.Now(),
+	now := time.Now()
+	return &Client{
+		baseURL: "http://" + addr,
+		rpc:     rpc.New(tuning.MaxStoreConns, tuning.MaxStoreConns, tuning.StoreTimeout, tuning.MaxStoreResponseBytes),
+		budget:  newRequestBudget(requestsPerSecond, now),
+		health:  healthTracker{createdAt: now},
 	}
-	c.createdAt = c.refilledAt
-	return c
 }
 
-// UnservedFor says for how long the service has not served this node; 0 if it has
-// since it last did not.
-func (c *Client) UnservedFor() time.Duration {
-	servedAt, failedAt := c.lastServedAt.Load(), c.lastFailedAt.Load()
-	if failedAt <= servedAt {
-		return 0
-	}
-	return time.Since(c.createdAt) - time.Duration(servedAt)
-}
+// UnservedFor returns for how long the store has not served this client; 0 if the last
+// request that it is known of was served.
+func (c *Client) UnservedFor() time.Duration { return c.health.unservedFor() }
 
-// advance notes a moment, unless a later one is noted.
-func (c *Client) advance(to *atomic.Int64, at time.Time) {
-	for now := int64(at.Sub(c.createdAt)); ; {
-		previous := to.Load()
-		if now <= previous || to.CompareAndSwap(previous, now) {
-			return
-		}
-	}
+// call describes one request.
+type call struct {
+	priority Priority
+	timeout  time.Duration
+	method   string
+	path     string
+	body     any // nil: none
+	answer   any // decoded into; nil: not read
 }
 
-// takeRequest asks the node's own budget for one request. The first rank always gets
-// it; the others find it refused while the level is under their reserve.
-func (c *Client) takeRequest(priority Priority) error {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	now := time.Now()
-	c.availableRequests = min(c.requestsPerSecond, c.availableRequests+now.Sub(c.refilledAt).Seconds()*c.requestsPerSecond)
-	c.refilledAt = now
-	reserve := []float64{-c.requestsPerSecond, 0.1 * c.requestsPerSecond, 0.3 * c.requestsPerSecond}[priority]
-	if c.availableRequests-1 < reserve {
-		return ErrRateLimited
-	}
-	c.availableRequests--
-	return nil
-}
-
-func (c *Client) call(ctx context.Context, priority Priority, timeout time.Duration, method, path string, request, answer any) (int, error) {
-	if err := c.takeRequest(priority); err != nil {
+// do sends a request and returns the status of the answer.
+func (c *Client) do(ctx context.Context, request call) (status int, err error) {
+	if err := c.budget.take(request.priority); err != nil {
 		return 0, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, timeout)
+	ctx, cancel := context.WithTimeout(ctx, request.timeout)
 	defer cancel()
 	sentAt := time.Now()
-	code, err := c.rpc.Call(ctx, method, c.baseURL+path, request, answer)
-	if err == nil && method == http.MethodGet && time.Since(sentAt) > timeout {
-		// The process stood still meanwhile: what the answer says was true long ago.
+	status, err = c.rpc.Call(ctx, request.method, c.baseURL+request.path, request.body, request.answer)
+	if err == nil && request.method == http.MethodGet && time.Since(sentAt) > request.timeout {
+		// A process pause: what the answer says was true long ago.
 		err = context.DeadlineExceeded
 	}
 	if err != nil {
-		c.advance(&c.lastFailedAt, sentAt)
+		c.health.failed(sentAt)
 		return 0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
-	if code == http.StatusServiceUnavailable {
-		c.advance(&c.lastFailedAt, sentAt)
-		return code, ErrUnavailable
+	if status == http.StatusServiceUnavailable {
+		c.health.failed(sentAt)
+		return status, ErrUnavailable
 	}
-	c.advance(&c.lastServedAt, sentAt)
-	switch code {
-	case http.StatusTooManyRequests:
-		return code, ErrRateLimited
+	c.health.served(sentAt)
+	if status == http.StatusTooManyRequests {
+		return status, ErrRateLimited
 	}
-	return code, nil
+	return status, nil
+}
+
+// unexpectedStatus is the error of an answer that the protocol does not have.
+func unexpectedStatus(status int) error {
+	return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, status)
 }
 
-// Get reads a key. A missing one has stamp 0.
+// Get reads a key. A missing one has ModRevision 0.
 func (c *Client) Get(ctx context.Context, priority Priority, key string) (wire.KeyValue, error) {
 	var item wire.KeyValue
-	code, err := c.call(ctx, priority, tuning.StoreTimeout, http.MethodGet, "/kv/"+key, nil, &item)
+	status, err := c.do(ctx, call{
+		priority: priority, timeout: tuning.StoreTimeout,
+		method: http.MethodGet, path: "/kv/" + key, answer: &item,
+	})
 	switch {
 	case err != nil:
-		return wire.KeyValue{}, err
-	case code == http.StatusNotFound:
+		return wire.KeyValue{}, fmt.Errorf("get %s: %w", key, err)
+	case status == http.StatusNotFound:
 		return wire.KeyValue{Key: key}, nil
-	case code != http.StatusOK || item.ModRevision == 0:
-		return wire.KeyValue{}, fmt.Errorf("%w: status %d", ErrOutcomeUnknown, code)
+	case status != http.StatusOK || item.ModRevision == 0:
+		return wire.KeyValue{}, fmt.Errorf("get %s: %w", key, unexpectedStatus(status))
 	}
 	return item, nil
 }
 
-// Range reads one page of the keys that start with prefix, after the key from.
+// Range reads one page of at most limit keys that start with prefix, after the key from.
 func (c *Client) Range(ctx context.Context, priority Priority, prefix, from string, limit int) (wire.RangeReply, error) {
-	query := url.Values{"starts": {prefix}, "most": {fmt.Sprint(limit)}}
+	query := url.Values{"starts": {prefix}, "most": {strconv.Itoa(limit)}}
 	if from != "" {
 		query.Set("from", from)
 	}
 	var reply wire.RangeReply
-	code, err := c.call(ctx, priority, 2*tuning.StoreTimeout, http.MethodGet, "/kv?"+query.Encode(), nil, &reply)
+	status, err := c.do(ctx, call{
+		priority: priority, timeout: 2 * tuning.StoreTimeout,
+		method: http.MethodGet, path: "/kv?" + query.Encode(), answer: &reply,
+	})
 	if err != nil {
-		return reply, err
+		return reply, fmt.Errorf("range %s: %w", prefix, err)
 	}
-	if code != http.StatusOK {
-		return reply, fmt.Errorf("%w: status %d", ErrOutcomeUnknown, code)
+	if status != http.StatusOK {
+		return reply, fmt.Errorf("range %s: %w", prefix, unexpectedStatus(status))
 	}
 	return reply, nil
 }
 
-// RangeAll reads every key that starts with prefix. The epoch is that of the first
-// page: a watch from there misses nothing.
-func (c *Client) RangeAll(ctx context.Context, priority Priority, prefix string) ([]wire.KeyValue, uint64, error) {
-	var items []wire.KeyValue
-	var revision uint64
+// RangeAll reads every key that starts with prefix. The revision is that of the first page:
+// a watch from there misses nothing.
+func (c *Client) RangeAll(ctx context.Context, priority Priority, prefix string) (items []wire.KeyValue, revision uint64, err error) {
 	from := ""
 	for {
 		page, err := c.Range(ctx, priority, prefix, from, tuning.StorePageSize)
@@ -194,84 +164,112 @@
 	}
 }
 
-// Commit runs a transaction and returns the revision of its changes. With
-// ErrConflict it also returns the keys that had another stamp.
-func (c *Client) Commit(ctx context.Context, priority Priority, txn wire.Txn) (uint64, []string, error) {
+// Commit runs a transaction and returns the revision of its changes. With ErrConflict it
+// also returns the keys whose comparison did not hold.
+func (c *Client) Commit(ctx context.Context, priority Priority, txn wire.Txn) (revision uint64, failedKeys []string, err error) {
 	var reply wire.TxnReply
-	code, err := c.call(ctx, priority, tuning.StoreTimeout, http.MethodPost, "/commit", txn, &reply)
-	if err != nil {
-		return 0, nil, err
+	status, err := c.do(ctx, call{
+		priority: priority, timeout: tuning.StoreTimeout,
+		method: http.MethodPost, path: "/commit", body: txn, answer: &reply,
+	})
+	if err == nil {
+		err = commitError(status, reply)
 	}
-	switch code {
-	case http.StatusOK:
-		if reply.Revision == 0 {
-			return 0, nil, fmt.Errorf("%w: no epoch", ErrOutcomeUnknown)
-		}
-		return reply.Revision, nil, nil
-	case http.StatusConflict:
-		return reply.Revision, reply.FailedKeys, ErrConflict
-	case http.StatusBadRequest:
-		if reply.Error == "no such lease" {
-			return 0, nil, ErrLeaseNotFound
-		}
-		return 0, nil, fmt.Errorf("%w: %s", ErrMalformedRequest, reply.Error)
+	if err != nil && !errors.Is(err, ErrConflict) {
+		return 0, nil, fmt.Errorf("commit: %w", err)
+	}
+	return reply.Revision, reply.FailedKeys, err
+}
+
+func commitError(status int, reply wire.TxnReply) error {
+	switch {
+	case status == http.StatusOK && reply.Revision == 0:
+		return fmt.Errorf("%w: no revision", ErrOutcomeUnknown)
+	case status == http.StatusOK:
+		return nil
+	case status == http.StatusConflict:
+		return ErrConflict
+	case status == http.StatusBadRequest && reply.Error == leaseNotFoundReply:
+		return ErrLeaseNotFound
+	case status == http.StatusBadRequest:
+		return fmt.Errorf("%w: %s", ErrMalformedRequest, reply.Error)
 	}
-	return 0, nil, fmt.Errorf("%w: status %d", ErrOutcomeUnknown, code)
+	return unexpectedStatus(status)
 }
 
-// GrantLease makes a lease.
-func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
+// GrantLease makes a lease and returns its id.
+func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (lease uint64, err error) {
 	var reply wire.LeaseReply
-	code, err := c.call(ctx, PriorityLeader, tuning.StoreTimeout, http.MethodPost, "/holds", wire.LeaseRequest{TTLMilli: ttl.Milliseconds()}, &reply)
+	status, err := c.do(ctx, call{
+		priority: PriorityLeader, timeout: tuning.StoreTimeout,
+		method: http.MethodPost, path: "/holds", body: wire.LeaseRequest{TTLMilli: ttl.Milliseconds()}, answer: &reply,
+	})
 	if err != nil {
-		return 0, err
+		return 0, fmt.Errorf("grant lease: %w", err)
 	}
-	if code != http.StatusOK || reply.ID == 0 {
-		return 0, fmt.Errorf("%w: status %d", ErrOutcomeUnknown, code)
+	if status != http.StatusOK || reply.ID == 0 {
+		return 0, fmt.Errorf("grant lease: %w", unexpectedStatus(status))
 	}
 	return reply.ID, nil
 }
 
 // RenewLease renews a lease; ErrLeaseNotFound says that it has ended.
 func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
-	code, err := c.call(ctx, PriorityLeader, tuning.StoreTimeout, http.MethodPost, fmt.Sprintf("/holds/%d/renew", lease), struct{}{}, nil)
+	status, err := c.do(ctx, call{
+		priority: PriorityLeader, timeout: tuning.StoreTimeout,
+		method: http.MethodPost, path: fmt.Sprintf("/holds/%d/renew", lease), body: struct{}{},
+	})
 	switch {
 	case err != nil:
-		return err
-	case code == http.StatusNotFound:
-		return ErrLeaseNotFound
-	case code != http.StatusOK:
-		return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, code)
+		return fmt.Errorf("renew lease %d: %w", lease, err)
+	case status == http.StatusNotFound:
+		return fmt.Errorf("renew lease %d: %w", lease, ErrLeaseNotFound)
+	case status != http.StatusOK:
+		return fmt.Errorf("renew lease %d: %w", lease, unexpectedStatus(status))
 	}
 	return nil
 }
 
-// RevokeLease ends a lease.
+// RevokeLease ends a lease, and with it the keys that are on it.
 func (c *Client) RevokeLease(ctx context.Context, lease uint64) error {
-	_, err := c.call(ctx, PriorityLeader, tuning.StoreTimeout, http.MethodDelete, fmt.Sprintf("/holds/%d", lease), nil, nil)
-	return err
+	_, err := c.do(ctx, call{
+		priority: PriorityLeader, timeout: tuning.StoreTimeout,
+		method: http.MethodDelete, path: fmt.Sprintf("/holds/%d", lease),
+	})
+	if err != nil {
+		return fmt.Errorf("revoke lease %d: %w", lease, err)
+	}
+	return nil
 }
 
-// Watch waits up to block for changes of keys with the prefix after from.
+// Watch returns the changes of keys with the prefix after the revision from, and waits up
+// to block for the first of them. ErrCompacted says that the keys have to be read again.
 func (c *Client) Watch(ctx context.Context, priority Priority, prefix string, from uint64, block time.Duration) (wire.WatchReply, error) {
-	query := url.Values{"starts": {prefix}, "from": {fmt.Sprint(from)}, "block_ms": {fmt.Sprint(block.Milliseconds())}}
+	query := url.Values{
+		"starts":   {prefix},
+		"from":     {strconv.FormatUint(from, 10)},
+		"block_ms": {strconv.FormatInt(block.Milliseconds(), 10)},
+	}
 	timeout := tuning.StoreTimeout
 	if block > 0 {
 		timeout = block + tuning.WatchTimeoutMargin
 	}
 	var reply wire.WatchReply
-	code, err := c.call(ctx, priority, timeout, http.MethodGet, "/changes?"+query.Encode(), nil, &reply)
+	status, err := c.do(ctx, call{
+		priority: priority, timeout: timeout,
+		method: http.MethodGet, path: "/changes?" + query.Encode(), answer: &reply,
+	})
 	switch {
 	case errors.Is(err, rpc.ErrAnswerTooLarge):
 		// This answer alone has no size limit. Whoever was away for thousands of
 		// changes reads the keys again, in pages; else it would never catch up.
-		return reply, ErrCompacted
+		return reply, fmt.Errorf("watch %s: %w", prefix, ErrCompacted)
 	case err != nil:
-		return reply, err
-	case code == http.StatusGone:
-		return reply, ErrCompacted
-	case code != http.StatusOK:
-		return reply, fmt.Errorf("%w: status %d", ErrOutcomeUnknown, code)
+		return reply, fmt.Errorf("watch %s: %w", prefix, err)
+	case status == http.StatusGone:
+		return reply, fmt.Errorf("watch %s: %w", prefix, ErrCompacted)
+	case status != http.StatusOK:
+		return reply, fmt.Errorf("watch %s: %w", prefix, unexpectedStatus(status))
 	}
 	return reply, nil
 }
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -13,8 +13,8 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// Changes that are more than a node takes at once are too many to follow: it reads
-// the keys again. It asked for them again and again.
+// A watch's answer over the limit on answers counts as compacted, so that the caller reads
+// the keys again instead of repeating the watch for ever.
 func TestWatchAnswerOverLimitIsCompacted(t *testing.T) {
 	big := strings.Repeat("x", tuning.MaxStoreResponseBytes+1)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(big)) }))
@@ -25,8 +25,8 @@
 	}
 }
 
-// That the service serves us counts from when a request was sent. An answer that is
-// read late, by a process that stood still, says nothing of what came after it.
+// The store counts as serving us from when a request was sent. An answer that is read late,
+// after a process pause, says nothing of what came after the request.
 func TestServedTimeCountsFromRequestNotAnswer(t *testing.T) {
 	received, answer := make(chan struct{}), make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,9 +1,13 @@
-// Package peer is what the controller nodes say to each other, in CBOR: pings
-// that carry who leads, and users' requests that a node cannot serve itself.
+// Package peer is the protocol between controllers, in CBOR over HTTP: pings that carry who
+// leads and which cancellations were confirmed, and users' requests that a controller
+// cannot serve itself. Controllers of different versions run side by side during an
+// upgrade, so messages keep their form.
 package peer
 
 import (
 	"context"
+	"errors"
+	"fmt"
 	"net/http"
 	"time"
 
@@ -12,58 +16,74 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Paths of the mesh interface.
+// Paths of the protocol.
 const (
 	PingPath         = "/mesh/v1/ping"
 	ForwardPath      = "/mesh/v1/forward"
 	WatchProcessPath = "/mesh/v1/hold"
 )
 
-// Ping says who sends it and what it knows of the lead.
+// ErrUnexpectedAnswer means that a peer's answer is not what the protocol has.
+var ErrUnexpectedAnswer = errors.New("unexpected answer of a peer")
+
+// Ping says who sends it, and what it knows of the leader.
 type Ping struct {
-	Node           string `cbor:"node"`
-	BootID         uint64 `cbor:"boot"`
-	Leader         string `cbor:"leader,omitempty"`
-	Term           uint64 `cbor:"term,omitempty"`
-	StoreAvailable bool   `cbor:"served,omitempty"` // by the state service, lately
-	// ConfirmationsSeen is up to where the sender has the list of cancellations that users were
-	// told of at the receiver, in the process that ConfirmationsBootID names.
+	Node   string `cbor:"node"`
+	BootID uint64 `cbor:"boot"` // of the sender's process
+	Leader string `cbor:"leader,omitempty"`
+	Term   uint64 `cbor:"term,omitempty"`
+	// StoreAvailable says that the key-value store has served the sender lately.
+	StoreAvailable bool `cbor:"served,omitempty"`
+	// ConfirmationsSeen is how many entries the sender has of the receiver's list of
+	// confirmed cancellations, in the process that ConfirmationsBootID names.
 	ConfirmationsSeen   uint64 `cbor:"have,omitempty"`
 	ConfirmationsBootID uint64 `cbor:"have_boot,omitempty"`
 }
 
-// Pong answers a ping. Running is sent by the leader, for display elsewhere. Told
-// continues the list of cancellations: entries From+1 to From+len(Told).
+// Pong answers a ping.
 type Pong struct {
-	Node           string         `cbor:"node"`
-	BootID         uint64         `cbor:"boot"`
-	Leader         string         `cbor:"leader,omitempty"`
-	Term           uint64         `cbor:"term,omitempty"`
-	StoreAvailable bool           `cbor:"served,omitempty"`
-	Running        map[string]int `cbor:"running,omitempty"`
-
-	IsLeader         bool     `cbor:"leading,omitempty"` // the sender is the leader, and works
-	EnforcedAgoMilli int64    `cbor:"led_ms,omitempty"`  // how long ago all cancellations were seen through, by the leader of Term
-	UptimeMilli      int64    `cbor:"up_ms,omitempty"`   // for how long the sender has run
-	ConfirmedFrom    uint64   `cbor:"from,omitempty"`
-	Confirmed        []string `cbor:"told,omitempty"`
+	Node           string `cbor:"node"`
+	BootID         uint64 `cbor:"boot"` // of the sender's process
+	Leader         string `cbor:"leader,omitempty"`
+	Term           uint64 `cbor:"term,omitempty"`
+	StoreAvailable bool   `cbor:"served,omitempty"`
+	// Running has the number of running tasks of each job. Only the leader sends it, so that
+	// others can answer queries.
+	Running map[string]int `cbor:"running,omitempty"`
+
+	// IsLeader says that the sender leads and has loaded the records.
+	IsLeader bool `cbor:"leading,omitempty"`
+	// EnforcedAgoMilli is one more than for how long the leader of Term has enforced all
+	// cancellations; 0: not known.
+	EnforcedAgoMilli int64 `cbor:"led_ms,omitempty"`
+	// UptimeMilli is one more than the age of the sender's process; 0: the sender is of a
+	// version that lists no confirmations.
+	UptimeMilli int64 `cbor:"up_ms,omitempty"`
+	// Confirmed continues the sender's list of confirmed cancellations: entries
+	// ConfirmedFrom+1 to ConfirmedFrom+len(Confirmed).
+	ConfirmedFrom uint64   `cbor:"from,omitempty"`
+	Confirmed     []string `cbor:"told,omitempty"`
 }
 
+// RequestKind is what a forwarded request asks for.
+type RequestKind string
+
 // Kinds of forwarded requests.
 const (
-	KindSubmit = "submit"
-	KindQuery  = "query"
-	KindCancel = "cancel"
+	KindSubmit RequestKind = "submit"
+	KindQuery  RequestKind = "query"
+	KindCancel RequestKind = "cancel"
 )
 
 // ForwardRequest is a user's request passed to a peer. It is never passed on again.
 type ForwardRequest struct {
-	Kind string `cbor:"kind"`
-	ID   string `cbor:"id,omitempty"`
-	Body string `cbor:"body,omitempty"` // a submission's bytes, as Latin-1 text
+	Kind RequestKind `cbor:"kind"`
+	ID   string      `cbor:"id,omitempty"`
+	Body string      `cbor:"body,omitempty"` // a submission's bytes, see EncodeBytes
 }
 
-// ForwardReply is the peer's answer.
+// ForwardReply is the answer to a ForwardRequest. It has the view of a query or the state of
+// another request, or an error.
 type ForwardReply struct {
 	Status int                 `cbor:"status"`
 	View   *wire.JobView       `cbor:"view,omitempty"`
@@ -71,22 +91,33 @@
 	Error  string              `cbor:"error,omitempty"`
 }
 
-// Client talks to peers.
+// Connections to peers: at most so many to each, and idle ones to all together.
+const (
+	connsPerPeer = 8
+	maxIdleConns = 64
+)
+
+// Client talks to peers. It is safe for concurrent use.
 type Client struct{ rpc *rpc.Client }
 
 // New makes a client.
-func New() *Client { return &Client{rpc.New(8, 64, tuning.PeerTimeout, tuning.MaxPeerResponseBytes)} }
+func New() *Client {
+	return &Client{rpc.New(connsPerPeer, maxIdleConns, tuning.PeerTimeout, tuning.MaxPeerResponseBytes)}
+}
 
-// Ping pings the peer at addr.
+// Ping pings the peer at addr. A refused connection is syscall.ECONNREFUSED.
 func (c *Client) Ping(ctx context.Context, addr string, ping Ping) (Pong, error) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.PeerTimeout)
 	defer cancel()
 	var pong Pong
-	code, err := c.rpc.Call(ctx, http.MethodPost, "http://"+addr+PingPath, ping, &pong)
-	if err == nil && (code != http.StatusOK || pong.Node == "") {
-		err = http.ErrNotSupported
+	status, err := c.rpc.Call(ctx, http.MethodPost, "http://"+addr+PingPath, ping, &pong)
+	switch {
+	case err != nil:
+		return pong, fmt.Errorf("ping %s: %w", addr, err)
+	case status != http.StatusOK || pong.Node == "":
+		return pong, fmt.Errorf("ping %s: %w: status %d", addr, ErrUnexpectedAnswer, status)
 	}
-	return pong, err
+	return pong, nil
 }
 
 // WatchProcess waits for an answer that the peer holds back. It returns early, with an
@@ -94,8 +125,10 @@
 func (c *Client) WatchProcess(ctx context.Context, addr string) error {
 	ctx, cancel := context.WithTimeout(ctx, tuning.PeerWatchTimeout+tuning.PeerTimeout)
 	defer cancel()
-	_, err := c.rpc.Call(ctx, http.MethodPost, "http://"+addr+WatchProcessPath, struct{}{}, nil)
-	return err
+	if _, err := c.rpc.Call(ctx, http.MethodPost, "http://"+addr+WatchProcessPath, struct{}{}, nil); err != nil {
+		return fmt.Errorf("watch process of %s: %w", addr, err)
+	}
+	return nil
 }
 
 // Forward passes a user's request to the peer at addr.
@@ -103,14 +136,17 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var reply ForwardReply
-	code, err := c.rpc.Call(ctx, http.MethodPost, "http://"+addr+ForwardPath, request, &reply)
-	if err == nil && (code != http.StatusOK || reply.Status == 0) {
-		err = http.ErrNotSupported
+	status, err := c.rpc.Call(ctx, http.MethodPost, "http://"+addr+ForwardPath, request, &reply)
+	switch {
+	case err != nil:
+		return reply, fmt.Errorf("forward to %s: %w", addr, err)
+	case status != http.StatusOK || reply.Status == 0:
+		return reply, fmt.Errorf("forward to %s: %w: status %d", addr, ErrUnexpectedAnswer, status)
 	}
-	return reply, err
+	return reply, nil
 }
 
-// EncodeBytes carries bytes in a CBOR text, since messages have no binary data.
+// EncodeBytes writes bytes as Latin-1 text, since messages have no binary data.
 func EncodeBytes(b []byte) string {
 	runes := make([]rune, len(b))
 	for i, c := range b {
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -2,37 +2,16 @@
 package records
 
 import (
-	"encoding/base64"
+	"errors"
 	"fmt"
-	"math/bits"
-	"strings"
 
-	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Keys. Live jobs, their further bitmaps, ended jobs, machines, types and the
-// leader have a prefix each, so that a restart reads only what lives.
-const (
-	JobsPrefix          = "job/" // both of the next two: what a watch covers
-	LiveJobPrefix       = "job/live/"
-	EndedJobPrefix      = "job/ended/"
-	BitmapPrefix        = "bits/"
-	BatchPrefix         = "assigned/"
-	LegacyMachinePrefix = "machine/" // an earlier layout: read, never written
-	LeaderKey           = "lead/leader"
-	LeaderPrefix        = "lead/"
-	MachineTypePrefix   = "type/" // a key each: together they may not fit one value
-)
-
-// JobKey and its like name the key of a record.
-func JobKey(id string) string               { return LiveJobPrefix + id }
-func EndedJobKey(id string) string          { return EndedJobPrefix + id }
-func LegacyMachineKey(name string) string   { return LegacyMachinePrefix + name }
-func BatchKey(term, number uint64) string   { return fmt.Sprintf("%s%d-%d", BatchPrefix, term, number) }
-func BitmapKey(id string, chunk int) string { return fmt.Sprintf("%s%s/%d", BitmapPrefix, id, chunk) }
+// ErrInconsistent means that a record decodes, but cannot be what was written.
+var ErrInconsistent = errors.New("inconsistent record")
 
-// Job is a live job: what was submitted and how far it is.
+// Job is a live job: what was submitted, and its progress.
 type Job struct {
 	Job       wire.Job `cbor:"job" json:"job"`
 	Cancelled bool     `cbor:"cancelled,omitempty" json:"cancelled,omitempty"`
@@ -41,7 +20,7 @@
 	Done string `cbor:"done,omitempty" json:"done,omitempty"`
 }
 
-// EndedJob is what is remembered of a job for good.
+// EndedJob is the permanent record of a job that has ended.
 type EndedJob struct {
 	State string `cbor:"standing" json:"standing"`
 	Done  int    `cbor:"done" json:"done"`
@@ -49,21 +28,21 @@
 	Class string `cbor:"class,omitempty" json:"class,omitempty"`
 }
 
-// BitmapChunk is a further chunk of done bits.
+// BitmapChunk is a chunk of done bits after the first, which is in the job itself.
 type BitmapChunk struct {
 	Done string `cbor:"done" json:"done"`
 }
 
-// AssignedTask is a task in a machine's record.
+// AssignedTask is a task of a LegacyMachine.
 type AssignedTask struct {
 	Index   int    `cbor:"i" json:"i"`
 	Attempt uint64 `cbor:"a" json:"a"`
 }
 
-// Batch holds attempts that were assigned together, with the machines that
-// have them. It is written once and never changed; when nothing of it is left, or
-// what is left has been written again elsewhere, it is deleted. One value for many
-// machines, and nothing of it written twice: that is what the write rate allows.
+// Batch holds attempts that were assigned together, with the machines that have them. It is
+// immutable; it is deleted when none of its attempts is left, or those left have been
+// written again in another batch. One value for many machines, and none of it written
+// twice, keeps within the write rate.
 type Batch struct {
 	Base     uint64         `cbor:"base" json:"base"` // the lowest attempt
 	Types    []string       `cbor:"types" json:"types"`
@@ -73,8 +52,8 @@
 	Machines []BatchMachine `cbor:"machines" json:"machines"`
 }
 
-// BatchMachine is a machine in a batch. Type, zone, images and jobs are places
-// in the batch's lists.
+// BatchMachine is a machine in a batch. Type, zone, images and jobs are indices of the
+// batch's lists.
 type BatchMachine struct {
 	Name    string `cbor:"n" json:"n"`
 	Type    int    `cbor:"t" json:"t"`
@@ -87,31 +66,44 @@
 	Runs [][4]uint64 `cbor:"r" json:"r"`
 }
 
-// DecodeBatch reads a batch and checks what recovery relies on. A batch that
-// fails is not to be taken for an empty one.
+// DecodeBatch reads a batch and checks what reconciliation relies on. A batch that fails
+// must not be taken for an empty one.
 func DecodeBatch(value wire.Raw) (*Batch, error) {
 	batch := &Batch{}
 	if err := wire.Unmarshal(value, batch); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("decode batch: %w", err)
 	}
 	for i := range batch.Machines {
-		m := &batch.Machines[i]
-		ok := m.Name != "" && m.Type >= 0 && m.Type < len(batch.Types) && m.Zone >= 0 && m.Zone < len(batch.Zones) && len(m.Runs) > 0
-		for _, image := range m.Images {
-			ok = ok && image >= 0 && image < len(batch.Images)
+		if machine := &batch.Machines[i]; !batch.consistent(machine) {
+			return nil, fmt.Errorf("decode batch: machine %q: %w", machine.Name, ErrInconsistent)
 		}
-		for _, r := range m.Runs {
-			ok = ok && r[0] < uint64(len(batch.Jobs)) && r[1] < wire.MaxTasks && r[2] > 0 && r[2] <= wire.MaxTasks-r[1]
+	}
+	return batch, nil
+}
+
+// consistent reports whether all indices of the machine are within the batch's lists.
+func (b *Batch) consistent(machine *BatchMachine) bool {
+	if machine.Name == "" || !validIndex(b.Types, machine.Type) || !validIndex(b.Zones, machine.Zone) || len(machine.Runs) == 0 {
+		return false
+	}
+	for _, image := range machine.Images {
+		if !validIndex(b.Images, image) {
+			return false
 		}
-		if !ok {
-			return nil, fmt.Errorf("machine %q: inconsistent", m.Name)
+	}
+	for _, run := range machine.Runs {
+		job, firstTask, tasks := run[0], run[1], run[2]
+		if job >= uint64(len(b.Jobs)) || firstTask >= wire.MaxTasks || tasks == 0 || tasks > wire.MaxTasks-firstTask {
+			return false
 		}
 	}
-	return batch, nil
+	return true
 }
 
-// LegacyMachine is a machine with all that it may have been told to start, in
-// the layout before batches.
+func validIndex(list []string, index int) bool { return index >= 0 && index < len(list) }
+
+// LegacyMachine is a machine with all attempts that it may have been sent, in the layout
+// before batches.
 type LegacyMachine struct {
 	Type    string                    `cbor:"type" json:"type"`
 	Zone    string                    `cbor:"zone" json:"zone"`
@@ -121,76 +113,21 @@
 	Images  []string                  `cbor:"images,omitempty" json:"images,omitempty"`
 }
 
-// Leader names the leader. Boot tells a process from its predecessors.
+// Leader names the leader. Boot tells its process from its predecessors.
 type Leader struct {
 	Node string `cbor:"node" json:"node"`
 	Addr string `cbor:"addr" json:"addr"`
 	Boot uint64 `cbor:"boot" json:"boot"`
 }
 
-// Bitmap is a set of task indices below a fixed number.
-type Bitmap []byte
-
-// NewBitmap makes an empty set for n tasks.
-func NewBitmap(n int) Bitmap { return make(Bitmap, (n+7)/8) }
-
-// Has reports whether i is in the set.
-func (b Bitmap) Has(i int) bool { return i>>3 < len(b) && b[i>>3]&(1<<(i&7)) != 0 }
-
-// Add puts i into the set.
-func (b Bitmap) Add(i int) { b[i>>3] |= 1 << (i & 7) }
-
-// Count is the size of the set.
-func (b Bitmap) Count() int {
-	n := 0
-	for _, x := range b {
-		n += bits.OnesCount8(x)
-	}
-	return n
-}
-
-const chunkBytes = tuning.TasksPerBitmap / 8
-
-// ChunkCount is how many values hold the set.
-func (b Bitmap) ChunkCount() int { return max(1, (len(b)+chunkBytes-1)/chunkBytes) }
-
-// EncodeChunk gives chunk k as text. An empty chunk is empty text.
-func (b Bitmap) EncodeChunk(chunk int) string {
-	part := b[min(len(b), chunk*chunkBytes):min(len(b), (chunk+1)*chunkBytes)]
-	n := len(part)
-	for n > 0 && part[n-1] == 0 {
-		n--
-	}
-	return base64.RawStdEncoding.EncodeToString(part[:n])
-}
-
-// MergeChunk adds the members of chunk k in s to the set.
-func (b Bitmap) MergeChunk(chunk int, text string) error {
-	raw, err := base64.RawStdEncoding.DecodeString(text)
-	if err != nil {
-		return err
-	}
-	offset := chunk * chunkBytes
-	if len(raw) > chunkBytes || offset+len(raw) > len(b) {
-		return fmt.Errorf("bitmap chunk %d: too long", chunk)
-	}
-	for i, x := range raw {
-		b[offset+i] |= x
-	}
-	return nil
-}
-
-// DecodeJob reads a job's record and checks what recovery relies on.
+// DecodeJob reads a live job and checks what reconciliation relies on.
 func DecodeJob(item wire.KeyValue) (*Job, error) {
 	job := &Job{}
 	if err := wire.Unmarshal(item.Value, job); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("decode %s: %w", item.Key, err)
 	}
 	if JobKey(job.Job.ID) != item.Key || job.Job.Tasks < 1 || job.Job.Tasks > wire.MaxTasks {
-		return nil, fmt.Errorf("record %s: inconsistent", item.Key)
+		return nil, fmt.Errorf("decode %s: %w", item.Key, ErrInconsistent)
 	}
 	return job, nil
 }
-
-// IDFromKey takes the id out of a key with the prefix.
-func IDFromKey(prefix, key string) string { return strings.TrimPrefix(key, prefix) }
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -45,7 +45,7 @@
 	})
 }
 
-// A record that does not fit its job is refused, not trusted.
+// A record that does not fit its job is rejected.
 func TestDecodingRejectsInconsistentRecords(t *testing.T) {
 	big := records.NewBitmap(5000)
 	big.Add(4999)
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -1,5 +1,6 @@
-// Package rpc makes bounded CBOR calls over HTTP. The clients of the state
-// service, the cloud, the workers and the peers are built on it.
+// Package rpc makes CBOR calls over HTTP with bounds on connections and on the size of an
+// answer. The clients of the key-value store, the cloud, the workers and the peers are
+// built on it.
 package rpc
 
 import (
@@ -15,15 +16,22 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Client calls one kind of server.
+// idleConnTimeout is how long a connection without a call is kept; bufferBytes is the size
+// of each of its buffers, small since there are thousands of connections.
+const (
+	idleConnTimeout = 20 * time.Second
+	bufferBytes     = 4 << 10
+)
+
+// Client calls one kind of server. It is safe for concurrent use.
 type Client struct {
 	httpClient     *http.Client
 	maxAnswerBytes int64
 }
 
-// New makes a client with at most conns connections per host that reads at
-// most limit bytes of an answer. Of connections without a call, at most idle are
-// kept, to all hosts together.
+// New makes a client with at most connsPerHost connections to a host, which reads at most
+// maxAnswerBytes of an answer and keeps at most maxIdleConns connections without a call, to
+// all hosts together.
 func New(connsPerHost, maxIdleConns int, dialTimeout time.Duration, maxAnswerBytes int64) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	return &Client{
@@ -34,11 +42,11 @@
 				MaxConnsPerHost:       connsPerHost,
 				MaxIdleConnsPerHost:   connsPerHost,
 				MaxIdleConns:          maxIdleConns,
-				IdleConnTimeout:       20 * time.Second,
+				IdleConnTimeout:       idleConnTimeout,
 				DisableCompression:    true,
 				ResponseHeaderTimeout: 0,
-				WriteBufferSize:       4 << 10,
-				ReadBufferSize:        4 << 10,
+				WriteBufferSize:       bufferBytes,
+				ReadBufferSize:        bufferBytes,
 			},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
@@ -51,10 +59,10 @@
 // ErrAnswerTooLarge is returned for an answer over the limit.
 var ErrAnswerTooLarge = errors.New("answer too large")
 
-// Call sends in (nil for no body) and decodes the answer into out, whatever
-// its status. An error means that there was no usable answer: the request may
-// or may not have been carried out.
-func (c *Client) Call(ctx context.Context, method, url string, request any, answer any) (int, error) {
+// Call sends the request (nil for no body), decodes the answer, whatever its status, and
+// returns the status. An answer of type *wire.Raw gets the undecoded body. An error means
+// that there was no usable answer: the request may or may not have been carried out.
+func (c *Client) Call(ctx context.Context, method, url string, request, answer any) (int, error) {
 	var body io.Reader
 	if request != nil {
 		b, err := wire.Marshal(request)
@@ -89,11 +97,11 @@
 		*raw = b
 	} else if answer != nil && len(b) > 0 {
 		if err := wire.Unmarshal(b, answer); err != nil {
-			return 0, fmt.Errorf("%w: %v", ErrMalformedAnswer, err)
+			return 0, fmt.Errorf("%w: %w", ErrMalformedAnswer, err)
 		}
 	}
 	return response.StatusCode, nil
 }
 
-// CloseIdleConnections drops idle connections, so that the next call dials anew.
+// CloseIdleConnections closes idle connections, so that the next call dials anew.
 func (c *Client) CloseIdleConnections() { c.httpClient.CloseIdleConnections() }
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -3,6 +3,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"net/http"
 
@@ -11,41 +12,50 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Client talks to workers.
+// Bounds on connections to one worker and on the size of an answer.
+const (
+	connsPerWorker = 2
+	maxAnswerBytes = 1 << 20
+)
+
+// ErrUnexpectedStatus means that a worker's answer has a status that the protocol does not.
+var ErrUnexpectedStatus = errors.New("unexpected status of a worker's answer")
+
+// Client talks to workers. It is safe for concurrent use.
 type Client struct{ rpc *rpc.Client }
 
 // New makes a client.
 func New() *Client {
-	return &Client{rpc: rpc.New(2, tuning.MaxIdleWorkerConns, tuning.CommandTimeout, 1<<20)}
+	return &Client{rpc: rpc.New(connsPerWorker, tuning.MaxIdleWorkerConns, tuning.CommandTimeout, maxAnswerBytes)}
 }
 
 // Outcome is what became of a direct call.
 type Outcome int
 
-// Executed and Refused come with the worker's report; Lost means that the
-// commands may have been executed, or may yet be executed later.
+// Outcomes of a direct call.
 const (
-	OutcomeUnknown Outcome = iota
-	Executed
-	Rejected
+	OutcomeUnknown Outcome = iota // the commands may have been executed, or may yet be later
+	Executed                      // comes with the worker's heartbeat
+	Rejected                      // by the fencing token or incarnation; comes with the worker's heartbeat
 )
 
-// SendCommands sends commands.
+// SendCommands sends commands to the worker at addr. The heartbeat is nil unless the
+// outcome is known.
 func (c *Client) SendCommands(ctx context.Context, addr string, commands wire.DirectCommands) (Outcome, *wire.Heartbeat, error) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.CommandTimeout)
 	defer cancel()
 	var heartbeat wire.Heartbeat
-	code, err := c.rpc.Call(ctx, http.MethodPost, "http://"+addr+"/commands", commands, &heartbeat)
+	status, err := c.rpc.Call(ctx, http.MethodPost, "http://"+addr+"/commands", commands, &heartbeat)
 	if err != nil {
-		return OutcomeUnknown, nil, err
+		return OutcomeUnknown, nil, fmt.Errorf("send commands to %s: %w", addr, err)
 	}
-	if code != http.StatusOK && code != http.StatusConflict {
-		return OutcomeUnknown, nil, fmt.Errorf("status %d", code)
+	if status != http.StatusOK && status != http.StatusConflict {
+		return OutcomeUnknown, nil, fmt.Errorf("send commands to %s: %w: %d", addr, ErrUnexpectedStatus, status)
 	}
 	if err := heartbeat.Validate(); err != nil {
-		return OutcomeUnknown, nil, fmt.Errorf("%w: %v", rpc.ErrMalformedAnswer, err)
+		return OutcomeUnknown, nil, fmt.Errorf("send commands to %s: %w: %w", addr, rpc.ErrMalformedAnswer, err)
 	}
-	if code == http.StatusConflict {
+	if status == http.StatusConflict {
 		return Rejected, &heartbeat, nil
 	}
 	return Executed, &heartbeat, nil
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -1,6 +1,6 @@
 package wire
 
-// MachineType is one type of machine that the cloud rents.
+// MachineType is one type of machine that the cloud provides.
 type MachineType struct {
 	Name        string   `cbor:"sku" json:"sku"`
 	CPUs        float64  `cbor:"cpus" json:"cpus"`
@@ -24,7 +24,7 @@
 	Types []MachineType `cbor:"breeds" json:"breeds"`
 }
 
-// ProvisionRequest is the body of POST /rentals.
+// ProvisionRequest is the body of POST /rentals. A repeated RequestID is idempotent.
 type ProvisionRequest struct {
 	RequestID string `cbor:"hire" json:"hire"`
 	Type      string `cbor:"breed" json:"breed"`
@@ -33,7 +33,7 @@
 	Count     int    `cbor:"how_many" json:"how_many"`
 }
 
-// MachineNames is the answer to a rental and the body of a release.
+// MachineNames is the answer to a ProvisionRequest and the body of a release.
 type MachineNames struct {
 	Machines []string `cbor:"rigs" json:"rigs"`
 }
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -1,7 +1,7 @@
-// Package wire holds the message formats that yarrowgap speaks with users,
-// workers, the cloud, the state service and its own peers. Clients may import
-// it. Field tags carry the protocol's words; Go names carry the field's usual
-// terms (job, task, attempt, team, zone, machine, lease, term).
+// Package wire holds the message formats that yarrowgap speaks with users, workers, the
+// cloud and the key-value store. Clients may import it. Struct tags carry the protocol's
+// names; Go names carry the usual terms (job, task, attempt, team, zone, machine,
+// incarnation, fencing token, revision, lease).
 package wire
 
 import (
@@ -29,7 +29,7 @@
 	decMode, err = cbor.DecOptions{
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
 		MaxNestedLevels:   16,     // the deepest message of the protocol has 4
-		MaxArrayElements:  131072, // a report or a list stays far below
+		MaxArrayElements:  131072, // a heartbeat or a list stays far below
 		MaxMapPairs:       4096,   // the widest message has under 30 fields
 		FieldNameMatching: cbor.FieldNameMatchingCaseSensitive,
 		UTF8:              cbor.UTF8RejectInvalid,
--- a/wire/kvstore.go
+++ b/wire/kvstore.go
@@ -1,6 +1,7 @@
 package wire
 
-// KeyValue is a key of the state service with its value.
+// KeyValue is a key of the key-value store with its value. A missing key has ModRevision 0;
+// Lease is 0 if the key is on no lease.
 type KeyValue struct {
 	Key         string `cbor:"key"`
 	Value       Raw    `cbor:"v"`
@@ -8,20 +9,21 @@
 	Lease       uint64 `cbor:"permit"`
 }
 
-// RangeReply is the answer to a ranged read.
+// RangeReply is one page of the answer to a range read.
 type RangeReply struct {
 	Items    []KeyValue `cbor:"items"`
 	More     bool       `cbor:"more"`
 	Revision uint64     `cbor:"epoch"`
 }
 
-// Compare holds when the key has the stamp; 0 means that it does not exist.
+// Compare holds when the key was last modified at ModRevision; 0 means that the key does
+// not exist.
 type Compare struct {
 	Key         string `cbor:"key"`
 	ModRevision uint64 `cbor:"stamp"`
 }
 
-// Op sets or deletes a key.
+// Op sets or deletes a key. A key that is set with a lease is deleted when the lease ends.
 type Op struct {
 	Set    string  `cbor:"set,omitempty"`
 	Delete string  `cbor:"delete,omitempty"`
@@ -29,7 +31,8 @@
 	Lease  *uint64 `cbor:"permit,omitempty"`
 }
 
-// Txn is the body of POST /commit.
+// Txn is the body of POST /commit: a compare-and-swap transaction. All of Then is applied
+// if all of If holds, else nothing.
 type Txn struct {
 	If   []Compare `cbor:"if,omitempty"`
 	Then []Op      `cbor:"apply,omitempty"`
@@ -52,7 +55,7 @@
 	ID uint64 `cbor:"permit"`
 }
 
-// WatchEvent is one change in a watch's answer.
+// WatchEvent is one change of a key.
 type WatchEvent struct {
 	Set         string `cbor:"set"`
 	Delete      string `cbor:"delete"`
@@ -60,7 +63,7 @@
 	ModRevision uint64 `cbor:"stamp"`
 }
 
-// WatchReply is a watch's answer.
+// WatchReply is the answer to a watch: the changes up to Revision.
 type WatchReply struct {
 	Revision uint64       `cbor:"epoch"`
 	Events   []WatchEvent `cbor:"log"`
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -1,6 +1,7 @@
 package wire_test
 
 import (
+	"errors"
 	"math"
 	"os"
 	"reflect"
@@ -15,7 +16,7 @@
 
 func TestMain(m *testing.M) { os.Exit(fixedseed.Run(m)) }
 
-// validSubmission is a submission with every field, as a map that tests can spoil.
+// validSubmission is a submission with every field, as a map in which tests can break one.
 func validSubmission() map[string]any {
 	return map[string]any{
 		"uid": "run-000412", "docket": "train", "crew": "vision", "shape": "batch", "rank": "urgent", "shifts": 16,
@@ -85,7 +86,7 @@
 			f[field] = v
 			if j, err := wire.ParseJob(encode(t, f)); err == nil {
 				t.Errorf("%s = %v is accepted: %+v", field, v, j)
-			} else if !strings.Contains(err.Error(), field) {
+			} else if fieldErr := (*wire.FieldError)(nil); !strings.Contains(err.Error(), field) || errors.As(err, &fieldErr) && fieldErr.Field != field {
 				t.Errorf("%s = %v: the error does not name the field: %v", field, v, err)
 			}
 		}
--- a/wire/worker.go
+++ b/wire/worker.go
@@ -1,7 +1,6 @@
 package wire
 
 import (
-	"fmt"
 	"strconv"
 	"strings"
 )
@@ -19,8 +18,8 @@
 	CauseDone       = "done"
 	CauseStopped    = "halted"
 	CauseError      = "error"
-	CauseNoCapacity = "full"
-	CauseDuplicate  = "in_use"
+	CauseNoCapacity = "full"   // start refused: no free capacity on the machine
+	CauseDuplicate  = "in_use" // start refused: the machine has another attempt of the task
 	CauseUnknown    = "unknown"
 )
 
@@ -31,7 +30,7 @@
 	VerbForget = "forget"
 )
 
-// TaskStatus is one task in a worker's report.
+// TaskStatus is the state of one task in a worker's heartbeat.
 type TaskStatus struct {
 	Task         string `cbor:"shift" json:"shift"`
 	Attempt      uint64 `cbor:"try" json:"try"`
@@ -40,7 +39,8 @@
 	Checkpointed bool   `cbor:"saved,omitempty" json:"saved,omitempty"`
 }
 
-// Heartbeat is what a worker says of itself.
+// Heartbeat is a worker's periodic report of itself and all its tasks. Incarnation tells
+// the worker's process from its predecessors; Sequence counts its messages.
 type Heartbeat struct {
 	Machine         string       `cbor:"rig" json:"rig"`
 	Address         string       `cbor:"address" json:"address"`
@@ -54,32 +54,39 @@
 	Tasks           []TaskStatus `cbor:"shifts" json:"shifts"`
 }
 
-// Validate says what is wrong with a report, if anything is.
+// Bounds on the texts of a heartbeat.
+const (
+	maxMachineNameBytes = 100
+	maxAddressBytes     = 100
+)
+
+// Validate returns a FieldError for the first malformed field.
 func (h *Heartbeat) Validate() error {
 	switch {
-	case h.Machine == "" || len(h.Machine) > 100 || strings.ContainsAny(h.Machine, " /"):
-		return fmt.Errorf("rig: malformed")
-	case h.Address == "" || len(h.Address) > 100:
-		return fmt.Errorf("address: malformed")
+	case h.Machine == "" || len(h.Machine) > maxMachineNameBytes || strings.ContainsAny(h.Machine, " /"):
+		return &FieldError{Field: "rig", Problem: "malformed"}
+	case h.Address == "" || len(h.Address) > maxAddressBytes:
+		return &FieldError{Field: "address", Problem: "malformed"}
 	case h.Incarnation == 0:
-		return fmt.Errorf("tenure: missing")
+		return &FieldError{Field: "tenure", Problem: "missing"}
 	case h.InterruptionInS != nil && (!finite(*h.InterruptionInS) || *h.InterruptionInS < 0):
-		return fmt.Errorf("recall_s: out of range")
+		return &FieldError{Field: "recall_s", Problem: "out of range"}
 	}
 	for i := range h.Tasks {
 		if _, _, ok := ParseTaskName(h.Tasks[i].Task); !ok {
-			return fmt.Errorf("shift: malformed")
+			return &FieldError{Field: "shift", Problem: "malformed"}
 		}
 	}
 	return nil
 }
 
-// NewerThan reports whether r describes a later moment than (session, tick).
+// NewerThan reports whether h was sent later than the message with the given incarnation
+// and sequence.
 func (h *Heartbeat) NewerThan(incarnation, sequence uint64) bool {
 	return h.Incarnation > incarnation || h.Incarnation == incarnation && h.Sequence > sequence
 }
 
-// Command is one order to a worker.
+// Command is one command to a worker.
 type Command struct {
 	Verb         string   `cbor:"verb" json:"verb"`
 	Task         string   `cbor:"shift" json:"shift"`
@@ -87,13 +94,13 @@
 	GracePeriodS *float64 `cbor:"leeway_s,omitempty" json:"leeway_s,omitempty"`
 }
 
-// HeartbeatReply answers a report.
+// HeartbeatReply is the answer to a heartbeat.
 type HeartbeatReply struct {
 	FencingToken uint64    `cbor:"baton" json:"baton"`
 	Commands     []Command `cbor:"orders" json:"orders"`
 }
 
-// Redirect sends a worker to the leader, or to the next node if it is empty.
+// Redirect sends a worker to the leader, or to the next controller if it is empty.
 type Redirect struct {
 	Leader string `cbor:"foreman,omitempty" json:"foreman,omitempty"`
 }
@@ -105,20 +112,18 @@
 	Commands     []Command `cbor:"orders" json:"orders"`
 }
 
-// TaskName is the name of a task on the wire, run-000412/3.
+// maxTaskIndexDigits bounds the index in a task's name.
+const maxTaskIndexDigits = 6
+
+// TaskName returns the name of a task on the wire, run-000412/3.
 func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
-// ParseTaskName takes a task's name apart.
+// ParseTaskName returns the parts of a task's name; ok is false if it is malformed.
 func ParseTaskName(name string) (job string, index int, ok bool) {
 	job, digits, found := strings.Cut(name, "/")
-	if !found || !ValidJobID(job) || len(digits) == 0 || len(digits) > 6 {
+	if !found || !ValidJobID(job) || digits == "" || len(digits) > maxTaskIndexDigits || !onlyDigits(digits) {
 		return "", 0, false
 	}
-	for _, c := range digits {
-		if c < '0' || c > '9' {
-			return "", 0, false
-		}
-	}
 	index, err := strconv.Atoi(digits)
 	return job, index, err == nil
 }
