--- a/internal/controller/cancellations_test.go
+++ b/internal/controller/cancellations_test.go
@@ -14,19 +14,19 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Whatever users are told where, and whichever peers end, start anew or forget the
-// oldest they told: of every cancellation that was told before the moment as of which
-// a node counts itself as knowing, it does know. On that rests for how long a leader
-// that the state service does not serve keeps workers alive.
+// A controller knows every cancellation that was confirmed to a user, anywhere, before its
+// cancellation watermark, whichever peers are restarted or drop the oldest entries of their
+// logs. On that rests for how long a leader that the key-value store does not serve keeps
+// workers alive.
 func TestCancellationWatermarkIsNeverAheadOfConfirmations(t *testing.T) {
 	controller := newTestController(t)
 	rapid.Check(t, func(t *rapid.T) {
 		c := controller
 		c.replication.caughtUpAt, c.membership.peers = time.Time{}, map[string]*peerState{}
 		type remote struct {
-			told confirmationLog
-			boot uint64
-			born time.Time
+			confirmed confirmationLog
+			bootID    uint64
+			startedAt time.Time
 		}
 		now := time.Now().Add(-time.Hour)
 		boots, jobs := uint64(0), 0
@@ -37,7 +37,7 @@
 		remotes := make([]*remote, 3)
 		for i := range remotes {
 			boots++
-			remotes[i] = &remote{boot: boots, born: now}
+			remotes[i] = &remote{bootID: boots, startedAt: now}
 			c.membership.peers[fmt.Sprint(i)] = &peerState{Peer: config.Peer{Name: fmt.Sprint(i)}}
 		}
 		pick := func() (*remote, *peerState) {
@@ -48,7 +48,7 @@
 			for range count {
 				jobs++
 				id := fmt.Sprintf("run-%06d", jobs)
-				r.told.add(id)
+				r.confirmed.add(id)
 				confirmedAt[id] = now
 			}
 		}
@@ -60,7 +60,7 @@
 				confirm(r, 1)
 			case 2:
 				boots++
-				*r = remote{boot: boots, born: now}
+				*r = remote{bootID: boots, startedAt: now}
 			case 3:
 				confirm(r, tuning.MaxListedConfirmations+1)
 			case 4:
@@ -69,35 +69,35 @@
 					known[id] = true
 				}
 			default:
-				asked, have := now, p.confirmations.seen
-				advance() // the question is on its way
-				if r.boot != p.confirmations.bootID {
-					have = 0
+				sentAt, seen := now, p.confirmations.seen
+				advance() // the ping is on its way
+				if r.bootID != p.confirmations.bootID {
+					seen = 0
 				}
-				pong := peer.Pong{BootID: r.boot, UptimeMilli: 1 + now.Sub(r.born).Milliseconds()}
-				pong.ConfirmedFrom, pong.Confirmed = r.told.after(have)
+				pong := peer.Pong{BootID: r.bootID, UptimeMilli: 1 + now.Sub(r.startedAt).Milliseconds()}
+				pong.ConfirmedFrom, pong.Confirmed = r.confirmed.after(seen)
 				pong.Confirmed = append([]string(nil), pong.Confirmed...)
 				if rapid.Bool().Draw(t, "tells meanwhile") {
 					confirm(r, 1)
 				}
-				advance() // and its answer
-				p.confirmations.receive(pong, asked, now)
+				advance() // and the answer
+				p.confirmations.receive(pong, sentAt, now)
 				for _, id := range pong.Confirmed {
 					known[id] = true
 				}
 			}
 			for id, when := range confirmedAt {
 				if when.Before(c.cancellationWatermark()) && !known[id] {
-					t.Fatalf("%s was told %v before the moment as of which all is known", id, c.cancellationWatermark().Sub(when))
+					t.Fatalf("%s was confirmed %v before the cancellation watermark", id, c.cancellationWatermark().Sub(when))
 				}
 			}
 		}
 	})
 }
 
-// A leader that may have missed cancellations for longer than leaves time for one
-// answers no worker, whatever it thinks of its lease: it may have stood still, or
-// everybody may be refused by the state service. With all peers' lists it goes on.
+// A leader whose cancellation watermark is too old to leave time for one that it does not
+// know of answers no heartbeat, whatever its lease: after a process pause, or while the
+// key-value store refuses everybody. With the confirmations of all peers it goes on.
 func TestLeaderAnswersHeartbeatsUntilWatermarkIsTooOld(t *testing.T) {
 	c := newTestController(t)
 	c.membership.peers = map[string]*peerState{"drover-1": {}, "drover-2": {}}
@@ -109,7 +109,7 @@
 	}
 	c.replication.caughtUpAt = time.Now()
 	if !answered() {
-		t.Error("not answered by a leader that knows all")
+		t.Error("no answer by a leader with a recent watermark")
 	}
 	c.replication.caughtUpAt = time.Now().Add(-c.KeepaliveBound())
 	if answered() {
@@ -119,21 +119,21 @@
 		p.confirmations.completeFrom, p.confirmations.asOf = c.replication.caughtUpAt.Add(-time.Minute), time.Now()
 	}
 	if !answered() {
-		t.Error("not answered though every peer has listed what it told")
+		t.Error("no answer though every peer has listed its confirmations")
 	}
 	for _, p := range c.membership.peers {
-		p.confirmations.completeFrom = c.replication.caughtUpAt.Add(time.Second) // it has started anew: who knows what it told before
+		p.confirmations.completeFrom = c.replication.caughtUpAt.Add(time.Second) // restarted: what it confirmed before is not known
 		break
 	}
 	if answered() {
-		t.Error("answered though a peer has started anew")
+		t.Error("answered though a peer was restarted")
 	}
 }
 
-// A leader stands still, and another one leads meanwhile. When the first goes on it
-// reads all cancellations and none of the other's tasks are in its books: as of then it
-// has seen nothing through for those, and neither has who heard it say so. Workers
-// that have the other's token are not kept alive by that.
+// A leader's process pauses, and another one leads meanwhile. When the first resumes it reads
+// all cancellations, but knows none of the other's tasks: it has not enforced cancellations
+// for those. Workers with the other's fencing token are not kept alive by its enforcement,
+// neither here nor where it was heard of.
 func TestKeepaliveRequiresWatermarkOfCurrentLeader(t *testing.T) {
 	token := func(term uint64) uint64 { return term << tuning.FencingBits }
 	for _, leading := range []bool{true, false} {
@@ -150,24 +150,23 @@
 			c.setLeader("drover-1", 9)
 			c.cancellations.enforcedUntil = time.Now()
 			if s := heartbeat(9); s != 200 {
-				t.Errorf("%d to a worker of the leader that has seen all through", s)
+				t.Errorf("%d to a worker of the leader that has enforced all", s)
 			}
 		}
 		c.update(func() { c.learnLeader("drover-2", 10) })
 		if s := heartbeat(10); s == 200 {
-			t.Errorf("led %v: a worker of the next leader is kept alive by the word of the last", leading)
+			t.Errorf("leading %v: a worker of the next leader is kept alive by the enforcement of the last", leading)
 		}
-		c.cancellations.enforcedUntil = time.Now() // by the word of the next
+		c.cancellations.enforcedUntil = time.Now() // by the next leader
 		if s := heartbeat(10); s != 200 {
-			t.Errorf("led %v: %d to a worker of the leader that has seen all through", leading, s)
+			t.Errorf("leading %v: %d to a worker of the leader that has enforced all", leading, s)
 		}
 	}
 }
 
-// A worker that is answered at the last moment allowed, right after it sent its report,
-// ends its tasks a lease later. That is within the time for a cancellation confirmed
-// right after the moment that all counts from, with each clock as far off as the
-// protocol allows.
+// A worker that is answered at the last moment of the keepalive bound, right after it sent its
+// heartbeat, ends its tasks a lease later. That is within the bound on a cancellation that was
+// confirmed right after the watermark, with each clock as far off as the protocol allows.
 func TestKeepaliveBoundAllowsForClockDrift(t *testing.T) {
 	const drift = 0.0005 // of each clock
 	c := newTestController(t)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -11,16 +11,21 @@
 //   - cancellations: which cancellations were confirmed to users, and which are enforced
 //   - machineTypes and metrics
 //
-// Methods of these parts are called with the lock held and touch nothing else. Each input
-// takes the lock by update, which also carries out what the scheduler decided. Other parts
-// (replicaRefresher, admission, executor) have their own synchronization or none and say
-// so. I/O is done without the lock and comes back as an input.
+// Methods of these parts are called with the lock held and touch nothing else; methods of
+// Controller that need the lock held say so. Each input takes the lock by update, which also
+// carries out what the scheduler decided.
+//
+// Work that waits for others is done without the lock, by types that reach the state by
+// update or take the lock for a look: election and leaderTerm (to lead), leaderWatch and
+// pinger (peers), jobSync (the replica), machineTypeSource, executor (the scheduler's
+// calls), and userRequest, submission and jobReader (users' requests). I/O comes back as an
+// input. replicaRefresher and admission have their own synchronization.
 //
 // # Goroutines
 //
-// Run starts the loops of the process, serveTerm those of a term; both wait for them to end.
-// Goroutines for a single call (an effect, a forwarded request, a read that callers share)
-// end with the call, which has a timeout.
+// Run starts the loops of the process, leaderTerm.serve those of a term; both wait for them
+// to end. Goroutines for a single call (an effect, a forwarded request, a read that callers
+// share) end with the call, which has a timeout.
 package controller
 
 import (
@@ -44,6 +49,10 @@
 
 // Controller is one controller process. The fields above mu do not change once Run has
 // begun; those below metrics have their own synchronization.
+//
+// It has an exported method for each kind of input (a user's request, a heartbeat, a ping, a
+// forwarded request, an operator's query), and the methods that touch several of its parts
+// at once; what needs one part alone is a method of the part.
 type Controller struct {
 	cfg       *config.Settings
 	policy    policy.Settings
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -34,7 +34,8 @@
 	return New(cfg, policy.Defaults(false), slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
-// Under overload, reports outrank decisions, and decisions submissions.
+// Under overload, heartbeats have priority over queries and cancellations, and those over
+// submissions.
 func TestOverloadShedsSubmissionsBeforeQueriesBeforeHeartbeats(t *testing.T) {
 	c := newTestController(t)
 	c.replication.replica.RememberEnded("run-000001", records.EndedJob{State: wire.JobDone, Done: 1, Tasks: 1})
@@ -52,10 +53,10 @@
 			t.Errorf("lag %v: submission %d", tc.lag, a.Status)
 		}
 		if a := c.Query(context.Background(), "run-000001", FromUser); a.Status != tc.query {
-			t.Errorf("lag %v: poll %d", tc.lag, a.Status)
+			t.Errorf("lag %v: query %d", tc.lag, a.Status)
 		}
 		if a := c.Heartbeat(heartbeat); a.Status != http.StatusServiceUnavailable { // nobody leads
-			t.Errorf("lag %v: report %d", tc.lag, a.Status)
+			t.Errorf("lag %v: heartbeat %d", tc.lag, a.Status)
 		}
 	}
 	c.admission.tickLag.Store(0)
@@ -66,12 +67,12 @@
 		t.Errorf("a submission over the bound: %d", a.Status)
 	}
 	if a := c.Query(context.Background(), "run-000001", FromUser); a.Status != http.StatusOK {
-		t.Errorf("a poll while submissions are full: %d", a.Status)
+		t.Errorf("a query while submission slots are full: %d", a.Status)
 	}
 }
 
-// A follower sends workers to a leader in reach. In a cut it renews their leases
-// with the token they hold, only of the last known term, gives no commands, and
+// A follower redirects workers to a reachable leader. In a partition it renews their leases
+// with the fencing token that they hold, only of the last known term, sends no commands, and
 // stops in time for a cancellation.
 func TestFollowerKeepsWorkersAliveWhilePartitioned(t *testing.T) {
 	c := newTestController(t)
@@ -83,14 +84,14 @@
 		return c.Heartbeat(&wire.Heartbeat{Machine: "n-1", Address: "a:1", Incarnation: 1, Sequence: 1, FencingToken: token})
 	}
 	if a := heartbeat(token); a.Status != http.StatusMisdirectedRequest || a.Redirect.Leader != "drover-1" {
-		t.Errorf("leader in reach: %+v", a)
+		t.Errorf("leader reachable: %+v", a)
 	}
 	c.membership.peers["drover-1"].lastHeardAt = time.Now().Add(-2 * tuning.PeerUnreachableAfter)
 	if a := heartbeat(token); a.Status != http.StatusOK || a.Reply.FencingToken != token || len(a.Reply.Commands) != 0 {
-		t.Errorf("in a cut: %+v", a)
+		t.Errorf("in a partition: %+v", a)
 	}
 	if a := heartbeat(uint64(8) << tuning.FencingBits); a.Status == http.StatusOK {
-		t.Errorf("a token of an earlier term was kept alive: %+v", a)
+		t.Errorf("a worker with a token of an earlier term was kept alive: %+v", a)
 	}
 	c.cancellations.enforcedUntil = time.Now().Add(-c.KeepaliveBound())
 	if a := heartbeat(token); a.Status == http.StatusOK {
@@ -102,9 +103,9 @@
 	}
 }
 
-// A node without the state service is cut off, and unhealthy, unless a peer that is
-// served is in reach, or so many share its trouble that it is an outage. Once in
-// touch again it is healthy at once.
+// A controller without the key-value store is isolated, and unhealthy, unless a peer that the
+// store serves is reachable, or so many share the fault that it is an outage. Once served
+// again it is healthy at once.
 func TestIsolatedControllerIsUnhealthy(t *testing.T) {
 	c := newTestController(t)
 	setPeers := func(storeAvailable bool, reachable int) {
@@ -126,10 +127,11 @@
 		{0, false, 0, false},
 		{time.Minute, false, 0, true},
 		{time.Minute, false, 1, true},  // two of five, in one zone
-		{time.Minute, true, 1, false},  // a peer answers for us
+		{time.Minute, true, 1, false},  // the store serves a peer
 		{time.Minute, false, 4, false}, // an outage
-		// Three of five without the other two: an outage with two nodes down, or a
-		// zone that is cut off. Others may cancel jobs: see TestCancellationWatermarkIsNeverAheadOfConfirmations.
+		// Three of five without the other two: an outage with two controllers down, or a
+		// partitioned zone. Others may cancel jobs meanwhile: see
+		// TestCancellationWatermarkIsNeverAheadOfConfirmations.
 		{time.Minute, false, 2, false},
 	} {
 		c.membership.storeUnservedFor = func() time.Duration { return tc.without }
@@ -141,13 +143,12 @@
 	c.membership.storeUnservedFor = func() time.Duration { return 0 }
 	setPeers(false, 0)
 	if !c.Healthy() {
-		t.Error("unhealthy though served")
+		t.Error("unhealthy though the store serves it")
 	}
 }
 
-// Where the leader refuses connections from here, it is there for workers: they
-// are sent to it and not held here. A node that never knew the lead to work keeps
-// nobody alive.
+// A leader that refuses connections from here can be reached by workers: they are redirected
+// to it. A controller that never heard of a working leader keeps nobody alive.
 func TestFollowerRedirectsWhenLeaderRefusesConnections(t *testing.T) {
 	c := newTestController(t)
 	p := &peerState{Peer: config.Peer{Name: "drover-1", Addr: "b:1"}, connectionRefusedAt: time.Now()}
@@ -160,11 +161,11 @@
 	}
 	p.connectionRefusedAt, c.cancellations.enforcedUntil = time.Time{}, time.Time{}
 	if a := c.Heartbeat(heartbeat); a.Status == http.StatusOK {
-		t.Errorf("kept alive by a node that has just started: %+v", a)
+		t.Errorf("kept alive by a controller that has just started: %+v", a)
 	}
 }
 
-// Answers of watches that overtake each other never take the copy back.
+// Answers of watches that overtake each other never take the replica back.
 func TestReplicaIgnoresOlderWatchAnswers(t *testing.T) {
 	raw := func(cancelled bool) wire.Raw {
 		b, err := wire.Marshal(records.Job{Job: wire.Job{ID: "run-000001", Tasks: 1}, Cancelled: cancelled})
@@ -190,8 +191,8 @@
 	}
 }
 
-// That there is no job of an id costs one read, until a change makes one: questions
-// about jobs that nobody submitted must not cost the state service a read each.
+// That there is no job of an id costs one read, until a change creates one: queries about
+// jobs that nobody submitted must not cost the key-value store a read each.
 func TestReplicaCachesAbsentJobs(t *testing.T) {
 	raw, err := wire.Marshal(records.Job{Job: wire.Job{ID: "run-000001", Tasks: 1}})
 	if err != nil {
@@ -203,7 +204,7 @@
 	r.NoteAbsent("run-000001")
 	r.NoteAbsent("run-000002")
 	if !r.Absent("run-000001") || r.Absent("run-000003") {
-		t.Error("what is missing was not noted, or more than that")
+		t.Error("absence is not known, or of too many")
 	}
 	r.Apply(wire.WatchReply{Revision: 11, Events: []wire.WatchEvent{set}})
 	if r.Absent("run-000001") || !r.Absent("run-000002") {
@@ -219,8 +220,8 @@
 	}
 }
 
-// A rental or release that the process stood still before it could send is not sent
-// once the lead may be another's: it would take machines that work for that one.
+// A request to the cloud that a process pause has delayed is not sent once the lease may have
+// expired: a release would take machines that work for the next leader.
 func TestNoCloudRequestAfterLeaseExpiry(t *testing.T) {
 	requests := 0
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -245,7 +246,7 @@
 	}
 }
 
-// What was read before the process stood still is not told as fresh.
+// What was read before a process pause does not count as fresh.
 func TestReadBeforeProcessPauseIsRepeated(t *testing.T) {
 	reads := 0
 	err := readUntilFresh(func() (time.Time, error) {
@@ -262,8 +263,7 @@
 	}
 }
 
-// However many machines have something coming, direct calls keep within the sockets
-// that are left for them.
+// However many machines have commands due, direct calls keep within their share of sockets.
 func TestDirectCallsAreBounded(t *testing.T) {
 	c := newTestController(t)
 	c.cfg.Deployment.Quota.FDLimit = 300
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -13,8 +13,8 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// A leader with a small share of the processor asks for a lease that outlasts the load
-// of a failover, and that the workers' leases outlast, and relies on no more than that.
+// A leader with a small share of the processor requests a lease that outlasts the load of a
+// failover, and that the workers' leases outlast, and relies on no more than that.
 func TestLeaderLeaseGrowsAsCPUShareShrinks(t *testing.T) {
 	for _, tc := range []struct {
 		share   float64
@@ -58,7 +58,7 @@
 			t.Errorf("share %v, workers %v: a lease of %v, not %v", tc.share, tc.workers, got, tc.ttl)
 		}
 		if c.leadership.leaseHeldUntil.Before(before.Add(tc.ttl)) || c.leadership.leaseHeldUntil.After(after.Add(tc.ttl)) {
-			t.Errorf("share %v: the lead is relied on until %v after the request", tc.share, c.leadership.leaseHeldUntil.Sub(before))
+			t.Errorf("share %v: the leadership is relied on until %v after the request", tc.share, c.leadership.leaseHeldUntil.Sub(before))
 		}
 	}
 }
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -16,10 +16,10 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// A job is cancelled at a node that has just been elected and waits for a slow answer
-// of the state service, which was read before. What it leads with has the cancellation
-// all the same: the service may refuse it from then on, and by its peers' lists it
-// counts as knowing all of them.
+// A job is cancelled at a controller that has just been elected and waits for a slow answer of
+// the key-value store, which was read before. Its scheduler has the cancellation all the same:
+// the store may be unavailable from then on, and by its peers' logs the controller counts as
+// knowing all cancellations.
 func TestCancellationDuringFailoverIsKept(t *testing.T) {
 	const id = "run-000001"
 	c := newTestController(t)
@@ -58,13 +58,13 @@
 		t.Fatal("not recovered")
 	}
 	if s := sched.Job(c.now(), id); s == nil || s.State != wire.JobCancelled {
-		t.Errorf("led with %+v, after its user was told that it is cancelled", s)
+		t.Errorf("loaded as %+v, after its cancellation was confirmed", s)
 	}
 }
 
-// While a node that was elected reads the records, the state service loses answers,
-// refuses and is slow. It reads again until it has all of them, shows that it is loading
-// meanwhile, and leads with every job.
+// While a controller that was elected reads the records, the key-value store loses answers and
+// is unavailable. It reads again until it has all of them, shows that it is loading meanwhile,
+// and leads with every job.
 func TestLoadingSurvivesLostAnswers(t *testing.T) {
 	const jobs = 3
 	c := newTestController(t)
--- a/internal/controller/queries_test.go
+++ b/internal/controller/queries_test.go
@@ -18,8 +18,9 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// newControllerWithStore makes a node over the stand-in state service. Answers to requests that hold
-// picks are read at once and come when let is closed; came tells that one was read.
+// newControllerWithStore makes a controller over the simulated key-value store, and a client of
+// that. Answers to requests that holdBack picks are read at once and sent when proceed is
+// closed; received says that one was read.
 func newControllerWithStore(t *testing.T, holdBack func(*http.Request) bool) (c *Controller, client *kvstore.Client, received, proceed chan struct{}) {
 	simulated := simulator.NewDeployment(simulator.DeploymentConfig{HeartbeatInterval: time.Second, LeaseDuration: time.Second})
 	state := simulated.KVStoreHandler()
@@ -49,9 +50,9 @@
 	}
 }
 
-// A job is accepted and ends while the read that it is absent by is under way, and the
-// node passes over both changes by reading all live jobs anew, as one that becomes leader
-// does: that it was absent holds no longer.
+// A job is accepted and ends while a read that finds it absent is in flight, and the controller
+// skips both changes since it reads all live jobs again, as a new leader does: the absence
+// holds no longer.
 func TestAbsentJobNotCachedAcrossReplicaReset(t *testing.T) {
 	const id = "run-000001"
 	c, client, received, proceed := newControllerWithStore(t, func(r *http.Request) bool { return strings.HasSuffix(r.URL.Path, records.EndedJobKey(id)) })
@@ -74,7 +75,7 @@
 	}
 }
 
-// A full read that changes overtake does not take the copy back.
+// A full read that changes overtake does not take the replica back.
 func TestReloadOvertakenByWatchKeepsNewerState(t *testing.T) {
 	const id = "run-000001"
 	var held atomic.Bool
@@ -97,11 +98,11 @@
 		t.Fatal(err)
 	}
 	if live := c.replication.replica.Live[id]; live == nil || !live.Record.Cancelled {
-		t.Errorf("the copy was taken back: %+v", live)
+		t.Errorf("the replica was taken back: %+v", live)
 	}
 }
 
-// What was read before the process stood still is read again before it is told.
+// What was read before a process pause is read again before it is answered.
 func TestLookUpJobReadsAgainAfterProcessPause(t *testing.T) {
 	const id = "run-000001"
 	c, client, _, _ := newControllerWithStore(t, func(*http.Request) bool { return false })
@@ -110,8 +111,8 @@
 	if _, err := c.jobSync.refresher.refresh(ctx); err != nil {
 		t.Fatal(err)
 	}
-	// A read of long ago, which this question shares, since the process stood still
-	// between its answer and now.
+	// A read of long ago, which this query shares, since the process paused between its answer
+	// and now.
 	stale := &refreshCall{done: make(chan struct{}), answeredAt: time.Now().Add(-2 * tuning.MaxAnswerAge)}
 	close(stale.done)
 	c.jobSync.refresher.next, c.jobSync.refresher.running = stale, true
@@ -126,8 +127,8 @@
 	}
 }
 
-// A submission that takes long is put to a peer, which takes the job for one that can never
-// run, since it knows other machine types; the job was accepted meanwhile. Its user is not
+// A submission that takes long is forwarded to a peer, which refuses it as one that can never
+// run, since it knows other machine types; the job was accepted meanwhile. The user is not
 // told to give it up.
 func TestPeerRefusalDoesNotUndoAcceptance(t *testing.T) {
 	const id = "run-000001"
