--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -34,10 +34,11 @@
 }
 
 // take uses the budget for one request, or fails with ErrRateLimited.
-func (b *requestBudget) take(priority Priority) error {
+func (b *requestBudget) take(priority Priority) error { return b.takeAt(time.Now(), priority) }
+
+func (b *requestBudget) takeAt(now time.Time, priority Priority) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	now := time.Now()
 	refill := now.Sub(b.refilledAt).Seconds() * b.requestsPerSecond
 	b.available = min(b.requestsPerSecond, b.available+refill)
 	b.refilledAt = now
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -5,12 +5,14 @@
 	"errors"
 	"net/http"
 	"net/http/httptest"
+	"slices"
 	"strings"
 	"testing"
 	"time"
 
 	"github.com/yarrowgap/yarrowgap/internal/records"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
+	"github.com/yarrowgap/yarrowgap/wire"
 )
 
 // A watch's answer over the limit on answers counts as compacted, so that the caller reads
@@ -64,3 +66,46 @@
 		t.Errorf("not served after an answer: %v, %v", err, client.UnservedFor())
 	}
 }
+
+// Each answer to a transaction has its error, from which callers tell whether it may have been
+// carried out.
+func TestCommitErrors(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		status int
+		reply  wire.TxnReply
+		want   error
+	}{
+		{"carried out", http.StatusOK, wire.TxnReply{Revision: 7}, nil},
+		{"no revision", http.StatusOK, wire.TxnReply{}, ErrOutcomeUnknown},
+		{"conflict", http.StatusConflict, wire.TxnReply{Revision: 7, FailedKeys: []string{"a"}}, ErrConflict},
+		{"lease ended", http.StatusBadRequest, wire.TxnReply{Error: "no such lease"}, ErrLeaseNotFound},
+		{"malformed", http.StatusBadRequest, wire.TxnReply{Error: "too long"}, ErrMalformedRequest},
+		{"rate limited", http.StatusTooManyRequests, wire.TxnReply{}, ErrRateLimited},
+		{"unavailable", http.StatusServiceUnavailable, wire.TxnReply{}, ErrUnavailable},
+		{"unexpected", http.StatusTeapot, wire.TxnReply{}, ErrOutcomeUnknown},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+				body, err := wire.Marshal(test.reply)
+				if err != nil {
+					t.Error(err)
+				}
+				w.WriteHeader(test.status)
+				_, _ = w.Write(body)
+			}))
+			defer srv.Close()
+			client := New(srv.Listener.Addr().String(), 1000)
+			revision, failedKeys, err := client.Commit(context.Background(), PriorityLeader, wire.Txn{})
+			if !errors.Is(err, test.want) {
+				t.Errorf("%v, not %v", err, test.want)
+			}
+			if test.want == nil && revision != test.reply.Revision {
+				t.Errorf("revision %d", revision)
+			}
+			if errors.Is(err, ErrConflict) && !slices.Equal(failedKeys, test.reply.FailedKeys) {
+				t.Errorf("failed keys %v", failedKeys)
+			}
+		})
+	}
+}
