--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -61,11 +61,21 @@
 	Spot    bool   `cbor:"s,omitempty" json:"s,omitempty"`
 	Address string `cbor:"a" json:"a"`
 	Images  []int  `cbor:"i,omitempty" json:"i,omitempty"`
-	// Runs are job, first task, number of tasks, and the first task's attempt
-	// above Base; the next task has the next attempt, and so on.
-	Runs [][4]uint64 `cbor:"r" json:"r"`
+	Runs    []Run  `cbor:"r" json:"r"`
 }
 
+// Run is a sequence of consecutive tasks of a job, with consecutive attempts. It is stored as
+// an array; the constants name its elements.
+type Run [4]uint64
+
+// Elements of a Run.
+const (
+	RunJob          = iota // an index of the batch's jobs
+	RunFirstTask           // the first task's index
+	RunTasks               // the number of tasks
+	RunFirstAttempt        // the first task's attempt, above the batch's base
+)
+
 // DecodeBatch reads a batch and checks what reconciliation relies on. A batch that fails
 // must not be taken for an empty one.
 func DecodeBatch(value wire.Raw) (*Batch, error) {
@@ -92,7 +102,7 @@
 		}
 	}
 	for _, run := range machine.Runs {
-		job, firstTask, tasks := run[0], run[1], run[2]
+		job, firstTask, tasks := run[RunJob], run[RunFirstTask], run[RunTasks]
 		if job >= uint64(len(b.Jobs)) || firstTask >= wire.MaxTasks || tasks == 0 || tasks > wire.MaxTasks-firstTask {
 			return false
 		}
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -1,6 +1,8 @@
 package records_test
 
 import (
+	"errors"
+	"math"
 	"os"
 	"testing"
 
@@ -60,3 +62,45 @@
 		t.Error("an empty job record was accepted")
 	}
 }
+
+// A batch whose machines refer to what it does not have is rejected as a whole: part of it
+// must not be taken for all.
+func TestDecodeBatchRejectsInconsistentMachines(t *testing.T) {
+	valid := func() records.Batch {
+		return records.Batch{
+			Base: 7, Types: []string{"box"}, Zones: []string{"a"}, Jobs: []string{"run-000001"}, Images: []string{"i"},
+			Machines: []records.BatchMachine{{Name: "n-1", Images: []int{0}, Runs: []records.Run{{0, 3, 2, 0}}}},
+		}
+	}
+	for _, test := range []struct {
+		name   string
+		change func(*records.BatchMachine)
+		valid  bool
+	}{
+		{"as it is written", func(*records.BatchMachine) {}, true},
+		{"no name", func(m *records.BatchMachine) { m.Name = "" }, false},
+		{"unknown type", func(m *records.BatchMachine) { m.Type = 1 }, false},
+		{"negative type", func(m *records.BatchMachine) { m.Type = -1 }, false},
+		{"unknown zone", func(m *records.BatchMachine) { m.Zone = 1 }, false},
+		{"unknown image", func(m *records.BatchMachine) { m.Images[0] = 1 }, false},
+		{"no runs", func(m *records.BatchMachine) { m.Runs = nil }, false},
+		{"unknown job", func(m *records.BatchMachine) { m.Runs[0][records.RunJob] = 1 }, false},
+		{"no tasks", func(m *records.BatchMachine) { m.Runs[0][records.RunTasks] = 0 }, false},
+		{"task out of range", func(m *records.BatchMachine) { m.Runs[0][records.RunFirstTask] = wire.MaxTasks }, false},
+		{"tasks out of range", func(m *records.BatchMachine) { m.Runs[0][records.RunTasks] = wire.MaxTasks }, false},
+		{"tasks overflow", func(m *records.BatchMachine) { m.Runs[0][records.RunTasks] = math.MaxUint64 }, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			batch := valid()
+			test.change(&batch.Machines[0])
+			raw, err := wire.Marshal(batch)
+			if err != nil {
+				t.Fatal(err)
+			}
+			_, err = records.DecodeBatch(raw)
+			if test.valid && err != nil || !test.valid && !errors.Is(err, records.ErrInconsistent) {
+				t.Errorf("%v", err)
+			}
+		})
+	}
+}
