--- a/internal/controller/answer.go
+++ b/internal/controller/answer.go
@@ -19,7 +19,7 @@
 	return Answer{Status: status, State: &wire.JobStateReply{ID: id, State: state}}
 }
 
-func refuse(status int, reason string) Answer { return Answer{Status: status, Error: reason} }
+func refuse(status int, message string) Answer { return Answer{Status: status, Error: message} }
 
 // Answers that are always the same.
 var (
--- a/internal/controller/cancellations_test.go
+++ b/internal/controller/cancellations_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 
@@ -21,80 +22,116 @@
 func TestCancellationWatermarkIsNeverAheadOfConfirmations(t *testing.T) {
 	controller := newTestController(t)
 	rapid.Check(t, func(t *rapid.T) {
-		c := controller
-		c.replication.caughtUpAt, c.membership.peers = time.Time{}, map[string]*peerState{}
-		type remote struct {
-			confirmed confirmationLog
-			bootID    uint64
-			startedAt time.Time
-		}
-		now := time.Now().Add(-time.Hour)
-		boots, jobs := uint64(0), 0
-		confirmedAt, known := map[string]time.Time{}, map[string]bool{}
-		advance := func() {
-			now = now.Add(time.Duration(rapid.IntRange(1, 900).Draw(t, "ms")) * time.Millisecond)
-		}
-		remotes := make([]*remote, 3)
-		for i := range remotes {
-			boots++
-			remotes[i] = &remote{bootID: boots, startedAt: now}
-			c.membership.peers[fmt.Sprint(i)] = &peerState{Peer: config.Peer{Name: fmt.Sprint(i)}}
-		}
-		pick := func() (*remote, *peerState) {
-			i := rapid.IntRange(0, len(remotes)-1).Draw(t, "peer")
-			return remotes[i], c.membership.peers[fmt.Sprint(i)]
-		}
-		confirm := func(r *remote, count int) {
-			for range count {
-				jobs++
-				id := fmt.Sprintf("run-%06d", jobs)
-				r.confirmed.add(id)
-				confirmedAt[id] = now
-			}
-		}
+		m := newWatermarkModel(t, controller)
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
-			advance()
-			r, p := pick()
+			m.advance()
+			i := rapid.IntRange(0, len(m.remotes)-1).Draw(t, "peer")
+			remote, state := m.remotes[i], m.controller.membership.peers[fmt.Sprint(i)]
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0, 1:
-				confirm(r, 1)
+				m.confirm(remote, 1)
 			case 2:
-				boots++
-				*r = remote{bootID: boots, startedAt: now}
+				m.restart(remote)
 			case 3:
-				confirm(r, tuning.MaxListedConfirmations+1)
+				m.confirm(remote, tuning.MaxListedConfirmations+1)
 			case 4:
-				c.replication.caughtUpAt = now
-				for id := range confirmedAt {
-					known[id] = true
-				}
+				m.readStore()
 			default:
-				sentAt, seen := now, p.confirmations.seen
-				advance() // the ping is on its way
-				if r.bootID != p.confirmations.bootID {
-					seen = 0
-				}
-				pong := peer.Pong{BootID: r.bootID, UptimeMilli: 1 + now.Sub(r.startedAt).Milliseconds()}
-				pong.ConfirmedFrom, pong.Confirmed = r.confirmed.after(seen)
-				pong.Confirmed = append([]string(nil), pong.Confirmed...)
-				if rapid.Bool().Draw(t, "tells meanwhile") {
-					confirm(r, 1)
-				}
-				advance() // and the answer
-				p.confirmations.receive(pong, sentAt, now)
-				for _, id := range pong.Confirmed {
-					known[id] = true
-				}
-			}
-			for id, when := range confirmedAt {
-				if when.Before(c.cancellationWatermark()) && !known[id] {
-					t.Fatalf("%s was confirmed %v before the cancellation watermark", id, c.cancellationWatermark().Sub(when))
-				}
+				m.ping(remote, state)
 			}
+			m.check()
 		}
 	})
 }
 
+// remoteController is a peer that confirms cancellations to users.
+type remoteController struct {
+	confirmed confirmationLog
+	bootID    uint64
+	startedAt time.Time
+}
+
+// watermarkModel is a controller with peers that confirm cancellations, in simulated time.
+type watermarkModel struct {
+	t          *rapid.T
+	controller *Controller
+	remotes    []*remoteController
+
+	now         time.Time
+	boots       uint64
+	confirmedAt map[string]time.Time // of all cancellations
+	known       map[string]bool      // to the controller
+}
+
+func newWatermarkModel(t *rapid.T, c *Controller) *watermarkModel {
+	m := &watermarkModel{
+		t: t, controller: c, now: time.Now().Add(-time.Hour),
+		confirmedAt: map[string]time.Time{}, known: map[string]bool{},
+	}
+	c.replication.caughtUpAt, c.membership.peers = time.Time{}, map[string]*peerState{}
+	for i := range 3 {
+		remote := &remoteController{}
+		m.restart(remote)
+		m.remotes = append(m.remotes, remote)
+		c.membership.peers[fmt.Sprint(i)] = &peerState{Peer: config.Peer{Name: fmt.Sprint(i)}}
+	}
+	return m
+}
+
+func (m *watermarkModel) advance() {
+	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 900).Draw(m.t, "ms")) * time.Millisecond)
+}
+
+func (m *watermarkModel) restart(remote *remoteController) {
+	m.boots++
+	*remote = remoteController{bootID: m.boots, startedAt: m.now}
+}
+
+func (m *watermarkModel) confirm(remote *remoteController, count int) {
+	for range count {
+		id := fmt.Sprintf("run-%06d", len(m.confirmedAt)+1)
+		remote.confirmed.add(id)
+		m.confirmedAt[id] = m.now
+	}
+}
+
+// readStore has the controller learn all cancellations from the key-value store.
+func (m *watermarkModel) readStore() {
+	m.controller.replication.caughtUpAt = m.now
+	for id := range m.confirmedAt {
+		m.known[id] = true
+	}
+}
+
+// ping has the controller ping the remote one, which may confirm another cancellation after
+// it has made its answer.
+func (m *watermarkModel) ping(remote *remoteController, state *peerState) {
+	sentAt, seen := m.now, state.confirmations.seen
+	m.advance()
+	if remote.bootID != state.confirmations.bootID {
+		seen = 0
+	}
+	pong := peer.Pong{BootID: remote.bootID, UptimeMilli: 1 + m.now.Sub(remote.startedAt).Milliseconds()}
+	pong.ConfirmedFrom, pong.Confirmed = remote.confirmed.after(seen)
+	pong.Confirmed = slices.Clone(pong.Confirmed)
+	if rapid.Bool().Draw(m.t, "confirms meanwhile") {
+		m.confirm(remote, 1)
+	}
+	m.advance()
+	state.confirmations.receive(pong, sentAt, m.now)
+	for _, id := range pong.Confirmed {
+		m.known[id] = true
+	}
+}
+
+func (m *watermarkModel) check() {
+	for id, confirmedAt := range m.confirmedAt {
+		if watermark := m.controller.cancellationWatermark(); confirmedAt.Before(watermark) && !m.known[id] {
+			m.t.Fatalf("%s was confirmed %v before the cancellation watermark", id, watermark.Sub(confirmedAt))
+		}
+	}
+}
+
 // A leader whose cancellation watermark is too old to leave time for one that it does not
 // know of answers no heartbeat, whatever its lease: after a process pause, or while the
 // key-value store refuses everybody. With the confirmations of all peers it goes on.
--- a/internal/controller/executor.go
+++ b/internal/controller/executor.go
@@ -39,7 +39,7 @@
 		go calls.release(names)
 	}
 	if effects.Resign != "" {
-		c.resign(sched, effects.Resign)
+		c.resign(sched, stepDownReason(effects.Resign))
 	}
 }
 
--- /dev/null
+++ b/internal/controller/executor_test.go
@@ -0,0 +1,78 @@
+package controller
+
+import (
+	"net/http"
+	"net/http/httptest"
+	"runtime"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/yarrowgap/yarrowgap/internal/cloud"
+	"github.com/yarrowgap/yarrowgap/internal/scheduler"
+	"github.com/yarrowgap/yarrowgap/internal/tuning"
+	"github.com/yarrowgap/yarrowgap/wire"
+)
+
+// A request to the cloud that a process pause has delayed is not sent once the lease may have
+// expired: a release would take machines that work for the next leader.
+func TestNoCloudRequestAfterLeaseExpiry(t *testing.T) {
+	requests := 0
+	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		requests++
+		w.WriteHeader(http.StatusServiceUnavailable)
+	}))
+	defer srv.Close()
+	c := newTestController(t)
+	c.cloud = cloud.New(srv.Listener.Addr().String())
+	c.leadership.scheduler, c.leadership.lost = scheduler.New(c.now(), c.schedulerSettings(), 9, scheduler.NewReplica(), nil, nil, nil), make(chan struct{})
+	callCloud := func() {
+		executor{c, c.leadership.scheduler}.release([]string{"n-000001"})
+		executor{c, c.leadership.scheduler}.provision(wire.ProvisionRequest{RequestID: "r-1", Count: 1})
+	}
+	c.leadership.leaseHeldUntil = time.Now().Add(-time.Second)
+	if callCloud(); requests != 0 {
+		t.Errorf("%d requests after the lease", requests)
+	}
+	c.leadership.leaseHeldUntil = time.Now().Add(time.Hour)
+	if callCloud(); requests != 2 {
+		t.Errorf("%d requests within the lease", requests)
+	}
+}
+
+// However many machines have commands due, direct calls keep within their share of sockets.
+func TestDirectCallsAreBounded(t *testing.T) {
+	c := newTestController(t)
+	c.cfg.Deployment.Quota.FDLimit = 300
+	if got := maxDirectCalls(c.cfg); got != tuning.MinWorkerCalls {
+		t.Errorf("%d places with few sockets", got)
+	}
+	c.directCallSlots = make(chan struct{}, 3)
+	var concurrent, maxConcurrent atomic.Int64
+	handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		for now := concurrent.Add(1); ; {
+			previous := maxConcurrent.Load()
+			if now <= previous || maxConcurrent.CompareAndSwap(previous, now) {
+				break
+			}
+		}
+		for range 100 {
+			runtime.Gosched() // lets others in, if anything does
+		}
+		concurrent.Add(-1)
+		w.WriteHeader(http.StatusTeapot)
+	})
+	var wg sync.WaitGroup
+	for range 24 {
+		srv := httptest.NewServer(handler) // a machine each: the client bounds one host's connections itself
+		defer srv.Close()
+		wg.Go(func() {
+			executor{c, &scheduler.Scheduler{}}.callWorker(scheduler.DirectCall{Addr: srv.Listener.Addr().String()})
+		})
+	}
+	wg.Wait()
+	if got := maxConcurrent.Load(); got == 0 || got > 3 {
+		t.Errorf("%d calls at once, of 3 places", got)
+	}
+}
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -45,8 +45,8 @@
 	return !processStartedAt.IsZero() && l.electedAt.Sub(processStartedAt) > workerLease/tuning.ColdRestartLeaseDivisor
 }
 
-// stepDownReason says why a leader ends its term before its lease does, for the log. A
-// scheduler that resigns has its own reasons.
+// stepDownReason says why a leader ends its term before its lease does, for the log. It is one
+// of these, or the reason for which the scheduler resigns.
 type stepDownReason string
 
 const (
@@ -56,11 +56,11 @@
 )
 
 // resign ends the term since the scheduler asks for it. Called with the lock held.
-func (c *Controller) resign(sched *scheduler.Scheduler, reason string) {
-	if !c.stepDown(sched, stepDownReason(reason)) {
+func (c *Controller) resign(sched *scheduler.Scheduler, reason stepDownReason) {
+	if !c.stepDown(sched, reason) {
 		return
 	}
-	if reason == scheduler.ResignNoHeartbeats {
+	if reason == stepDownReason(scheduler.ResignNoHeartbeats) {
 		// Whoever is in a better place goes first. After other ends nobody is barred: five
 		// controllers that depose each other would leave no candidate.
 		c.leadership.candidacyBarredUntil = time.Now().Add(tuning.ResignBackoff)
--- a/internal/controller/queries_test.go
+++ b/internal/controller/queries_test.go
@@ -169,3 +169,20 @@
 		}
 	}
 }
+
+// What was read before a process pause does not count as fresh.
+func TestReadBeforeProcessPauseIsRepeated(t *testing.T) {
+	reads := 0
+	err := readUntilFresh(func() (time.Time, error) {
+		if reads++; reads < 3 {
+			return time.Now().Add(-time.Minute), nil
+		}
+		return time.Now(), nil
+	})
+	if err != nil || reads != 3 {
+		t.Errorf("read %d times: %v", reads, err)
+	}
+	if err := readUntilFresh(func() (time.Time, error) { return time.Time{}, context.DeadlineExceeded }); err == nil {
+		t.Error("a read that failed was told")
+	}
+}
--- /dev/null
+++ b/internal/controller/replica_test.go
@@ -0,0 +1,64 @@
+package controller
+
+import (
+	"testing"
+
+	"github.com/yarrowgap/yarrowgap/internal/records"
+	"github.com/yarrowgap/yarrowgap/internal/scheduler"
+	"github.com/yarrowgap/yarrowgap/wire"
+)
+
+// Answers of watches that overtake each other never take the replica back.
+func TestReplicaIgnoresOlderWatchAnswers(t *testing.T) {
+	raw := func(cancelled bool) wire.Raw {
+		b, err := wire.Marshal(records.Job{Job: wire.Job{ID: "run-000001", Tasks: 1}, Cancelled: cancelled})
+		if err != nil {
+			t.Fatal(err)
+		}
+		return b
+	}
+	r := scheduler.NewReplica()
+	r.Reset(nil, 10)
+	set := wire.WatchEvent{Set: records.JobKey("run-000001"), Value: raw(false), ModRevision: 11}
+	cancel := wire.WatchEvent{Set: records.JobKey("run-000001"), Value: raw(true), ModRevision: 12}
+	r.Apply(wire.WatchReply{Revision: 12, Events: []wire.WatchEvent{set, cancel}})
+	if touched, _ := r.Apply(wire.WatchReply{Revision: 11, Events: []wire.WatchEvent{set}}); len(touched) != 0 || !r.Live["run-000001"].Record.Cancelled {
+		t.Error("an older answer undid a cancellation")
+	}
+	r.Apply(wire.WatchReply{Revision: 13, Events: []wire.WatchEvent{{Delete: records.JobKey("run-000001"), ModRevision: 13}}})
+	if touched, _ := r.Apply(wire.WatchReply{Revision: 12, Events: []wire.WatchEvent{set, cancel}}); len(touched) != 0 || r.Live["run-000001"] != nil {
+		t.Error("an older answer brought a job back to life")
+	}
+	if _, bad := r.Apply(wire.WatchReply{Revision: 14, Events: []wire.WatchEvent{{Set: records.JobKey("run-000002"), Value: raw(false), ModRevision: 14}}}); len(bad) != 1 {
+		t.Error("a record under another job's key was trusted")
+	}
+}
+
+// That there is no job of an id costs one read, until a change creates one: queries about
+// jobs that nobody submitted must not cost the key-value store a read each.
+func TestReplicaCachesAbsentJobs(t *testing.T) {
+	raw, err := wire.Marshal(records.Job{Job: wire.Job{ID: "run-000001", Tasks: 1}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	set := wire.WatchEvent{Set: records.JobKey("run-000001"), Value: raw, ModRevision: 11}
+	r := scheduler.NewReplica()
+	r.Reset(nil, 10)
+	r.NoteAbsent("run-000001")
+	r.NoteAbsent("run-000002")
+	if !r.Absent("run-000001") || r.Absent("run-000003") {
+		t.Error("absence is not known, or of too many")
+	}
+	r.Apply(wire.WatchReply{Revision: 11, Events: []wire.WatchEvent{set}})
+	if r.Absent("run-000001") || !r.Absent("run-000002") {
+		t.Error("missing though submitted")
+	}
+	r.NoteAbsent("run-000001") // by a read that was sent before the job came
+	if r.Absent("run-000001") {
+		t.Error("missing though live")
+	}
+	r.Reset(nil, 20)
+	if r.Absent("run-000002") {
+		t.Error("missing though changes were passed over")
+	}
+}
