--- a/internal/controller/machine_types.go
+++ b/internal/controller/machine_types.go
@@ -16,7 +16,7 @@
 )
 
 // refreshMachineTypes keeps the machine types up to date, and the leader's copy of them in
-// the key-value store.
+// the key-value store, until ctx ends.
 func (c *Controller) refreshMachineTypes(ctx context.Context) {
 	source := machineTypeSource{cloud: c.cloud, store: c.store, log: c.log, retryDelay: tuning.CloudRetryDelay}
 	for wait := time.Millisecond; sleep(ctx, jitter(wait)); wait = tuning.CloudRetryDelay {
--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -1,10 +1,12 @@
 package controller
 
 import (
+	"slices"
 	"testing"
 	"time"
 
 	"github.com/yarrowgap/yarrowgap/internal/config"
+	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
 // A controller without the key-value store is isolated, and unhealthy, unless a peer that the
@@ -50,3 +52,59 @@
 		t.Error("unhealthy though the store serves it")
 	}
 }
+
+// Requests are forwarded to peers that were heard of lately and did not decline one a moment
+// ago, first of all to the leader.
+func TestForwardTargets(t *testing.T) {
+	now := time.Now()
+	m := newMembership([]config.Peer{{Name: "leader"}, {Name: "other"}, {Name: "unreachable"}, {Name: "declined"}}, nil)
+	m.leader.name = "leader"
+	for _, p := range m.peers {
+		p.lastHeardAt = now
+	}
+	m.peers["unreachable"].lastHeardAt = now.Add(-2 * tuning.PeerUnreachableAfter)
+	m.peers["declined"].declinedAt = now
+	names := func() (names []string) {
+		for _, target := range m.forwardTargets() {
+			names = append(names, target.Name)
+		}
+		return names
+	}
+	if got := names(); !slices.Equal(got, []string{"leader", "other"}) {
+		t.Errorf("targets %v", got)
+	}
+	m.peers["declined"].declinedAt = now.Add(-2 * tuning.UnablePeerBackoff)
+	if got := names(); len(got) != 3 || got[0] != "leader" {
+		t.Errorf("targets %v after the backoff", got)
+	}
+}
+
+// Workers are sent to a leader that was heard of lately, or that refuses connections while the
+// key-value store serves this controller, unless its process was restarted.
+func TestLeaderReachable(t *testing.T) {
+	now, longAgo := time.Now(), time.Now().Add(-time.Hour)
+	for _, test := range []struct {
+		name        string
+		leader      peerState
+		unservedFor time.Duration
+		want        bool
+	}{
+		{"heard", peerState{lastHeardAt: now}, time.Minute, true},
+		{"not heard", peerState{lastHeardAt: longAgo}, 0, false},
+		{"restarted", peerState{lastHeardAt: now, notLeading: true}, 0, false},
+		{"refuses connections", peerState{lastHeardAt: longAgo, connectionRefusedAt: now}, 0, true},
+		{"refuses connections without the store", peerState{lastHeardAt: longAgo, connectionRefusedAt: now}, time.Minute, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			m := newMembership(nil, func() time.Duration { return test.unservedFor })
+			m.peers["leader"] = &test.leader
+			if m.leaderReachable() {
+				t.Error("reachable though the leader is not known")
+			}
+			m.leader.name = "leader"
+			if m.leaderReachable() != test.want {
+				t.Errorf("reachable: %v", !test.want)
+			}
+		})
+	}
+}
