--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -10,7 +10,10 @@
 	"github.com/yarrowgap/yarrowgap/internal/policy"
 )
 
+// newTestController makes a controller with the example settings that logs nothing and is not
+// run.
 func newTestController(t *testing.T) *Controller {
+	t.Helper()
 	b, err := os.ReadFile("../../examples/local.toml")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controller/replication.go
+++ b/internal/controller/replication.go
@@ -99,7 +99,7 @@
 		changes, err := c.store.Watch(ctx, kvstore.PriorityLeader, records.JobsPrefix, from, tuning.WatchTimeout)
 		switch {
 		case errors.Is(err, kvstore.ErrCompacted):
-			if err := s.reload(ctx); err != nil {
+			if err = s.reload(ctx); err != nil {
 				logCallFailure(c.log, "jobs not reloaded", err)
 			}
 		case err != nil:
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -77,7 +77,7 @@
 
 // FailuresView lists failed attempts of this term, the newest first.
 func (c *Controller) FailuresView(skip, most int) ([]scheduler.Failure, bool) {
-	return queryScheduler(c, func(sched *scheduler.Scheduler, now scheduler.Now) []scheduler.Failure {
+	return queryScheduler(c, func(sched *scheduler.Scheduler, _ scheduler.Now) []scheduler.Failure {
 		return sched.Failures(skip, most)
 	})
 }
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -75,7 +75,7 @@
 
 // do sends a request and returns the status of the answer.
 func (c *Client) do(ctx context.Context, request call) (status int, err error) {
-	if err := c.budget.take(request.priority); err != nil {
+	if err = c.budget.take(request.priority); err != nil {
 		return 0, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, request.timeout)
