--- a/internal/controller/queries_test.go
+++ b/internal/controller/queries_test.go
@@ -18,9 +18,11 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// newControllerWithStore makes a node over the stand-in state service. Answers to requests that hold
-// picks are read at once and come when let is closed; came tells that one was read.
+// newControllerWithStore makes a controller over the simulated key-value store, and a client of
+// that. Answers to requests that holdBack picks are read at once and sent when proceed is
+// closed; received says that one was read.
 func newControllerWithStore(t *testing.T, holdBack func(*http.Request) bool) (c *Controller, client *kvstore.Client, received, proceed chan struct{}) {
+	t.Helper()
 	simulated := simulator.NewDeployment(simulator.DeploymentConfig{HeartbeatInterval: time.Second, LeaseDuration: time.Second})
 	state := simulated.KVStoreHandler()
 	received, proceed = make(chan struct{}, 16), make(chan struct{})
@@ -49,47 +51,47 @@
 	}
 }
 
-// A job is accepted and ends while the read that it is absent by is under way, and the
-// node passes over both changes by reading all live jobs anew, as one that becomes leader
-// does: that it was absent holds no longer.
+// A job is accepted and ends while a read that finds it absent is in flight, and the controller
+// skips both changes since it reads all live jobs again, as a new leader does: the absence
+// holds no longer.
 func TestAbsentJobNotCachedAcrossReplicaReset(t *testing.T) {
 	const id = "run-000001"
 	c, client, received, proceed := newControllerWithStore(t, func(r *http.Request) bool { return strings.HasSuffix(r.URL.Path, records.EndedJobKey(id)) })
 	ctx := context.Background()
-	if _, err := c.refresh(ctx); err != nil {
+	if _, err := c.jobSync.refresher.refresh(ctx); err != nil {
 		t.Fatal(err)
 	}
 	early := make(chan Answer)
-	go func() { early <- c.Query(ctx, id, true) }()
+	go func() { early <- c.Query(ctx, id, FromPeer) }()
 	<-received
 	commitOps(t, client, wire.Op{Set: records.JobKey(id), Value: records.Job{Job: wire.Job{ID: id, Tasks: 1}}})
 	commitOps(t, client, wire.Op{Delete: records.JobKey(id)}, wire.Op{Set: records.EndedJobKey(id), Value: records.EndedJob{State: wire.JobDone, Done: 1, Tasks: 1}})
-	if err := c.reloadJobs(ctx); err != nil {
+	if err := c.jobSync.reload(ctx); err != nil {
 		t.Fatal(err)
 	}
 	close(proceed)
 	<-early // may say either: it was asked before
-	if a := c.Query(ctx, id, true); a.Status != http.StatusOK || a.View.State != wire.JobDone {
+	if a := c.Query(ctx, id, FromPeer); a.Status != http.StatusOK || a.View.State != wire.JobDone {
 		t.Errorf("a done job: %+v", a)
 	}
 }
 
-// A full read that changes overtake does not take the copy back.
+// A full read that changes overtake does not take the replica back.
 func TestReloadOvertakenByWatchKeepsNewerState(t *testing.T) {
 	const id = "run-000001"
 	var held atomic.Bool
 	c, client, received, proceed := newControllerWithStore(t, func(r *http.Request) bool { return held.Load() && r.URL.Path == "/kv" })
 	ctx := context.Background()
 	commitOps(t, client, wire.Op{Set: records.JobKey(id), Value: records.Job{Job: wire.Job{ID: id, Tasks: 1}}})
-	if _, err := c.refresh(ctx); err != nil {
+	if _, err := c.jobSync.refresher.refresh(ctx); err != nil {
 		t.Fatal(err)
 	}
 	held.Store(true)
 	done := make(chan error)
-	go func() { done <- c.reloadJobs(ctx) }()
+	go func() { done <- c.jobSync.reload(ctx) }()
 	<-received
 	commitOps(t, client, wire.Op{Set: records.JobKey(id), Value: records.Job{Job: wire.Job{ID: id, Tasks: 1}, Cancelled: true}})
-	if a := c.Query(ctx, id, true); a.Status != http.StatusOK || a.View.State != wire.JobCancelled {
+	if a := c.Query(ctx, id, FromPeer); a.Status != http.StatusOK || a.View.State != wire.JobCancelled {
 		t.Errorf("a cancelled job: %+v", a)
 	}
 	close(proceed)
@@ -97,37 +99,37 @@
 		t.Fatal(err)
 	}
 	if live := c.replication.replica.Live[id]; live == nil || !live.Record.Cancelled {
-		t.Errorf("the copy was taken back: %+v", live)
+		t.Errorf("the replica was taken back: %+v", live)
 	}
 }
 
-// What was read before the process stood still is read again before it is told.
+// What was read before a process pause is read again before it is answered.
 func TestLookUpJobReadsAgainAfterProcessPause(t *testing.T) {
 	const id = "run-000001"
 	c, client, _, _ := newControllerWithStore(t, func(*http.Request) bool { return false })
 	ctx := context.Background()
 	commitOps(t, client, wire.Op{Set: records.JobKey(id), Value: records.Job{Job: wire.Job{ID: id, Tasks: 1}}})
-	if _, err := c.refresh(ctx); err != nil {
+	if _, err := c.jobSync.refresher.refresh(ctx); err != nil {
 		t.Fatal(err)
 	}
-	// A read of long ago, which this question shares, since the process stood still
-	// between its answer and now.
+	// A read of long ago, which this query shares, since the process paused between its answer
+	// and now.
 	stale := &refreshCall{done: make(chan struct{}), answeredAt: time.Now().Add(-2 * tuning.MaxAnswerAge)}
 	close(stale.done)
-	c.refresher.next, c.refresher.running = stale, true
+	c.jobSync.refresher.next, c.jobSync.refresher.running = stale, true
 	commitOps(t, client, wire.Op{Set: records.JobKey(id), Value: records.Job{Job: wire.Job{ID: id, Tasks: 1}, Cancelled: true}})
 	time.AfterFunc(20*time.Millisecond, func() {
-		c.refresher.mu.Lock()
-		defer c.refresher.mu.Unlock()
-		c.refresher.next, c.refresher.running = nil, false
+		c.jobSync.refresher.mu.Lock()
+		defer c.jobSync.refresher.mu.Unlock()
+		c.jobSync.refresher.next, c.jobSync.refresher.running = nil, false
 	})
 	if v, found, err := c.lookUpJob(ctx, id); err != nil || !found || v.State != wire.JobCancelled {
 		t.Errorf("%+v %v %v", v, found, err)
 	}
 }
 
-// A submission that takes long is put to a peer, which takes the job for one that can never
-// run, since it knows other machine types; the job was accepted meanwhile. Its user is not
+// A submission that takes long is forwarded to a peer, which refuses it as one that can never
+// run, since it knows other machine types; the job was accepted meanwhile. The user is not
 // told to give it up.
 func TestPeerRefusalDoesNotUndoAcceptance(t *testing.T) {
 	const id = "run-000001"
@@ -153,7 +155,7 @@
 			t.Fatal(err)
 		}
 		answered := make(chan Answer)
-		go func() { answered <- c.Submit(context.Background(), b, false) }()
+		go func() { answered <- c.Submit(context.Background(), b, FromUser) }()
 		<-received // carried out: accepted, or known already
 		<-asked
 		var a Answer
@@ -168,3 +170,20 @@
 		}
 	}
 }
+
+// What was read before a process pause does not count as fresh.
+func TestReadBeforeProcessPauseIsRepeated(t *testing.T) {
+	reads := 0
+	err := readUntilFresh(func() (time.Time, error) {
+		if reads++; reads < 3 {
+			return time.Now().Add(-time.Minute), nil
+		}
+		return time.Now(), nil
+	})
+	if err != nil || reads != 3 {
+		t.Errorf("read %d times: %v", reads, err)
+	}
+	if err := readUntilFresh(func() (time.Time, error) { return time.Time{}, context.DeadlineExceeded }); err == nil {
+		t.Error("a read that failed was told")
+	}
+}
