--- a/internal/scheduler/attempt.go
+++ b/internal/scheduler/attempt.go
@@ -15,8 +15,8 @@
 	index int
 }
 
-// name is the task's name on the wire.
-func (ref taskRef) name() string { return wire.TaskName(ref.jobID, ref.index) }
+// String gives the task's name on the wire.
+func (ref taskRef) String() string { return wire.TaskName(ref.jobID, ref.index) }
 
 // attempt is one attempt at running a task, on one machine.
 type attempt struct {
@@ -106,7 +106,7 @@
 // one. The stop is sent at once. An attempt whose start was never sent simply ends.
 func (s *Scheduler) stopAttempt(a *attempt, checkpoint bool, reason string) {
 	if !a.stop.requested {
-		s.logDebug("task stop requested", "task", a.ref.name(), "machine", a.machine.name, "reason", reason)
+		s.logDebug("task stop requested", "task", a.ref.String(), "machine", a.machine.name, "reason", reason)
 	}
 	if a.stop.requested && (checkpoint || !a.stop.checkpoint) {
 		return
--- a/internal/scheduler/attempt_outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -86,7 +86,7 @@
 
 // listFailure keeps a failed attempt for operators.
 func (s *Scheduler) listFailure(a *attempt, cause string) {
-	failures := append(s.cluster.failures, Failure{a.ref.name(), a.number, a.machine.name, cause, s.now.Wall})
+	failures := append(s.cluster.failures, Failure{a.ref.String(), a.number, a.machine.name, cause, s.now.Wall})
 	if len(failures) > tuning.MaxListedFailures {
 		failures = slices.Clone(failures[len(failures)-tuning.MaxListedFailures/2:])
 	}
@@ -98,7 +98,7 @@
 	if cause == wire.CauseNoCapacity {
 		log = s.logDebug // it is placed again at once
 	}
-	log("attempt ended", "task", a.ref.name(), "attempt", a.number, "machine", a.machine.name, "cause", cause)
+	log("attempt ended", "task", a.ref.String(), "attempt", a.number, "machine", a.machine.name, "cause", cause)
 }
 
 // stopGang stops a gang of which a member has failed. The others would wait for that one
@@ -179,7 +179,7 @@
 	switch {
 	case a.start.acknowledged:
 		// The worker's lease has expired, or the machine has lost the task otherwise.
-		s.logInfo("task lost with its worker's incarnation", "task", a.ref.name(), "attempt", a.number, "machine", a.machine.name)
+		s.logInfo("task lost with its worker's incarnation", "task", a.ref.String(), "attempt", a.number, "machine", a.machine.name)
 		s.detach(a)
 		s.handleFailedAttempt(a, causeLost)
 	case a.stop.requested || a.retry.abandoned:
--- a/internal/scheduler/dispatch.go
+++ b/internal/scheduler/dispatch.go
@@ -221,9 +221,6 @@
 	return j.progress.saved.Has(ref.index)
 }
 
-// String gives the task's name on the wire.
-func (ref taskRef) String() string { return wire.TaskName(ref.jobID, ref.index) }
-
 func startCommand(a *attempt) wire.Command {
 	return wire.Command{Verb: wire.VerbRun, Task: a.ref.String(), Attempt: a.number}
 }
--- a/internal/scheduler/reconciliation.go
+++ b/internal/scheduler/reconciliation.go
@@ -50,7 +50,7 @@
 	if s.reconciler.Phase() == reconcile.Settled {
 		return
 	}
-	s.reconciler.CountOperation(s.now.Mono, reconcile.Operation{Kind: kind, Machine: a.machine.name, Task: a.ref.name(), Number: a.number})
+	s.reconciler.CountOperation(s.now.Mono, reconcile.Operation{Kind: kind, Machine: a.machine.name, Task: a.ref.String(), Number: a.number})
 }
 
 // evidenceFor gathers what is known of an attempt from before the term.
@@ -192,7 +192,7 @@
 
 func newDifference(m *machine, ref taskRef, number uint64, verdict reconcile.Verdict) reconcile.Difference {
 	return reconcile.Difference{
-		Attempt: reconcile.Attempt{Machine: m.name, Task: ref.name(), Number: number},
+		Attempt: reconcile.Attempt{Machine: m.name, Task: ref.String(), Number: number},
 		Class:   verdict.Class, Action: verdict.Action,
 	}
 }
--- a/internal/scheduler/views.go
+++ b/internal/scheduler/views.go
@@ -118,7 +118,7 @@
 }
 
 func (a *attempt) view() TaskView {
-	return TaskView{Task: a.ref.name(), Attempt: a.number, Machine: a.machine.name, State: a.displayState(), DispatchRetries: a.retry.count}
+	return TaskView{Task: a.ref.String(), Attempt: a.number, Machine: a.machine.name, State: a.displayState(), DispatchRetries: a.retry.count}
 }
 
 // displayState is the attempt's state in words that operators see.
