--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -98,7 +98,7 @@
 			continue
 		}
 		for range request.Count {
-			names = append(names, s.startMachine(machineType, request.Zone, request.Spot))
+			names = append(names, s.startMachine(machineType, request))
 		}
 	}
 	d.cloud.machinesByRequest[request.RequestID] = names
@@ -106,8 +106,8 @@
 	return names
 }
 
-// startMachine provisions a machine and lets it boot.
-func (s cloudServer) startMachine(machineType wire.MachineType, zone string, spot bool) string {
+// startMachine provisions a machine of a request and lets it boot.
+func (s cloudServer) startMachine(machineType wire.MachineType, request wire.ProvisionRequest) string {
 	d := s.deployment
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -115,7 +115,7 @@
 	}
 	name := d.cloud.nextMachineName()
 	worker := NewWorker(d.now()+d.config.BootTime, WorkerConfig{
-		Name: name, MachineType: machineType, Zone: zone, Spot: spot,
+		Name: name, MachineType: machineType, Zone: request.Zone, Spot: request.Spot,
 		LeaseDuration: d.config.LeaseDuration, Checker: d.checker, RunTime: d.runTimeOf,
 	})
 	worker.Address = listener.Addr().String()
--- a/internal/simulator/rule_checker.go
+++ b/internal/simulator/rule_checker.go
@@ -82,10 +82,16 @@
 	}
 }
 
-// jobAllows reports whether a job's tasks may run on machines of a type in a zone.
-func jobAllows(job *wire.Job, machineType, zone string, spot bool) bool {
-	zoneAllowed := job.Zone == "" || job.Zone == zone
-	spotAllowed := !spot || job.Spot
-	typeAllowed := job.MachineTypes == nil || slices.Contains(job.MachineTypes, machineType)
+// place is where a task may or may not run.
+type place struct {
+	machineType, zone string
+	spot              bool
+}
+
+// allowedFor reports whether a job's tasks may run at the place.
+func (p place) allowedFor(job *wire.Job) bool {
+	zoneAllowed := job.Zone == "" || job.Zone == p.zone
+	spotAllowed := !p.spot || job.Spot
+	typeAllowed := job.MachineTypes == nil || slices.Contains(job.MachineTypes, p.machineType)
 	return zoneAllowed && spotAllowed && typeAllowed
 }
--- a/internal/simulator/rule_checker_test.go
+++ b/internal/simulator/rule_checker_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"maps"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -83,216 +84,16 @@
 	}
 }
 
-// A run that violates a rule is seen as that and nothing else, and a run next to it that
-// the protocol allows is not.
+// ruleCase is a run that violates a rule, and one next to it that the protocol allows.
+type ruleCase struct {
+	rule      Rule
+	name      string
+	violating func(f *ruleFixture)
+	allowed   func(f *ruleFixture)
+}
+
 func TestEveryRuleDetectsItsViolation(t *testing.T) {
-	const second = time.Second
-	free := FreeCapacity{Type: "small", Zone: "a", CPUs: 4, MemoryGB: 8}
-	other := func(id string) func(string) bool { return func(i string) bool { return i == id } }
-	all := func(string) bool { return true }
-	for _, c := range []struct {
-		rule      Rule
-		name      string
-		violating func(f *ruleFixture)
-		allowed   func(f *ruleFixture)
-	}{
-		{RuleRanTwice, "a task starts while it is on another machine",
-			func(f *ruleFixture) { f.TaskStarted(0, f.task(0), f.machineA); f.TaskStarted(1, f.task(0), f.machineB) },
-			func(f *ruleFixture) {
-				f.TaskStarted(0, f.task(0), f.machineA)
-				f.TaskRemoved(f.task(0), f.machineA.Name)
-				f.TaskStarted(1, f.task(0), f.machineB)
-			}},
-		{RuleRanTwice, "a machine hangs past its lease and its task starts elsewhere",
-			func(f *ruleFixture) { f.pausePastLease(false) }, func(f *ruleFixture) { f.pausePastLease(true) }},
-		{RuleQuota, "a team uses more than its limit",
-			func(f *ruleFixture) {
-				j := f.submitSecondJob(func(j *wire.Job) { j.CPUs = 3 })
-				for i := range 3 {
-					f.TaskStarted(0, f.task(i), f.machineA)
-				}
-				f.TaskStarted(1, wire.TaskName(j.ID, 0), f.machineB)
-			},
-			func(f *ruleFixture) {
-				j := f.submitSecondJob(func(j *wire.Job) { j.CPUs = 2 })
-				for i := range 3 {
-					f.TaskStarted(0, f.task(i), f.machineA)
-				}
-				f.TaskStarted(1, wire.TaskName(j.ID, 0), f.machineB)
-			}},
-		{RuleWrongPlace, "another type than the job allows",
-			func(f *ruleFixture) { f.job.MachineTypes = []string{"gpu"}; f.TaskStarted(0, f.task(0), f.machineA) },
-			func(f *ruleFixture) { f.job.MachineTypes = []string{"gpu"}; f.TaskStarted(0, f.task(0), f.gpuMachine) }},
-		{RuleWrongPlace, "another zone",
-			func(f *ruleFixture) { f.job.Zone = "a"; f.TaskStarted(0, f.task(0), f.machineB) },
-			func(f *ruleFixture) { f.job.Zone = "a"; f.TaskStarted(0, f.task(0), f.machineA) }},
-		{RuleWrongPlace, "a spot machine",
-			func(f *ruleFixture) { f.machineA.Spot = true; f.TaskStarted(0, f.task(0), f.machineA) },
-			func(f *ruleFixture) {
-				f.machineA.Spot, f.job.Spot = true, true
-				f.TaskStarted(0, f.task(0), f.machineA)
-			}},
-		{RuleWrongPlace, "tasks that belong together are apart",
-			func(f *ruleFixture) {
-				f.job.SameZone = true
-				f.TaskStarted(0, f.task(0), f.machineA)
-				f.TaskStarted(0, f.task(1), f.machineB)
-			},
-			func(f *ruleFixture) {
-				f.job.SameZone = true
-				f.TaskStarted(0, f.task(0), f.machineA)
-				f.TaskStarted(0, f.task(1), f.gpuMachine)
-			}},
-		{RuleWrongPlace, "more than half of the tasks in a zone",
-			func(f *ruleFixture) {
-				f.job.SpreadZones = true
-				for i := range 3 {
-					f.TaskStarted(0, f.task(i), f.machineA)
-				}
-			},
-			func(f *ruleFixture) {
-				f.job.SpreadZones = true
-				f.TaskStarted(0, f.task(0), f.machineA)
-				f.TaskStarted(0, f.task(1), f.machineA)
-				f.TaskStarted(0, f.task(2), f.machineB)
-			}},
-		{RuleRanCancelled, "a task is on a machine when the time is over",
-			func(f *ruleFixture) {
-				f.TaskStarted(0, f.task(0), f.machineA)
-				f.cancel(second)
-				f.CheckCancelled(second + fixtureCancelGrace + 1)
-			},
-			func(f *ruleFixture) {
-				f.TaskStarted(0, f.task(0), f.machineA)
-				f.cancel(second)
-				f.CheckCancelled(second + fixtureCancelGrace)
-			}},
-		{RuleRanCancelled, "a task starts when the time is over",
-			func(f *ruleFixture) {
-				f.cancel(second)
-				f.TaskStarted(second+fixtureCancelGrace+1, f.task(0), f.machineA)
-			},
-			func(f *ruleFixture) {
-				f.cancel(second)
-				f.TaskStarted(second+fixtureCancelGrace, f.task(0), f.machineA)
-			}},
-		{RuleRanCancelled, "a machine hangs for longer than a cancellation has",
-			func(f *ruleFixture) {
-				f.TaskStarted(0, f.task(0), f.machineA)
-				f.cancel(second)
-				f.machineA.Pause(2 * second)
-				f.machineA.Pause(second + fixtureCancelGrace)
-				f.CheckCancelled(second + fixtureCancelGrace + 1)
-			},
-			func(f *ruleFixture) {
-				f.TaskStarted(0, f.task(0), f.machineA)
-				f.cancel(second)
-				f.machineA.Pause(2 * second)
-				f.TaskRemoved(f.task(0), f.machineA.Name) // it was released
-				f.CheckCancelled(second + fixtureCancelGrace + 1)
-			}},
-		{RuleForgotten, "an accepted job gets 404",
-			func(f *ruleFixture) { f.QueryAnswered(second, 2*second, f.job.ID, "") },
-			func(f *ruleFixture) { f.StateConfirmed(second, "run-000009", "") }},
-		{RuleForgotten, "an ended job gets 404",
-			func(f *ruleFixture) { f.cancel(second); f.QueryAnswered(2*second, 2*second, f.job.ID, "") },
-			func(f *ruleFixture) { f.cancel(second) }},
-		{RuleForgotten, "a repeated submission gets 400",
-			func(f *ruleFixture) { f.SubmissionRefused(second, f.job.ID, 400) },
-			func(f *ruleFixture) { f.SubmissionRefused(second, "run-000009", 400) }},
-		{RuleForgotten, "a repeated submission gets 422",
-			func(f *ruleFixture) { f.SubmissionRefused(second, f.job.ID, 422) },
-			func(f *ruleFixture) { f.SubmissionRefused(second, f.job.ID, 503) }},
-		{RuleForgotten, "all polls fail for 90 s while most others are answered",
-			func(f *ruleFixture) { f.poll(0, 90*second, other(f.job.ID), f.job.ID, "run-000009", "run-000010") },
-			func(f *ruleFixture) { f.poll(0, 85*second, other(f.job.ID), f.job.ID, "run-000009", "run-000010") }},
-		{RuleForgotten, "all polls fail for 90 s while the only other job is answered, not while it fails too",
-			func(f *ruleFixture) { f.poll(0, 90*second, other(f.job.ID), f.job.ID, "run-000009") },
-			func(f *ruleFixture) { f.poll(0, 200*second, all, f.job.ID, "run-000009") }},
-		{RuleForgotten, "no answer for 75 s once the faults have ended",
-			func(f *ruleFixture) { f.FaultsEnded(10 * second); f.poll(10*second, 85*second, all, f.job.ID) },
-			func(f *ruleFixture) { f.FaultsEnded(10 * second); f.poll(10*second, 80*second, all, f.job.ID) }},
-		{RuleInvented, "nobody submitted the job",
-			func(f *ruleFixture) { f.StateConfirmed(second, "run-000009", wire.JobPending) },
-			func(f *ruleFixture) { f.StateConfirmed(second, f.job.ID, wire.JobPending) }},
-		{RuleNotDone, "a job is called done before all of its tasks are",
-			func(f *ruleFixture) { f.completeTasks(2) }, func(f *ruleFixture) { f.completeTasks(3) }},
-		{RuleWentBack, "a job that was done is running",
-			func(f *ruleFixture) {
-				f.completeTasks(3)
-				f.QueryAnswered(2*second, 2*second, f.job.ID, wire.JobRunning)
-			},
-			func(f *ruleFixture) { f.completeTasks(3); f.QueryAnswered(0, 2*second, f.job.ID, wire.JobRunning) }}, // asked before
-		{RuleWentBack, "a job that was cancelled is done",
-			func(f *ruleFixture) { f.cancel(second); f.completeTasks(3) },
-			func(f *ruleFixture) { f.CancelRequested(f.job.ID); f.completeTasks(3) }},
-		{RuleWentBack, "a cancelled job is pending at another node",
-			func(f *ruleFixture) { f.cancel(second); f.QueryAnswered(second, 2*second, f.job.ID, wire.JobPending) },
-			func(f *ruleFixture) { f.cancel(second); f.QueryAnswered(second-1, 2*second, f.job.ID, wire.JobPending) }},
-		{RuleWentBack, "a job is cancelled that its user has not cancelled",
-			func(f *ruleFixture) { f.StateConfirmed(second, f.job.ID, wire.JobCancelled) },
-			func(f *ruleFixture) {
-				f.CancelRequested(f.job.ID)
-				f.StateConfirmed(second, f.job.ID, wire.JobCancelled)
-			}},
-		{RuleNothingRan, "no task was started",
-			func(f *ruleFixture) { f.CheckAnythingRan(second) },
-			func(f *ruleFixture) { f.TaskStarted(0, f.task(0), f.machineA); f.CheckAnythingRan(second) }},
-		{RuleLeftWaiting, "a job waits for 90 s beside free capacity that fits",
-			func(f *ruleFixture) { f.FaultsEnded(0); f.checkWaiting(0, 90*second, false, free) },
-			func(f *ruleFixture) { f.FaultsEnded(0); f.checkWaiting(0, 87*second, false, free) }},
-		{RuleLeftWaiting, "only once the faults have ended",
-			func(f *ruleFixture) { f.FaultsEnded(0); f.checkWaiting(0, 90*second, false, free) },
-			func(f *ruleFixture) { f.checkWaiting(0, 200*second, false, free) }},
-		{RuleLeftWaiting, "free capacity of a kind, type and size that the job allows",
-			func(f *ruleFixture) {
-				f.FaultsEnded(0)
-				f.job.MachineTypes, f.job.Zone, f.job.Spot = []string{"small"}, "a", true
-				f.checkWaiting(0, 90*second, false, FreeCapacity{Type: "small", Zone: "a", Spot: true, CPUs: 2, MemoryGB: 1})
-			},
-			func(f *ruleFixture) {
-				f.FaultsEnded(0)
-				f.job.MachineTypes, f.job.Zone = []string{"small"}, "a"
-				f.checkWaiting(0, 200*second, false, FreeCapacity{Type: "gpu", Zone: "a", CPUs: 8, MemoryGB: 9}, FreeCapacity{Type: "small", Zone: "b", CPUs: 8, MemoryGB: 9},
-					FreeCapacity{Type: "small", Zone: "a", Spot: true, CPUs: 8, MemoryGB: 9}, FreeCapacity{Type: "small", Zone: "a", CPUs: 1, MemoryGB: 9}, FreeCapacity{Type: "small", Zone: "a", CPUs: 8, MemoryGB: 0.5})
-			}},
-		{RuleLeftWaiting, "the team is under its limit",
-			func(f *ruleFixture) { f.FaultsEnded(0); f.useQuota(6); f.checkWaiting(0, 90*second, false, free) },
-			func(f *ruleFixture) { f.FaultsEnded(0); f.useQuota(7); f.checkWaiting(0, 200*second, false, free) }},
-		{RuleLeftWaiting, "nothing of it is on a machine",
-			func(f *ruleFixture) { f.FaultsEnded(0); f.checkWaiting(0, 90*second, false, free) },
-			func(f *ruleFixture) { f.FaultsEnded(0); f.checkWaiting(0, 200*second, true, free) }},
-		{RuleLeftWaiting, "a gang fits free capacity as a whole",
-			func(f *ruleFixture) {
-				f.FaultsEnded(0)
-				f.job.Shape = wire.ShapeGang
-				f.checkWaiting(0, 90*second, false, free, free)
-			},
-			func(f *ruleFixture) {
-				f.FaultsEnded(0)
-				f.job.Shape = wire.ShapeGang
-				f.checkWaiting(0, 200*second, false, free)
-			}},
-		{RuleAccepted, "a field is missing",
-			func(f *ruleFixture) {
-				f.SubmissionAccepted(second, f.job.ID, submissionFields(f.job, map[string]any{"loaners": nil}))
-			},
-			func(f *ruleFixture) {
-				f.SubmissionAccepted(second, f.job.ID, submissionFields(f.job, map[string]any{"due_s": nil}))
-			}},
-		{RuleAccepted, "no machine type fits",
-			func(f *ruleFixture) { f.submitSecondJob(func(j *wire.Job) { j.GPUs, j.Zone = 1, "b" }) },
-			func(f *ruleFixture) { f.submitSecondJob(func(j *wire.Job) { j.GPUs, j.Zone = 1, "a" }) }},
-		{RuleAccepted, "no type is allowed",
-			func(f *ruleFixture) { f.submitSecondJob(func(j *wire.Job) { j.MachineTypes = []string{} }) },
-			func(f *ruleFixture) { f.submitSecondJob(func(j *wire.Job) { j.MachineTypes = nil }) }},
-		{RuleAccepted, "a service above its team's limit",
-			func(f *ruleFixture) { f.submitSecondJob(func(j *wire.Job) { j.Shape, j.Tasks = wire.ShapeService, 5 }) },
-			func(f *ruleFixture) { f.submitSecondJob(func(j *wire.Job) { j.Tasks = 5 }) }}, // an array: one task counts
-		{RuleAccepted, "an unknown team",
-			func(f *ruleFixture) { f.submitSecondJob(func(j *wire.Job) { j.Team = "green" }) },
-			func(f *ruleFixture) { f.submitSecondJob(func(*wire.Job) {}) }},
-	} {
+	for _, c := range slices.Concat(placementRuleCases, cancellationRuleCases, answersRuleCases, waitingRuleCases) {
 		t.Run(string(c.rule)+": "+c.name, func(t *testing.T) {
 			f := newRuleFixture()
 			c.violating(f)
--- a/internal/simulator/rules_answers.go
+++ b/internal/simulator/rules_answers.go
@@ -77,7 +77,8 @@
 	for i := range c.machineTypes {
 		machineType := &c.machineTypes[i]
 		for _, zone := range machineType.Zones {
-			if machineType.Fits(job) && jobAllows(job, machineType.Name, zone, false) {
+			ordinary := place{machineType: machineType.Name, zone: zone}
+			if machineType.Fits(job) && ordinary.allowedFor(job) {
 				return true
 			}
 		}
--- a/internal/simulator/rules_placement.go
+++ b/internal/simulator/rules_placement.go
@@ -93,7 +93,8 @@
 }
 
 func (c *RuleChecker) checkPlace(now time.Duration, job *wire.Job, task string, worker *Worker) {
-	if !jobAllows(job, worker.Type, worker.Zone, worker.Spot) {
+	at := place{worker.Type, worker.Zone, worker.Spot}
+	if !at.allowedFor(job) {
 		c.violation(now, RuleWrongPlace, "%s on %s", task, worker.Name)
 	}
 	othersInZone, elsewhere := c.placement.othersOfJob(job, task, worker.Zone)
--- a/internal/simulator/rules_waiting.go
+++ b/internal/simulator/rules_waiting.go
@@ -81,7 +81,8 @@
 func tasksByZone(job *wire.Job, free []FreeCapacity, limit int) map[string]int {
 	tasks := map[string]int{}
 	for _, machine := range free {
-		if !jobAllows(job, machine.Type, machine.Zone, machine.Spot) {
+		at := place{machine.Type, machine.Zone, machine.Spot}
+		if !at.allowedFor(job) {
 			continue
 		}
 		inZone := tasks[machine.Zone] + tasksThatFit(job, machine, limit)
