--- /dev/null
+++ b/internal/config/validate.go
@@ -0,0 +1,150 @@
+package config
+
+import (
+	"errors"
+	"fmt"
+	"net"
+)
+
+const (
+	// maxNumber bounds all quantities of the file.
+	maxNumber = 1e9
+	// minTxnOps is the least number of operations in a transaction that the records of one
+	// assignment need.
+	minTxnOps = 2
+)
+
+// FieldError says what is wrong with a field of the settings file.
+type FieldError struct {
+	Field   string
+	Problem string
+}
+
+// Error names the field and the problem.
+func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
+
+// validator collects what is wrong with the fields.
+type validator struct{ errs []error }
+
+func (v *validator) fail(field, format string, args ...any) {
+	v.errs = append(v.errs, &FieldError{Field: field, Problem: fmt.Sprintf(format, args...)})
+}
+
+func (v *validator) required(field, value string) {
+	if value == "" {
+		v.fail(field, "missing")
+	}
+}
+
+func (v *validator) address(field, value string) {
+	if value == "" {
+		v.fail(field, "missing")
+		return
+	}
+	if _, _, err := net.SplitHostPort(value); err != nil {
+		v.fail(field, "not an address with a port: %q", value)
+	}
+}
+
+// unique checks that a name did not occur before, and notes it.
+func (v *validator) unique(field, name string, seen map[string]bool) {
+	if seen[name] {
+		v.fail(field, "named twice: %q", name)
+	}
+	seen[name] = true
+}
+
+// The checks of numbers are written so that NaN fails them.
+
+func (v *validator) positive(field string, value float64) {
+	if !(value > 0 && value < maxNumber) {
+		v.fail(field, "must be above 0, is %v", value)
+	}
+}
+
+func (v *validator) inRange(field string, value float64) {
+	if !(value >= 0 && value < maxNumber) {
+		v.fail(field, "out of range: %v", value)
+	}
+}
+
+func (v *validator) notNegative(field string, values ...float64) {
+	for _, value := range values {
+		if !(value >= 0) {
+			v.fail(field, "must not be negative")
+			return
+		}
+	}
+}
+
+// validate returns all that is wrong with the settings, as FieldErrors joined.
+func (s *Settings) validate() error {
+	v := &validator{}
+	s.validateNode(v)
+	s.validatePeers(v)
+	s.validateEndpoints(v)
+	s.Deployment.validateCluster(v)
+	s.Deployment.validateTeams(v)
+	s.Deployment.validateLimits(v)
+	return errors.Join(v.errs...)
+}
+
+func (s *Settings) validateNode(v *validator) {
+	v.required("node", s.Node)
+	v.required("domain", s.Zone)
+	v.address("bind", s.Bind)
+	v.address("mesh_addr", s.PeerAddr)
+}
+
+func (s *Settings) validatePeers(v *validator) {
+	seen := map[string]bool{s.Node: true}
+	for i, peer := range s.Peers {
+		field := fmt.Sprintf("seeds[%d]", i)
+		v.required(field+".node", peer.Name)
+		v.address(field+".addr", peer.Addr)
+		v.unique(field+".node", peer.Name, seen)
+	}
+}
+
+func (s *Settings) validateEndpoints(v *validator) {
+	v.address("outside.cloud", s.Endpoints.Cloud)
+	v.address("outside.state", s.Endpoints.State)
+}
+
+func (d *Deployment) validateCluster(v *validator) {
+	if len(d.Zones) == 0 {
+		v.fail("deployment.zones", "missing")
+	}
+	v.notNegative("deployment.clock_error_ms", d.ClockErrorMS)
+}
+
+func (d *Deployment) validateTeams(v *validator) {
+	if len(d.Teams) == 0 {
+		v.fail("deployment.teams", "missing")
+	}
+	seen := map[string]bool{}
+	for i, team := range d.Teams {
+		field := fmt.Sprintf("deployment.teams[%d]", i)
+		v.required(field+".name", team.Name)
+		v.unique(field+".name", team.Name, seen)
+		v.inRange(field+".cpus", team.GuaranteedCPUs)
+		v.inRange(field+".cpus_max", team.MaxCPUs)
+		v.inRange(field+".gpus", team.GuaranteedGPUs)
+		v.inRange(field+".gpus_max", team.MaxGPUs)
+	}
+}
+
+func (d *Deployment) validateLimits(v *validator) {
+	v.positive("deployment.workers.report_s", d.Workers.ReportS)
+	v.positive("deployment.workers.lease_s", d.Workers.LeaseS)
+	v.positive("deployment.workers.cancel_s", d.Workers.CancelS)
+	v.positive("deployment.state.rps", d.State.RPS)
+	v.positive("deployment.state.write_rps", d.State.WriteRPS)
+	v.positive("deployment.state.value_kb", d.State.ValueKB)
+	if d.State.TxnOps < minTxnOps {
+		v.fail("deployment.state.txn_ops", "must be at least %d, is %d", minTxnOps, d.State.TxnOps)
+	}
+	v.positive("deployment.cloud.rps", d.Cloud.RPS)
+	v.notNegative("deployment.cloud.list_lag_s", d.Cloud.ListLagS)
+	v.notNegative("deployment.quota", d.Quota.MemMB, float64(d.Quota.FDLimit), d.Quota.CPUShare)
+}
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -21,8 +21,7 @@
 	}
 }
 
-// The file that switches the recovery on says what it is meant to, and without a script
-// it is off.
+// The deployed script enables reconciliation after failovers; without a script it is off.
 func TestReconcileSettings(t *testing.T) {
 	s, err := policy.Load("../../deploy/recovery.star", policy.Defaults(false))
 	if err != nil || !s.ReconcileRestarts || s.ReconcileWait != 0 || s.TraceFile != "" {
@@ -62,9 +61,11 @@
 		{"trace_file = 3", "wants a string"},
 		{"x = open('/etc/passwd')", "undefined: open"},
 	} {
-		_, err := policy.Eval("m.star", tc.src, policy.Defaults(false))
-		if err == nil || !strings.Contains(err.Error(), tc.want) {
-			t.Errorf("%q: %v, want %q", tc.src, err, tc.want)
-		}
+		t.Run(tc.src, func(t *testing.T) {
+			_, err := policy.Eval("m.star", tc.src, policy.Defaults(false))
+			if err == nil || !strings.Contains(err.Error(), tc.want) {
+				t.Errorf("%q: %v, want %q", tc.src, err, tc.want)
+			}
+		})
 	}
 }
