--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -1,11 +1,11 @@
 // Package httpserver serves HTTP/1.1 on connections of which thousands are open and few are
-// busy: workers report every few seconds, users poll, and each keeps its connection.
+// busy: workers send heartbeats every few seconds, users poll, and each keeps its connection.
 //
-// It does without what net/http's server does for other uses: it reads nothing while a
-// request is handled, holds a small buffer for an idle connection, and sends an answer
-// with one write. It also bounds how many requests are worked on at once. What else has
-// arrived waits outside the scheduler's queue, so that the process's own timers and calls
-// are not held up by it. Requests are parsed by net/http.
+// It omits what net/http's server does for other uses: it reads nothing while a request is
+// handled, holds a small buffer for an idle connection, and sends an answer with one write.
+// It also bounds how many requests are worked on at once. Requests over that wait for a slot
+// and not in the run queue of the Go scheduler, so that they do not delay the process's own
+// timers and calls. Requests are parsed by net/http.
 package httpserver
 
 import (
@@ -29,8 +29,8 @@
 	log         *slog.Logger
 
 	slots          chan struct{} // of requests that are worked on
-	lastQueueDelay atomic.Int64  // how long the last request waited for a place, in nanoseconds
-	queued         atomic.Int64  // requests that wait for a place
+	lastQueueDelay atomic.Int64  // how long the last request waited for a slot, in nanoseconds
+	queued         atomic.Int64  // requests that wait for a slot
 
 	mu       sync.Mutex
 	closing  bool
@@ -39,14 +39,20 @@
 	serving  sync.WaitGroup
 }
 
-// New makes a server. brief tells requests whose handler does not wait for anything:
-// those are handled in the place in which they were read, others leave it first.
+// New makes a server. nonBlocking reports whether a request's handler does not wait for
+// anything: such a request is handled in the slot in which it was read, others release the
+// slot before.
 func New(handler http.Handler, nonBlocking func(*http.Request) bool, log *slog.Logger) *Server {
-	return &Server{handler: handler, nonBlocking: nonBlocking, log: log,
-		slots: make(chan struct{}, tuning.MaxConcurrentRequests), conns: map[*conn]struct{}{}}
+	return &Server{
+		handler:     handler,
+		nonBlocking: nonBlocking,
+		log:         log,
+		slots:       make(chan struct{}, tuning.MaxConcurrentRequests),
+		conns:       map[*conn]struct{}{},
+	}
 }
 
-// QueueDelay is how long requests that arrive now wait until they are read.
+// QueueDelay estimates how long a request that arrives now waits until it is read.
 func (s *Server) QueueDelay() time.Duration {
 	if s.queued.Load() == 0 {
 		return 0
@@ -74,9 +80,9 @@
 		case err != nil:
 			return err
 		}
-		// Connections are taken no faster than requests are worked on.
-		s.acquireSlot()
-		s.releaseSlot()
+		// Connections are accepted no faster than requests are worked on.
+		slot := s.acquireSlot()
+		slot.release()
 		c := newConn(s, nc)
 		s.track(c)
 		go c.serve()
@@ -138,19 +144,36 @@
 	s.serving.Done()
 }
 
-// acquireSlot waits for a place.
-func (s *Server) acquireSlot() {
+// slot is the right to work on a request.
+type slot struct {
+	server   *Server
+	released bool
+}
+
+// acquireSlot waits for a slot.
+func (s *Server) acquireSlot() slot {
 	select {
 	case s.slots <- struct{}{}:
 		s.lastQueueDelay.Store(0)
-		return
 	default:
+		s.waitForSlot()
 	}
-	begun := time.Now()
+	return slot{server: s}
+}
+
+func (s *Server) waitForSlot() {
+	startedAt := time.Now()
 	s.queued.Add(1)
 	s.slots <- struct{}{}
 	s.queued.Add(-1)
-	s.lastQueueDelay.Store(int64(time.Since(begun)))
+	s.lastQueueDelay.Store(int64(time.Since(startedAt)))
 }
 
-func (s *Server) releaseSlot() { <-s.slots }
+// release frees the slot, if that was not done before.
+func (s *slot) release() {
+	if s.released {
+		return
+	}
+	s.released = true
+	<-s.server.slots
+}
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -1,13 +1,11 @@
 package httpserver
 
 import (
-	"bufio"
 	"bytes"
 	"context"
+	"errors"
 	"fmt"
 	"io"
-	"log/slog"
-	"net"
 	"net/http"
 	"runtime"
 	"strings"
@@ -18,86 +16,15 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// testServer is a server on loopback.
-type testServer struct {
-	*Server
-	addr     string
-	serveErr chan error
-}
-
-func startServer(t *testing.T, h http.HandlerFunc, nonBlocking func(*http.Request) bool) *testServer {
-	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	r := &testServer{New(h, nonBlocking, slog.New(slog.NewTextHandler(io.Discard, nil))), l.Addr().String(), make(chan error, 1)}
-	go func() { r.serveErr <- r.Serve(l) }()
-	t.Cleanup(r.Close)
-	return r
-}
-
-func allNonBlocking(*http.Request) bool { return true }
-func allBlocking(*http.Request) bool    { return false }
-
-type testClient struct {
-	net.Conn
-	reader *bufio.Reader
-}
-
-func (r *testServer) dial(t *testing.T) *testClient {
-	t.Helper()
-	c, err := net.Dial("tcp", r.addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { c.Close() })
-	return &testClient{c, bufio.NewReader(c)}
-}
-
-// send writes a request as it is and reads the answer.
-func (c *testClient) send(t *testing.T, request string) (*http.Response, string) {
-	t.Helper()
-	if _, err := io.WriteString(c, request); err != nil {
-		t.Fatal(err)
-	}
-	resp, err := http.ReadResponse(c.reader, nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer resp.Body.Close()
-	body, err := io.ReadAll(resp.Body)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return resp, string(body)
-}
-
-// expectClosed reports whether the server has closed the connection.
-func (c *testClient) expectClosed(t *testing.T) {
-	t.Helper()
-	if b, err := c.reader.ReadByte(); err == nil {
-		t.Errorf("the connection goes on, with %q", b)
-	}
-}
-
-func echoBody(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(r.Body)
-	if err != nil {
-		w.WriteHeader(http.StatusBadRequest)
-		return
-	}
-	w.Header().Set("Content-Type", "text/plain")
-	w.WriteHeader(http.StatusAccepted)
-	_, _ = w.Write(body)
-}
+// plainRequest is a request without a body.
+const plainRequest = "GET / HTTP/1.1\r\nHost: n\r\n\r\n"
 
 // Whatever the sizes and the form of the bodies, each request of a connection gets its own
 // answer, and net/http's client understands it.
 func TestSequentialRequestsOnOneConnection(t *testing.T) {
-	r := startServer(t, echoBody, allNonBlocking)
-	hc := &http.Client{Transport: &http.Transport{}}
-	defer hc.CloseIdleConnections()
+	server := startServer(t, echoBody, allNonBlocking)
+	client := &http.Client{Transport: &http.Transport{}}
+	defer client.CloseIdleConnections()
 	rapid.Check(t, func(rt *rapid.T) {
 		size := rapid.SampledFrom([]int{0, 1, 500, tuning.ConnReadBufferBytes - 90, tuning.ConnReadBufferBytes, 5000, 64 << 10}).Draw(rt, "size")
 		body := bytes.Repeat([]byte{byte(rapid.IntRange(0, 255).Draw(rt, "fill"))}, size)
@@ -105,27 +32,25 @@
 		if rapid.Bool().Draw(rt, "chunked") {
 			reader = io.MultiReader(reader) // of unknown length
 		}
-		resp, err := hc.Post("http://"+r.addr+"/", "text/plain", reader)
+		response, err := client.Post("http://"+server.addr+"/", "text/plain", reader)
 		if err != nil {
 			rt.Fatal(err)
 		}
-		defer resp.Body.Close()
-		got, err := io.ReadAll(resp.Body)
-		if err != nil || resp.StatusCode != http.StatusAccepted || !bytes.Equal(got, body) {
-			rt.Fatalf("%d with %d bytes of %d: %v", resp.StatusCode, len(got), size, err)
+		defer response.Body.Close()
+		got, err := io.ReadAll(response.Body)
+		if err != nil || response.StatusCode != http.StatusAccepted || !bytes.Equal(got, body) {
+			rt.Fatalf("%d with %d bytes of %d: %v", response.StatusCode, len(got), size, err)
 		}
 	})
 }
 
 func TestConnectionReuse(t *testing.T) {
-	r := startServer(t, func(w http.ResponseWriter, r *http.Request) {
+	server := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
 		case "/close":
 			w.Header().Set("Connection", "close")
 		case "/unread":
 			return
-		case "/panic":
-			panic("in a handler")
 		}
 		echoBody(w, r)
 	}, allNonBlocking)
@@ -135,152 +60,164 @@
 		status        int
 		keeps         bool
 	}{
-		{"plain", "GET / HTTP/1.1\r\nHost: n\r\n\r\n", 202, true},
-		{"asked to close", "GET / HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n", 202, false},
-		{"closed by the handler", "GET /close HTTP/1.1\r\nHost: n\r\n\r\n", 202, false},
-		{"an old client", "GET / HTTP/1.0\r\n\r\n", 202, false},
-		{"a short body unread", "POST /unread HTTP/1.1\r\nHost: n\r\nContent-Length: 3\r\n\r\nabc", 200, true},
-		{"a long body unread", "POST /unread HTTP/1.1\r\nHost: n\r\nContent-Length: " + fmt.Sprint(len(long)) + "\r\n\r\n" + long, 200, false},
-		{"no host", "GET / HTTP/1.1\r\n\r\n", 400, false},
-		{"not HTTP", "what is this\r\n\r\n", 400, false},
-		{"a length that is none", "POST / HTTP/1.1\r\nHost: n\r\nContent-Length: x\r\n\r\n", 400, false},
-		{"a head without end", "GET / HTTP/1.1\r\nHost: n\r\nX: " + strings.Repeat("x", tuning.MaxHeaderBytes), 431, false},
+		{"plain", plainRequest, http.StatusAccepted, true},
+		{"asked to close", "GET / HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n", http.StatusAccepted, false},
+		{"closed by the handler", "GET /close HTTP/1.1\r\nHost: n\r\n\r\n", http.StatusAccepted, false},
+		{"an old client", "GET / HTTP/1.0\r\n\r\n", http.StatusAccepted, false},
+		{"a short body unread", "POST /unread HTTP/1.1\r\nHost: n\r\nContent-Length: 3\r\n\r\nabc", http.StatusOK, true},
+		{"a long body unread", "POST /unread HTTP/1.1\r\nHost: n\r\nContent-Length: " + fmt.Sprint(len(long)) + "\r\n\r\n" + long, http.StatusOK, false},
+		{"no host", "GET / HTTP/1.1\r\n\r\n", http.StatusBadRequest, false},
+		{"not HTTP", "what is this\r\n\r\n", http.StatusBadRequest, false},
+		{"a length that is none", "POST / HTTP/1.1\r\nHost: n\r\nContent-Length: x\r\n\r\n", http.StatusBadRequest, false},
+		{"a head without end", "GET / HTTP/1.1\r\nHost: n\r\nX: " + strings.Repeat("x", tuning.MaxHeaderBytes), http.StatusRequestHeaderFieldsTooLarge, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			c := r.dial(t)
-			resp, _ := c.send(t, tc.request)
-			if resp.StatusCode != tc.status || resp.Close == tc.keeps {
-				t.Errorf("status %d, closes %v", resp.StatusCode, resp.Close)
+			client := server.dial(t)
+			got := client.send(t, tc.request)
+			if got.status != tc.status || got.closes == tc.keeps {
+				t.Errorf("status %d, closes %v", got.status, got.closes)
 			}
 			if !tc.keeps {
-				c.expectClosed(t)
-			} else if resp, _ := c.send(t, "GET / HTTP/1.1\r\nHost: n\r\n\r\n"); resp.StatusCode != 202 {
-				t.Errorf("the next request: %d", resp.StatusCode)
+				client.expectClosed(t)
+				return
+			}
+			if next := client.send(t, plainRequest); next.status != http.StatusAccepted {
+				t.Errorf("the next request: %d", next.status)
 			}
 		})
 	}
-	c := r.dial(t)
-	if _, err := io.WriteString(c, "GET /panic HTTP/1.1\r\nHost: n\r\n\r\n"); err != nil {
-		t.Fatal(err)
-	}
-	c.expectClosed(t)
-	if resp, _ := r.dial(t).send(t, "GET / HTTP/1.1\r\nHost: n\r\n\r\n"); resp.StatusCode != 202 {
-		t.Errorf("after a panic elsewhere: %d", resp.StatusCode)
+}
+
+// A panic in a handler ends its connection, and no other.
+func TestHandlerPanicClosesConnection(t *testing.T) {
+	server := startServer(t, func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.Path == "/panic" {
+			panic("in a handler")
+		}
+		echoBody(w, r)
+	}, allNonBlocking)
+	client := server.dial(t)
+	client.write(t, "GET /panic HTTP/1.1\r\nHost: n\r\n\r\n")
+	client.expectClosed(t)
+	if got := server.dial(t).send(t, plainRequest); got.status != http.StatusAccepted {
+		t.Errorf("after a panic elsewhere: %d", got.status)
 	}
 }
 
-// A client that waits for leave to send its body gets it; HEAD gets no body.
-// A client that still sends its body when it is refused gets the answer: no reset
-// overtakes it.
+// A client that still sends its body when its request is rejected receives the answer: no
+// reset overtakes it.
 func TestRejectionOfLargeBodyIsDelivered(t *testing.T) {
 	server := startServer(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusRequestEntityTooLarge) }, allNonBlocking)
 	url := "http://" + server.addr
 	body := make([]byte, 150<<10)
 	for i := range 100 {
-		resp, err := http.Post(url, "application/cbor", bytes.NewReader(body))
+		response, err := http.Post(url, "application/cbor", bytes.NewReader(body))
 		if err != nil {
 			t.Fatalf("after %d: %v", i, err)
 		}
-		resp.Body.Close()
-		if resp.StatusCode != http.StatusRequestEntityTooLarge {
-			t.Fatalf("after %d: %s", i, resp.Status)
+		response.Body.Close()
+		if response.StatusCode != http.StatusRequestEntityTooLarge {
+			t.Fatalf("after %d: %s", i, response.Status)
 		}
 	}
 }
 
+// A client that waits for leave to send its body gets it; HEAD gets no body.
 func TestExpectContinueAndHead(t *testing.T) {
-	r := startServer(t, echoBody, allNonBlocking)
-	c := r.dial(t)
-	resp, _ := c.send(t, "POST / HTTP/1.1\r\nHost: n\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
-	if resp.StatusCode != http.StatusContinue {
-		t.Fatalf("status %d", resp.StatusCode)
+	server := startServer(t, echoBody, allNonBlocking)
+	client := server.dial(t)
+	got := client.send(t, "POST / HTTP/1.1\r\nHost: n\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
+	if got.status != http.StatusContinue {
+		t.Fatalf("status %d", got.status)
 	}
-	if resp, body := c.send(t, "ok"); resp.StatusCode != 202 || body != "ok" {
-		t.Errorf("%d %q", resp.StatusCode, body)
+	if got := client.send(t, "ok"); got.status != http.StatusAccepted || got.body != "ok" {
+		t.Errorf("%d %q", got.status, got.body)
 	}
-	hc := &http.Client{Transport: &http.Transport{}}
-	defer hc.CloseIdleConnections()
+	httpClient := &http.Client{Transport: &http.Transport{}}
+	defer httpClient.CloseIdleConnections()
 	for range 2 {
-		resp, err := hc.Head("http://" + r.addr + "/")
-		if err != nil || resp.StatusCode != 202 {
-			t.Fatalf("HEAD: %v %v", resp, err)
+		response, err := httpClient.Head("http://" + server.addr + "/")
+		if err != nil {
+			t.Fatal(err)
+		}
+		response.Body.Close()
+		if response.StatusCode != http.StatusAccepted {
+			t.Fatalf("HEAD: %s", response.Status)
 		}
-		resp.Body.Close()
 	}
 }
 
-// No more requests are worked on at once than there are places, one that waits for
-// something gives its place up, and how long others wait can be told.
+// No more requests are worked on at once than there are slots, one whose handler blocks
+// releases its slot, and how long others wait is known.
 func TestConcurrentRequestLimit(t *testing.T) {
 	const clients = 3 * tuning.MaxConcurrentRequests
-	entered, release := make(chan struct{}, clients), make(chan struct{})
-	hold := func(w http.ResponseWriter, _ *http.Request) {
-		entered <- struct{}{}
-		<-release
-		w.WriteHeader(http.StatusNoContent)
-	}
 	for _, tc := range []struct {
-		brief func(*http.Request) bool
-		most  int
-	}{{allNonBlocking, tuning.MaxConcurrentRequests}, {allBlocking, clients}} {
-		r := startServer(t, hold, tc.brief)
-		var conns []*testClient
-		for range clients {
-			conns = append(conns, r.dial(t))
-		}
-		for _, c := range conns[:tc.most] {
-			if _, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost: n\r\n\r\n"); err != nil {
-				t.Fatal(err)
+		name        string
+		nonBlocking func(*http.Request) bool
+		limit       int
+	}{
+		{"non-blocking", allNonBlocking, tuning.MaxConcurrentRequests},
+		{"blocking", allBlocking, clients},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			entered, release := make(chan struct{}, clients), make(chan struct{})
+			server := startServer(t, func(w http.ResponseWriter, _ *http.Request) {
+				entered <- struct{}{}
+				<-release
+				w.WriteHeader(http.StatusNoContent)
+			}, tc.nonBlocking)
+			var conns []*testClient
+			for range clients {
+				conns = append(conns, server.dial(t))
 			}
-			<-entered
-		}
-		if got := len(r.slots) == cap(r.slots); got != (tc.most == tuning.MaxConcurrentRequests) {
-			t.Errorf("all places taken: %v", got)
-		}
-		for _, c := range conns[tc.most:] {
-			if _, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost: n\r\n\r\n"); err != nil {
-				t.Fatal(err)
+			for _, conn := range conns[:tc.limit] {
+				conn.write(t, plainRequest)
+				<-entered
 			}
-		}
-		for range tc.most {
-			release <- struct{}{}
-		}
-		for range clients - tc.most {
-			<-entered
-			release <- struct{}{}
-		}
-		for _, c := range conns {
-			if resp, err := http.ReadResponse(c.reader, nil); err != nil || resp.StatusCode != http.StatusNoContent {
-				t.Fatalf("%v %v", resp, err)
+			if got := len(server.slots) == cap(server.slots); got != (tc.limit == tuning.MaxConcurrentRequests) {
+				t.Errorf("all slots taken: %v", got)
 			}
-		}
-		if len(entered) != 0 || r.QueueDelay() != 0 {
-			t.Errorf("%d entered, a backlog of %v with nobody waiting", len(entered), r.QueueDelay())
-		}
+			for _, conn := range conns[tc.limit:] {
+				conn.write(t, plainRequest)
+			}
+			for range tc.limit {
+				release <- struct{}{}
+			}
+			for range clients - tc.limit {
+				<-entered
+				release <- struct{}{}
+			}
+			for _, conn := range conns {
+				if got := conn.read(t); got.status != http.StatusNoContent {
+					t.Fatalf("status %d", got.status)
+				}
+			}
+			if len(entered) != 0 || server.QueueDelay() != 0 {
+				t.Errorf("%d entered, a queue delay of %v with nobody waiting", len(entered), server.QueueDelay())
+			}
+		})
 	}
 }
 
 // Shutdown lets what is being handled end, and closes what is idle.
 func TestShutdownWaitsForRequests(t *testing.T) {
 	entered, release := make(chan struct{}), make(chan struct{})
-	r := startServer(t, func(w http.ResponseWriter, _ *http.Request) {
+	server := startServer(t, func(http.ResponseWriter, *http.Request) {
 		close(entered)
 		<-release
 	}, allBlocking)
-	idle, busy := r.dial(t), r.dial(t)
-	if _, err := io.WriteString(busy, "GET / HTTP/1.1\r\nHost: n\r\n\r\n"); err != nil {
-		t.Fatal(err)
-	}
+	idle, busy := server.dial(t), server.dial(t)
+	busy.write(t, plainRequest)
 	<-entered
 	done := make(chan error, 1)
-	go func() { done <- r.Shutdown(context.Background()) }()
-	if err := <-r.serveErr; err != http.ErrServerClosed {
+	go func() { done <- server.Shutdown(context.Background()) }()
+	if err := <-server.serveErr; !errors.Is(err, http.ErrServerClosed) {
 		t.Errorf("Serve ended with %v", err)
 	}
 	idle.expectClosed(t)
 	close(release)
-	if resp, err := http.ReadResponse(busy.reader, nil); err != nil || resp.StatusCode != http.StatusOK {
-		t.Errorf("%v %v", resp, err)
+	if got := busy.read(t); got.status != http.StatusOK {
+		t.Errorf("status %d", got.status)
 	}
 	if err := <-done; err != nil {
 		t.Error(err)
@@ -290,13 +227,13 @@
 // What an open connection holds between two requests stays under what limits are
 // derived from. Both ends are in this process, so the server's is less.
 func TestIdleConnectionMemory(t *testing.T) {
-	r := startServer(t, echoBody, allNonBlocking)
+	server := startServer(t, echoBody, allNonBlocking)
 	const conns = 500
 	request := "POST / HTTP/1.1\r\nHost: n\r\nContent-Length: 300\r\n\r\n" + strings.Repeat("x", 300)
-	r.dial(t).send(t, request)
+	server.dial(t).send(t, request)
 	before := heapAndStackBytes()
 	for range conns {
-		r.dial(t).send(t, request)
+		server.dial(t).send(t, request)
 	}
 	// The clients' readers are dropped; their sockets stay open.
 	if each := (heapAndStackBytes() - before) / conns; each > tuning.BytesPerConn {
