--- /dev/null
+++ b/cmd/yarrowgap/check.go
@@ -0,0 +1,75 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"slices"
+	"strings"
+
+	"github.com/yarrowgap/yarrowgap/internal/config"
+	"github.com/yarrowgap/yarrowgap/internal/policy"
+)
+
+// configFlags name the files that serving and checking read.
+type configFlags struct {
+	Config string `required:"" placeholder:"FILE" help:"The platform's settings file (TOML)."`
+	// Scripts are read in their order, and the one that the environment names after them,
+	// so that it wins over what the deploy file's command line has.
+	Script    []string `placeholder:"FILE" sep:"none" help:"The operators' own settings (Starlark); see docs/operations.md. May be repeated: later ones win, and the file that YARROWGAP_SCRIPT names over all."`
+	EnvScript string   `name:"env-script" hidden:"" env:"YARROWGAP_SCRIPT"`
+}
+
+// scripts lists the scripts, the one that wins last.
+func (f configFlags) scripts() []string {
+	if f.EnvScript == "" {
+		return f.Script
+	}
+	return append(slices.Clone(f.Script), f.EnvScript)
+}
+
+// load reads the platform's and the operators' settings.
+func (f configFlags) load() (*config.Settings, policy.Settings, error) {
+	cfg, err := config.Load(f.Config)
+	if err != nil {
+		return nil, policy.Settings{}, usageError{err}
+	}
+	operatorSettings := policy.Defaults(cfg.CostSensitive())
+	for _, script := range f.scripts() {
+		operatorSettings, err = policy.Load(script, operatorSettings)
+		if err != nil {
+			return nil, operatorSettings, usageError{err}
+		}
+	}
+	return cfg, operatorSettings, nil
+}
+
+// checkCmd checks the settings without starting anything.
+type checkCmd struct{ configFlags }
+
+func (c checkCmd) Run(w io.Writer) error {
+	cfg, _, err := c.load()
+	if err != nil {
+		return err
+	}
+	_, err = io.WriteString(w, describeSettings(cfg))
+	return err
+}
+
+// describeSettings lists what is too small, and how many machines the limits are enough for.
+func describeSettings(cfg *config.Settings) string {
+	var text strings.Builder
+	for _, shortfall := range cfg.Shortfalls() {
+		fmt.Fprintln(&text, "falls short:", shortfall)
+	}
+	capacity := cfg.Capacity()
+	describeCapacity(&text, "sockets and memory", capacity.ByConnections)
+	describeCapacity(&text, "processor", capacity.ByCPU)
+	fmt.Fprintf(&text, "ok: node %s, %d peers, %d teams\n", cfg.Node, len(cfg.Peers), len(cfg.Deployment.Teams))
+	return text.String()
+}
+
+func describeCapacity(w io.Writer, limit string, machines int) {
+	if machines > 0 {
+		fmt.Fprintf(w, "capacity for about %d machines: %s\n", machines, limit)
+	}
+}
--- a/cmd/yarrowgap/listen.go
+++ b/cmd/yarrowgap/listen.go
@@ -19,15 +19,15 @@
 }
 
 // limitedListener accepts at most a number of connections at once. One over it is
-// closed at once, so that its sender can turn to another node.
+// closed at once, so that its sender can turn to another controller.
 type limitedListener struct {
 	net.Listener
 	maxConns  int64
 	openConns atomic.Int64
 }
 
-func newLimitedListener(l net.Listener, n int) *limitedListener {
-	return &limitedListener{Listener: l, maxConns: int64(n)}
+func newLimitedListener(listener net.Listener, maxConns int) *limitedListener {
+	return &limitedListener{Listener: listener, maxConns: int64(maxConns)}
 }
 
 // crowded reports whether few more connections will be accepted.
@@ -35,27 +35,30 @@
 	return float64(l.openConns.Load()) > tuning.CrowdedListenerShare*float64(l.maxConns)
 }
 
+// Accept waits for a connection under the limit.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
-		c, err := l.Listener.Accept()
+		conn, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
 		//mutation:connection-bound
 		if l.openConns.Add(1) <= l.maxConns {
-			return &limitedConn{Conn: c, release: sync.OnceFunc(func() { l.openConns.Add(-1) })}, nil
+			return &limitedConn{Conn: conn, release: sync.OnceFunc(func() { l.openConns.Add(-1) })}, nil
 		}
 		l.openConns.Add(-1)
-		_ = c.SetDeadline(time.Now())
-		_ = c.Close()
+		_ = conn.SetDeadline(time.Now())
+		_ = conn.Close()
 	}
 }
 
+// limitedConn counts until it is closed.
 type limitedConn struct {
 	net.Conn
 	release func()
 }
 
+// Close closes the connection. Its place is released once.
 func (c *limitedConn) Close() error {
 	defer c.release()
 	return c.Conn.Close()
--- a/cmd/yarrowgap/listen_test.go
+++ b/cmd/yarrowgap/listen_test.go
@@ -5,27 +5,28 @@
 	"testing"
 )
 
-// Connections over the bound are closed at once; when one under it ends, the next is
-// taken, so that a worker that was sent away gets in at a later try.
+// Connections over the limit are closed at once; when one under it ends, the next is
+// accepted, so that a worker that was refused gets in at a later retry.
 func TestConnectionsOverLimitAreClosed(t *testing.T) {
 	inner, err := listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	const most = 5
-	l := newLimitedListener(inner, most)
+	const maxConns = 5
+	l := newLimitedListener(inner, maxConns)
 	defer l.Close()
-	taken := make(chan net.Conn, 3*most)
+	accepted := make(chan net.Conn, 3*maxConns)
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			taken <- c
+			accepted <- c
 		}
 	}()
 	dial := func() net.Conn {
+		t.Helper()
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -34,14 +35,14 @@
 		return c
 	}
 	var served []net.Conn
-	for range most {
+	for range maxConns {
 		dial()
-		served = append(served, <-taken)
+		served = append(served, <-accepted)
 	}
 	if !l.crowded() {
 		t.Error("not crowded though full")
 	}
-	refused := func() {
+	expectRefused := func() {
 		t.Helper()
 		closed := make(chan struct{})
 		c := dial()
@@ -51,18 +52,18 @@
 		}()
 		select {
 		case <-closed:
-		case <-taken:
-			t.Fatal("a connection over the bound was served")
+		case <-accepted:
+			t.Fatal("a connection over the limit was served")
 		}
 	}
-	for range most {
-		refused()
+	for range maxConns {
+		expectRefused()
 	}
 	for _, c := range served {
 		c.Close()
 		c.Close() // counts once
 		dial()
-		<-taken
+		<-accepted
 	}
-	refused()
+	expectRefused()
 }
--- a/cmd/yarrowgap/main.go
+++ b/cmd/yarrowgap/main.go
@@ -1,5 +1,6 @@
-// Command yarrowgap is a controller of a cluster: it accepts jobs, rents
-// machines and runs the jobs' tasks on them.
+// Command yarrowgap is a controller of a cluster: it accepts jobs, provisions machines in a
+// cloud and runs the jobs' tasks on them. Its other commands check settings and query a
+// running controller.
 package main
 
 import (
@@ -9,13 +10,9 @@
 	"log/slog"
 	"os"
 	"runtime/debug"
-	"slices"
 	"strings"
 
 	"github.com/alecthomas/kong"
-
-	"github.com/yarrowgap/yarrowgap/internal/config"
-	"github.com/yarrowgap/yarrowgap/internal/policy"
 )
 
 // version is the release; CHANGELOG.md says what is in it.
@@ -28,61 +25,76 @@
 )
 
 type cli struct {
-	Serve   serveCmd    `cmd:"" help:"Run a controller."`
-	Check   checkCmd    `cmd:"" help:"Check a settings file and an operator script without starting."`
-	Version versionCmd  `cmd:"" help:"Print the version."`
-	Leader  leaderCmd   `cmd:"" help:"Show who leads."`
-	Job     jobCmd      `cmd:"" help:"Show a live job and why it waits."`
-	Waiting waitingCmd  `cmd:"" help:"List jobs that wait, with the reason."`
-	Machine machinesCmd `cmd:"" name:"machines" help:"List the machines."`
-	Failure failuresCmd `cmd:"" name:"failures" help:"List failed attempts, the newest first."`
-	Recover recoveryCmd `cmd:"" name:"recovery" help:"Show how far the leader has squared machines and records, and what differed."`
-	Metrics metricsCmd  `cmd:"" help:"Show a controller's counters and latencies."`
+	Serve    serveCmd    `cmd:"" help:"Run a controller."`
+	Check    checkCmd    `cmd:"" help:"Check a settings file and an operator script without starting."`
+	Version  versionCmd  `cmd:"" help:"Print the version."`
+	Leader   leaderCmd   `cmd:"" help:"Show the leader and its term."`
+	Job      jobCmd      `cmd:"" help:"Show a live job and why it waits."`
+	Waiting  waitingCmd  `cmd:"" help:"List waiting jobs, each with the reason."`
+	Machines machinesCmd `cmd:"" help:"List the machines."`
+	Failures failuresCmd `cmd:"" help:"List failed attempts, the newest first."`
+	Recovery recoveryCmd `cmd:"" help:"Show how far the leader has reconciled machines and records after a failover, and the differences."`
+	Metrics  metricsCmd  `cmd:"" help:"Show a controller's counters and latencies."`
 }
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// usageError marks errors of what was handed to the program.
+// usageError marks errors of the command line, the settings or a script.
 type usageError struct{ error }
 
-func run(args []string, stdout, stderr io.Writer) (code int) {
+// Unwrap returns the marked error.
+func (e usageError) Unwrap() error { return e.error }
+
+// run executes a command line and returns the exit code.
+func run(args []string, stdout, stderr io.Writer) int {
+	err := execute(args, stdout, stderr)
+	var exit exitError
+	if errors.As(err, &exit) {
+		return exit.code
+	}
+	if err == nil {
+		return 0
+	}
+	fmt.Fprintln(stderr, "yarrowgap:", err)
+	var usage usageError
+	if errors.As(err, &usage) {
+		return exitUsage
+	}
+	return exitFailed
+}
+
+// exitError is the panic value and error by which the parser ends the program, after it
+// printed the help.
+type exitError struct{ code int }
+
+// Error names the code.
+func (e exitError) Error() string { return fmt.Sprintf("exit with code %d", e.code) }
+
+func execute(args []string, stdout, stderr io.Writer) (err error) {
 	var c cli
-	exited := -1
 	parser, err := kong.New(&c, kong.Name("yarrowgap"),
-		kong.Description("A scheduler for clusters of rented machines."),
+		kong.Description("A scheduler for clusters of cloud machines."),
 		kong.Writers(stdout, stderr), kong.UsageOnError(),
-		kong.Exit(func(n int) { exited = n; panic(exitPanic{}) }),
+		kong.Exit(func(code int) { panic(exitError{code}) }),
 		kong.BindTo(stdout, (*io.Writer)(nil)))
 	if err != nil {
-		fmt.Fprintln(stderr, "yarrowgap:", err)
-		return exitFailed
+		return err
 	}
 	defer func() {
-		if r := recover(); r != nil {
-			if _, ok := r.(exitPanic); !ok {
-				panic(r)
-			}
-			code = exited
+		cause := recover()
+		if exit, ok := cause.(exitError); ok {
+			err = exit
+		} else if cause != nil {
+			panic(cause)
 		}
 	}()
-	ctx, err := parser.Parse(args)
+	command, err := parser.Parse(args)
 	if err != nil {
-		fmt.Fprintln(stderr, "yarrowgap:", err)
-		return exitUsage
+		return usageError{err}
 	}
-	if err := ctx.Run(); err != nil {
-		fmt.Fprintln(stderr, "yarrowgap:", err)
-		var ue usageError
-		if errors.As(err, &ue) {
-			return exitUsage
-		}
-		return exitFailed
-	}
-	return 0
+	return command.Run()
 }
 
-type exitPanic struct{}
-
 type versionCmd struct{}
 
 func (versionCmd) Run(w io.Writer) error {
@@ -94,65 +106,6 @@
 	return err
 }
 
-// configFlags are what serving and checking share.
-type configFlags struct {
-	Config string `required:"" placeholder:"FILE" help:"The platform's settings file (TOML)."`
-	// Scripts are read in their order, and the one that the environment names after them,
-	// so that it wins over what the deploy file's command line has.
-	Script    []string `placeholder:"FILE" sep:"none" help:"The operators' own settings (Starlark); see docs/operations.md. May be repeated: later ones win, and the file that YARROWGAP_SCRIPT names over all."`
-	EnvScript string   `name:"env-script" hidden:"" env:"YARROWGAP_SCRIPT"`
-}
-
-// scripts lists the scripts, the one that wins last.
-func (in configFlags) scripts() []string {
-	if in.EnvScript == "" {
-		return in.Script
-	}
-	return append(slices.Clone(in.Script), in.EnvScript)
-}
-
-func (in configFlags) load() (*config.Settings, policy.Settings, error) {
-	cfg, err := config.Load(in.Config)
-	if err != nil {
-		return nil, policy.Settings{}, usageError{err}
-	}
-	pol := policy.Defaults(cfg.CostSensitive())
-	for _, script := range in.scripts() {
-		if pol, err = policy.Load(script, pol); err != nil {
-			return nil, pol, usageError{err}
-		}
-	}
-	return cfg, pol, nil
-}
-
-type checkCmd struct{ configFlags }
-
-func (c checkCmd) Run(w io.Writer) error {
-	cfg, _, err := c.load()
-	if err != nil {
-		return err
-	}
-	for _, s := range cfg.Shortfalls() {
-		if _, err := fmt.Fprintln(w, "falls short:", s); err != nil {
-			return err
-		}
-	}
-	capacity := cfg.Capacity()
-	for _, limit := range []struct {
-		name     string
-		machines int
-	}{{"sockets and memory", capacity.ByConnections}, {"processor", capacity.ByCPU}} {
-		if limit.machines == 0 {
-			continue
-		}
-		if _, err := fmt.Fprintf(w, "room for about %d machines: %s\n", limit.machines, limit.name); err != nil {
-			return err
-		}
-	}
-	_, err = fmt.Fprintf(w, "ok: node %s, %d peers, %d teams\n", cfg.Node, len(cfg.Peers), len(cfg.Deployment.Teams))
-	return err
-}
-
 // newLogger makes the log at the level that LOG_LEVEL names.
 func newLogger(w io.Writer, level string) (*slog.Logger, error) {
 	var l slog.Level
--- a/cmd/yarrowgap/main_test.go
+++ b/cmd/yarrowgap/main_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"net/http"
 	"os"
 	"path/filepath"
 	"strings"
@@ -38,11 +39,28 @@
 		{[]string{"fly"}, 2, "", "fly"},
 		{[]string{"leader", "--addr", "127.0.0.1:1"}, 1, "", "refused"},
 	} {
-		var out, errs bytes.Buffer
-		code := run(tc.args, &out, &errs)
-		if code != tc.code || !strings.Contains(out.String(), tc.out) || !strings.Contains(errs.String(), tc.err) {
-			t.Errorf("%v: exit %d, out %q, err %q", tc.args, code, out.String(), errs.String())
-		}
+		t.Run(strings.Join(tc.args, " "), func(t *testing.T) {
+			var out, errs bytes.Buffer
+			code := run(tc.args, &out, &errs)
+			if code != tc.code || !strings.Contains(out.String(), tc.out) || !strings.Contains(errs.String(), tc.err) {
+				t.Errorf("exit %d, out %q, err %q", code, out.String(), errs.String())
+			}
+		})
+	}
+}
+
+// A controller's refusal names who to ask instead, if that is known.
+func TestRefusedQueryNamesTheLeader(t *testing.T) {
+	for _, tc := range []struct{ name, body, want string }{
+		{"leader known", `{"error":"this node does not lead","leader":"drover-1"}`, "this node does not lead; ask drover-1"},
+		{"leader unknown", `{"error":"this node does not lead","leader":""}`, "status 503: this node does not lead"},
+		{"not JSON", "no", "status 503: "},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			if got := parseReplyError(http.StatusServiceUnavailable, []byte(tc.body)).Error(); got != tc.want {
+				t.Errorf("%q, want %q", got, tc.want)
+			}
+		})
 	}
 }
 
--- /dev/null
+++ b/cmd/yarrowgap/queries.go
@@ -0,0 +1,130 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"maps"
+	"net/url"
+	"slices"
+	"strconv"
+	"time"
+
+	"github.com/yarrowgap/yarrowgap/internal/controller"
+	"github.com/yarrowgap/yarrowgap/internal/scheduler"
+)
+
+type leaderCmd struct{ controllerFlags }
+
+func (c leaderCmd) Run(w io.Writer) error {
+	return query(c.controllerFlags, "/leader", nil, w, printLeader)
+}
+
+func printLeader(w io.Writer, view controller.LeaderView) {
+	leader := view.Leader
+	if leader == "" {
+		leader = "(none known)"
+	}
+	fmt.Fprintf(w, "leader\t%s\n", leader)
+	fmt.Fprintf(w, "term\t%d\n", view.Term)
+	fmt.Fprintf(w, "asked\t%s, up %s\n", view.Node, time.Duration(view.UpS)*time.Second)
+}
+
+type jobCmd struct {
+	controllerFlags
+	ID string `arg:"" help:"The job's id."`
+}
+
+func (c jobCmd) Run(w io.Writer) error {
+	return query(c.controllerFlags, "/jobs/"+url.PathEscape(c.ID), nil, w, printJobWithAttempts)
+}
+
+func printJobWithAttempts(w io.Writer, job scheduler.JobDetail) {
+	printJob(w, job)
+	if len(job.Attempts) > 0 {
+		fmt.Fprintf(w, "\nTASK\tMACHINE\tSTATE\tRETRIES\n")
+	}
+	for _, attempt := range job.Attempts {
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\n", attempt.Task, attempt.Machine, attempt.State, attempt.DispatchRetries)
+	}
+}
+
+func printJob(w io.Writer, job scheduler.JobDetail) {
+	fmt.Fprintf(w, "%s\t%s", job.ID, job.State)
+	if job.Tasks > 0 { // only the leader knows, of a live job
+		fmt.Fprintf(w, "\tclass %s\tteam %s\t%d tasks: %d done, %d running, %d waiting",
+			job.Class, job.Team, job.Tasks, job.Done, job.Running, job.Waiting)
+	} else {
+		fmt.Fprintf(w, "\t%d done", job.Done)
+	}
+	if job.Reason != "" {
+		fmt.Fprintf(w, "\t(%s)", job.Reason)
+	}
+	fmt.Fprintln(w)
+}
+
+type waitingCmd struct {
+	controllerFlags
+	pageFlags
+}
+
+func (c waitingCmd) Run(w io.Writer) error {
+	return query(c.controllerFlags, "/waiting", c.params(), w, printJobs)
+}
+
+func printJobs(w io.Writer, jobs []scheduler.JobDetail) {
+	for _, job := range jobs {
+		printJob(w, job)
+	}
+}
+
+type machinesCmd struct {
+	controllerFlags
+	pageFlags
+}
+
+func (c machinesCmd) Run(w io.Writer) error {
+	return query(c.controllerFlags, "/machines", c.params(), w, printMachines)
+}
+
+func printMachines(w io.Writer, machines []scheduler.MachineView) {
+	fmt.Fprintf(w, "MACHINE\tTYPE\tZONE\tSPOT\tSTATE\tTASKS\tCPUS\tHEARTBEAT\n")
+	for _, m := range machines {
+		fmt.Fprintf(w, "%s\t%s\t%s\t%t\t%s\t%d\t%g\t%.1fs ago\n", m.Name, m.Type, m.Zone, m.Spot, m.State, m.Tasks, m.CPUs, m.HeartbeatAgeS)
+	}
+}
+
+type failuresCmd struct {
+	controllerFlags
+	Skip int `help:"Skip this many of the newest."`
+	Most int `default:"100" help:"How many at most."`
+}
+
+func (c failuresCmd) Run(w io.Writer) error {
+	params := url.Values{"skip": {strconv.Itoa(c.Skip)}, "most": {strconv.Itoa(c.Most)}}
+	return query(c.controllerFlags, "/failures", params, w, printFailures)
+}
+
+func printFailures(w io.Writer, failures []scheduler.Failure) {
+	for _, failure := range failures {
+		at := time.UnixMilli(failure.At).UTC().Format(time.RFC3339)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", at, failure.Task, failure.Machine, failure.Cause)
+	}
+}
+
+type metricsCmd struct{ controllerFlags }
+
+func (c metricsCmd) Run(w io.Writer) error {
+	return query(c.controllerFlags, "/metrics", nil, w, printMetrics)
+}
+
+func printMetrics(w io.Writer, metrics map[string]any) {
+	for _, name := range slices.Sorted(maps.Keys(metrics)) {
+		latency, ok := metrics[name].(map[string]any)
+		if !ok {
+			fmt.Fprintf(w, "%s\t%v\n", name, metrics[name])
+			continue
+		}
+		fmt.Fprintf(w, "%s\tp50 %v ms, p99 %v ms, max %v ms (of %v)\n",
+			name, latency["p50_ms"], latency["p99_ms"], latency["max_ms"], latency["count"])
+	}
+}
--- a/cmd/yarrowgap/recovery.go
+++ b/cmd/yarrowgap/recovery.go
@@ -6,70 +6,74 @@
 	"maps"
 	"net/url"
 	"slices"
+	"strconv"
 	"strings"
-	"text/tabwriter"
 
 	"github.com/yarrowgap/yarrowgap/internal/reconcile"
 )
 
-// recoveryCmd shows the recovery of the present term, or a page of its differences.
+// recoveryCmd shows the reconciliation of the present term, or a page of its differences.
 type recoveryCmd struct {
 	controllerFlags
-	Differences bool   `help:"List what differed instead."`
+	Differences bool   `help:"List the differences instead."`
 	Class       string `help:"With --differences: those of one class, such as missing-proven."`
-	Skip        int    `help:"With --differences: skip so many."`
-	Most        int    `default:"100" help:"With --differences: how many at the most."`
+	Skip        int    `help:"With --differences: skip this many."`
+	Most        int    `default:"100" help:"With --differences: how many at most."`
 }
 
 // Run asks a controller.
 func (c recoveryCmd) Run(w io.Writer) error {
 	if !c.Differences {
-		return query(c.controllerFlags, "/recovery", w, printRecovery)
+		return query(c.controllerFlags, "/recovery", nil, w, printReconciliation)
 	}
-	q := url.Values{"skip": {fmt.Sprint(c.Skip)}, "most": {fmt.Sprint(c.Most)}}
+	params := url.Values{"skip": {strconv.Itoa(c.Skip)}, "most": {strconv.Itoa(c.Most)}}
 	if c.Class != "" {
-		q.Set("class", c.Class)
+		params.Set("class", c.Class)
 	}
-	return query(c.controllerFlags, "/recovery/differences?"+q.Encode(), w, printDifferences)
+	return query(c.controllerFlags, "/recovery/differences", params, w, printDifferences)
 }
 
-func printRecovery(t *tabwriter.Writer, s reconcile.Status) {
-	kind := "after a failover"
-	if s.Cold {
-		kind = "after all controllers were away"
+func printReconciliation(w io.Writer, status reconcile.Status) {
+	printPhases(w, status)
+	fmt.Fprintf(w, "machines\t%d, unconfirmed %d\n", status.Machines, status.Unconfirmed)
+	if len(status.UnconfirmedMachines) > 0 {
+		fmt.Fprintf(w, "\t%s\n", strings.Join(status.UnconfirmedMachines, " "))
 	}
-	fmt.Fprintf(t, "phase\t%s, %.1f s since its start, %s\n", s.Phase, s.AgeS, kind)
-	if !s.Enabled {
-		fmt.Fprintf(t, "\tnothing is held back: the setting recovery is off\n")
+	fmt.Fprintf(w, "attempts\twithout proof %d, pending stops %d\n", status.Unproven, status.PendingStops)
+	for _, class := range slices.Sorted(maps.Keys(status.Classes)) {
+		fmt.Fprintf(w, "\t%s %d\n", class, status.Classes[class])
 	}
-	for _, h := range s.History {
-		fmt.Fprintf(t, "%s\tafter %.1f s\n", h.Phase, h.AfterS)
+	fmt.Fprintf(w, "operations\tuntil it was settled, in brackets those that differences required\n")
+	for _, kind := range slices.Sorted(maps.Keys(status.Operations)) {
+		fmt.Fprintf(w, "\t%s %d (%d)\n", kind, status.Operations[kind].Total, status.Operations[kind].Attributed)
 	}
-	if s.WaitsUntilS > 0 {
-		fmt.Fprintf(t, "waits\tuntil %.1f s at the most\n", s.WaitsUntilS)
+	fmt.Fprintf(w, "differences\t%d, not listed %d\n", status.Differences, status.DifferencesDropped)
+}
+
+func printPhases(w io.Writer, status reconcile.Status) {
+	kind := "after a failover"
+	if status.Cold {
+		kind = "after a cold restart of all controllers"
 	}
-	fmt.Fprintf(t, "machines\t%d, not heard %d\n", s.Machines, s.Unconfirmed)
-	if len(s.UnconfirmedMachines) > 0 {
-		fmt.Fprintf(t, "\t%s\n", strings.Join(s.UnconfirmedMachines, " "))
+	fmt.Fprintf(w, "phase\t%s, %.1f s since its start, %s\n", status.Phase, status.AgeS, kind)
+	if !status.Enabled {
+		fmt.Fprintf(w, "\tnothing is held back: the setting recovery is off\n")
 	}
-	fmt.Fprintf(t, "attempts\twithout proof %d, stops to be confirmed %d\n", s.Unproven, s.PendingStops)
-	for _, class := range slices.Sorted(maps.Keys(s.Classes)) {
-		fmt.Fprintf(t, "\t%s %d\n", class, s.Classes[class])
+	for _, entry := range status.History {
+		fmt.Fprintf(w, "%s\tafter %.1f s\n", entry.Phase, entry.AfterS)
 	}
-	fmt.Fprintf(t, "orders\tuntil it was settled, in brackets what differences asked for\n")
-	for _, kind := range slices.Sorted(maps.Keys(s.Operations)) {
-		fmt.Fprintf(t, "\t%s %d (%d)\n", kind, s.Operations[kind].Total, s.Operations[kind].Attributed)
+	if status.WaitsUntilS > 0 {
+		fmt.Fprintf(w, "waits\tuntil %.1f s at most\n", status.WaitsUntilS)
 	}
-	fmt.Fprintf(t, "differences\t%d, not kept %d\n", s.Differences, s.DifferencesDropped)
 }
 
-func printDifferences(t *tabwriter.Writer, list []reconcile.DifferenceView) {
-	fmt.Fprintf(t, "TASK\tMACHINE\tATTEMPT\tCLASS\tACTION\tAFTER\n")
-	for _, d := range list {
+func printDifferences(w io.Writer, differences []reconcile.DifferenceView) {
+	fmt.Fprintf(w, "TASK\tMACHINE\tATTEMPT\tCLASS\tACTION\tAFTER\n")
+	for _, d := range differences {
 		late := ""
 		if d.Late {
 			late = ", late"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%.1fs%s\n", d.Task, d.Machine, d.Number, d.Class, d.Action, d.AfterS, late)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%.1fs%s\n", d.Task, d.Machine, d.Number, d.Class, d.Action, d.AfterS, late)
 	}
 }
