--- a/internal/tracing/rotate.go
+++ b/internal/tracing/rotate.go
@@ -5,11 +5,11 @@
 	"os"
 )
 
-// rotatedSuffix marks the file that was full last.
+// rotatedSuffix marks the file that was rotated last.
 const rotatedSuffix = ".1"
 
-// rotatingFile appends to a file up to a size, and then begins it anew beside the one that
-// was full, so that both together stay under twice the size. Whoever runs unwatched must
+// rotatingFile appends to a file up to a size, and then starts a new one beside the full
+// one, so that both together stay under twice the size: a service that runs unattended must
 // not fill a disk.
 type rotatingFile struct {
 	path     string
@@ -50,7 +50,7 @@
 	return n, err
 }
 
-// rotate puts the full file aside. If that fails the file stays as it is, and the next
+// rotate renames the full file. If that fails the file stays as it is, and the next
 // write tries again.
 func (r *rotatingFile) rotate() error {
 	if err := os.Rename(r.path, r.path+rotatedSuffix); err != nil {
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -1,10 +1,11 @@
-// Package tracing exports spans of a leader's recovery and of its rounds of placement, by
-// OpenTelemetry's SDK, to a file or to standard output. A nil Tracer traces nothing and
-// costs nothing.
+// Package tracing exports spans of a leader's reconciliation after a failover and of its
+// rounds of placement, by OpenTelemetry's SDK, to a file or to standard output. A nil Tracer
+// traces nothing and costs nothing.
 package tracing
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -23,7 +24,7 @@
 // Stdout is the target that stands for standard output.
 const Stdout = "-"
 
-// Keys of attributes. They are part of what operators rely on.
+// Keys of attributes and names of spans. Operators rely on them.
 const (
 	keyService = attribute.Key("service.name")
 	keyNode    = attribute.Key("yarrowgap.node")
@@ -36,9 +37,15 @@
 	keyOutcome = attribute.Key("yarrowgap.recovery.outcome")
 	keyJobs    = attribute.Key("yarrowgap.records.jobs")
 	keyRecords = attribute.Key("yarrowgap.records.batches")
+
+	spanReconciliation   = "recovery"
+	spanPhasePrefix      = "recovery." // and the phase
+	spanMachineConfirmed = "recovery.heard"
+	spanOperation        = "recovery.order"
+	spanPlacementRound   = "leader.round"
 )
 
-// Outcomes of a recovery.
+// Outcomes of a reconciliation.
 const (
 	outcomeSettled = "settled"
 	outcomeEnded   = "term ended"
@@ -50,14 +57,13 @@
 	tracer   trace.Tracer
 	file     io.Closer
 
-	reconcileContext context.Context // that of the recovery's span; nil: there is none
-	phaseSpan        trace.Span      // the phase that goes on
-	term             uint64
+	term           uint64
+	reconciliation trace.Span // nil while there is none
+	phase          trace.Span // of the reconciliation, not ended yet
 }
 
 // Open makes a tracer that writes to the target: a file, which is appended to and rotated,
-// or Stdout.
-// Without a target there is none.
+// or Stdout. Without a target the tracer is nil.
 func Open(target, node string) (*Tracer, error) {
 	if target == "" {
 		return nil, nil
@@ -77,106 +83,115 @@
 	if err != nil {
 		return nil, err
 	}
-	about := resource.NewSchemaless(keyService.String("yarrowgap"), keyNode.String(node))
-	provider := sdktrace.NewTracerProvider(sdktrace.WithBatcher(exporter, sdktrace.WithMaxQueueSize(tuning.TraceQueueSpans)), sdktrace.WithResource(about))
+	service := resource.NewSchemaless(keyService.String("yarrowgap"), keyNode.String(node))
+	provider := sdktrace.NewTracerProvider(
+		sdktrace.WithBatcher(exporter, sdktrace.WithMaxQueueSize(tuning.TraceQueueSpans)),
+		sdktrace.WithResource(service),
+	)
 	return &Tracer{provider: provider, tracer: provider.Tracer("yarrowgap"), file: file}, nil
 }
 
 // Enabled reports whether anything is traced.
 func (t *Tracer) Enabled() bool { return t != nil }
 
-// Close exports what waits, and closes the file.
+// Close exports the spans that wait, and closes the file.
 func (t *Tracer) Close(ctx context.Context) error {
 	if t == nil {
 		return nil
 	}
 	err := t.provider.Shutdown(ctx)
-	if t.file != nil {
-		if closeErr := t.file.Close(); err == nil {
-			err = closeErr
-		}
+	if t.file == nil {
+		return err
 	}
-	return err
+	return errors.Join(err, t.file.Close())
 }
 
-// RecordsLoaded begins a recovery's span with the reading of its records.
+// RecordsLoaded starts the span of a reconciliation with the loading of its records.
 func (t *Tracer) RecordsLoaded(term uint64, startedAt, endedAt time.Time, jobs, records int) {
 	if t == nil {
 		return
 	}
 	t.TermEnded(endedAt)
 	t.term = term
-	t.reconcileContext, _ = t.tracer.Start(context.Background(), "recovery", trace.WithTimestamp(startedAt), trace.WithAttributes(keyTerm.Int64(int64(term))))
-	_, loading := t.startSpan("recovery."+reconcile.Loading.String(), startedAt, keyJobs.Int(jobs), keyRecords.Int(records))
+	t.reconciliation = t.startSpan(context.Background(), spanReconciliation, startedAt, t.termAttribute())
+	loading := t.startChild(spanPhasePrefix+reconcile.Loading.String(), startedAt, keyJobs.Int(jobs), keyRecords.Int(records))
 	loading.End(trace.WithTimestamp(endedAt))
-	_, t.phaseSpan = t.startSpan("recovery."+reconcile.Collecting.String(), endedAt)
-}
-
-// startSpan begins a span in the recovery's.
-func (t *Tracer) startSpan(name string, at time.Time, attributes ...attribute.KeyValue) (context.Context, trace.Span) {
-	return t.tracer.Start(t.reconcileContext, name, trace.WithTimestamp(at), trace.WithAttributes(attributes...))
+	t.phase = t.startChild(spanPhasePrefix+reconcile.Collecting.String(), endedAt)
 }
 
-// ReconcileEvents takes events of the recovery. start is when the times of events count from.
+// ReconcileEvents adds events of the reconciliation. start is when their times count from.
 func (t *Tracer) ReconcileEvents(start time.Time, events []reconcile.Event) {
-	if t == nil || t.reconcileContext == nil {
+	if t == nil {
 		return
 	}
-	for _, e := range events {
-		at := start.Add(e.At)
-		switch e.Kind {
-		case reconcile.PhaseEntered:
-			t.enterPhase(e.Phase, at)
-		case reconcile.MachineConfirmed:
-			t.recordInstant("recovery.heard", at, keyMachine.String(e.Operation.Machine))
-		case reconcile.OperationCounted:
-			t.recordInstant("recovery.order", at, keyKind.String(e.Operation.Kind.String()), keyMachine.String(e.Operation.Machine),
-				keyTask.String(e.Operation.Task), keyAttempt.Int64(int64(e.Operation.Number)), keyTraced.Bool(e.Attributed))
+	for _, event := range events {
+		if t.reconciliation == nil {
+			return // events after it was settled have no span to belong to
 		}
+		t.addEvent(start.Add(event.At), event)
 	}
 }
 
-func (t *Tracer) recordInstant(name string, at time.Time, attributes ...attribute.KeyValue) {
-	if t.reconcileContext == nil {
-		return // after the recovery was settled
+func (t *Tracer) addEvent(at time.Time, event reconcile.Event) {
+	operation := event.Operation
+	switch event.Kind {
+	case reconcile.PhaseEntered:
+		t.enterPhase(event.Phase, at)
+	case reconcile.MachineConfirmed:
+		t.addInstant(spanMachineConfirmed, at, keyMachine.String(operation.Machine))
+	case reconcile.OperationCounted:
+		t.addInstant(spanOperation, at, keyKind.String(operation.Kind.String()), keyMachine.String(operation.Machine),
+			keyTask.String(operation.Task), keyAttempt.Int64(int64(operation.Number)), keyTraced.Bool(event.Attributed))
 	}
-	_, span := t.startSpan(name, at, attributes...)
-	span.End(trace.WithTimestamp(at))
+}
+
+// addInstant adds a span without a duration to the reconciliation.
+func (t *Tracer) addInstant(name string, at time.Time, attributes ...attribute.KeyValue) {
+	t.startChild(name, at, attributes...).End(trace.WithTimestamp(at))
 }
 
 func (t *Tracer) enterPhase(phase reconcile.Phase, at time.Time) {
-	if t.reconcileContext == nil {
-		return
-	}
-	t.phaseSpan.End(trace.WithTimestamp(at))
+	t.phase.End(trace.WithTimestamp(at))
 	if phase == reconcile.Settled {
-		t.finishReconcile(at, outcomeSettled)
+		t.endReconciliation(at, outcomeSettled)
 		return
 	}
-	_, t.phaseSpan = t.startSpan("recovery."+phase.String(), at)
+	t.phase = t.startChild(spanPhasePrefix+phase.String(), at)
 }
 
-func (t *Tracer) finishReconcile(at time.Time, outcome string) {
-	span := trace.SpanFromContext(t.reconcileContext)
-	span.SetAttributes(keyOutcome.String(outcome))
-	span.End(trace.WithTimestamp(at))
-	t.reconcileContext = nil
+func (t *Tracer) endReconciliation(at time.Time, outcome string) {
+	t.reconciliation.SetAttributes(keyOutcome.String(outcome))
+	t.reconciliation.End(trace.WithTimestamp(at))
+	t.reconciliation, t.phase = nil, nil
 }
 
-// TermEnded ends the span of a recovery that was not settled.
+// TermEnded ends the span of a reconciliation that was not settled.
 func (t *Tracer) TermEnded(at time.Time) {
-	if t == nil || t.reconcileContext == nil {
+	if t == nil || t.reconciliation == nil {
 		return
 	}
-	t.phaseSpan.End(trace.WithTimestamp(at))
-	t.finishReconcile(at, outcomeEnded)
+	t.phase.End(trace.WithTimestamp(at))
+	t.endReconciliation(at, outcomeEnded)
 }
 
-// PlacementRound makes a span of a round of placement.
+// PlacementRound adds a span of a round of placement.
 func (t *Tracer) PlacementRound(startedAt, endedAt time.Time) {
 	if t == nil {
 		return
 	}
-	_, span := t.tracer.Start(context.Background(), "leader.round", trace.WithTimestamp(startedAt), trace.WithAttributes(keyTerm.Int64(int64(t.term))))
+	span := t.startSpan(context.Background(), spanPlacementRound, startedAt, t.termAttribute())
 	span.End(trace.WithTimestamp(endedAt))
 }
+
+// startChild starts a span in the reconciliation's.
+func (t *Tracer) startChild(name string, at time.Time, attributes ...attribute.KeyValue) trace.Span {
+	parent := trace.ContextWithSpan(context.Background(), t.reconciliation)
+	return t.startSpan(parent, name, at, attributes...)
+}
+
+func (t *Tracer) startSpan(ctx context.Context, name string, at time.Time, attributes ...attribute.KeyValue) trace.Span {
+	_, span := t.tracer.Start(ctx, name, trace.WithTimestamp(at), trace.WithAttributes(attributes...))
+	return span
+}
+
+func (t *Tracer) termAttribute() attribute.KeyValue { return keyTerm.Int64(int64(t.term)) }
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -25,8 +25,27 @@
 	}
 }
 
-// A recovery is one trace: its phases, the machines that were heard and the orders are in
-// its span; rounds have spans of their own, and nothing comes after the end of the term.
+// decodeSpans reads all spans of an export.
+func decodeSpans(t *testing.T, raw []byte) []span {
+	t.Helper()
+	var spans []span
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	for {
+		var next span
+		err := decoder.Decode(&next)
+		if errors.Is(err, io.EOF) {
+			return spans
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+		spans = append(spans, next)
+	}
+}
+
+// A reconciliation is one trace: its phases, the confirmed machines and the operations are in
+// its span; placement rounds have spans of their own, and nothing comes after the end of the
+// term.
 func TestReconciliationIsOneTrace(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "spans.json")
 	tracer, err := Open(path, "node-1")
@@ -54,17 +73,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	spans := decodeSpans(t, raw)
 	roots, names := map[string]span{}, []string{}
-	var spans []span
-	for decoder := json.NewDecoder(bytes.NewReader(raw)); ; {
-		var s span
-		if err := decoder.Decode(&s); errors.Is(err, io.EOF) {
-			break
-		} else if err != nil {
-			t.Fatal(err)
-		}
-		spans, names = append(spans, s), append(names, s.Name)
-		if s.Name == "recovery" {
+	for _, s := range spans {
+		names = append(names, s.Name)
+		if s.Name == spanReconciliation {
 			roots[s.SpanContext.SpanID] = s
 		}
 	}
@@ -92,8 +105,8 @@
 	}
 }
 
-// A full file is put aside, whole spans at a time, and both stay under the bound; what was
-// there before is appended to.
+// A full file is rotated, whole spans at a time, and both stay under the bound; what was there
+// before is appended to.
 func TestTraceFilesAreBounded(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "spans.json")
 	const most, written = 100, 40
@@ -120,7 +133,7 @@
 	}
 }
 
-// Without a target nothing is allocated, neither for spans nor for events of orders.
+// Without a target nothing is allocated, neither for spans nor for events of operations.
 func TestDisabledTracerAllocatesNothing(t *testing.T) {
 	tracer, err := Open("", "node-1")
 	if err != nil || tracer.Enabled() {
