--- /dev/null
+++ b/internal/api/harness_test.go
@@ -0,0 +1,249 @@
+package api_test
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/yarrowgap/yarrowgap/internal/api"
+	"github.com/yarrowgap/yarrowgap/internal/config"
+	"github.com/yarrowgap/yarrowgap/internal/controller"
+	"github.com/yarrowgap/yarrowgap/internal/httpserver"
+	"github.com/yarrowgap/yarrowgap/internal/policy"
+	"github.com/yarrowgap/yarrowgap/internal/simulator"
+	"github.com/yarrowgap/yarrowgap/wire"
+)
+
+const (
+	// testTeam is the team of all jobs, and defaultTeamLimit its limit in CPUs, where a test
+	// sets no other.
+	testTeam         = "crew"
+	defaultTeamLimit = 8.0
+
+	// eventuallyBound only ends a test that has failed.
+	eventuallyBound = 60 * time.Second
+	pollInterval    = 20 * time.Millisecond
+)
+
+// cluster is a few real controllers against simulated services, all on loopback.
+type cluster struct {
+	tb          testing.TB
+	simulation  *simulator.Deployment
+	policy      policy.Settings
+	settings    []string // of each controller, as the platform writes them
+	userAddrs   []string
+	peerAddrs   []string
+	controllers []*runningController
+}
+
+// runningController is one process of a controller.
+type runningController struct {
+	handler http.Handler // of users and workers
+	stop    func()
+}
+
+func startCluster(tb testing.TB, size int) *cluster {
+	tb.Helper()
+	return startClusterWith(tb, size, policy.Defaults(false), defaultTeamLimit)
+}
+
+// startClusterWith starts controllers with the operators' settings and a limit on the
+// team's CPUs.
+func startClusterWith(tb testing.TB, size int, operators policy.Settings, teamLimit float64) *cluster {
+	tb.Helper()
+	c := &cluster{tb: tb, policy: operators, controllers: make([]*runningController, size)}
+	var users, peers []net.Listener
+	for range size {
+		user, peer := listenLoopback(tb), listenLoopback(tb)
+		users, peers = append(users, user), append(peers, peer)
+		c.userAddrs = append(c.userAddrs, user.Addr().String())
+		c.peerAddrs = append(c.peerAddrs, peer.Addr().String())
+	}
+	c.simulation = c.newSimulation(teamLimit)
+	storeAddr, cloudAddr := c.serveSimulation()
+	for i := range size {
+		c.settings = append(c.settings, c.settingsOf(i, storeAddr, cloudAddr, teamLimit))
+		c.startController(i, users[i], peers[i])
+	}
+	tb.Cleanup(c.stopAllControllers)
+	return c
+}
+
+func (c *cluster) newSimulation(teamLimit float64) *simulator.Deployment {
+	controllers := map[string]string{}
+	for i, addr := range c.userAddrs {
+		controllers[controllerName(i)] = addr
+	}
+	return simulator.NewDeployment(simulator.DeploymentConfig{
+		MachineTypes: []wire.MachineType{{
+			Name: "box", CPUs: 4, MemoryGB: 16, CacheGB: 40, FetchGBPerS: 50, Price: 1, SpotPrice: 0.4, BootS: 0.2, Zones: []string{"a"},
+		}},
+		QuotaLimits: map[string]float64{testTeam: teamLimit}, Controllers: controllers,
+		BootTime: 200 * time.Millisecond, HeartbeatInterval: 200 * time.Millisecond, LeaseDuration: 12 * time.Second,
+	})
+}
+
+// serveSimulation serves the key-value store and the cloud until the test ends.
+func (c *cluster) serveSimulation() (storeAddr, cloudAddr string) {
+	c.tb.Helper()
+	ctx, cancel := context.WithCancel(context.Background())
+	store, cloud := httptest.NewServer(c.simulation.KVStoreHandler()), httptest.NewServer(c.simulation.CloudHandler(ctx))
+	c.tb.Cleanup(func() {
+		cancel()
+		store.CloseClientConnections()
+		store.Close()
+		cloud.Close()
+	})
+	return store.Listener.Addr().String(), cloud.Listener.Addr().String()
+}
+
+func controllerName(i int) string { return fmt.Sprintf("drover-%d", i) }
+
+// settingsOf is the settings file of controller i.
+func (c *cluster) settingsOf(i int, storeAddr, cloudAddr string, teamLimit float64) string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "node = %q\ndomain = \"a\"\nbind = %q\nmesh_addr = %q\n", controllerName(i), c.userAddrs[i], c.peerAddrs[i])
+	for k, addr := range c.peerAddrs {
+		if k != i {
+			fmt.Fprintf(&text, "[[seeds]]\nnode = %q\ndomain = \"a\"\naddr = %q\n", controllerName(k), addr)
+		}
+	}
+	fmt.Fprintf(&text, "[outside]\nstate = %q\ncloud = %q\n", storeAddr, cloudAddr)
+	fmt.Fprintf(&text, `[deployment]
+size = 2
+zones = ["a"]
+clock_error_ms = 25.0
+[[deployment.teams]]
+name = %q
+cpus = 4.0
+cpus_max = %.1f
+[deployment.workers]
+report_s = 0.5
+lease_s = 12.0
+cancel_s = 40.0
+[deployment.state]
+rps = 2000.0
+write_rps = 500.0
+value_kb = 4.0
+txn_ops = 12
+[deployment.cloud]
+rps = 50.0
+list_lag_s = 1.0
+`, testTeam, teamLimit)
+	return text.String()
+}
+
+// startController starts controller i on its listeners.
+func (c *cluster) startController(i int, users, peers net.Listener) {
+	c.tb.Helper()
+	cfg, err := config.Parse([]byte(c.settings[i]))
+	if err != nil {
+		c.tb.Fatal(err)
+	}
+	log := slog.New(slog.DiscardHandler)
+	ctl := controller.New(cfg, c.policy, log)
+	handler := api.NewHandler(ctl, log, func() bool { return false })
+	userServer := httpserver.New(handler, api.NonBlocking, log)
+	peerServer := &http.Server{Handler: api.NewPeerHandler(ctl, log)}
+	go func() { _ = userServer.Serve(users) }()
+	go func() { _ = peerServer.Serve(peers) }()
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		ctl.Run(ctx)
+	}()
+	c.controllers[i] = &runningController{handler: handler, stop: sync.OnceFunc(func() {
+		userServer.Close()
+		peerServer.Close()
+		cancel()
+		<-done
+	})}
+}
+
+// stopController ends controller i, if it runs.
+func (c *cluster) stopController(i int) { c.controllers[i].stop() }
+
+// restartController ends controller i and starts it anew, on new ports.
+func (c *cluster) restartController(i int) {
+	c.tb.Helper()
+	c.stopController(i)
+	users, peers := listenLoopback(c.tb), listenLoopback(c.tb)
+	c.userAddrs[i] = users.Addr().String()
+	c.startController(i, users, peers)
+}
+
+// stopAllControllers ends all controllers.
+func (c *cluster) stopAllControllers() {
+	for i := range c.controllers {
+		c.stopController(i)
+	}
+}
+
+// startAllControllers starts all controllers anew, at their addresses.
+func (c *cluster) startAllControllers() {
+	c.tb.Helper()
+	for i := range c.controllers {
+		c.startController(i, c.listenAgain(c.userAddrs[i]), c.listenAgain(c.peerAddrs[i]))
+	}
+}
+
+// listenAgain waits until an address that was in use is free.
+func (c *cluster) listenAgain(addr string) (listener net.Listener) {
+	c.tb.Helper()
+	c.eventually("a free address", func() bool {
+		var err error
+		listener, err = net.Listen("tcp", addr)
+		return err == nil
+	})
+	return listener
+}
+
+func listenLoopback(tb testing.TB) net.Listener {
+	tb.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return listener
+}
+
+// eventually repeats a condition until it holds.
+func (c *cluster) eventually(what string, holds func() bool) {
+	c.tb.Helper()
+	for end := time.Now().Add(eventuallyBound); !holds(); time.Sleep(pollInterval) {
+		if time.Now().After(end) {
+			c.tb.Fatalf("never came: %s", what)
+		}
+	}
+}
+
+// leader waits for a leader and returns its index.
+func (c *cluster) leader() (leader int) {
+	c.tb.Helper()
+	c.eventually("a leader", func() bool {
+		for i := range c.userAddrs {
+			if c.getOperatorView(i, "/machines", nil) == http.StatusOK {
+				leader = i
+				return true
+			}
+		}
+		return false
+	})
+	return leader
+}
+
+// expectNoViolations checks that the simulated services saw no rule broken.
+func (c *cluster) expectNoViolations() {
+	c.tb.Helper()
+	if violations := c.simulation.Violations(); len(violations) > 0 {
+		c.tb.Error(violations)
+	}
+}
--- a/internal/api/reconcile_test.go
+++ b/internal/api/reconcile_test.go
@@ -3,38 +3,29 @@
 import (
 	"encoding/json"
 	"fmt"
-	"io"
 	"math/rand/v2"
-	"net"
 	"net/http"
 	"testing"
 	"time"
 
+	"github.com/yarrowgap/yarrowgap/internal/api"
 	"github.com/yarrowgap/yarrowgap/internal/policy"
 	"github.com/yarrowgap/yarrowgap/internal/reconcile"
 	"github.com/yarrowgap/yarrowgap/internal/simulator"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// getOperatorView asks node i for an operators' page in JSON.
-func (c *cluster) getOperatorView(i int, path string, v any) int {
-	resp, err := http.Get("http://" + c.userAddrs[i] + "/yarrowgap/v1" + path)
-	if err != nil {
-		return 0
-	}
-	defer resp.Body.Close()
-	raw, _ := io.ReadAll(resp.Body)
-	if resp.StatusCode == http.StatusOK && v != nil {
-		if err := json.Unmarshal(raw, v); err != nil {
-			c.t.Fatalf("%s: %v", path, err)
-		}
-	}
-	return resp.StatusCode
-}
+const (
+	reconcileMachines = 50
+	tasksPerMachine   = 4 // that fill a machine
+	reconcileTasks    = reconcileMachines * tasksPerMachine
+)
 
-// waitUntilSettled waits until the leader's recovery is settled, with all that it asked for done.
+// waitUntilSettled waits until the leader's reconciliation is settled, with all its
+// operations done.
 func (c *cluster) waitUntilSettled() (status reconcile.Status) {
-	c.eventually("a settled recovery", func() bool {
+	c.tb.Helper()
+	c.eventually("a settled reconciliation", func() bool {
 		for i := range c.userAddrs {
 			if c.getOperatorView(i, "/recovery", &status) == http.StatusOK && status.Phase == reconcile.Settled.String() {
 				return true
@@ -45,43 +36,17 @@
 	return status
 }
 
-// stopAllControllers ends all controllers, and startAllControllers starts them anew at their addresses.
-func (c *cluster) stopAllControllers() {
-	for i := range c.userAddrs {
-		c.stopFuncs[i]()
-	}
-}
-
-func (c *cluster) startAllControllers() {
-	c.stopFuncs = nil
-	for i := range c.userAddrs {
-		var listeners [2]net.Listener
-		for k, addr := range []string{c.userAddrs[i], c.peerAddrs[i]} {
-			c.eventually("a free address", func() (ok bool) {
-				l, err := net.Listen("tcp", addr)
-				listeners[k] = l
-				return err == nil
-			})
-		}
-		c.startController(c.ctx, i, listeners[0], listeners[1])
-	}
-}
-
-const (
-	reconcileMachines = 50
-	tasksPerMachine   = 4 // that fill a machine
-)
-
 // startLoadedCluster starts three controllers and fifty machines that are full of long tasks.
 func startLoadedCluster(t *testing.T) *cluster {
+	t.Helper()
 	operators := policy.Defaults(false)
 	operators.ReconcileRestarts, operators.HeadroomShare = true, 0
-	c := startClusterWith(t, 3, operators, 2*reconcileMachines*tasksPerMachine)
+	c := startClusterWith(t, 3, operators, 2*reconcileTasks)
 	const jobs = 10
 	for i := range jobs {
-		j := newJob(1+i, reconcileMachines*tasksPerMachine/jobs)
-		c.simulation.UploadJob(j, time.Hour)
-		c.eventually("acceptance", func() bool { s, _, _ := c.request(i%3, "POST", "/v2/runs", encodeSubmission(t, j)); return s == 201 })
+		job := newJob(1+i, reconcileTasks/jobs)
+		c.simulation.UploadJob(job, time.Hour)
+		c.submitUntilCreated(i%3, job)
 	}
 	c.waitUntilAllRunning()
 	if n := len(c.simulation.MachineNames()); n != reconcileMachines {
@@ -92,95 +57,123 @@
 
 // waitUntilAllRunning waits until all tasks are on machines.
 func (c *cluster) waitUntilAllRunning() {
+	c.tb.Helper()
 	c.eventually("all tasks on machines", func() bool {
-		n := 0
-		for _, name := range c.simulation.MachineNames() {
-			n += c.simulation.ActiveAttempts(name)
+		running := 0
+		for _, machine := range c.simulation.MachineNames() {
+			running += c.simulation.ActiveAttempts(machine)
 		}
-		return n == reconcileMachines*tasksPerMachine
+		return running == reconcileTasks
 	})
 }
 
-// injectDifferences makes differences while the controllers are away, and says which orders they
-// need.
-func (c *cluster) injectDifferences(seed uint64) (need simulator.OrderCounts) {
-	rnd := rand.New(rand.NewPCG(seed, 5))
-	names := c.simulation.MachineNames()
-	rnd.Shuffle(len(names), func(a, b int) { names[a], names[b] = names[b], names[a] })
-	take := func(most int) (taken []string) {
-		n := 1 + rnd.IntN(most)
-		taken, names = names[:n], names[n:]
+// injectDifferences makes machines differ from the records while the controllers are down,
+// and returns the orders that this requires.
+func (c *cluster) injectDifferences(seed uint64) (required simulator.OrderCounts) {
+	random := rand.New(rand.NewPCG(seed, 5))
+	machines := c.simulation.MachineNames()
+	random.Shuffle(len(machines), func(a, b int) { machines[a], machines[b] = machines[b], machines[a] })
+	take := func(limit int) (taken []string) {
+		n := 1 + random.IntN(limit)
+		taken, machines = machines[:n], machines[n:]
 		return taken
 	}
-	for _, name := range take(4) { // gone for good: replaced
-		need.Starts += c.simulation.ActiveAttempts(name)
-		need.Provisioned++
-		need.Releases++
-		c.simulation.TerminateMachine(name)
-	}
-	for _, name := range take(6) { // lost its tasks
-		need.Starts += c.simulation.ActiveAttempts(name)
-		c.simulation.RestartMachine(name)
-	}
-	for i, name := range take(4) { // lost its tasks, and runs one that nobody knows
-		stray := newJob(900+i, 1)
-		stray.CPUs, stray.Team = 0.1, "crew"
-		c.simulation.UploadJob(stray, time.Hour)
-		need.Starts += c.simulation.ActiveAttempts(name)
-		need.Stops++
-		c.simulation.RestartMachine(name)
-		c.simulation.StartTask(name, wire.TaskName(stray.ID, 0), uint64(i+1))
-	}
-	for _, name := range take(8) { // late, for longer than a machine is usually given
-		c.simulation.PartitionMachine(name, 8*time.Second)
-	}
-	return need
+	for _, machine := range take(4) { // gone for good: replaced
+		required.Starts += c.simulation.ActiveAttempts(machine)
+		required.Provisioned++
+		required.Releases++
+		c.simulation.TerminateMachine(machine)
+	}
+	for _, machine := range take(6) { // lost its tasks
+		required.Starts += c.simulation.ActiveAttempts(machine)
+		c.simulation.RestartMachine(machine)
+	}
+	for i, machine := range take(4) { // lost its tasks, and runs one that nobody knows
+		unknown := newJob(900+i, 1)
+		unknown.CPUs = 0.1
+		c.simulation.UploadJob(unknown, time.Hour)
+		required.Starts += c.simulation.ActiveAttempts(machine)
+		required.Stops++
+		c.simulation.RestartMachine(machine)
+		c.simulation.StartTask(machine, wire.TaskName(unknown.ID, 0), uint64(i+1))
+	}
+	for _, machine := range take(8) { // late, for longer than a machine is usually given
+		c.simulation.PartitionMachine(machine, 8*time.Second)
+	}
+	return required
 }
 
 // All controllers end and start anew, with fifty machines at work. What is ordered until
-// all is well again is exactly what was needed, by what the stand-ins know: nothing after
-// a clean restart, and what follows from generated differences else.
+// all is well again is exactly what was required, by what the simulated services know:
+// nothing after a clean restart, and what follows from generated differences else.
 func TestCommandsAfterColdRestart(t *testing.T) {
 	c := startLoadedCluster(t)
 	for seed := range uint64(4) {
-		c.simulation.TakeOrders()
-		c.stopAllControllers()
-		var need simulator.OrderCounts
-		if seed > 0 {
-			need = c.injectDifferences(seed)
-		}
-		c.startAllControllers()
-		status := c.waitUntilSettled()
-		c.waitUntilAllRunning()
-		if got := c.simulation.TakeOrders(); got != need {
-			t.Errorf("seed %d: ordered %+v, needed %+v\n%+v", seed, got, need, status)
-		}
-		if stops := status.Operations[reconcile.StopOperation.String()]; stops.Total != need.Stops || stops.Attributed != need.Stops {
-			t.Errorf("seed %d: stops as the leader counts them: %+v, needed %d", seed, stops, need.Stops)
-		}
-		if seed == 0 && (status.Differences != 0 || status.Classes[reconcile.Confirmed.String()] != reconcileMachines*tasksPerMachine) {
-			t.Errorf("after a clean restart: %+v", status)
+		name := fmt.Sprintf("differences %d", seed)
+		if seed == 0 {
+			name = "clean"
 		}
+		t.Run(name, func(t *testing.T) { playColdRestart(t, c, seed) })
 	}
-	if broken := c.simulation.Violations(); len(broken) > 0 {
-		t.Error(broken)
+	c.expectNoViolations()
+}
+
+func playColdRestart(t *testing.T, c *cluster, seed uint64) {
+	t.Helper()
+	c.simulation.TakeOrders()
+	c.stopAllControllers()
+	var required simulator.OrderCounts
+	if seed > 0 {
+		required = c.injectDifferences(seed)
+	}
+	c.startAllControllers()
+	status := c.waitUntilSettled()
+	c.waitUntilAllRunning()
+	if got := c.simulation.TakeOrders(); got != required {
+		t.Errorf("ordered %+v, required %+v\n%+v", got, required, status)
+	}
+	if stops := status.Operations[reconcile.StopOperation.String()]; stops.Total != required.Stops || stops.Attributed != required.Stops {
+		t.Errorf("stops as the leader counts them: %+v, required %d", stops, required.Stops)
+	}
+	if seed == 0 && (status.Differences != 0 || status.Classes[reconcile.Confirmed.String()] != reconcileTasks) {
+		t.Errorf("after a clean restart: %+v", status)
 	}
 }
 
-// The operators' pages say what is wrong with a question, who leads, and that there has
-// been no recovery.
+// operatorRefusal is the answer to a query that a controller cannot serve.
+type operatorRefusal struct {
+	Error      string
+	Leader     string
+	status     int
+	retryAfter string
+}
+
+// getRefusal asks controller i for an operators' view that it refuses.
+func (c *cluster) getRefusal(i int, path string) (refusal operatorRefusal) {
+	c.tb.Helper()
+	response, err := http.Get("http://" + c.userAddrs[i] + api.OperatorPath + path)
+	if err != nil {
+		c.tb.Fatal(err)
+	}
+	defer response.Body.Close()
+	if err := json.NewDecoder(response.Body).Decode(&refusal); err != nil {
+		c.tb.Errorf("%s: %v", path, err)
+	}
+	refusal.status, refusal.retryAfter = response.StatusCode, response.Header.Get("Retry-After")
+	return refusal
+}
+
+// The operators' views say what is wrong with a query, who leads, and that there has
+// been no reconciliation.
 func TestRecoveryEndpoints(t *testing.T) {
 	c := startCluster(t, 2)
 	c.waitUntilSettled()
-	leader := 0
-	if c.getOperatorView(leader, "/machines", nil) != http.StatusOK {
-		leader = 1
-	}
-	c.eventually("a node that knows who leads", func() bool {
+	leader := c.leader()
+	follower := 1 - leader
+	c.eventually("a follower that knows the leader", func() bool {
 		var view struct{ Leader string }
-		return c.getOperatorView(1-leader, "/leader", &view) == http.StatusOK && view.Leader != ""
+		return c.getOperatorView(follower, "/leader", &view) == http.StatusOK && view.Leader != ""
 	})
-	var list []reconcile.DifferenceView
 	for path, want := range map[string]int{
 		"/recovery": 200, "/recovery/differences": 200, "/recovery/differences?class=missing-proven&skip=3&most=500": 200,
 		"/recovery/differences?class=lost": 400, "/recovery/differences?skip=-1": 400, "/recovery/differences?most=0": 400,
@@ -190,30 +183,19 @@
 			t.Errorf("%s: %d, want %d", path, got, want)
 		}
 	}
-	if c.getOperatorView(leader, "/recovery/differences", &list) != 200 || list == nil {
-		t.Errorf("an empty page is %v", list)
+	var differences []reconcile.DifferenceView
+	if c.getOperatorView(leader, "/recovery/differences", &differences) != http.StatusOK || differences == nil {
+		t.Errorf("an empty page is %v", differences)
 	}
 	for _, path := range []string{"/recovery", "/recovery/differences"} {
-		resp, err := http.Get("http://" + c.userAddrs[1-leader] + "/yarrowgap/v1" + path)
-		if err != nil {
-			t.Fatal(err)
-		}
-		var says struct{ Error, Leader string }
-		if err := json.NewDecoder(resp.Body).Decode(&says); err != nil || resp.StatusCode != 503 || says.Leader != fmt.Sprintf("drover-%d", leader) {
-			t.Errorf("%s at the other node: %d %+v, %v", path, resp.StatusCode, says, err)
+		if got := c.getRefusal(follower, path); got.status != http.StatusServiceUnavailable || got.Leader != controllerName(leader) {
+			t.Errorf("%s at the follower: %+v", path, got)
 		}
-		resp.Body.Close()
 	}
 	c.simulation.StartKVStoreOutage() // nobody can be elected
 	c.stopAllControllers()
 	c.startAllControllers()
-	var says struct{ Error string }
-	resp, err := http.Get("http://" + c.userAddrs[0] + "/yarrowgap/v1/recovery")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer resp.Body.Close()
-	if err := json.NewDecoder(resp.Body).Decode(&says); err != nil || resp.StatusCode != 503 || says.Error == "" || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("before any recovery: %d %+v, %v", resp.StatusCode, says, err)
+	if got := c.getRefusal(0, "/recovery"); got.status != http.StatusServiceUnavailable || got.Error == "" || got.retryAfter == "" {
+		t.Errorf("before any reconciliation: %+v", got)
 	}
 }
