--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -66,7 +66,7 @@
 	tracer.RecordsLoaded(10, start, start.Add(time.Second), 3, 2)
 	tracer.TermEnded(start.Add(2 * time.Second))
 	tracer.ReconcileEvents(start, events)
-	if err := tracer.Close(t.Context()); err != nil {
+	if err = tracer.Close(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	raw, err := os.ReadFile(path)
