--- a/cmd/yarrowgap/serve.go
+++ b/cmd/yarrowgap/serve.go
@@ -86,7 +86,7 @@
 }
 
 func logSettings(log *slog.Logger, cfg *config.Settings) {
-	log.Info("controller started", "bind", cfg.Bind, "peer_addr", cfg.PeerAddr, "zone", cfg.Zone, "version", version)
+	log.Info("serving", "bind", cfg.Bind, "peer_addr", cfg.PeerAddr, "zone", cfg.Zone, "version", version)
 	for _, objective := range cfg.Deployment.Objectives {
 		log.Debug("objective", "kind", objective.Kind, "class", objective.Class, "within_s", objective.WithinS, "share", objective.Share)
 	}
@@ -126,7 +126,7 @@
 	case err := <-p.failed:
 		return err
 	case <-ctx.Done():
-		log.Info("controller stopping")
+		log.Info("stopping")
 		return nil
 	}
 }
