--- a/cmd/yarrowgap/main.go
+++ b/cmd/yarrowgap/main.go
@@ -24,6 +24,7 @@
 	exitUsage  = 2 // the command line, settings or script are wrong
 )
 
+// cli is the command line.
 type cli struct {
 	Serve    serveCmd    `cmd:"" help:"Run a controller."`
 	Check    checkCmd    `cmd:"" help:"Check a settings file and an operator script without starting."`
@@ -95,29 +96,30 @@
 	return command.Run()
 }
 
+// versionCmd prints the release.
 type versionCmd struct{}
 
 func (versionCmd) Run(w io.Writer) error {
 	build := ""
-	if bi, ok := debug.ReadBuildInfo(); ok {
-		build = " (" + bi.GoVersion + ")"
+	if info, ok := debug.ReadBuildInfo(); ok {
+		build = " (" + info.GoVersion + ")"
 	}
 	_, err := fmt.Fprintf(w, "yarrowgap %s%s\n", version, build)
 	return err
 }
 
-// newLogger makes the log at the level that LOG_LEVEL names.
+// newLogger makes a log of messages at the level that LOG_LEVEL names, and above.
 func newLogger(w io.Writer, level string) (*slog.Logger, error) {
-	var l slog.Level
+	var minimum slog.Level
 	switch strings.ToLower(level) {
 	case "error":
-		l = slog.LevelError
+		minimum = slog.LevelError
 	case "info", "":
-		l = slog.LevelInfo
+		minimum = slog.LevelInfo
 	case "debug":
-		l = slog.LevelDebug
+		minimum = slog.LevelDebug
 	default:
 		return nil, usageError{fmt.Errorf("LOG_LEVEL: must be error, info or debug, is %q", level)}
 	}
-	return slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: l})), nil
+	return slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: minimum})), nil
 }
--- a/cmd/yarrowgap/queries.go
+++ b/cmd/yarrowgap/queries.go
@@ -13,6 +13,7 @@
 	"github.com/yarrowgap/yarrowgap/internal/scheduler"
 )
 
+// leaderCmd shows the leader and its term.
 type leaderCmd struct{ controllerFlags }
 
 func (c leaderCmd) Run(w io.Writer) error {
@@ -29,6 +30,7 @@
 	fmt.Fprintf(w, "asked\t%s, up %s\n", view.Node, time.Duration(view.UpS)*time.Second)
 }
 
+// jobCmd shows a live job and its attempts.
 type jobCmd struct {
 	controllerFlags
 	ID string `arg:"" help:"The job's id."`
@@ -62,6 +64,7 @@
 	fmt.Fprintln(w)
 }
 
+// waitingCmd lists waiting jobs.
 type waitingCmd struct {
 	controllerFlags
 	pageFlags
@@ -77,6 +80,7 @@
 	}
 }
 
+// machinesCmd lists the machines.
 type machinesCmd struct {
 	controllerFlags
 	pageFlags
@@ -93,6 +97,7 @@
 	}
 }
 
+// failuresCmd lists failed attempts, the newest first.
 type failuresCmd struct {
 	controllerFlags
 	Skip int `help:"Skip this many of the newest."`
@@ -111,6 +116,7 @@
 	}
 }
 
+// metricsCmd shows a controller's counters and latencies.
 type metricsCmd struct{ controllerFlags }
 
 func (c metricsCmd) Run(w io.Writer) error {
--- a/cmd/yarrowgap/serve.go
+++ b/cmd/yarrowgap/serve.go
@@ -19,6 +19,7 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
+// serveCmd runs a controller.
 type serveCmd struct{ configFlags }
 
 // Run serves until the process is told to end, or a listener fails.
--- a/internal/api/operators.go
+++ b/internal/api/operators.go
@@ -1,6 +1,7 @@
 package api
 
 import (
+	"errors"
 	"net/http"
 	"strconv"
 
@@ -45,7 +46,7 @@
 	detail, found, err := h.controller.JobView(c.Request().Context(), c.Param("id"))
 	switch {
 	case err != nil:
-		return writeUnavailable(c, "cannot be told now")
+		return writeUnavailable(c, errJobUndecided)
 	case !found:
 		return c.JSON(http.StatusNotFound, operatorError{Error: "no such job"})
 	}
@@ -72,7 +73,7 @@
 	status, ok, err := h.controller.RecoveryView()
 	switch {
 	case err != nil:
-		return writeUnavailable(c, err.Error())
+		return writeUnavailable(c, err)
 	case !ok:
 		return h.writeNotLeader(c)
 	}
@@ -113,9 +114,12 @@
 	Leader *string `json:"leader,omitempty"` // who to ask instead; empty if unknown
 }
 
+// errJobUndecided is the reason for which a job's view is unavailable.
+var errJobUndecided = errors.New("cannot be told now")
+
 // writeUnavailable says why a query cannot be answered now.
-func writeUnavailable(c echo.Context, reason string) error {
-	return writeRetryableError(c, operatorError{Error: reason})
+func writeUnavailable(c echo.Context, reason error) error {
+	return writeRetryableError(c, operatorError{Error: reason.Error()})
 }
 
 func (h *handlers) writeNotLeader(c echo.Context) error {
