--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -32,7 +32,7 @@
 	lastQueueDelay atomic.Int64  // how long the last request waited for a slot, in nanoseconds
 	queued         atomic.Int64  // requests that wait for a slot
 
-	mu       sync.Mutex // guards what follows, but for serving
+	mu       sync.Mutex // guards the fields below
 	closing  bool
 	listener net.Listener
 	conns    map[*conn]struct{}
