--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -62,16 +62,16 @@
 
 // Serve accepts connections until the listener fails, or Shutdown closes it; then it
 // returns http.ErrServerClosed.
-func (s *Server) Serve(l net.Listener) error {
+func (s *Server) Serve(listener net.Listener) error {
 	s.mu.Lock()
-	s.listener = l
+	s.listener = listener
 	s.mu.Unlock()
 	for {
-		nc, err := l.Accept()
+		netConn, err := listener.Accept()
 		switch {
 		case s.isClosing():
 			if err == nil {
-				_ = nc.Close()
+				_ = netConn.Close()
 			}
 			return http.ErrServerClosed
 		case errors.Is(err, syscall.EMFILE), errors.Is(err, syscall.ENFILE), errors.Is(err, syscall.ECONNABORTED):
@@ -83,7 +83,7 @@
 		// Connections are accepted no faster than requests are worked on.
 		slot := s.acquireSlot()
 		slot.release()
-		c := newConn(s, nc)
+		c := newConn(s, netConn)
 		s.track(c)
 		go c.serve()
 	}
@@ -102,7 +102,10 @@
 	}
 	s.mu.Unlock()
 	done := make(chan struct{})
-	go func() { s.serving.Wait(); close(done) }()
+	go func() {
+		defer close(done)
+		s.serving.Wait()
+	}()
 	select {
 	case <-done:
 		return nil
