--- a/cmd/restartbench/metric.go
+++ b/cmd/restartbench/metric.go
@@ -17,7 +17,7 @@
 	{"starts over need", func(r restartsim.Result) float64 { return float64(r.Issued.Starts - r.Needed.Starts) }},
 	{"stops over need", func(r restartsim.Result) float64 { return float64(r.Issued.Stops - r.Needed.Stops) }},
 	{"machines provisioned over need", func(r restartsim.Result) float64 { return float64(r.Issued.Provisioned - r.Needed.Provisioned) }},
-	{"machines released over need", func(r restartsim.Result) float64 { return float64(r.Issued.Released - r.Needed.Released) }},
+	{"machines released over need", func(r restartsim.Result) float64 { return float64(r.Issued.Releases - r.Needed.Releases) }},
 	{"calls to the key-value store", func(r restartsim.Result) float64 { return float64(r.KVStoreCalls) }},
 	{"calls to the cloud", func(r restartsim.Result) float64 { return float64(r.CloudCalls) }},
 	{"direct calls", func(r restartsim.Result) float64 { return float64(r.DirectCalls) }},
--- a/internal/restartsim/cluster.go
+++ b/internal/restartsim/cluster.go
@@ -64,7 +64,7 @@
 	settings  scheduler.Settings
 	scheduler *scheduler.Scheduler // nil: no controller runs
 	replica   *scheduler.Replica
-	counts    orderCounter
+	counts    counts
 }
 
 // newCluster makes a cluster whose machines run, without a controller.
@@ -77,7 +77,7 @@
 		machines:          map[string]*machine{},
 		machinesByRequest: map[string][]string{},
 		settings:          newSettings(plan),
-		counts:            newOrderCounter(),
+		counts:            newCounts(),
 	}
 	for i := range plan.Machines {
 		c.bootMachine(zones[i%len(zones)], 0)
--- a/internal/restartsim/controller.go
+++ b/internal/restartsim/controller.go
@@ -135,7 +135,7 @@
 			names = append(names, c.bootMachine(request.Zone, c.randomAround(bootTime, bootTime/4)))
 		}
 		c.machinesByRequest[request.RequestID] = names
-		c.counts.orders.Provisioned += len(names)
+		c.counts.orders.CountProvisioned(len(names))
 		c.inTerm(term, func() { term.Provisioned(c.schedulerNow(), request.RequestID, scheduler.ProvisionDone, names) })
 	})
 }
@@ -145,7 +145,7 @@
 	c.after(c.latency(), func() {
 		for _, name := range names {
 			c.terminate(name)
-			c.counts.countRelease(name)
+			c.counts.orders.CountRelease(name)
 		}
 		c.inTerm(term, func() { term.Released(c.schedulerNow(), names, scheduler.ReleaseDone) })
 	})
--- a/internal/restartsim/machine_changes.go
+++ b/internal/restartsim/machine_changes.go
@@ -47,7 +47,7 @@
 		r.terminatedMachines++
 		r.needed.Starts += lost
 		if lost > 0 {
-			r.needed.Released++ // the proof that allows its tasks to start elsewhere
+			r.needed.Releases++ // the proof that allows its tasks to start elsewhere
 		}
 		r.terminate(m.Name)
 	case changeRestarted:
--- a/internal/restartsim/restart.go
+++ b/internal/restartsim/restart.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/yarrowgap/yarrowgap/internal/reconcile"
+	"github.com/yarrowgap/yarrowgap/internal/simulator"
 )
 
 // Plan describes a restart.
@@ -16,14 +17,9 @@
 	Recovery bool // the operators' setting
 }
 
-// Orders counts orders to machines and to the cloud.
-type Orders struct {
-	Starts, Stops, Provisioned, Released int
-}
-
 // Result is the outcome of a plan. Times count from the restart; 0 means never.
 type Result struct {
-	Needed, Issued   Orders
+	Needed, Issued   simulator.OrderCounts
 	KVStoreCalls     int
 	CloudCalls       int
 	DirectCalls      int
@@ -64,7 +60,7 @@
 
 	c.scheduler = nil
 	c.submitTasks(nextJob, backlog)
-	r := &restartRun{cluster: c, initialMachines: plan.Machines, needed: Orders{Starts: backlog}}
+	r := &restartRun{cluster: c, initialMachines: plan.Machines, needed: simulator.OrderCounts{Starts: backlog}}
 	r.expectUsage(nextJob, backlog)
 	r.changeMachines(plan.Changed)
 	r.needed.Provisioned = machinesFor(filled+backlog) - (plan.Machines - r.terminatedMachines)
@@ -84,7 +80,7 @@
 	initialMachines    int
 	terminatedMachines int
 	expectedCPUs       map[string]float64 // by team, when all of its tasks run
-	needed             Orders
+	needed             simulator.OrderCounts
 	restartedAt        time.Duration
 	result             Result
 }
@@ -103,7 +99,7 @@
 
 // restart brings a controller back and observes what it does.
 func (r *restartRun) restart() Result {
-	r.restartedAt, r.counts = r.now, newOrderCounter()
+	r.restartedAt, r.counts = r.now, newCounts()
 	for _, m := range r.machines {
 		m.firstAnsweredAt = 0
 	}
@@ -152,7 +148,7 @@
 // collect completes the result.
 func (r *restartRun) collect() {
 	result := &r.result
-	result.Needed, result.Issued = r.needed, r.counts.orders
+	result.Needed, result.Issued = r.needed, r.counts.orders.Counts
 	result.KVStoreCalls, result.CloudCalls, result.DirectCalls = r.counts.kvStoreCalls, r.counts.cloudCalls, r.counts.directCalls
 	if r.counts.firstStartAt > 0 {
 		result.FirstStartAfter = r.counts.firstStartAt - r.restartedAt
--- a/internal/restartsim/restart_test.go
+++ b/internal/restartsim/restart_test.go
@@ -11,7 +11,7 @@
 		without := Run(plan)
 		plan.Recovery = true
 		with := Run(plan)
-		if with.Issued.Starts != with.Needed.Starts || with.Issued.Stops != with.Needed.Stops || with.Issued.Released != with.Needed.Released {
+		if with.Issued.Starts != with.Needed.Starts || with.Issued.Stops != with.Needed.Stops || with.Issued.Releases != with.Needed.Releases {
 			t.Errorf("%v changed: issued %+v, needed %+v", changed, with.Issued, with.Needed)
 		}
 		if most := with.Needed.Provisioned + plan.Machines/20; with.Issued.Provisioned > most {
@@ -23,7 +23,7 @@
 		if without.Needed != with.Needed {
 			t.Errorf("%v changed: another plan was run without the recovery: %+v, %+v", changed, without.Needed, with.Needed)
 		}
-		if changed > 0 && (without.Issued.Starts <= with.Issued.Starts || without.Issued.Released <= with.Issued.Released) {
+		if changed > 0 && (without.Issued.Starts <= with.Issued.Starts || without.Issued.Releases <= with.Issued.Releases) {
 			t.Errorf("%v changed: without the recovery issued %+v, so the test shows nothing", changed, without.Issued)
 		}
 	}
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -102,7 +102,7 @@
 		}
 	}
 	d.cloud.machinesByRequest[request.RequestID] = names
-	d.orders.counts.Provisioned += len(names)
+	d.orders.CountProvisioned(len(names))
 	return names
 }
 
@@ -132,7 +132,7 @@
 	}
 	for _, name := range request.Machines {
 		if worker := s.deployment.workers[name]; worker != nil {
-			s.deployment.orders.countRelease(name)
+			s.deployment.orders.CountRelease(name)
 			worker.Terminate()
 		}
 	}
--- a/internal/simulator/deployment.go
+++ b/internal/simulator/deployment.go
@@ -39,7 +39,7 @@
 	workers  map[string]*Worker
 	runTimes map[string]time.Duration // of a job's tasks, by job
 	faults   injectedFaults
-	orders   orderLedger
+	orders   *OrderCounter
 }
 
 // NewDeployment starts the clock of a deployment. It serves nothing before its handlers
@@ -54,7 +54,7 @@
 		workers:   map[string]*Worker{},
 		runTimes:  map[string]time.Duration{},
 		faults:    injectedFaults{partitionedUntil: map[string]time.Duration{}},
-		orders:    orderLedger{counted: map[string]bool{}},
+		orders:    NewOrderCounter(),
 	}
 }
 
--- a/internal/simulator/orders.go
+++ b/internal/simulator/orders.go
@@ -1,52 +1,66 @@
 package simulator
 
-import (
-	"fmt"
+import "github.com/yarrowgap/yarrowgap/wire"
 
-	"github.com/yarrowgap/yarrowgap/wire"
-)
-
-// OrderCounts counts the orders that the machines and the cloud of a deployment were
-// given. A repeated start, stop or release of the same attempt or machine counts once.
+// OrderCounts counts orders to machines and to the cloud.
 type OrderCounts struct {
 	Starts, Stops, Provisioned, Releases int
 }
 
-// orderLedger counts orders and remembers those that it has counted.
-type orderLedger struct {
-	counts  OrderCounts
-	counted map[string]bool
+// OrderCounter counts the orders that machines and the cloud are given. A repeated start,
+// stop or release of the same attempt or machine counts once.
+type OrderCounter struct {
+	Counts OrderCounts
+
+	commands map[commandKey]bool // those that are counted
+	releases map[string]bool     // machines whose release is counted
 }
 
-// countOnce counts an order, unless the same one was counted before.
-func (l *orderLedger) countOnce(count *int, key string) {
-	if !l.counted[key] {
-		l.counted[key] = true
-		*count++
-	}
+// commandKey identifies a command among its repetitions.
+type commandKey struct {
+	verb, machine, task string
+	attempt             uint64
 }
 
-func (l *orderLedger) countRelease(machine string) {
-	l.countOnce(&l.counts.Releases, machine)
+// NewOrderCounter returns a counter that has counted nothing.
+func NewOrderCounter() *OrderCounter {
+	return &OrderCounter{commands: map[commandKey]bool{}, releases: map[string]bool{}}
 }
 
-func (l *orderLedger) countCommands(machine string, commands []wire.Command) {
+// CountCommands counts the commands that a machine is given.
+func (c *OrderCounter) CountCommands(machine string, commands []wire.Command) {
 	for _, command := range commands {
-		key := fmt.Sprint(command.Verb, machine, command.Task, command.Attempt)
+		key := commandKey{command.Verb, machine, command.Task, command.Attempt}
+		if c.commands[key] {
+			continue
+		}
+		c.commands[key] = true
 		switch command.Verb {
 		case wire.VerbRun:
-			l.countOnce(&l.counts.Starts, key)
+			c.Counts.Starts++
 		case wire.VerbStop:
-			l.countOnce(&l.counts.Stops, key)
+			c.Counts.Stops++
 		}
 	}
 }
 
-// TakeOrders returns the orders since the last call.
+// CountProvisioned counts machines that are provisioned.
+func (c *OrderCounter) CountProvisioned(machines int) { c.Counts.Provisioned += machines }
+
+// CountRelease counts the release of a machine.
+func (c *OrderCounter) CountRelease(machine string) {
+	if !c.releases[machine] {
+		c.releases[machine] = true
+		c.Counts.Releases++
+	}
+}
+
+// TakeOrders returns the orders of the deployment's machines and cloud since the last
+// call.
 func (d *Deployment) TakeOrders() OrderCounts {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	counts := d.orders.counts
-	d.orders.counts = OrderCounts{}
+	counts := d.orders.Counts
+	d.orders.Counts = OrderCounts{}
 	return counts
 }
--- a/internal/simulator/worker_agent.go
+++ b/internal/simulator/worker_agent.go
@@ -73,7 +73,7 @@
 	if a.worker.Terminated || d.faults.partitionedUntil[a.worker.Name] > d.now() {
 		return 0, heartbeat, false
 	}
-	d.orders.countCommands(a.worker.Name, commands.Commands)
+	d.orders.CountCommands(a.worker.Name, commands.Commands)
 	status, heartbeat = a.worker.HandleCommands(d.now(), commands)
 	return status, heartbeat, true
 }
@@ -156,7 +156,7 @@
 	d := a.deployment
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.orders.countCommands(a.worker.Name, reply.Commands)
+	d.orders.CountCommands(a.worker.Name, reply.Commands)
 	a.worker.HandleHeartbeatReply(d.now(), pending.sentAt, pending.heartbeat.Incarnation, reply)
 }
 
