--- a/internal/mutation/placement_test.go
+++ b/internal/mutation/placement_test.go
@@ -25,7 +25,7 @@
 	{
 		scenario: "machines with free capacity fetch other jobs' images for minutes",
 		marker:   "fetch-wait-bound",
-		operator: replace("true", initializer(), operand(2, 3)),
+		operator: replace("true", operand(2, 3)),
 		test:     "internal/scheduler:^TestWaitForOtherImageFetchesIsBounded$",
 	},
 	{
--- a/internal/scheduler/attempt_outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -87,7 +87,7 @@
 // wherever it runs says nothing about machines, those that it was held against
 // before included.
 func (s *Scheduler) recordFailure(m *machine, j *job) {
-	if !s.likelyInvalid(j) {
+	if !j.likelyInvalid(s.now.Mono) {
 		m.quarantine.failedJobs[j.id] = true
 		if len(m.quarantine.failedJobs) >= tuning.QuarantineJobThreshold {
 			if m.quarantine.until < s.now.Mono {
--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -2,53 +2,65 @@
 
 import (
 	"container/heap"
+	"slices"
+	"time"
 
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// machinePicker hands out machines for the tasks of one job, the best first.
+// machinePicker hands out machines for the tasks of one job, the one with the least
+// placement cost first.
 type machinePicker struct {
-	scheduler         *Scheduler
-	job               *job
-	attemptsByZone    map[string]int
-	replicasByMachine map[*machine]int
-	candidates        candidateHeap
-	waitsForFetchSlot bool // some machine with room fetches another image
+	now        time.Duration
+	costs      costModel
+	job        *job
+	spread     taskSpread
+	candidates candidateHeap
+	// fetchSlotBusy is whether a machine with capacity was left out because it fetches
+	// another image.
+	fetchSlotBusy bool
 }
 
+// candidate is a machine that may take a task, with the cost that was last computed.
 type candidate struct {
 	machine *machine
 	cost    float64
 }
 
+// candidateHeap is a heap of candidates for container/heap, the one with the least cost at
+// the top.
 type candidateHeap []candidate
 
-func (p candidateHeap) Len() int { return len(p) }
+func (h candidateHeap) Len() int { return len(h) }
 
-func (p candidateHeap) Less(a, b int) bool {
-	return p[a].cost < p[b].cost || p[a].cost == p[b].cost && p[a].machine.name < p[b].machine.name
+func (h candidateHeap) Less(a, b int) bool {
+	return h[a].cost < h[b].cost || h[a].cost == h[b].cost && h[a].machine.name < h[b].machine.name
 }
 
-func (p candidateHeap) Swap(a, b int) { p[a], p[b] = p[b], p[a] }
+func (h candidateHeap) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
 
-func (p *candidateHeap) Push(x any) { *p = append(*p, x.(candidate)) }
+// Push adds a candidate at the end.
+func (h *candidateHeap) Push(x any) { *h = append(*h, x.(candidate)) }
 
-func (p *candidateHeap) Pop() any {
-	x := (*p)[len(*p)-1]
-	*p = (*p)[:len(*p)-1]
-	return x
+// Pop removes the last candidate.
+func (h *candidateHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
+	return last
 }
 
-func (s *Scheduler) newMachinePicker(r *placementRound, j *job) *machinePicker {
-	p := &machinePicker{scheduler: s, job: j, attemptsByZone: j.attemptsByZone(), replicasByMachine: j.replicasByMachine()}
-	for _, m := range r.withCapacity {
+// newMachinePicker chooses among the machines. It notes since when the job waits only
+// because all of them fetch other images.
+func (s *Scheduler) newMachinePicker(j *job, machines []*machine) *machinePicker {
+	p := &machinePicker{now: s.now.Mono, costs: s.newCostModel(), job: j, spread: j.taskSpread()}
+	for _, m := range machines {
 		if p.admits(m) {
-			p.candidates = append(p.candidates, candidate{m, s.placementCost(j, m, p.attemptsByZone, p.replicasByMachine[m])})
+			p.candidates = append(p.candidates, candidate{m, p.cost(m)})
 		}
 	}
 	switch {
 	case len(p.candidates) > 0:
-	case !p.waitsForFetchSlot:
+	case !p.fetchSlotBusy:
 		j.waiting.fetchSlotSince = 0
 	case j.waiting.fetchSlotSince == 0:
 		j.waiting.fetchSlotSince = s.now.Mono
@@ -57,29 +69,41 @@
 	return p
 }
 
+// keepZone leaves the machines of one zone.
+func (p *machinePicker) keepZone(zone string) {
+	p.candidates = slices.DeleteFunc(p.candidates, func(c candidate) bool { return c.machine.zone != zone })
+	heap.Init(&p.candidates)
+}
+
+func (p *machinePicker) cost(m *machine) float64 { return p.costs.cost(p.job, m, p.spread) }
+
 // admits reports whether one more task of the job may go to the machine.
 func (p *machinePicker) admits(m *machine) bool {
-	j, l := p.job, p.scheduler
-	if m.reservation.jobID != "" && m.reservation.jobID != j.id && l.now.Mono < m.reservation.until && j.rank > 0 {
-		return false // room was made here for another job
+	if m.reservedForOther(p.job, p.now) {
+		return false
 	}
-	if !m.hasCapacityFor(j) || !j.allowsMachine(m.machineType, m.zone, m.spot) || !j.allowsZone(p.attemptsByZone, m.zone) {
+	if !m.hasCapacityFor(p.job) || !p.job.allowsMachine(m.machineType, m.zone, m.spot) || !p.spread.allowsZone(p.job, m.zone) {
 		return false
 	}
-	// Fetches side by side share the machine's rate: one after the other, the
-	// first is there sooner and the last no later. But a job of which nothing is on any
-	// machine does not wait for other jobs' turns for ever.
-	//mutation:fetch-wait-bound
-	if patient := j.activeCount > 0 || j.waiting.fetchSlotSince == 0 || l.now.Mono-j.waiting.fetchSlotSince < tuning.MaxFetchSlotWait; patient &&
-		!j.service && !m.hasImage(j.spec.Image) && m.fetchesOtherImage(j.spec.Image) {
-		p.waitsForFetchSlot = true
+	if !p.job.service && !m.hasImage(p.job.spec.Image) && m.fetchesOtherImage(p.job.spec.Image) && p.waitsForFetchSlot() {
+		p.fetchSlotBusy = true
 		return false
 	}
 	return len(m.tasks)+len(m.exited) < tuning.MaxTasksPerMachine
 }
 
-// best gives the best machine, or nil. Scores only grow as tasks are placed, so
-// one that is found again as low as it was noted is the lowest.
+// waitsForFetchSlot reports whether the job leaves machines alone that fetch another image.
+// Concurrent fetches share the machine's bandwidth: one after the other, the first ends
+// sooner and the last no later. But a job without a task on any machine does not wait for
+// other jobs' fetches for ever.
+func (p *machinePicker) waitsForFetchSlot() bool {
+	since := p.job.waiting.fetchSlotSince
+	//mutation:fetch-wait-bound
+	return p.job.activeCount > 0 || since == 0 || p.now-since < tuning.MaxFetchSlotWait
+}
+
+// best gives the machine with the least cost, or nil. Costs only grow as tasks are placed,
+// so the top of the heap is the least as soon as its cost turns out to be what was noted.
 func (p *machinePicker) best() *machine {
 	for len(p.candidates) > 0 {
 		top := &p.candidates[0]
@@ -87,84 +111,104 @@
 			heap.Pop(&p.candidates)
 			continue
 		}
-		s := p.scheduler.placementCost(p.job, top.machine, p.attemptsByZone, p.replicasByMachine[top.machine])
-		if s <= top.cost+epsilon {
+		cost := p.cost(top.machine)
+		if cost <= top.cost+epsilon {
 			return top.machine
 		}
-		top.cost = s
+		top.cost = cost
 		heap.Fix(&p.candidates, 0)
 	}
 	return nil
 }
 
-// recordAssignment notes that a task went to the machine, which is at the top.
+// recordAssignment notes that a task went to the machine that best gave.
 func (p *machinePicker) recordAssignment(m *machine) {
 	p.job.waiting.fetchSlotSince = 0
-	if p.attemptsByZone != nil {
-		p.attemptsByZone[m.zone]++
-	}
-	p.replicasByMachine[m]++
-	p.candidates[0].cost = p.scheduler.placementCost(p.job, m, p.attemptsByZone, p.replicasByMachine[m])
+	p.spread.add(m)
+	p.candidates[0].cost = p.cost(m)
 	heap.Fix(&p.candidates, 0)
 }
 
-// replicasByMachine counts the attempts of a service by machine.
-func (j *job) replicasByMachine() map[*machine]int {
-	same := map[*machine]int{}
-	if j.service {
-		for _, list := range j.active {
-			for _, a := range list {
-				same[a.machine]++
-			}
-		}
-	}
-	return same
+// fitsSomewhere reports whether some machine could take one more task of the job.
+func (s *Scheduler) fitsSomewhere(j *job) bool {
+	return s.newMachinePicker(j, s.machinesWithCapacity([]*job{j})).best() != nil
 }
 
-// waitsForWarmMachine reports whether a production service had better wait a moment for
-// room on a machine that has its image than fetch it on m: lower work is stopped
-// there, which takes a few tens of milliseconds where a fetch takes seconds.
-func (s *Scheduler) waitsForWarmMachine(r *placementRound, j *job, m *machine, p *machinePicker) bool {
-	if !j.service || j.rank > 0 || m.hasImage(j.spec.Image) || j.spec.ImageGB/max(m.machineSpec.FetchGBPerS, 0.01) < tuning.MinFetchForPreemptionS {
-		return false
-	}
-	if s.now.Mono-j.waiting.since > tuning.MaxWarmCapacityWait {
-		return false
+// reserve keeps the machine's free capacity for a job for a while: other jobs below
+// production are not placed there.
+func (m *machine) reserve(j *job, now time.Duration) {
+	m.reservation.jobID, m.reservation.until = j.id, now+tuning.PreemptionReservationTTL
+}
+
+// reservedForOther reports whether the machine is reserved for another job than this.
+func (m *machine) reservedForOther(j *job, now time.Duration) bool {
+	return m.reservation.jobID != "" && m.reservation.jobID != j.id && now < m.reservation.until && !j.isProduction()
+}
+
+// fetchesOtherImage reports whether the machine fetches an image other than this.
+func (m *machine) fetchesOtherImage(name string) bool {
+	fetching := m.summarize().fetching
+	if _, same := fetching[name]; same {
+		return len(fetching) > 1
 	}
-	// Only where the task would then really go, or the room is made in vain,
-	// again and again.
-	return s.preemptFor(r, j, 1, s.placementCost(j, m, p.attemptsByZone, p.replicasByMachine[m])) > 0
+	return len(fetching) > 0
 }
 
 // allowsMachine reports whether the job may use a machine of this description.
-func (j *job) allowsMachine(typ, zone string, spot bool) bool {
+func (j *job) allowsMachine(machineType, zone string, spot bool) bool {
 	if spot && !j.spec.Spot || j.spec.Zone != "" && j.spec.Zone != zone {
 		return false
 	}
-	if j.spec.MachineTypes == nil {
-		return true
-	}
-	for _, t := range j.spec.MachineTypes {
-		if t == typ {
-			return true
+	return j.spec.MachineTypes == nil || slices.Contains(j.spec.MachineTypes, machineType)
+}
+
+// taskSpread counts where a job's attempts are, as far as their placement depends on it.
+type taskSpread struct {
+	byZone    map[string]int   // nil unless the job has a rule for zones
+	byMachine map[*machine]int // nil unless the job is a service
+}
+
+// taskSpread counts the attempts that the job has.
+func (j *job) taskSpread() taskSpread {
+	spread := taskSpread{byZone: j.attemptsByZone()}
+	if j.service {
+		spread.byMachine = map[*machine]int{}
+		for _, attempts := range j.active {
+			for _, a := range attempts {
+				spread.byMachine[a.machine]++
+			}
 		}
 	}
-	return false
+	return spread
 }
 
-// attemptsByZone counts the job's attempts by zone: all that may be there.
+// add counts one more attempt, on the machine.
+func (t taskSpread) add(m *machine) {
+	if t.byZone != nil {
+		t.byZone[m.zone]++
+	}
+	if t.byMachine != nil {
+		t.byMachine[m]++
+	}
+}
+
+// allowsZone reports whether one more task of the job may go to the zone.
+func (t taskSpread) allowsZone(j *job, zone string) bool { return j.allowsZone(t.byZone, zone) }
+
+// attemptsByZone counts the job's attempts by zone: all that may be there, also those that
+// no worker has listed yet. It is nil for a job without a rule for zones.
 func (j *job) attemptsByZone() map[string]int {
 	if !j.spec.SameZone && !j.spec.SpreadZones {
 		return nil
 	}
-	z := map[string]int{}
-	for _, list := range j.active {
-		for _, a := range list {
+	byZone := map[string]int{}
+	for _, attempts := range j.active {
+		for _, a := range attempts {
 			//mutation:zone-counts-unconfirmed-attempts
-			z[a.machine.zone]++
+			byZone[a.machine.zone]++
 		}
 	}
-	return z
+	return byZone
 }
 
 // allowsZone reports whether one more task of the job may go to the zone.
@@ -178,92 +222,3 @@
 	}
 	return attemptsByZone[zone] < j.spec.MaxTasksPerZone()
 }
-
-// schedulable reports whether tasks may be placed on the machine at all. One that did not
-// answer a start has to show that it hears us first, by its token or an answer: else
-// what is placed there meanwhile waits with that start.
-func (s *Scheduler) schedulable(m *machine) bool {
-	return (m.calls.unanswered == 0 || m.fencing.seenToken >= s.fencingToken(m)) &&
-		m.phase == machineUp && m.confirmed && !m.cloud.failed && m.cloud.interruptionAt == 0 && m.machineSpec != nil && m.connectivity.unreachableSince == 0 &&
-		m.quarantine.startsPausedUntil <= s.now.Mono && s.now.Mono-m.connectivity.lastHeartbeatAt < s.settings.HeartbeatInterval*3
-}
-
-func (m *machine) hasCapacityFor(j *job) bool {
-	return m.used.cpus+j.spec.CPUs <= m.machineSpec.CPUs+epsilon &&
-		m.used.gpus+j.spec.GPUs <= m.machineSpec.GPUs+epsilon &&
-		m.used.memoryGB+j.spec.MemoryGB <= m.machineSpec.MemoryGB+epsilon
-}
-
-// fitsSomewhere reports whether one more task of the job could go to some machine.
-func (s *Scheduler) fitsSomewhere(j *job) bool {
-	r := &placementRound{}
-	s.findCapacity(r, []*job{j})
-	return s.newMachinePicker(r, j).best() != nil
-}
-
-// fetchesOtherImage reports whether the machine fetches an image other than this.
-func (m *machine) fetchesOtherImage(name string) bool {
-	d := m.summarize()
-	if _, same := d.fetching[name]; same {
-		return len(d.fetching) > 1
-	}
-	return len(d.fetching) > 0
-}
-
-// placementCost is how many seconds, or their worth, a task loses on the machine. z
-// counts the job's tasks by zone, same those on the machine.
-func (s *Scheduler) placementCost(j *job, m *machine, attemptsByZone map[string]int, replicas int) float64 {
-	cost := 0.0
-	summary := m.summarize()
-	if j.spec.ImageGB > 0 && !m.hasImage(j.spec.Image) {
-		fetch := j.spec.ImageGB / max(m.machineSpec.FetchGBPerS, 0.01)
-		others := len(summary.fetching)
-		if _, shared := summary.fetching[j.spec.Image]; shared {
-			others--
-			if !j.service {
-				// Shared with a fetch under way. Not for services: where all
-				// that fetch gather on one machine, nothing else is warm when
-				// that one is lost.
-				fetch /= 2
-				others = 0
-			}
-		}
-		cost += fetch * float64(1+others)
-	}
-	if m.quarantine.until > s.now.Mono {
-		cost += 300
-	}
-	if j.retry.failedMachines[m.name] {
-		cost += 60
-	}
-	if j.service {
-		// Replicas apart from each other, and services apart from services,
-		// so that one machine's end costs little.
-		cost += 2*float64(replicas) + 0.3*float64(attemptsByZone[m.zone])
-		if s.settings.MinimizeCost {
-			// Here services share machines, or each blocks one for large tasks.
-			if summary.services == 0 {
-				cost++
-			}
-		} else {
-			cost += 0.3 * float64(summary.services)
-		}
-		if m.spot {
-			cost += 5
-		}
-	} else if m.spot && s.settings.MinimizeCost {
-		cost -= 0.5
-	} else if m.spot {
-		// It may be taken, and what runs there is lost: the longer the more.
-		cost += tuning.ExpectedSpotLoss * j.taskDuration()
-	}
-	// A full machine is better than two half full ones; without a thrifty aim
-	// the difference only breaks ties.
-	free := 1 - (m.used.cpus+j.spec.CPUs)/m.machineSpec.CPUs
-	if s.settings.MinimizeCost {
-		cost += 0.5 * free
-	} else {
-		cost += 0.05 * free
-	}
-	return cost
-}
--- a/internal/scheduler/deadline.go
+++ b/internal/scheduler/deadline.go
@@ -5,31 +5,60 @@
 	"math"
 	"slices"
 	"strings"
+	"time"
 
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// taskDuration is how long a task of the job takes to run, in seconds: the owner's
-// estimate at first, which is often wrong, and what was seen of the job's own
-// tasks as soon as enough of them have ended.
+// minTaskDurationS is the shortest duration that a task is planned with, in seconds.
+const minTaskDurationS = 0.1
+
+// Objective is a service-level objective: by when jobs of a class should be complete.
+type Objective struct {
+	DeadlineMultiples []float64 // multiples of the owner's deadline that count
+	WithinS           float64   // seconds from the submission; 0: no such objective
+}
+
+// deadlinesOf gives by when a job should be complete, in seconds from its submission and
+// in order: by its owner's deadline, or by what the objective makes of that. A job that
+// misses one may still meet the next. Without any, the job has no deadline.
+func (o Objective) deadlinesOf(j *wire.Job) []float64 {
+	var deadlines []float64
+	if j.DeadlineS != nil && len(o.DeadlineMultiples) == 0 && o.WithinS == 0 {
+		deadlines = append(deadlines, *j.DeadlineS)
+	}
+	if j.DeadlineS != nil {
+		for _, multiple := range o.DeadlineMultiples {
+			deadlines = append(deadlines, *j.DeadlineS*max(multiple, 1))
+		}
+	}
+	if o.WithinS > 0 && j.Shape != wire.ShapeService {
+		deadlines = append(deadlines, o.WithinS)
+	}
+	slices.Sort(deadlines)
+	return slices.Compact(deadlines)
+}
+
+// taskDuration is how long a task of the job takes to run, in seconds: its owner's
+// estimate, which is often wrong, until enough tasks were observed.
 func (j *job) taskDuration() float64 {
-	estimate := max(j.spec.EstimatedRunS, 0.1)
 	if j.runtimes.completed < tuning.MinRuntimeSamples {
-		return estimate
+		return max(j.spec.EstimatedRunS, minTaskDurationS)
 	}
-	return max(0.1, j.runtimes.totalS/float64(j.runtimes.completed))
+	return max(minTaskDurationS, j.runtimes.totalS/float64(j.runtimes.completed))
 }
 
-// remainingWork is what is left of the job, in CPU seconds.
-func (s *Scheduler) remainingWork(j *job) float64 {
+// remainingWork is what is left of the job, in CPU seconds. A task that runs for longer
+// than expected counts with a tenth of the expected duration.
+func (j *job) remainingWork(now time.Duration) float64 {
 	duration := j.taskDuration()
 	sum := float64(j.pendingTasks()) * duration
-	for _, list := range j.active {
-		for _, a := range list {
+	for _, attempts := range j.active {
+		for _, a := range attempts {
 			left := duration
 			if a.runningAt > 0 {
-				left = max(0.1*duration, duration-(s.now.Mono-a.runningAt).Seconds())
+				left = max(0.1*duration, duration-(now-a.runningAt).Seconds())
 			}
 			sum += left
 		}
@@ -37,173 +66,193 @@
 	return sum * max(j.spec.CPUs, 0.1)
 }
 
-// Objective is what a deployment expects of the completion of a class of jobs.
-type Objective struct {
-	DeadlineMultiples []float64 // multiples of the owner's deadline that count
-	WithinS           float64   // seconds from the submission; 0: no such aim
+// secondsToDeadline is in how many seconds the job should be complete: by the first of its
+// deadlines that it can meet, or by the last.
+func (j *job) secondsToDeadline(now time.Duration) float64 {
+	deadline := j.plan.deadlines[min(j.plan.feasible, len(j.plan.deadlines)-1)]
+	return deadline - (now - j.createdAt).Seconds()
 }
 
-// deadlinesOf are by when the job should be complete, in seconds from its submission,
-// the earliest first: by the owner's deadline, or by what the deployment expects
-// of its class. Who misses one may still make the next. Empty: no deadline.
-func (s *Scheduler) deadlinesOf(j *wire.Job) []float64 {
-	objective := s.settings.Objectives[j.Class]
-	var deadlines []float64
-	if j.DeadlineS != nil && len(objective.DeadlineMultiples) == 0 && objective.WithinS == 0 {
-		deadlines = append(deadlines, *j.DeadlineS)
-	}
-	if j.DeadlineS != nil {
-		for _, t := range objective.DeadlineMultiples {
-			deadlines = append(deadlines, *j.DeadlineS*max(t, 1))
-		}
-	}
-	if objective.WithinS > 0 && j.Shape != wire.ShapeService {
-		deadlines = append(deadlines, objective.WithinS)
-	}
-	slices.Sort(deadlines)
-	return slices.Compact(deadlines)
+// missesAllDeadlines reports whether the job misses all its deadlines, by the last plan.
+func (j *job) missesAllDeadlines() bool {
+	return len(j.plan.deadlines) > 0 && j.plan.feasible >= len(j.plan.deadlines)
 }
 
-// secondsToDeadline is in how many seconds the job should be complete: by the first of its
-// deadlines that it can meet, or by the last.
-func (s *Scheduler) secondsToDeadline(j *job) float64 {
-	return j.plan.deadlines[min(j.plan.feasible, len(j.plan.deadlines)-1)] - (s.now.Mono - j.createdAt).Seconds()
+// hasTightDeadline reports whether a task of the job that started anew now would miss the
+// deadline that the job can still meet.
+func (j *job) hasTightDeadline(now time.Duration) bool {
+	return len(j.plan.deadlines) > 0 && !j.missesAllDeadlines() &&
+		j.secondsToDeadline(now) < j.taskDuration()*tuning.DeadlineFeasibilityFactor
 }
 
-// arrayCapacity is how many CPUs arrays with tasks like j's can use: on machines
-// that are in reach or on their way, beside what services leave there. A machine
-// that a service is on may have no room for a large task.
-func (s *Scheduler) arrayCapacity(j *job) float64 {
-	sum := 0.0
-	for _, m := range s.cluster.machines {
-		if m.machineSpec == nil || m.cloud.failed || m.cloud.interruptionAt > 0 || m.phase == machineReleasing || m.phase == machineUp && s.now.Mono-m.connectivity.lastHeartbeatAt > s.settings.HeartbeatInterval*3 {
-			continue
-		}
-		cpus, mem := m.machineSpec.CPUs, m.machineSpec.MemoryGB
-		if d := m.summarize(); d.services > 0 {
-			cpus -= d.serviceCPUs
-			mem -= d.serviceMemoryGB
-		}
-		n := math.Inf(1)
-		if j.spec.CPUs > 0 {
-			n = math.Floor(cpus/j.spec.CPUs + epsilon)
-		}
-		if j.spec.MemoryGB > 0 {
-			n = min(n, math.Floor(mem/j.spec.MemoryGB+epsilon))
-		}
-		if n > 0 && !math.IsInf(n, 1) {
-			sum += n * j.spec.CPUs
-		}
-	}
-	return sum
+// deadlinePlanner decides which jobs can still meet which of their deadlines.
+//
+// It takes jobs in the order of their deadlines; when one would be late, it gives up the
+// largest taken so far, which keeps as many jobs on time as possible (the Moore-Hodgson
+// algorithm, with first each team's quota and then the whole cluster as the one machine).
+// The jobs that were given up are tried with their next deadline, in the next tier, beside
+// those that were kept. A job that misses its last deadline gets the capacity that the
+// others leave.
+type deadlinePlanner struct {
+	now         time.Duration
+	teams       map[string]TeamQuota
+	serviceCPUs map[string]float64 // of services, by team
+	totalCPUs   float64            // that jobs with deadlines can use
+	jobs        []plannedJob
+	tiers       int // the most deadlines that any job has
 }
 
 // plannedJob is a job with deadlines in a plan.
 type plannedJob struct {
 	job         *job
-	work        float64
-	secondsLeft float64
-	committed   bool // by an earlier pass: not to be given up
+	work        float64 // in CPU seconds
+	secondsLeft float64 // to the deadline of the tier
+	committed   bool    // to a deadline of an earlier tier: not to be given up
 }
 
-// planDeadlines decides which jobs can still meet which of their deadlines. Jobs
-// are taken in the order of their deadlines; when one would be late, the largest
-// taken so far is given up, which keeps as many jobs on time as possible (Moore's
-// rule, with the cluster as one machine, after each team's limit as one). What is
-// given up is tried with its next deadline, beside what was kept; what misses the
-// last runs after the others, with whatever room they leave.
+// planDeadlines finds out for each job the first deadline that it can still meet.
 func (s *Scheduler) planDeadlines() {
-	var planned []plannedJob
-	services := map[string]float64{} // CPUs by team
-	tiers := 0
-	var typical *job // the one with the most work says what fits on a machine
-	mostWork := 0.0
-	for _, j := range s.cluster.jobs {
+	planner := deadlinePlanner{now: s.now.Mono, teams: s.settings.Teams, serviceCPUs: map[string]float64{}}
+	planner.addJobs(s.cluster.jobs)
+	if len(planner.jobs) == 0 {
+		return
+	}
+	planner.totalCPUs = max(s.arrayCapacity(planner.largestJob()), 1)
+	for tier := range planner.tiers {
+		planner.planTier(tier)
+	}
+}
+
+// addJobs adds the jobs that have deadlines, and counts what services take.
+func (p *deadlinePlanner) addJobs(jobs map[string]*job) {
+	for _, j := range jobs {
 		j.plan.feasible = 0
-		if j.cancelled || j.archived {
-			continue
-		}
-		if j.service {
-			services[j.spec.Team] += float64(j.spec.Tasks) * j.spec.CPUs
+		switch {
+		case !j.isOpen():
+		case j.service:
+			p.serviceCPUs[j.spec.Team] += float64(j.spec.Tasks) * j.spec.CPUs
+		case len(j.plan.deadlines) > 0 && !j.likelyInvalid(p.now):
+			p.jobs = append(p.jobs, plannedJob{job: j, work: j.remainingWork(p.now)})
+			p.tiers = max(p.tiers, len(j.plan.deadlines))
 		}
-		if j.service || len(j.plan.deadlines) == 0 || s.likelyInvalid(j) {
+	}
+}
+
+// largestJob is the one with the most work left, whose tasks stand for all in what fits on
+// a machine.
+func (p *deadlinePlanner) largestJob() *job {
+	return slices.MaxFunc(p.jobs, func(a, b plannedJob) int {
+		return cmp.Or(cmp.Compare(a.work, b.work), strings.Compare(b.job.id, a.job.id))
+	}).job
+}
+
+// planTier plans with each job's first deadline that was not given up in an earlier tier.
+func (p *deadlinePlanner) planTier(tier int) {
+	jobsByTeam := map[string][]*plannedJob{}
+	for i := range p.jobs {
+		planned := &p.jobs[i]
+		planned.committed = planned.job.plan.feasible < tier
+		if planned.job.missesAllDeadlines() {
 			continue
 		}
-		work := s.remainingWork(j)
-		planned = append(planned, plannedJob{job: j, work: work})
-		tiers = max(tiers, len(j.plan.deadlines))
-		if typical == nil || work > mostWork || work == mostWork && j.id < typical.id {
-			typical, mostWork = j, work
-		}
+		planned.secondsLeft = planned.job.secondsToDeadline(p.now)
+		team := planned.job.spec.Team
+		jobsByTeam[team] = append(jobsByTeam[team], planned)
 	}
-	if typical == nil {
-		return
+	var onTime []*plannedJob
+	for team, jobs := range jobsByTeam {
+		onTime = append(onTime, keepMostOnTime(jobs, p.cpusOf(team))...)
 	}
-	capacity := max(s.arrayCapacity(typical), 1)
-	for tier := range tiers {
-		teams := map[string][]*plannedJob{}
-		for i := range planned {
-			entry := &planned[i]
-			entry.committed = entry.job.plan.feasible < tier
-			if entry.job.missesAllDeadlines() {
-				continue
-			}
-			entry.secondsLeft = s.secondsToDeadline(entry.job)
-			teams[entry.job.spec.Team] = append(teams[entry.job.spec.Team], entry)
-		}
-		var onTime []*plannedJob
-		for name, list := range teams {
-			cpus := capacity
-			if t, ok := s.settings.Teams[name]; ok && t.CPUsMax > 0 {
-				cpus = max(1, min(cpus, t.CPUsMax-services[name]))
-			}
-			onTime = append(onTime, keepMostOnTime(list, cpus)...)
-		}
-		keepMostOnTime(onTime, capacity)
+	keepMostOnTime(onTime, p.totalCPUs)
+}
+
+// cpusOf is how many CPUs a team's jobs with deadlines can use.
+func (p *deadlinePlanner) cpusOf(team string) float64 {
+	quota, ok := p.teams[team]
+	if !ok || quota.CPUsMax <= 0 {
+		return p.totalCPUs
 	}
+	return max(1, min(p.totalCPUs, quota.CPUsMax-p.serviceCPUs[team]))
 }
 
-// keepMostOnTime gives up jobs until the others are on time on a machine of the given
-// width, and returns these.
-func keepMostOnTime(list []*plannedJob, cpus float64) []*plannedJob {
-	slices.SortFunc(list, func(a, b *plannedJob) int {
-		if c := cmp.Compare(a.secondsLeft, b.secondsLeft); c != 0 {
-			return c
-		}
-		return strings.Compare(a.job.id, b.job.id)
+// keepMostOnTime moves jobs to their next deadline until the others are on time with so
+// many CPUs, and returns these others.
+func keepMostOnTime(jobs []*plannedJob, cpus float64) []*plannedJob {
+	slices.SortFunc(jobs, func(a, b *plannedJob) int {
+		return cmp.Or(cmp.Compare(a.secondsLeft, b.secondsLeft), strings.Compare(a.job.id, b.job.id))
 	})
 	var onTime []*plannedJob
-	sum := 0.0
-	for _, e := range list {
-		alone := e.work / cpus // even alone it needs this long
-		if e.job.pendingTasks() > 0 {
-			alone = max(alone, e.job.taskDuration())
-		}
-		if !e.committed && alone*tuning.DeadlineFeasibilityFactor > e.secondsLeft {
-			e.job.plan.feasible++
+	work := 0.0
+	for _, planned := range jobs {
+		if !planned.committed && planned.minSeconds(cpus)*tuning.DeadlineFeasibilityFactor > planned.secondsLeft {
+			planned.giveUpDeadline()
 			continue
 		}
-		onTime = append(onTime, e)
-		sum += e.work
-		for sum/cpus*tuning.DeadlineFeasibilityFactor > e.secondsLeft {
-			largest := -1
-			for i, x := range onTime {
-				if !x.committed && (largest < 0 || x.work > onTime[largest].work) {
-					largest = i
-				}
-			}
+		onTime = append(onTime, planned)
+		work += planned.work
+		for work/cpus*tuning.DeadlineFeasibilityFactor > planned.secondsLeft {
+			largest := largestUncommitted(onTime)
 			if largest < 0 {
 				break
 			}
-			onTime[largest].job.plan.feasible++
-			sum -= onTime[largest].work
+			onTime[largest].giveUpDeadline()
+			work -= onTime[largest].work
 			onTime = slices.Delete(onTime, largest, largest+1)
 		}
 	}
 	return onTime
 }
 
-// missesAllDeadlines reports whether the job misses all its deadlines, by the last plan.
-func (j *job) missesAllDeadlines() bool {
-	return len(j.plan.deadlines) > 0 && j.plan.feasible >= len(j.plan.deadlines)
+// minSeconds is how long the job takes if it has all CPUs to itself.
+func (p *plannedJob) minSeconds(cpus float64) float64 {
+	seconds := p.work / cpus
+	if p.job.pendingTasks() > 0 {
+		seconds = max(seconds, p.job.taskDuration())
+	}
+	return seconds
+}
+
+func (p *plannedJob) giveUpDeadline() { p.job.plan.feasible++ }
+
+// largestUncommitted gives the index of the job with the most work among those that may
+// be given up, the first of several, or -1 if there is none.
+func largestUncommitted(jobs []*plannedJob) int {
+	largest := -1
+	for i, planned := range jobs {
+		if !planned.committed && (largest < 0 || planned.work > jobs[largest].work) {
+			largest = i
+		}
+	}
+	return largest
+}
+
+// arrayCapacity is how many CPUs array jobs with tasks like those of j can use: on machines
+// that are up or booting, beside what services leave there. A machine with a service on it
+// may have no capacity for a large task.
+func (s *Scheduler) arrayCapacity(j *job) float64 {
+	sum := 0.0
+	for _, m := range s.cluster.machines {
+		if !s.countsForPlanning(m) {
+			continue
+		}
+		free := totalResources(m.machineSpec)
+		if summary := m.summarize(); summary.services > 0 {
+			free.cpus -= summary.serviceCPUs
+			free.memoryGB -= summary.serviceMemoryGB
+		}
+		// Whether there are GPUs is left to placement.
+		tasks := tasksThatFit(free, resources{cpus: j.spec.CPUs, memoryGB: j.spec.MemoryGB})
+		if tasks > 0 && !math.IsInf(tasks, 1) {
+			sum += tasks * j.spec.CPUs
+		}
+	}
+	return sum
+}
+
+// countsForPlanning reports whether the machine has capacity now or soon.
+func (s *Scheduler) countsForPlanning(m *machine) bool {
+	if m.machineSpec == nil || m.cloud.failed || m.cloud.interruptionAt > 0 || m.phase == machineReleasing {
+		return false
+	}
+	return m.phase != machineUp || s.now.Mono-m.connectivity.lastHeartbeatAt <= s.missedHeartbeatsAfter()
 }
--- a/internal/scheduler/deadline_test.go
+++ b/internal/scheduler/deadline_test.go
@@ -27,7 +27,7 @@
 	} {
 		h := newHarness(t, false, nil, nil)
 		h.scheduler.settings.Objectives = map[string]Objective{"c": tc.aim}
-		if got := h.scheduler.deadlinesOf(&wire.Job{Class: "c", Shape: wire.ShapeArray, DeadlineS: tc.due}); !slices.Equal(got, tc.want) {
+		if got := tc.aim.deadlinesOf(&wire.Job{Class: "c", Shape: wire.ShapeArray, DeadlineS: tc.due}); !slices.Equal(got, tc.want) {
 			t.Errorf("%+v: due after %v, want %v", tc.aim, got, tc.want)
 		}
 	}
@@ -51,7 +51,7 @@
 	// What cannot meet its deadline may meet the next, if that spoils nobody's.
 	h.scheduler.settings.Objectives = map[string]Objective{"": {DeadlineMultiples: []float64{1, 2}}}
 	for _, j := range h.scheduler.cluster.jobs {
-		j.plan.deadlines = h.scheduler.deadlinesOf(&j.spec)
+		j.plan.deadlines = h.scheduler.settings.Objectives[j.spec.Class].deadlinesOf(&j.spec)
 	}
 	h.scheduler.planDeadlines()
 	if j := h.scheduler.cluster.jobs["run-000001"]; j.plan.feasible != 1 || j.missesAllDeadlines() {
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -1,193 +1,212 @@
 package scheduler
 
 import (
-	"container/heap"
+	"cmp"
 	"maps"
-	"math"
 	"slices"
-	"sort"
 
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// placeGang places all waiting members of a gang, or none. Where they have to be
-// together, each zone is tried: the best machine for the first of them may be in one
-// that has no room for the others.
-func (s *Scheduler) placeGang(r *placementRound, j *job, n int) bool {
+// placeGang assigns all n waiting members of a gang, or none. If they have to be in one
+// zone, it tries each: the best machine for the first member may be in a zone without
+// capacity for the others.
+func (r *placementRound) placeGang(j *job, n int) bool {
 	//mutation:gang-zone-choice
 	if !j.spec.SameZone || j.activeCount > 0 {
-		return s.placeGangInZone(r, j, n, "")
+		return r.placeGangIn(anyZone, j, n)
 	}
-	zones := map[string]bool{}
-	for _, m := range r.withCapacity {
-		zones[m.zone] = true
-	}
-	for _, z := range slices.Sorted(maps.Keys(zones)) {
-		if s.placeGangInZone(r, j, n, z) {
+	for _, zone := range r.zonesWithCapacity() {
+		if r.placeGangIn(zone, j, n) {
 			return true
 		}
 	}
 	return false
 }
 
-// placeGangInZone places them in one zone; empty: in any.
-func (s *Scheduler) placeGangInZone(r *placementRound, j *job, n int, zone string) bool {
-	if s.attemptNumbersLeft() < n {
+// anyZone stands for all zones together.
+const anyZone = ""
+
+// zonesWithCapacity lists the zones of the round's machines.
+func (r *placementRound) zonesWithCapacity() []string {
+	zones := map[string]bool{}
+	for _, m := range r.machines {
+		zones[m.zone] = true
+	}
+	return slices.Sorted(maps.Keys(zones))
+}
+
+// placeGangIn assigns all n waiting members in the zone, or none.
+func (r *placementRound) placeGangIn(zone string, j *job, n int) bool {
+	if r.scheduler.attemptNumbersLeft() < n {
 		return false
 	}
-	var placed []*attempt
-	p := s.newMachinePicker(r, j)
-	if zone != "" {
-		p.candidates = slices.DeleteFunc(p.candidates, func(x candidate) bool { return x.machine.zone != zone })
-		heap.Init(&p.candidates)
+	picker := r.newMachinePicker(j)
+	if zone != anyZone {
+		picker.keepZone(zone)
 	}
+	var members []*attempt
 	for range n {
-		m := p.best()
+		m := picker.best()
 		if m == nil {
 			break
 		}
-		i, ok := j.takeFreeIndex()
+		index, ok := j.takeFreeIndex()
 		if !ok {
 			break
 		}
-		a := s.newAttempt(j, i, m)
-		s.attach(a)
-		p.recordAssignment(m)
-		placed = append(placed, a)
-	}
-	if len(placed) < n {
-		for _, a := range placed {
-			s.detach(a)
-		}
-		s.placement.due = false // nothing has changed
+		members = append(members, r.assign(j, index, m))
+		picker.recordAssignment(m)
+	}
+	if len(members) < n {
+		r.undoAssignments(members)
 		return false
 	}
-	for _, a := range placed {
-		s.queueAssignment(a)
+	for _, a := range members {
+		r.scheduler.queueAssignment(a)
 	}
 	return true
 }
 
-// reserveForGang keeps machines free of other work, production apart, until a gang that
-// waits for long fits on them together: room for all of it never comes by itself
-// where smaller tasks take each slot that falls free.
-func (s *Scheduler) reserveForGang(j *job, n int) {
-	slots := func(m *machine) int {
-		cpus, mem := m.machineSpec.CPUs, m.machineSpec.MemoryGB
-		for _, a := range m.tasks {
-			if a.job != nil && (a.job.service || a.job.rank < j.rank) {
-				cpus -= a.job.spec.CPUs
-				mem -= a.job.spec.MemoryGB
-			}
-		}
-		k := wire.MaxTasks
-		if j.spec.CPUs > 0 {
-			k = min(k, int(cpus/j.spec.CPUs+epsilon))
-		}
-		if j.spec.MemoryGB > 0 {
-			k = min(k, int(mem/j.spec.MemoryGB+epsilon))
-		}
-		return max(k, 0)
-	}
-	var list []*machine
-	room := map[string]int{}
-	for _, m := range s.sortedMachines() {
-		if s.schedulable(m) && !m.summarize().hasUnknownTask && j.allowsMachine(m.machineType, m.zone, m.spot) && slots(m) > 0 {
-			list = append(list, m)
-			room[m.zone] += slots(m)
+// undoAssignments takes back assignments that were not queued to be recorded.
+func (r *placementRound) undoAssignments(attempts []*attempt) {
+	for _, a := range attempts {
+		r.scheduler.detach(a)
+	}
+	r.scheduler.placement.due = false // detach asks for a round, but nothing has changed
+}
+
+// zoneCapacity counts by zone for how many tasks there is capacity.
+type zoneCapacity map[string]int
+
+// largest gives the zone with the most capacity, the first by name of several.
+func (z zoneCapacity) largest() string {
+	largest := ""
+	for _, zone := range slices.Sorted(maps.Keys(z)) {
+		if largest == "" || z[zone] > z[largest] {
+			largest = zone
 		}
 	}
-	best := ""
-	for _, z := range slices.Sorted(maps.Keys(room)) {
-		if best == "" || room[z] > room[best] {
-			best = z
+	return largest
+}
+
+// reserveForGang keeps machines free of other work, production apart, until a starved gang
+// of n fits on them as a whole. It would never fit by itself where smaller tasks take each
+// slot that becomes free. If the machines would not suffice even when empty, it reserves
+// none: they would be emptied in vain.
+func (r *placementRound) reserveForGang(j *job, n int) {
+	var machines []*machine
+	capacity := zoneCapacity{}
+	for _, m := range r.scheduler.sortedMachines() {
+		if !r.scheduler.canHost(m, j) {
+			continue
+		}
+		if slots := m.gangSlots(j); slots > 0 {
+			machines = append(machines, m)
+			capacity[m.zone] += slots
 		}
 	}
-	fits := 0
-	for z, k := range room {
-		if z == best || !j.spec.SameZone {
-			fits += min(k, j.spec.MaxTasksPerZone())
+	zone := capacity.largest()
+	fitting := 0
+	for other, slots := range capacity {
+		if other == zone || !j.spec.SameZone {
+			fitting += min(slots, j.spec.MaxTasksPerZone())
 		}
 	}
 	//mutation:reserve-only-if-gang-fits
-	if fits < n {
-		return // it fits only once there are more machines: keeping these empties them in vain
-	}
-	// Those that are emptiest are free soonest.
-	sort.SliceStable(list, func(a, b int) bool { return list[a].used.cpus < list[b].used.cpus })
-	taken := map[string]int{}
-	for _, m := range list {
-		if j.spec.SameZone && m.zone != best || n <= 0 {
+	if fitting < n {
+		return
+	}
+	// The emptiest machines are free soonest.
+	slices.SortStableFunc(machines, func(a, b *machine) int { return cmp.Compare(a.used.cpus, b.used.cpus) })
+	reserved := zoneCapacity{}
+	for _, m := range machines {
+		if n <= 0 {
+			return
+		}
+		slots := min(m.gangSlots(j), j.spec.MaxTasksPerZone()-reserved[m.zone])
+		if j.spec.SameZone && m.zone != zone || slots <= 0 {
 			continue
 		}
-		k := min(slots(m), j.spec.MaxTasksPerZone()-taken[m.zone])
-		if k <= 0 {
-			continue
+		reserved[m.zone] += slots
+		n -= slots
+		m.reserve(j, r.now)
+	}
+}
+
+// gangSlots is how many members of the gang the machine could run if all but services and
+// work of higher priority ended there. GPUs don't count.
+func (m *machine) gangSlots(j *job) int {
+	free := totalResources(m.machineSpec)
+	for _, a := range m.tasks {
+		if a.job != nil && (a.job.service || a.job.rank < j.rank) {
+			free = free.minus(a.job.taskResources())
 		}
-		taken[m.zone] += k
-		n -= k
-		m.reservation.jobID, m.reservation.until = j.id, s.now.Mono+tuning.PreemptionReservationTTL
 	}
+	slots := tasksThatFit(free, resources{cpus: j.spec.CPUs, memoryGB: j.spec.MemoryGB})
+	return int(max(0, min(slots, wire.MaxTasks)))
 }
 
 // hostableTasks is how many of n waiting tasks of the job could go to the machines that
-// there are if all but production made way there. Of those that need machines yet, no
-// room is kept. What is on its way is waited for, for a while.
-func (s *Scheduler) hostableTasks(j *job, n int) int {
+// there are if all but production made way. For tasks that need machines yet to be
+// provisioned, no quota is reserved and nothing is preempted. For a while the job waits for
+// machines that may be on their way, and all n count.
+func (r *placementRound) hostableTasks(j *job, n int) int {
 	//mutation:reservation-wait-bound
-	if s.now.Mono-j.waiting.since < tuning.ReservationTTL {
+	if r.now-j.waiting.since < tuning.ReservationTTL {
 		return n
 	}
-	z := j.attemptsByZone()
-	room := map[string]int{}
-	could := func() int {
-		most, sum := 0, 0
-		for zone, k := range room {
-			most = max(most, k)
-			sum += max(0, min(k, j.spec.MaxTasksPerZone()-z[zone]))
-		}
-		if j.spec.SameZone {
-			sum = most
-		}
-		return sum
-	}
-	for _, m := range s.sortedMachines() {
-		if !s.schedulable(m) || m.summarize().hasUnknownTask || !j.allowsMachine(m.machineType, m.zone, m.spot) || !j.allowsZone(z, m.zone) {
+	attemptsByZone := j.attemptsByZone()
+	capacity := zoneCapacity{}
+	for _, m := range r.scheduler.sortedMachines() {
+		if !r.scheduler.canHost(m, j) || !j.allowsZone(attemptsByZone, m.zone) {
 			continue
 		}
-		cpus, gpus, mem := m.machineSpec.CPUs, m.machineSpec.GPUs, m.machineSpec.MemoryGB
-		for _, a := range m.tasks {
-			if a.job.rank == 0 || a.job == j {
-				cpus -= a.job.spec.CPUs
-				gpus -= a.job.spec.GPUs
-				mem -= a.job.spec.MemoryGB
-			}
-		}
-		k := float64(n)
-		for _, part := range [][2]float64{{cpus, j.spec.CPUs}, {gpus, j.spec.GPUs}, {mem, j.spec.MemoryGB}} {
-			if part[1] > 0 {
-				k = min(k, math.Floor(part[0]/part[1]+epsilon))
-			}
-		}
-		if k < 1 {
+		slots := m.productionSlots(j, n)
+		if slots == 0 {
 			continue
 		}
-		room[m.zone] = min(n, room[m.zone]+int(k))
-		if could() >= n {
+		capacity[m.zone] = min(n, capacity[m.zone]+slots)
+		if capacity.tasksOf(j, attemptsByZone) >= n {
 			return n // mostly after a few machines: hundreds of jobs may ask in each round
 		}
 	}
 	if j.spec.Gang() {
 		return 0 // it runs as a whole or not at all
 	}
-	return could()
+	return capacity.tasksOf(j, attemptsByZone)
+}
+
+// productionSlots is how many tasks of the job, n at the most, the machine could run if all
+// but production and the job itself ended there.
+func (m *machine) productionSlots(j *job, n int) int {
+	free := totalResources(m.machineSpec)
+	for _, a := range m.tasks {
+		if a.job.isProduction() || a.job == j {
+			free = free.minus(a.job.taskResources())
+		}
+	}
+	return int(max(0, min(tasksThatFit(free, j.taskResources()), float64(n))))
+}
+
+// tasksOf is how many tasks of the job the capacity suffices for under its rules for zones.
+func (z zoneCapacity) tasksOf(j *job, attemptsByZone map[string]int) int {
+	most, sum := 0, 0
+	for zone, slots := range z {
+		most = max(most, slots)
+		sum += max(0, min(slots, j.spec.MaxTasksPerZone()-attemptsByZone[zone]))
+	}
+	if j.spec.SameZone {
+		return most
+	}
+	return sum
 }
 
 // hasStoppingAttempt reports whether any attempt of the job is being stopped.
 func (j *job) hasStoppingAttempt() bool {
-	for _, list := range j.active {
-		for _, a := range list {
+	for _, attempts := range j.active {
+		for _, a := range attempts {
 			if a.stop.requested {
 				return true
 			}
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -94,7 +94,7 @@
 	}
 	// The job's age by the time of day, moved onto our steady clock.
 	j.createdAt = s.now.Mono - time.Duration(max(0, s.now.Wall-record.Job.CreatedAtMilli))*time.Millisecond
-	j.plan.deadlines = s.deadlinesOf(&j.spec)
+	j.plan.deadlines = s.settings.Objectives[j.spec.Class].deadlinesOf(&j.spec)
 	s.mergeDoneBits(j, 0, record.Done)
 	s.cluster.jobs[j.id] = j
 	return j
@@ -197,7 +197,7 @@
 	// other images; 0: it does not.
 	fetchSlotSince    time.Duration
 	preemptionTriedAt time.Duration
-	reason            string // for people
+	reason            WaitReason
 }
 
 // headroomCheck remembers whether there was capacity for a task of the job.
@@ -208,7 +208,7 @@
 
 // deadlinePlan has a job's deadlines, and those that it can still meet by the last round.
 type deadlinePlan struct {
-	deadlines []float64 // in seconds from the submission, see Scheduler.deadlinesOf
+	deadlines []float64 // in seconds from the submission, see Objective.deadlinesOf
 	feasible  int       // the first of them that can be met; their number: none
 	slackS    float64   // seconds until that one
 }
--- a/internal/scheduler/machinescan.go
+++ b/internal/scheduler/machinescan.go
@@ -163,7 +163,7 @@
 	waitingByReason := map[string]int{}
 	for _, j := range s.cluster.jobs {
 		if n := j.pendingTasks(); n > 0 {
-			waitingByReason[j.waiting.reason] += n
+			waitingByReason[j.waiting.reason.String()] += n
 		}
 	}
 	oldest := s.now.Mono
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"math"
 	"time"
 
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
@@ -16,50 +15,92 @@
 	backingOff  map[*job]bool // jobs that wait out a delay after failed attempts
 }
 
-// epsilon absorbs rounding in sums of amounts.
-const epsilon = 1e-6
-
-// idleRank is the lowest rank, that of work for what is free.
-var idleRank = wire.PriorityOrder(wire.PriorityIdle)
-
-// unplacedTasks is what was left unplaced of a job after a round.
+// unplacedTasks is how many tasks of a job found no machine in a round.
 type unplacedTasks struct {
 	job   *job
 	count int
 }
 
-// placementRound is one pass of placement over the waiting jobs.
+// placementRound is one pass over the jobs with tasks to place, in the order of the
+// scheduling queue. For each job it finds out how many tasks its team's quota allows,
+// assigns them to the machines with the least cost, preempts other work where that is
+// allowed, and notes why the rest waits.
+//
+// It applies each decision at once, since the next one depends on it: an assignment takes
+// capacity and quota, and a preempted attempt that was never sent frees both. It changes
+// the cluster only through assign, undoAssignments, preempt and machine.reserve.
 type placementRound struct {
-	withCapacity       []*machine           // usable, with room for the smallest that waits
-	claimedCPUs        map[*machine]float64 // CPUs on their way to somebody through preemption
-	preemptionSearches int                  // jobs for which preemption was tried, production apart
-	idleTasks          int                  // tasks of idle work on machines
-	totalCPUs          float64              // CPUs of the cluster
+	scheduler *Scheduler
+	now       time.Duration
+	totalCPUs float64    // of the cluster
+	machines  []*machine // with capacity for the smallest task that waits
 
-	agedShareCPUs float64 // CPUs that old jobs may take beside those they have
-	gangReserved  bool    // room is being kept for a gang
+	// Limits on what the round does, and what of them is left.
+	agedShareCPUs      float64 // that aged jobs may take ahead of others
+	preemptionSearches int     // those for production apart
+	gangReserved       bool    // machines were reserved for a gang
+	idlePreemptable    bool    // idle work is on machines
 
-	// reservedQuota is room under a team's limit that production waits for, and holds for how
-	// many tasks of a job. Without this, lower work would take what it was stopped for, and
-	// be stopped again.
-	reservedQuota map[string]TeamQuota
-	tasksReserved map[*job]int
+	quota       quotaReservations
+	claimedCPUs map[*machine]float64 // that preemption frees and that were promised to a job
 
-	// unconfirmedCapacity is the largest room on unheard machines by type, zone and kind; it is
-	// made when it is first asked for.
+	// unconfirmedCapacity is the largest free capacity on machines without a heartbeat in
+	// this term; computed when it is first needed. See Scheduler.mayFitUnconfirmed.
 	unconfirmedCapacity map[offer]*capacitySlot
+
+	secondPass []*job // aged jobs that get what others left
+	unplaced   []unplacedTasks
+}
+
+// placementPass tells the first visit to a job in a round from the second.
+type placementPass int
+
+const (
+	// mainPass visits all waiting jobs; aged ones get their share of the cluster.
+	mainPass placementPass = iota
+	// leftoverPass visits aged jobs again, for the capacity that others have left.
+	leftoverPass
+)
+
+// jobDemand is what a round may do for a job.
+type jobDemand struct {
+	job           *job
+	pass          placementPass
+	waiting       int // tasks to place
+	hostable      int // of these, the most that machines could take if lower work made way
+	quotaHeadroom int // tasks that the team's limit allows
+	limit         int // tasks to place now
+
+	limitedByAgedShare bool // the limit is lower for the share of aged jobs
+}
+
+// placePending assigns waiting tasks to machines, and gives those that found none.
+func (s *Scheduler) placePending() []unplacedTasks {
+	s.placement.due = false
+	_, totalCPUs := s.cpuUsage()
+	queue := s.schedulingQueue(totalCPUs)
+	round := s.newPlacementRound(queue, totalCPUs)
+	for _, j := range queue {
+		round.visit(j, mainPass)
+	}
+	for _, j := range round.secondPass {
+		round.visit(j, leftoverPass)
+	}
+	return round.unplaced
 }
 
 // newPlacementRound prepares a round over the queue.
-func (s *Scheduler) newPlacementRound(queue []*job, total float64) *placementRound {
-	r := &placementRound{claimedCPUs: map[*machine]float64{}, totalCPUs: total, reservedQuota: map[string]TeamQuota{}, tasksReserved: map[*job]int{}}
+func (s *Scheduler) newPlacementRound(queue []*job, totalCPUs float64) *placementRound {
+	r := &placementRound{
+		scheduler: s, now: s.now.Mono, totalCPUs: totalCPUs, machines: s.machinesWithCapacity(queue),
+		agedShareCPUs: totalCPUs * tuning.AgedShare,
+		quota:         newQuotaReservations(), claimedCPUs: map[*machine]float64{},
+	}
 	for _, j := range s.cluster.jobs {
-		if j.rank == idleRank {
-			r.idleTasks += j.activeCount
+		if j.rank == idleRank && j.activeCount > 0 {
+			r.idlePreemptable = true
 		}
 	}
-	s.findCapacity(r, queue)
-	r.agedShareCPUs = total * tuning.AgedShare
 	for _, j := range queue {
 		if j.standing.aged {
 			r.agedShareCPUs -= float64(j.activeCount) * j.spec.CPUs
@@ -68,225 +109,196 @@
 	return r
 }
 
-// reserveQuota keeps room under its team's limit for n tasks of a production job.
-func (r *placementRound) reserveQuota(j *job, n int) {
-	if j.rank > 0 {
+// visit does for one job what can be done now.
+func (r *placementRound) visit(j *job, pass placementPass) {
+	if j.pendingTasks() == 0 {
 		return
 	}
-	p := r.reservedQuota[j.spec.Team]
-	p.CPUs += float64(n-r.tasksReserved[j]) * j.spec.CPUs
-	p.GPUs += float64(n-r.tasksReserved[j]) * j.spec.GPUs
-	r.reservedQuota[j.spec.Team], r.tasksReserved[j] = p, n
-}
-
-// jobPlacement is a job's turn in a round.
-type jobPlacement struct {
-	job       *job
-	firstPass bool // its first turn in the round
-	waiting   int  // tasks that wait
-	hostable  int  // of these, what machines could take if all but production made way
-	// budget is how many its team's limit allows, and tries how many are tried now.
-	quotaHeadroom, limit int
-	limitedByAgedShare   bool // fewer are tried than could be, for the share of old jobs
-}
-
-// placePending assigns waiting tasks to machines, in order, and says what was left.
-func (s *Scheduler) placePending() []unplacedTasks {
-	s.placement.due = false
-	_, total := s.cpuUsage()
-	queue := s.schedulingQueue(total)
-	r := s.newPlacementRound(queue, total)
-	var left []unplacedTasks
-	turns := len(queue)
-	for i := 0; i < len(queue); i++ {
-		j := queue[i]
-		t, ok := s.beginJob(r, j, i < turns)
-		if !ok {
-			continue
-		}
-		if j.spec.Gang() && t.limit < t.waiting {
-			j.waiting.reason = "its team is at its limit"
-			r.reserveQuota(j, t.hostable)
-			continue
-		}
-		placed, rest := s.placeJob(r, t)
-		// Not what no machine could take: its team's other work would wait with it,
-		// beside room, for as long as there is no such machine.
-		r.reserveQuota(j, max(0, t.hostable-placed))
-		//mutation:aged-share-is-no-bound
-		if t.limitedByAgedShare && rest == 0 {
-			// The share of old jobs is what they get ahead of others, and no bound:
-			// what these leave is theirs too. Else a task larger than the share
-			// waited beside empty machines, and had none rented, for good.
-			queue = append(queue, j)
-			continue
-		}
-		switch {
-		case rest > 0:
-			j.waiting.reason = "no machine has room"
-			//mutation:preempt-only-if-some-fit
-			if t.firstPass && t.hostable > 0 {
-				s.preemptFor(r, j, rest, math.Inf(1))
-			}
-			left = append(left, unplacedTasks{j, min(t.waiting, t.quotaHeadroom) - placed})
-		case t.waiting > placed:
-			j.waiting.reason = "its team is at its limit"
-		default:
-			j.waiting.reason = ""
-		}
+	if j.waiting.since == 0 {
+		j.waiting.since = r.now
 	}
-	return left
-}
-
-// beginJob says how much of a job is tried; ok is false if nothing is for now.
-func (s *Scheduler) beginJob(r *placementRound, j *job, first bool) (t jobPlacement, ok bool) {
-	t = jobPlacement{job: j, firstPass: first, waiting: j.pendingTasks()}
-	if t.waiting == 0 {
-		return t, false
+	if reason := r.heldBack(j); reason != NotWaiting {
+		j.waiting.reason = reason
+		return
 	}
-	if j.waiting.since == 0 {
-		j.waiting.since = s.now.Mono
+	demand := r.newDemand(j, pass)
+	if j.spec.Gang() && j.hasStoppingAttempt() {
+		j.waiting.reason = WaitForGangStop
+		return
 	}
-	if s.mayBeInUnreadableRecord(j) {
-		j.waiting.reason = "a record that may be about it cannot be read"
-		return t, false
+	if j.spec.Gang() && demand.limit < demand.waiting {
+		j.waiting.reason = WaitForQuota
+		r.quota.set(j, demand.hostable)
+		return
+	}
+	r.place(demand)
+}
+
+// heldBack is why nothing of the job may be placed, whatever machines and quota there are.
+func (r *placementRound) heldBack(j *job) WaitReason {
+	if r.scheduler.mayBeInUnreadableRecord(j) {
+		return WaitForRecords
 	}
 	//mutation:reconciliation-holds-recovered-work
-	if j.recovered && s.reconciler.HoldsRecoveredWork() {
-		j.waiting.reason = "machines that may run it without a record have yet to report"
-		return t, false
+	if j.recovered && r.scheduler.reconciler.HoldsRecoveredWork() {
+		return WaitForHeartbeats
 	}
-	if s.likelyInvalid(j) && !j.spec.Gang() {
-		// It is tried with one task at a time until one stays.
-		if t.waiting = min(t.waiting, 1-j.activeCount); t.waiting <= 0 {
-			j.waiting.reason = "it has failed on every machine so far"
-			return t, false
-		}
+	if r.placeableTasks(j) <= 0 {
+		return WaitFailedEverywhere
 	}
-	r.reserveQuota(j, 0) // its own room, in its second turn
-	t.quotaHeadroom = s.quotaHeadroom(j, r.reservedQuota[j.spec.Team])
-	t.hostable = t.waiting
-	if j.rank == 0 || j.spec.Gang() {
-		t.hostable = s.hostableTasks(j, t.waiting)
+	return NotWaiting
+}
+
+// placeableTasks is how many tasks of the job wait and may be tried. A job that was likely
+// submitted with a mistake is tried with one task at a time.
+func (r *placementRound) placeableTasks(j *job) int {
+	waiting := j.pendingTasks()
+	if !j.spec.Gang() && j.likelyInvalid(r.now) {
+		return min(waiting, 1-j.activeCount)
 	}
-	if t.quotaHeadroom < t.hostable {
-		s.preemptWithinTeam(j, t.hostable)
+	return waiting
+}
+
+// newDemand finds out how many tasks of the job may be placed. A production job for which
+// its team's quota does not suffice preempts other work of its team.
+func (r *placementRound) newDemand(j *job, pass placementPass) jobDemand {
+	d := jobDemand{job: j, pass: pass, waiting: r.placeableTasks(j)}
+	r.quota.set(j, 0) // what it reserved for itself is its own to use
+	d.quotaHeadroom = r.scheduler.quotaHeadroom(j, r.quota.byTeam[j.spec.Team])
+	d.hostable = d.waiting
+	if j.isProduction() || j.spec.Gang() {
+		d.hostable = r.hostableTasks(j, d.waiting)
 	}
-	if j.spec.Gang() && j.hasStoppingAttempt() {
-		j.waiting.reason = "its gang is being stopped"
-		return t, false
+	if d.quotaHeadroom < d.hostable {
+		r.preemptWithinTeam(j, d.hostable)
 	}
-	s.limitTasks(r, &t)
-	return t, true
+	d.limit = min(d.waiting, d.quotaHeadroom)
+	r.limitAheadOfOthers(&d)
+	return d
 }
 
-// limitTasks says how many tasks are tried: fewer than the team's limit allows for what is
-// overdue or old.
-func (s *Scheduler) limitTasks(r *placementRound, t *jobPlacement) {
-	j := t.job
-	t.limit = min(t.waiting, t.quotaHeadroom)
+// limitAheadOfOthers lowers the limit of a job that the queue has put ahead of others. A gang
+// runs as a whole or not at all.
+func (r *placementRound) limitAheadOfOthers(d *jobDemand) {
+	j := d.job
 	switch {
-	case j.spec.Gang() || t.limit == 0: // a gang runs as a whole or not at all
+	case j.spec.Gang() || d.limit == 0:
 	case j.standing.prioritized:
-		t.limit = min(t.limit, s.starvedTaskAllowance(j, r.totalCPUs))
-	case j.standing.aged && t.firstPass:
-		all := t.limit
-		t.limit = min(t.limit, int(max(0, r.agedShareCPUs)/max(j.spec.CPUs, 0.1)))
-		r.agedShareCPUs -= float64(t.limit) * j.spec.CPUs
-		t.limitedByAgedShare = t.limit < all
+		d.limit = min(d.limit, j.starvedTaskAllowance(r.totalCPUs))
+	case j.standing.aged && d.pass == mainPass:
+		share := int(max(0, r.agedShareCPUs) / max(j.spec.CPUs, 0.1))
+		d.limitedByAgedShare = share < d.limit
+		d.limit = min(d.limit, share)
+		r.agedShareCPUs -= float64(d.limit) * j.spec.CPUs
 	}
 }
 
-// placeJob places tasks, and says how many it did and how many found no room.
-func (s *Scheduler) placeJob(r *placementRound, t jobPlacement) (placed, rest int) {
-	j := t.job
+// place assigns up to the limit of the job's tasks, and sees to those that are left.
+func (r *placementRound) place(d jobDemand) {
+	j := d.job
+	placed := r.assignTasks(d)
+	r.logPlacement(j, placed)
+	// Only for tasks that machines could take: else the team's other work would wait beside
+	// free capacity for as long as there is no machine for this job.
+	r.quota.set(j, max(0, d.hostable-placed))
+	withoutMachine := d.limit - placed
+	//mutation:aged-share-is-no-bound
+	if d.limitedByAgedShare && withoutMachine == 0 {
+		// The share is what aged jobs get ahead of others, and no upper bound. Otherwise a
+		// task larger than the share would wait beside empty machines for ever.
+		r.secondPass = append(r.secondPass, j)
+		return
+	}
 	switch {
-	case j.spec.Gang():
-		if s.placeGang(r, j, t.waiting) {
-			placed = t.waiting
-		} else if j.standing.prioritized && !r.gangReserved {
-			r.gangReserved = true
-			s.reserveForGang(j, t.waiting)
+	case withoutMachine > 0:
+		j.waiting.reason = WaitForCapacity
+		//mutation:preempt-only-if-some-fit
+		if d.pass == mainPass && d.hostable > 0 {
+			r.preemptFor(j, withoutMachine)
 		}
-	case t.limit > 0:
-		placed = s.placeTasks(r, j, t.limit)
+		r.unplaced = append(r.unplaced, unplacedTasks{j, min(d.waiting, d.quotaHeadroom) - placed})
+	case d.waiting > placed:
+		j.waiting.reason = WaitForQuota
+	default:
+		j.waiting.reason = NotWaiting
 	}
-	s.logPlacement(j, placed)
-	return placed, t.limit - placed
 }
 
-// findCapacity gathers the machines that have room for the smallest of the waiting
-// tasks, so that a full cluster costs one look at each machine and not one for
-// each job.
-func (s *Scheduler) findCapacity(r *placementRound, queue []*job) {
-	r.withCapacity = nil
-	cpus, mem := math.Inf(1), math.Inf(1)
-	for _, j := range queue {
-		cpus, mem = min(cpus, j.spec.CPUs), min(mem, j.spec.MemoryGB)
+// assignTasks assigns up to the limit of the job's tasks, and gives how many it did.
+func (r *placementRound) assignTasks(d jobDemand) int {
+	j := d.job
+	if !j.spec.Gang() {
+		return r.assignIndependentTasks(j, d.limit)
 	}
-	if len(queue) == 0 {
-		return
+	if r.placeGang(j, d.waiting) {
+		return d.waiting
 	}
-	for _, m := range s.sortedMachines() {
-		if m.machineSpec != nil && m.used.cpus+cpus <= m.machineSpec.CPUs+epsilon && m.used.memoryGB+mem <= m.machineSpec.MemoryGB+epsilon && s.schedulable(m) && !m.summarize().hasUnknownTask {
-			r.withCapacity = append(r.withCapacity, m)
-		}
+	if j.standing.prioritized && !r.gangReserved {
+		r.gangReserved = true
+		r.reserveForGang(j, d.waiting)
 	}
+	return 0
 }
 
-// placeTasks places up to n tasks of the job and says how many it did.
-func (s *Scheduler) placeTasks(r *placementRound, j *job, n int) int {
-	p := s.newMachinePicker(r, j)
-	for placed := 0; placed < n; placed++ {
-		m := p.best()
+// assignIndependentTasks assigns up to n tasks of the job, each for itself, and gives how
+// many it did.
+func (r *placementRound) assignIndependentTasks(j *job, n int) int {
+	if n == 0 {
+		return 0
+	}
+	picker := r.newMachinePicker(j)
+	for placed := range n {
+		m := picker.best()
 		//mutation:counter-check-in-round
-		if m == nil || s.attemptNumbersLeft() == 0 || s.waitsForWarmMachine(r, j, m, p) {
+		if m == nil || r.scheduler.attemptNumbersLeft() == 0 || r.waitsForWarmMachine(j, m, picker) {
 			return placed
 		}
-		i, ok := j.takeFreeIndex()
+		index, ok := j.takeFreeIndex()
 		if !ok {
 			return placed
 		}
-		s.assign(j, i, m)
-		p.recordAssignment(m)
-		s.log(true, "placed", "task", wire.TaskName(j.id, i), "machine", m.name, "warm", m.hasImage(j.spec.Image))
+		a := r.assign(j, index, m)
+		r.scheduler.queueAssignment(a)
+		picker.recordAssignment(m)
+		r.scheduler.logDebug("task assigned", "task", wire.TaskName(j.id, index), "attempt", a.number, "machine", m.name, "has_image", m.hasImage(j.spec.Image))
 	}
 	return n
 }
 
-// logPlacement logs a job's first placement and the one that leaves nothing
-// waiting; those in between are at debug, task by task.
-func (s *Scheduler) logPlacement(j *job, placed int) {
-	if placed == 0 || j.placedOnce && j.pendingTasks() > 0 {
-		return
-	}
-	j.placedOnce = true
-	s.log(false, "job placed", "job", j.id, "tasks", placed, "active", j.activeCount, "waiting", j.pendingTasks(),
-		"after_s", (s.now.Mono - j.createdAt).Seconds())
+func (r *placementRound) newMachinePicker(j *job) *machinePicker {
+	return r.scheduler.newMachinePicker(j, r.machines)
 }
 
-// quotaHeadroom is how many more tasks of the job its team's limit allows. All that
-// may be on a machine counts, saving and unproven starts too.
-func (s *Scheduler) quotaHeadroom(j *job, promised TeamQuota) int {
-	team, ok := s.settings.Teams[j.spec.Team]
-	if !ok {
-		return 0
-	}
-	u := s.teamUsage(j.spec.Team)
-	n := math.Inf(1)
-	if j.spec.CPUs > 0 {
-		n = min(n, math.Floor((team.CPUsMax-u.CPUs-promised.CPUs+epsilon)/j.spec.CPUs))
+// assign makes a new attempt of a task on the machine. No start is sent before the
+// assignment is recorded, for which it has to be queued.
+func (r *placementRound) assign(j *job, index int, m *machine) *attempt {
+	a := r.scheduler.newAttempt(j, index, m)
+	r.scheduler.attach(a)
+	return a
+}
+
+// waitsForWarmMachine reports whether a production service had better wait a moment for
+// capacity on a machine that has its image than fetch it on m. It preempts lower work
+// there: that takes some tens of milliseconds, and a fetch takes seconds.
+func (r *placementRound) waitsForWarmMachine(j *job, m *machine, picker *machinePicker) bool {
+	if !j.service || !j.isProduction() || m.hasImage(j.spec.Image) || m.fetchSeconds(j) < tuning.MinFetchForPreemptionS {
+		return false
 	}
-	if j.spec.GPUs > 0 {
-		n = min(n, math.Floor((team.GPUsMax-u.GPUs-promised.GPUs+epsilon)/j.spec.GPUs))
+	if r.now-j.waiting.since > tuning.MaxWarmCapacityWait {
+		return false
 	}
-	return int(max(0, min(n, wire.MaxTasks)))
+	// Only where the task would then really go, or capacity would be freed in vain in round
+	// after round.
+	return r.preemptOnWarmMachine(j, picker.cost(m))
 }
 
-// assign places a task. Nothing is sent before it is recorded.
-func (s *Scheduler) assign(j *job, index int, m *machine) *attempt {
-	a := s.newAttempt(j, index, m)
-	s.attach(a)
-	s.queueAssignment(a)
-	return a
+// logPlacement logs a job's first placement and the one that leaves nothing waiting; those
+// in between are logged for debugging, task by task.
+func (r *placementRound) logPlacement(j *job, placed int) {
+	if placed == 0 || j.placedOnce && j.pendingTasks() > 0 {
+		return
+	}
+	j.placedOnce = true
+	r.scheduler.logInfo("job placed", "job", j.id, "tasks", placed, "active", j.activeCount, "waiting", j.pendingTasks(),
+		"after_s", (r.now - j.createdAt).Seconds())
 }
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -173,7 +173,7 @@
 			t.Errorf("%s, which came at %v, began at %v", id, at, begun)
 		}
 	}
-	if l := h.scheduler; l.likelyInvalid(l.cluster.jobs["run-000001"]) != true {
+	if l := h.scheduler; l.cluster.jobs["run-000001"].likelyInvalid(h.scheduler.now.Mono) != true {
 		t.Error("a job that fails everywhere is not doubted")
 	}
 	faulty = true
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -1,306 +1,360 @@
 package scheduler
 
 import (
+	"cmp"
 	"math"
-	"sort"
+	"slices"
 
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// preemptWithinTeam makes room under its team's limit for a production job, by stopping
-// lower work of the same team: on machines where the job could then start at
-// once, and there what was started last.
-func (s *Scheduler) preemptWithinTeam(j *job, n int) {
-	if !s.settings.Policy.Preempt || j.rank > 0 || s.reconciler.HoldsTeamLimits() {
+// Costs of a preemption, in CPU seconds.
+const (
+	fetchPreemptionCost        = 2.0  // for each second that the image is fetched first: what is preempted is only late
+	fetchServicePreemptionCost = 50.0 // the same for a service, which is down for that time
+)
+
+// preemptWithinTeam preempts lower work of the production job's own team until the team's
+// limit allows n tasks of the job.
+func (r *placementRound) preemptWithinTeam(j *job, n int) {
+	s := r.scheduler
+	if !s.settings.Policy.Preempt || !j.isProduction() || s.reconciler.HoldsTeamLimits() {
 		return
 	}
-	team := s.settings.Teams[j.spec.Team]
-	u := s.teamUsage(j.spec.Team)
-	cpus := u.CPUs + float64(n)*j.spec.CPUs - team.CPUsMax
-	gpus := u.GPUs + float64(n)*j.spec.GPUs - team.GPUsMax
+	shortfall := s.quotaShortfall(j, n)
 	var victims []*attempt
-	for _, v := range s.cluster.jobs {
-		if v.spec.Team != j.spec.Team || v == j {
+	for _, other := range s.cluster.jobs {
+		if other.spec.Team != j.spec.Team || other == j {
 			continue
 		}
-		for _, a := range v.sortedAttempts() {
+		for _, a := range other.sortedAttempts() {
 			if a.stop.requested {
-				cpus -= v.spec.CPUs // room on its way
-				gpus -= v.spec.GPUs
-			} else if v.rank > j.rank && (a.start.acknowledged || !a.start.sent) {
+				shortfall = shortfall.minus(other.taskResources()) // freed soon
+			} else if other.rank > j.rank && !a.startUnderWay() {
 				victims = append(victims, a)
 			}
 		}
 	}
-	good := func(a *attempt) bool {
-		return s.schedulable(a.machine) && j.allowsMachine(a.machine.machineType, a.machine.zone, a.machine.spot) && a.machine.hasImage(j.spec.Image)
-	}
-	sort.Slice(victims, func(x, y int) bool {
-		a, b := victims[x], victims[y]
-		if ga, gb := good(a), good(b); ga != gb {
-			return ga
-		}
-		if a.job.plan.feasible != b.job.plan.feasible {
-			return a.job.plan.feasible > b.job.plan.feasible
-		}
-		if a.placedAt != b.placedAt {
-			return a.placedAt > b.placedAt
-		}
-		return a.number > b.number
-	})
+	slices.SortFunc(victims, func(a, b *attempt) int { return r.compareTeamVictims(j, a, b) })
 	for _, a := range victims {
-		if cpus <= epsilon && gpus <= epsilon {
+		if shortfall.cpus <= epsilon && shortfall.gpus <= epsilon {
 			return
 		}
-		cpus -= a.job.spec.CPUs
-		gpus -= a.job.spec.GPUs
-		s.counters.Preempted++
-		s.log(true, "preempted under its team's limit", "task", wire.TaskName(a.ref.jobID, a.ref.index), "machine", a.machine.name, "for", j.id)
-		s.stopAttempt(a, false, "preempted for "+j.id)
+		shortfall = shortfall.minus(a.job.taskResources())
+		r.preempt(a, j, preemptedForQuota)
+	}
+}
+
+// compareTeamVictims orders attempts of the job's team by which is preempted first: where the
+// job could then start at once, late jobs, and what was placed last.
+func (r *placementRound) compareTeamVictims(j *job, a, b *attempt) int {
+	startsAtOnce := func(a *attempt) bool {
+		m := a.machine
+		return r.scheduler.schedulable(m) && j.allowsMachine(m.machineType, m.zone, m.spot) && m.hasImage(j.spec.Image)
+	}
+	if c := compareTrueFirst(startsAtOnce(a), startsAtOnce(b)); c != 0 {
+		return c
 	}
+	return cmp.Or(
+		cmp.Compare(b.job.plan.feasible, a.job.plan.feasible),
+		cmp.Compare(b.placedAt, a.placedAt),
+		cmp.Compare(b.number, a.number),
+	)
+}
+
+// preemptionCause is what a preemption makes way under.
+type preemptionCause string
+
+const (
+	preemptedForQuota    preemptionCause = "team quota"
+	preemptedForCapacity preemptionCause = "capacity"
+)
+
+// preempt stops an attempt to make way for the job. Except for production, which does not
+// wait for that, the attempt may save a checkpoint first.
+func (r *placementRound) preempt(victim *attempt, j *job, cause preemptionCause) {
+	s := r.scheduler
+	s.counters.Preempted++
+	s.logDebug("task preempted", "task", wire.TaskName(victim.ref.jobID, victim.ref.index), "attempt", victim.number,
+		"machine", victim.machine.name, "for_job", j.id, "reason", string(cause))
+	saveCheckpoint := victim.job.spec.CheckpointIntervalS > 0 && !j.isProduction()
+	s.stopAttempt(victim, saveCheckpoint, "preempted for "+j.id)
 }
 
-// mayPreempt reports whether the victim's end is a reason the rules know.
+// startUnderWay reports whether a start was sent that the worker has not acknowledged yet,
+// as it soon will.
+func (a *attempt) startUnderWay() bool { return a.start.sent && !a.start.acknowledged }
+
+// mayPreempt reports whether the rules allow preempting the attempt for the job: work of
+// lower priority, and, for a job within its team's guarantee, what another team has beyond
+// its own.
 func (s *Scheduler) mayPreempt(j *job, a *attempt) bool {
-	v := a.job
-	if v == nil || v == j || a.stop.requested || a.start.sent && !a.start.acknowledged {
-		return false // the last: its start is on its way, and soon acknowledged
+	victim := a.job
+	if victim == nil || victim == j || a.stop.requested || a.startUnderWay() {
+		return false
 	}
-	if a.ofStarvedJob() && j.rank > 0 {
+	if a.ofStarvedJob() && !j.isProduction() {
 		return false
 	}
-	if v.rank > j.rank {
+	if victim.rank > j.rank {
 		return true
 	}
-	if !j.standing.withinGuarantee || v.spec.Team == j.spec.Team || v.rank == 0 {
+	if !j.standing.withinGuarantee || victim.standing.withinGuarantee || victim.spec.Team == j.spec.Team || victim.isProduction() {
 		return false
 	}
-	guarantee := s.settings.Teams[v.spec.Team]
-	u := s.teamUsage(v.spec.Team)
-	return !v.standing.withinGuarantee && (u.CPUs-v.spec.CPUs >= guarantee.CPUs-epsilon || v.spec.GPUs > 0 && u.GPUs-v.spec.GPUs >= guarantee.GPUs-epsilon)
-}
-
-// hasTightDeadline reports whether a task of the job that started anew now would miss the
-// deadline that the job can still meet.
-func (s *Scheduler) hasTightDeadline(j *job) bool {
-	return len(j.plan.deadlines) > 0 && !j.missesAllDeadlines() && s.secondsToDeadline(j) < j.taskDuration()*tuning.DeadlineFeasibilityFactor
-}
-
-// preemptionSearch is a search for room that stops make for one job.
-type preemptionSearch struct {
-	scheduler         *Scheduler
-	round             *placementRound
-	job               *job
-	wanted            int // tasks that need room
-	found             int // tasks that room was found for
-	belowCost         float64
-	onlyIdle          bool
-	attemptsByZone    map[string]int
-	replicasByMachine map[*machine]int
+	return s.exceedsGuarantee(victim)
 }
 
-// preemptionOption is a machine where stops make room for one task.
-type preemptionOption struct {
-	machine *machine
-	victims []*attempt
-	cost    float64
+// exceedsGuarantee reports whether the job's team keeps its guarantee without one of the
+// job's tasks.
+func (s *Scheduler) exceedsGuarantee(j *job) bool {
+	guarantee, usage := s.settings.Teams[j.spec.Team], s.teamUsage(j.spec.Team)
+	return usage.CPUs-j.spec.CPUs >= guarantee.CPUs-epsilon ||
+		j.spec.GPUs > 0 && usage.GPUs-j.spec.GPUs >= guarantee.GPUs-epsilon
 }
 
-// pendingCapacity is what is free on a machine once what is being stopped there is gone.
-type pendingCapacity struct {
-	machine                          *machine
-	usedCPUs, usedGPUs, usedMemoryGB float64 // in use
-}
+// preemptionScope is which work may be preempted for a job.
+type preemptionScope int
 
-func (f *pendingCapacity) remove(a *attempt) {
-	f.usedCPUs -= a.job.spec.CPUs
-	f.usedGPUs -= a.job.spec.GPUs
-	f.usedMemoryGB -= a.job.spec.MemoryGB
-}
+const (
+	preemptNothing preemptionScope = iota
+	preemptIdle                    // only idle work
+	preemptLower                   // all that mayPreempt allows
+)
 
-func (f *pendingCapacity) add(j *job) {
-	f.usedCPUs += j.spec.CPUs
-	f.usedGPUs += j.spec.GPUs
-	f.usedMemoryGB += j.spec.MemoryGB
+// preemptFor preempts other work for up to n tasks of the job, one task a machine.
+func (r *placementRound) preemptFor(j *job, n int) {
+	r.searchPreemptions(j, n, math.Inf(1))
 }
 
-func (f *pendingCapacity) fits(j *job) bool {
-	return f.usedCPUs+j.spec.CPUs <= f.machine.machineSpec.CPUs+epsilon && f.usedGPUs+j.spec.GPUs <= f.machine.machineSpec.GPUs+epsilon && f.usedMemoryGB+j.spec.MemoryGB <= f.machine.machineSpec.MemoryGB+epsilon
+// preemptOnWarmMachine preempts other work for one task of the job on a machine that has
+// its image and costs less than maxCost, and reports whether there is such a machine.
+func (r *placementRound) preemptOnWarmMachine(j *job, maxCost float64) bool {
+	return r.searchPreemptions(j, 1, maxCost) > 0
 }
 
-// preemptFor makes room for up to n tasks of the job, where it may, one a machine,
-// and says for how many it did: by stopping work of lower priority, or what another
-// team has beyond its guarantee. What was started last is stopped first, since it
-// loses least. With a finite below, only machines that have the image and score
-// better than that are considered.
-func (s *Scheduler) preemptFor(r *placementRound, j *job, n int, below float64) int {
+// searchPreemptions preempts other work for up to n tasks of the job, and gives for how many
+// it did or there will be capacity anyway. With a finite maxCost, it considers only machines
+// that have the image and cost less.
+func (r *placementRound) searchPreemptions(j *job, n int, maxCost float64) int {
 	//mutation:preemption-counts-unconfirmed-capacity
-	if !s.settings.Policy.Preempt || s.mayFitUnconfirmed(r, j) {
+	if !r.scheduler.settings.Policy.Preempt || r.scheduler.mayFitUnconfirmed(r, j) {
 		return 0
 	}
-	// Idle work makes room at once, for work beyond a guarantee too. Other work does
-	// for what is within one, and not right away: room may come by itself, and what
-	// is stopped is lost.
-	onlyIdle := j.rank > 0 && (!j.standing.withinGuarantee || s.now.Mono-j.createdAt < s.settings.GuaranteedStartWithin/2)
-	if onlyIdle && (j.rank >= idleRank || r.idleTasks == 0) {
+	scope := r.preemptionScope(j)
+	if scope == preemptNothing || !r.takePreemptionSearch(j) {
 		return 0
 	}
-	if j.rank > 0 {
-		if r.preemptionSearches >= tuning.PreemptionJobsPerRound || j.waiting.preemptionTriedAt > 0 && s.now.Mono-j.waiting.preemptionTriedAt < tuning.MinPreemptionInterval {
-			return 0 // a look at every task of the cluster is not cheap
-		}
-		r.preemptionSearches++
-		j.waiting.preemptionTriedAt = s.now.Mono
+	search := &preemptionSearch{
+		round: r, job: j, wanted: n, scope: scope, maxCost: maxCost,
+		costs: r.scheduler.newCostModel(), spread: j.taskSpread(),
+	}
+	options := search.collectOptions()
+	if search.found < n {
+		search.execute(options)
+	}
+	return search.found
+}
+
+// preemptionScope is which work makes way for the job. Idle work does so at once, also for
+// jobs beyond their team's guarantee. Other work does so only for jobs within it, and after
+// a while: capacity may become free by itself, and what is preempted loses its progress.
+func (r *placementRound) preemptionScope(j *job) preemptionScope {
+	if j.isProduction() || j.standing.withinGuarantee && r.now-j.createdAt >= r.scheduler.settings.GuaranteedStartWithin/2 {
+		return preemptLower
+	}
+	if j.rank >= idleRank || !r.idlePreemptable {
+		return preemptNothing
+	}
+	return preemptIdle
+}
+
+// takePreemptionSearch reports whether a search may be made for the job now. Each looks at
+// every task of the cluster; for jobs below production, their number is limited.
+func (r *placementRound) takePreemptionSearch(j *job) bool {
+	if j.isProduction() {
+		return true
 	}
-	p := &preemptionSearch{scheduler: s, round: r, job: j, wanted: n, belowCost: below, onlyIdle: onlyIdle, attemptsByZone: j.attemptsByZone(), replicasByMachine: j.replicasByMachine()}
-	options := p.collectOptions()
-	if p.found < n {
-		p.execute(options)
+	lately := j.waiting.preemptionTriedAt > 0 && r.now-j.waiting.preemptionTriedAt < tuning.MinPreemptionInterval
+	if lately || r.preemptionSearches >= tuning.PreemptionJobsPerRound {
+		return false
 	}
-	return p.found
+	r.preemptionSearches++
+	j.waiting.preemptionTriedAt = r.now
+	return true
+}
+
+// preemptionSearch looks for attempts to preempt for one job.
+type preemptionSearch struct {
+	round   *placementRound
+	job     *job
+	wanted  int // tasks that need capacity
+	found   int // tasks that capacity was found for
+	scope   preemptionScope
+	maxCost float64 // if finite, machines have to have the image and cost less
+	costs   costModel
+	spread  taskSpread
+}
+
+// preemptionOption is a machine where preempting the victims frees capacity for one task.
+type preemptionOption struct {
+	machine *machine
+	victims []*attempt
+	cost    float64 // in CPU seconds
 }
 
-// collectOptions looks at all machines, claims the room that is on its way already, and gathers
-// where stops would make more, until there is enough.
+// pendingCapacity is what will be in use on a machine once the attempts that are being
+// stopped there are gone.
+type pendingCapacity struct {
+	machine *machine
+	used    resources
+}
+
+func (c *pendingCapacity) remove(a *attempt) { c.used = c.used.minus(a.job.taskResources()) }
+
+func (c *pendingCapacity) add(j *job) { c.used = c.used.plus(j.taskResources()) }
+
+func (c *pendingCapacity) fits(j *job) bool {
+	return c.used.plus(j.taskResources()).within(totalResources(c.machine.machineSpec))
+}
+
+// collectOptions goes through the machines, claims capacity that is being freed already, and
+// collects where preemption would free more, until there is enough.
 func (p *preemptionSearch) collectOptions() []preemptionOption {
 	var options []preemptionOption
-	for _, m := range p.scheduler.sortedMachines() {
+	for _, m := range p.round.scheduler.sortedMachines() {
 		if p.found == p.wanted {
 			return nil
 		}
 		if !p.eligible(m) {
 			continue
 		}
-		free, victims := p.inspect(m)
-		for p.found < p.wanted && free.fits(p.job) && p.job.allowsZone(p.attemptsByZone, m.zone) {
-			p.claim(m) // room is on its way
-			free.add(p.job)
+		pending, victims := p.inspect(m)
+		for p.found < p.wanted && pending.fits(p.job) && p.spread.allowsZone(p.job, m.zone) {
+			p.claim(m)
+			pending.add(p.job)
 		}
 		if len(victims) == 0 {
 			continue
 		}
-		if o, ok := p.cheapestOption(free, victims); ok {
-			options = append(options, o)
+		if option, ok := p.cheapestOption(pending, victims); ok {
+			options = append(options, option)
 		}
 	}
 	return options
 }
 
-// eligible reports whether the job's tasks could go to the machine if it were empty.
+// eligible reports whether a task of the job could go to the machine if it were empty.
 func (p *preemptionSearch) eligible(m *machine) bool {
-	l, j := p.scheduler, p.job
-	if m.machineSpec == nil || j.spec.CPUs > m.machineSpec.CPUs || j.spec.GPUs > m.machineSpec.GPUs || j.spec.MemoryGB > m.machineSpec.MemoryGB {
+	if m.machineSpec == nil || !m.machineSpec.Fits(&p.job.spec) {
 		return false
 	}
-	if !math.IsInf(p.belowCost, 1) && (!m.hasImage(j.spec.Image) || l.placementCost(j, m, p.attemptsByZone, p.replicasByMachine[m]) >= p.belowCost) {
+	if !math.IsInf(p.maxCost, 1) && (!m.hasImage(p.job.spec.Image) || p.costs.cost(p.job, m, p.spread) >= p.maxCost) {
 		return false
 	}
-	return l.schedulable(m) && j.allowsMachine(m.machineType, m.zone, m.spot) && j.allowsZone(p.attemptsByZone, m.zone) && !m.summarize().hasUnknownTask && m.quarantine.until <= l.now.Mono
+	return p.round.scheduler.canHost(m, p.job) && p.spread.allowsZone(p.job, m.zone) && m.quarantine.until <= p.round.now
 }
 
-// inspect gives what is free on the machine once stops that were sent are carried out, and
-// what else may be stopped there.
+// inspect gives the machine's capacity once the stops under way have ended, and the
+// attempts that may be preempted there. Capacity that another job has claimed is in use.
 func (p *preemptionSearch) inspect(m *machine) (*pendingCapacity, []*attempt) {
-	// What is being stopped already will make room too, once.
 	claimed := p.round.claimedCPUs[m]
-	free := &pendingCapacity{m, m.used.cpus + claimed, m.used.gpus, m.used.memoryGB + claimed*p.job.spec.MemoryGB/max(p.job.spec.CPUs, epsilon)}
+	pending := &pendingCapacity{m, m.used.plus(resources{
+		cpus:     claimed,
+		memoryGB: claimed * p.job.spec.MemoryGB / max(p.job.spec.CPUs, epsilon),
+	})}
 	var victims []*attempt
 	for _, a := range m.tasks {
 		if a.stop.requested && a.job != nil {
-			free.remove(a)
-		} else if p.scheduler.mayPreempt(p.job, a) && (!p.onlyIdle || a.job.rank == idleRank) {
+			pending.remove(a)
+		} else if p.round.scheduler.mayPreempt(p.job, a) && (p.scope != preemptIdle || a.job.rank == idleRank) {
 			victims = append(victims, a)
 		}
 	}
-	return free, victims
+	return pending, victims
 }
 
-// claim keeps a machine's room for the job.
+// claim keeps capacity for one task on the machine.
 func (p *preemptionSearch) claim(m *machine) {
-	l, j := p.scheduler, p.job
-	p.round.claimedCPUs[m] += j.spec.CPUs
+	p.round.claimedCPUs[m] += p.job.spec.CPUs
+	// A reservation for another job stays. If two jobs took it from each other, each would
+	// find the machine reserved for the other once the capacity is free.
 	//mutation:reservation-is-kept
-	if m.reservation.jobID == j.id || m.reservation.until <= l.now.Mono || j.rank == 0 {
-		// Whom it is kept for already goes first. Two jobs that took it from each
-		// other, each found it kept for the other once the room was there.
-		m.reservation.jobID, m.reservation.until = j.id, l.now.Mono+tuning.PreemptionReservationTTL
-	}
-	if p.attemptsByZone != nil {
-		p.attemptsByZone[m.zone]++
+	if m.reservation.jobID == p.job.id || m.reservation.until <= p.round.now || p.job.isProduction() {
+		m.reserve(p.job, p.round.now)
 	}
+	p.spread.add(m)
 	p.found++
 }
 
-// cheapestOption chooses what to stop for one task, what loses least first, and what that costs.
-func (p *preemptionSearch) cheapestOption(free *pendingCapacity, victims []*attempt) (preemptionOption, bool) {
-	sort.Slice(victims, func(a, b int) bool { return p.stopsBefore(victims[a], victims[b]) })
-	cost := 0.0
-	if !free.machine.hasImage(p.job.spec.Image) {
-		// A service is down while it fetches; what is stopped is only late.
-		weight := 2.0
-		if p.job.service {
-			weight = 50
-		}
-		cost += weight * p.job.spec.ImageGB / max(free.machine.machineSpec.FetchGBPerS, 0.01)
+// cheapestOption chooses the attempts to preempt for one task, those that lose least first.
+func (p *preemptionSearch) cheapestOption(pending *pendingCapacity, victims []*attempt) (preemptionOption, bool) {
+	slices.SortFunc(victims, p.compareVictims)
+	option := preemptionOption{machine: pending.machine, cost: p.fetchCost(pending.machine)}
+	count := 0
+	for count < len(victims) && !pending.fits(p.job) {
+		pending.remove(victims[count])
+		option.cost += p.stopCost(victims[count])
+		count++
 	}
-	k := 0
-	for k < len(victims) && !free.fits(p.job) {
-		free.remove(victims[k])
-		cost += p.stopCost(victims[k])
-		k++
-	}
-	return preemptionOption{free.machine, victims[:k], cost}, k > 0 && free.fits(p.job)
+	option.victims = victims[:count]
+	return option, count > 0 && pending.fits(p.job)
 }
 
-// stopsBefore reports whether an attempt is stopped rather than another.
-func (p *preemptionSearch) stopsBefore(x, y *attempt) bool {
-	if bx, by := x.ofStarvedJob(), y.ofStarvedJob(); bx != by {
-		return by
-	}
-	if x.job.rank != y.job.rank {
-		return x.job.rank > y.job.rank
+// fetchCost is what it costs that the machine has to fetch the job's image.
+func (p *preemptionSearch) fetchCost(m *machine) float64 {
+	weight := fetchPreemptionCost
+	switch {
+	case m.hasImage(p.job.spec.Image):
+		return 0
+	case p.job.service:
+		weight = fetchServicePreemptionCost
 	}
-	if x.job.plan.feasible != y.job.plan.feasible {
-		return x.job.plan.feasible > y.job.plan.feasible // late already: the delay costs nothing
+	return weight * p.job.spec.ImageGB / max(m.machineSpec.FetchGBPerS, minFetchRate)
+}
+
+// compareVictims orders attempts by which is preempted first: not those of starved jobs, of
+// the lowest priority, of jobs that are late already, without a tight deadline, and those
+// that were placed last, which lose least.
+func (p *preemptionSearch) compareVictims(a, b *attempt) int {
+	if c := compareTrueFirst(b.ofStarvedJob(), a.ofStarvedJob()); c != 0 {
+		return c
 	}
-	if tx, ty := p.scheduler.hasTightDeadline(x.job), p.scheduler.hasTightDeadline(y.job); tx != ty {
-		return ty
+	if c := cmp.Or(cmp.Compare(b.job.rank, a.job.rank), cmp.Compare(b.job.plan.feasible, a.job.plan.feasible)); c != 0 {
+		return c
 	}
-	if x.placedAt != y.placedAt {
-		return x.placedAt > y.placedAt
+	if c := compareTrueFirst(b.job.hasTightDeadline(p.round.now), a.job.hasTightDeadline(p.round.now)); c != 0 {
+		return c
 	}
-	return x.number > y.number
+	return cmp.Or(cmp.Compare(b.placedAt, a.placedAt), cmp.Compare(b.number, a.number))
 }
 
-// stopCost is what a stop costs, in CPU seconds.
-func (p *preemptionSearch) stopCost(v *attempt) float64 {
-	lost := (p.scheduler.now.Mono - v.placedAt).Seconds() * max(1, v.job.spec.CPUs)
+// stopCost is what is lost with the attempt, in CPU seconds.
+func (p *preemptionSearch) stopCost(a *attempt) float64 {
+	lost := (p.round.now - a.placedAt).Seconds() * max(1, a.job.spec.CPUs)
 	switch {
-	case v.job.missesAllDeadlines():
-		lost /= 2
-	case p.scheduler.hasTightDeadline(v.job):
-		lost += tuning.DeadlineMissCost
+	case a.job.missesAllDeadlines():
+		return lost / 2
+	case a.job.hasTightDeadline(p.round.now):
+		return lost + tuning.DeadlineMissCost
 	}
 	return lost
 }
 
-// execute makes the stops that cost least, for as many tasks as still need room.
+// execute carries out the options that cost least, for the tasks that still need capacity.
 func (p *preemptionSearch) execute(options []preemptionOption) {
-	sort.SliceStable(options, func(a, b int) bool { return options[a].cost < options[b].cost })
-	for _, o := range options {
+	slices.SortStableFunc(options, func(a, b preemptionOption) int { return cmp.Compare(a.cost, b.cost) })
+	for _, option := range options {
 		if p.found == p.wanted {
 			return
 		}
-		if !p.job.allowsZone(p.attemptsByZone, o.machine.zone) {
+		if !p.spread.allowsZone(p.job, option.machine.zone) {
 			continue
 		}
-		p.claim(o.machine)
-		for _, v := range o.victims {
-			p.scheduler.counters.Preempted++
-			save := v.job.spec.CheckpointIntervalS > 0 && p.job.rank > 0
-			p.scheduler.log(true, "preempted", "task", wire.TaskName(v.ref.jobID, v.ref.index), "machine", o.machine.name, "for", p.job.id)
-			p.scheduler.stopAttempt(v, save, "preempted for "+p.job.id)
+		p.claim(option.machine)
+		for _, victim := range option.victims {
+			p.round.preempt(victim, p.job, preemptedForCapacity)
 		}
 	}
 }
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -1,148 +1,190 @@
 package scheduler
 
 import (
+	"cmp"
 	"math"
-	"sort"
+	"slices"
+	"strings"
+	"time"
 
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
+	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// schedulingQueue orders the jobs that wait: production first, then what fits its team's
-// guarantee, then by rank and by how little time is left.
+// Ranks are priorities in their order, the highest first.
+var (
+	productionRank = wire.PriorityOrder(wire.PriorityProduction)
+	idleRank       = wire.PriorityOrder(wire.PriorityIdle) // work for capacity that is free
+)
+
+// isOpen reports whether tasks of the job may still be placed.
+func (j *job) isOpen() bool { return !j.cancelled && !j.archived }
+
+// isProduction reports whether the job has the highest priority.
+func (j *job) isProduction() bool { return j.rank == productionRank }
+
+// schedulingQueue gives the jobs with tasks to place in the order in which a placement
+// round takes them, see compareQueueOrder. It brings their standing and their deadline
+// plan up to date first.
 func (s *Scheduler) schedulingQueue(totalCPUs float64) []*job {
-	jobsByTeam := map[string][]*job{}
 	var waiting []*job
 	for _, j := range s.cluster.jobs {
 		if j.pendingTasks() == 0 {
 			j.waiting.since = 0
 		}
-		if j.cancelled || j.archived {
+		if !j.isOpen() {
 			continue
 		}
-		// What nothing has begun of for long gets its first tasks, whatever comes
-		// after it: the order by deadlines alone gives up the largest first, and
-		// under lasting overload again and again.
-		j.standing.starved = !j.service && s.now.Mono-j.createdAt > tuning.ArrayStarvationBound && !s.isEstablished(j) && !s.likelyInvalid(j)
-		//mutation:starved-jobs-first
-		j.standing.prioritized = j.standing.starved && s.starvedTaskAllowance(j, totalCPUs) > 0
-		jobsByTeam[j.spec.Team] = append(jobsByTeam[j.spec.Team], j)
+		j.updateStarvation(s.now.Mono, totalCPUs)
 		if j.pendingTasks() > 0 && s.now.Mono >= j.retry.at {
 			waiting = append(waiting, j)
 		}
 	}
-	for name, list := range jobsByTeam {
-		sort.Slice(list, func(a, b int) bool {
-			if list[a].spec.CreatedAtMilli != list[b].spec.CreatedAtMilli {
-				return list[a].spec.CreatedAtMilli < list[b].spec.CreatedAtMilli
-			}
-			return list[a].id < list[b].id
-		})
-		team := s.settings.Teams[name]
-		cpus, gpus := 0.0, 0.0
-		for _, j := range list {
-			n := float64(j.spec.Tasks - j.progress.doneCount)
-			fits := cpus+n*j.spec.CPUs <= team.CPUs+epsilon && gpus+n*j.spec.GPUs <= team.GPUs+epsilon
-			j.standing.withinGuarantee = fits
-			cpus += n * j.spec.CPUs
-			gpus += n * j.spec.GPUs
-		}
-	}
+	s.updateGuarantees()
 	s.planDeadlines()
 	for _, j := range waiting {
-		// What misses all its deadlines is finished all the same, with a share of
-		// the cluster if nothing else is left to it for long.
-		j.standing.aged = !j.service && j.missesAllDeadlines() && s.now.Mono-j.createdAt > tuning.AgedAfter
-		j.plan.slackS = math.Inf(1) // without a deadline, after those that have one
-		if len(j.plan.deadlines) > 0 {
-			j.plan.slackS = s.secondsToDeadline(j)
-		}
+		j.updateUrgency(s.now.Mono)
 	}
-	sort.Slice(waiting, func(a, b int) bool {
-		x, y := waiting[a], waiting[b]
-		if px, py := x.rank == 0, y.rank == 0; px != py {
-			return px
-		}
-		if x.standing.prioritized != y.standing.prioritized {
-			return x.standing.prioritized
-		}
-		if x.standing.aged != y.standing.aged {
-			return x.standing.aged
-		}
-		// What can still be on time goes before what is late already, even
-		// within a guarantee: of that, the start has been missed too.
-		if cx, cy := x.deadlineClass(), y.deadlineClass(); cx != cy {
-			return cx < cy
-		}
-		if x.rank != y.rank {
-			return x.rank < y.rank
-		}
-		if x.plan.slackS != y.plan.slackS {
-			return x.plan.slackS < y.plan.slackS
+	slices.SortFunc(waiting, compareQueueOrder)
+	return waiting
+}
+
+// compareQueueOrder orders waiting jobs: production first, then the first tasks of starved
+// jobs, then the share of aged jobs, then by deadline feasibility, guarantee, priority and
+// the time to the deadline.
+func compareQueueOrder(a, b *job) int {
+	if c := compareTrueFirst(a.isProduction(), b.isProduction()); c != 0 {
+		return c
+	}
+	if c := compareTrueFirst(a.standing.prioritized, b.standing.prioritized); c != 0 {
+		return c
+	}
+	if c := compareTrueFirst(a.standing.aged, b.standing.aged); c != 0 {
+		return c
+	}
+	// A job that can still be on time goes before one that is late already, even if that
+	// one is within its guarantee: it has missed the guaranteed start too.
+	if c := cmp.Compare(a.deadlineClass(), b.deadlineClass()); c != 0 {
+		return c
+	}
+	return cmp.Or(
+		cmp.Compare(a.rank, b.rank),
+		cmp.Compare(a.plan.slackS, b.plan.slackS),
+		cmp.Compare(a.createdAt, b.createdAt),
+		strings.Compare(a.id, b.id),
+	)
+}
+
+// compareTrueFirst orders true before false.
+func compareTrueFirst(a, b bool) int {
+	switch {
+	case a == b:
+		return 0
+	case a:
+		return -1
+	}
+	return 1
+}
+
+// updateStarvation finds out whether the job is starved. A starved job gets its first tasks
+// ahead of all but production: deadline planning sacrifices the largest job first, and
+// under lasting overload it would do so in every round.
+func (j *job) updateStarvation(now time.Duration, totalCPUs float64) {
+	j.standing.starved = !j.service && now-j.createdAt > tuning.ArrayStarvationBound && !j.isEstablished(now) && !j.likelyInvalid(now)
+	//mutation:starved-jobs-first
+	j.standing.prioritized = j.standing.starved && j.starvedTaskAllowance(totalCPUs) > 0
+}
+
+// updateUrgency sets what follows from the deadline plan. A job that misses all its
+// deadlines ages, and then gets a share of the cluster: it has to finish all the same.
+func (j *job) updateUrgency(now time.Duration) {
+	j.standing.aged = !j.service && j.missesAllDeadlines() && now-j.createdAt > tuning.AgedAfter
+	j.plan.slackS = math.Inf(1) // without a deadline, after those that have one
+	if len(j.plan.deadlines) > 0 {
+		j.plan.slackS = j.secondsToDeadline(now)
+	}
+}
+
+// updateGuarantees finds out which jobs are within their team's guarantee: it covers the
+// team's oldest jobs, each with all tasks that are not done.
+func (s *Scheduler) updateGuarantees() {
+	jobsByTeam := map[string][]*job{}
+	for _, j := range s.cluster.jobs {
+		if j.isOpen() {
+			jobsByTeam[j.spec.Team] = append(jobsByTeam[j.spec.Team], j)
 		}
-		if x.createdAt != y.createdAt {
-			return x.createdAt < y.createdAt
+	}
+	for team, jobs := range jobsByTeam {
+		slices.SortFunc(jobs, func(a, b *job) int {
+			return cmp.Or(cmp.Compare(a.spec.CreatedAtMilli, b.spec.CreatedAtMilli), strings.Compare(a.id, b.id))
+		})
+		guarantee := s.settings.Teams[team]
+		cpus, gpus := 0.0, 0.0
+		for _, j := range jobs {
+			unfinished := float64(j.spec.Tasks - j.progress.doneCount)
+			cpus += unfinished * j.spec.CPUs
+			gpus += unfinished * j.spec.GPUs
+			j.standing.withinGuarantee = cpus <= guarantee.CPUs+epsilon && gpus <= guarantee.GPUs+epsilon
 		}
-		return x.id < y.id
-	})
-	return waiting
+	}
 }
 
 // likelyInvalid reports whether the job seems to be submitted with a mistake: it has failed
-// on several machines, and nothing of it has come to stay or now runs for longer than
-// it takes to fail. A faulty machine fails others' work too, and the job's own work
-// succeeds elsewhere.
-func (s *Scheduler) likelyInvalid(j *job) bool {
-	if len(j.retry.failedMachines) < tuning.FaultyJobMachineThreshold || s.isEstablished(j) {
+// on several machines, no task of it was ever established, and none runs for longer than
+// failures take to show. On a faulty machine other jobs fail too, while the tasks of a
+// valid job succeed elsewhere.
+func (j *job) likelyInvalid(now time.Duration) bool {
+	if len(j.retry.failedMachines) < tuning.FaultyJobMachineThreshold || j.isEstablished(now) {
 		return false
 	}
-	for _, list := range j.active {
-		for _, a := range list {
-			if a.runningAt > 0 && !a.stop.requested && s.now.Mono-a.runningAt > 2*j.retry.longestFailedRun+tuning.FailureRuntimeMargin {
-				return false
-			}
-		}
-	}
-	return true
+	return j.longestRun(now) <= 2*j.retry.longestFailedRun+tuning.FailureRuntimeMargin
 }
 
-// isEstablished reports whether something of the job has come to stay: a task that is
-// stopped again within seconds is no beginning. Idle work of a guest would otherwise
-// begin again and again, each time for a moment.
-func (s *Scheduler) isEstablished(j *job) bool {
+// isEstablished reports whether a task of the job was completed or has run for long enough
+// to count as started for good. Idle work of a guest team that is preempted within seconds
+// of each start would otherwise never count as starved.
+func (j *job) isEstablished(now time.Duration) bool {
 	if j.standing.established || j.progress.doneCount > 0 {
 		return true
 	}
-	for _, list := range j.active {
-		for _, a := range list {
-			if a.runningAt > 0 && !a.stop.requested && s.now.Mono-a.runningAt >= tuning.EstablishedAfter {
-				j.standing.established = true
-				return true
+	j.standing.established = j.longestRun(now) >= tuning.EstablishedAfter
+	return j.standing.established
+}
+
+// longestRun is for how long the job's longest-running task has run, without those that
+// are being stopped; 0 if none runs.
+func (j *job) longestRun(now time.Duration) time.Duration {
+	longest := time.Duration(0)
+	for _, attempts := range j.active {
+		for _, a := range attempts {
+			if a.runningAt > 0 && !a.stop.requested {
+				longest = max(longest, now-a.runningAt)
 			}
 		}
 	}
-	return false
+	return longest
 }
 
-// starvedTaskAllowance is how many more tasks a job that is overdue gets ahead of others: a
-// part of the job, and of the cluster where these are beyond its team's guarantee.
-func (s *Scheduler) starvedTaskAllowance(j *job, totalCPUs float64) int {
-	n := max(1, j.spec.Tasks/tuning.StarvedArrayDivisor)
+// starvedTaskAllowance is how many more tasks the job gets ahead of others while it is
+// starved: a part of the job, and, beyond its team's guarantee, of the cluster.
+func (j *job) starvedTaskAllowance(totalCPUs float64) int {
+	allowance := max(1, j.spec.Tasks/tuning.StarvedArrayDivisor)
 	if !j.standing.withinGuarantee && j.spec.CPUs > 0 {
-		n = min(n, max(1, int(totalCPUs*tuning.StarvedJobShare/j.spec.CPUs)))
+		allowance = min(allowance, max(1, int(totalCPUs*tuning.StarvedJobShare/j.spec.CPUs)))
 	}
-	return max(0, n-j.activeCount)
+	return max(0, allowance-j.activeCount)
 }
 
-// ofStarvedJob reports whether the attempt is of a job that has not begun for long: what
-// it got ahead of others it keeps until then.
+// ofStarvedJob reports whether the attempt is of a starved job, which keeps what it got
+// ahead of others until it is established.
 func (a *attempt) ofStarvedJob() bool { return a.job != nil && a.job.standing.starved }
 
-// deadlineClass orders jobs of the same standing: on time within the guarantee, on time
-// beyond it, late within it, late beyond it.
+// deadlineClass orders jobs by the first deadline that they can still meet, and those that
+// are equal in that by whether they are within their team's guarantee.
 func (j *job) deadlineClass() int {
-	c := 2 * j.plan.feasible
+	class := 2 * j.plan.feasible
 	if !j.standing.withinGuarantee {
-		c++
+		class++
 	}
-	return c
+	return class
 }
--- a/internal/scheduler/views.go
+++ b/internal/scheduler/views.go
@@ -105,7 +105,7 @@
 		return nil
 	}
 	detail := &JobDetail{ID: id, State: j.state(), Class: j.spec.Class, Team: j.spec.Team, Tasks: j.spec.Tasks, Done: j.progress.doneCount, Running: j.runningCount,
-		Waiting: j.pendingTasks(), Reason: j.waiting.reason, Failures: j.retry.failures, Attempts: []TaskView{}}
+		Waiting: j.pendingTasks(), Reason: j.waiting.reason.String(), Failures: j.retry.failures, Attempts: []TaskView{}}
 	if j.retry.at > now.Mono {
 		detail.Reason, detail.RetryInS = "waits after failed attempts", (j.retry.at - now.Mono).Seconds()
 	}
--- /dev/null
+++ b/internal/scheduler/wait_reason.go
@@ -0,0 +1,34 @@
+package scheduler
+
+// WaitReason is why tasks of a job wait, as of the last placement round.
+type WaitReason int
+
+// Reasons for tasks to wait.
+const (
+	NotWaiting WaitReason = iota
+	WaitForRecords
+	WaitForHeartbeats
+	WaitFailedEverywhere
+	WaitForGangStop
+	WaitForQuota
+	WaitForCapacity
+)
+
+// String is the text that users and operators see; empty if nothing waits.
+func (r WaitReason) String() string {
+	switch r {
+	case WaitForRecords:
+		return "a record that may be about it cannot be read"
+	case WaitForHeartbeats:
+		return "machines that may run it without a record have yet to report"
+	case WaitFailedEverywhere:
+		return "it has failed on every machine so far"
+	case WaitForGangStop:
+		return "its gang is being stopped"
+	case WaitForQuota:
+		return "its team is at its limit"
+	case WaitForCapacity:
+		return "no machine has room"
+	}
+	return ""
+}
