--- a/internal/scheduler/attempt_outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -130,7 +130,7 @@
 // wherever it runs says nothing about machines. Those that it was held against before
 // are acquitted.
 func (s *Scheduler) attributeFailure(m *machine, j *job) {
-	if s.likelyInvalid(j) {
+	if j.likelyInvalid(s.now.Mono) {
 		s.acquitMachines(j)
 		return
 	}
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -69,7 +69,7 @@
 	// images; 0: they are not.
 	fetchSlotSince    time.Duration
 	preemptionTriedAt time.Duration
-	reason            string // for people
+	reason            WaitReason
 }
 
 // headroomCheck remembers whether there was capacity for a task of the job.
@@ -81,7 +81,7 @@
 // deadlinePlan has a job's deadlines, and which of them it can still meet by the last
 // placement round.
 type deadlinePlan struct {
-	deadlines []float64 // in seconds from the submission, see deadlinesOf
+	deadlines []float64 // in seconds from the submission, see Objective.deadlinesOf
 	feasible  int       // index of the first that can be met; len(deadlines): none can
 	slackS    float64   // seconds until that one
 }
@@ -116,7 +116,7 @@
 	}
 	// Its age is known by the time of day; the clock of the process is a steady one.
 	j.createdAt = s.now.Mono - time.Duration(max(0, s.now.Wall-record.Job.CreatedAtMilli))*time.Millisecond
-	j.plan.deadlines = s.deadlinesOf(&j.spec)
+	j.plan.deadlines = s.settings.Objectives[j.spec.Class].deadlinesOf(&j.spec)
 	s.mergeDoneBits(j, 0, record.Done)
 	s.cluster.jobs[j.id] = j
 	return j
--- a/internal/scheduler/views.go
+++ b/internal/scheduler/views.go
@@ -193,7 +193,7 @@
 	detail := JobDetail{
 		ID: j.id, State: j.displayState(), Class: j.spec.Class, Team: j.spec.Team,
 		Tasks: j.spec.Tasks, Done: j.progress.doneCount, Running: j.runningCount, Waiting: j.pendingTasks(),
-		Reason: j.waiting.reason, Failures: j.retry.failures, Attempts: []TaskView{},
+		Reason: j.waiting.reason.String(), Failures: j.retry.failures, Attempts: []TaskView{},
 	}
 	if j.retry.at > now.Mono {
 		detail.Reason, detail.RetryInS = "waits after failed attempts", (j.retry.at - now.Mono).Seconds()
