--- a/internal/scheduler/effects.go
+++ b/internal/scheduler/effects.go
@@ -54,3 +54,9 @@
 func (s *Scheduler) log(debug bool, message string, args ...any) {
 	s.effects.Log = append(s.effects.Log, LogLine{debug, message, args})
 }
+
+// logDebug adds a line for debugging.
+func (s *Scheduler) logDebug(message string, attributes ...any) { s.log(true, message, attributes...) }
+
+// logInfo adds a line that operators see by default.
+func (s *Scheduler) logInfo(message string, attributes ...any) { s.log(false, message, attributes...) }
--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -1,92 +1,121 @@
 package scheduler
 
-import (
-	"math"
-)
+import "math"
 
-// fleetHeadroom says whether enough room would be left without a machine: spare capacity
-// as the operators want it, and room at once for the next service, of as many
-// tasks as the largest live service job has, in its zones, on ordinary machines
-// that no other service fills (lower work there makes way). Without the latter, a
-// fleet that is economised down to what its services fill makes the next one wait
-// for a boot.
+// fleetHeadroom is the headroom of the fleet: spare CPUs as the operators' policy wants
+// them, and free capacity at once for the next service. That is taken to have as many
+// tasks as the largest live service, and to find them in its zones, on ordinary machines,
+// beside other services; work of lower priority makes way. Without it, a fleet that was
+// scaled in to what its services fill would make the next one wait for a boot.
+//
+// Machines that are released one after the other are taken off by removeIfSpare, so that
+// together they leave enough headroom.
 type fleetHeadroom struct {
-	scheduler           *Scheduler
+	headroomShare       float64 // spare CPUs that are wanted, as a share of those in use
 	usedCPUs, totalCPUs float64
-	largestService      *job // the largest service, or nil
-	fittingByZone       map[string]int
-	fittingOn           map[*machine]int
+	largestService      *job             // nil: there is none
+	fittingByZone       map[string]int   // tasks of largestService that fit
+	fittingOn           map[*machine]int // the same by machine
 }
 
 func (s *Scheduler) newFleetHeadroom() *fleetHeadroom {
-	headroom := &fleetHeadroom{scheduler: s, fittingByZone: map[string]int{}, fittingOn: map[*machine]int{}}
-	headroom.usedCPUs, headroom.totalCPUs = s.cpuUsage()
-	size := func(service *job) float64 { return float64(service.spec.Tasks) * service.spec.CPUs }
-	for _, service := range s.cluster.jobs {
-		if service.service && !service.cancelled && !service.archived && (headroom.largestService == nil || size(service) > size(headroom.largestService) || size(service) == size(headroom.largestService) && service.id < headroom.largestService.id) {
-			headroom.largestService = service
-		}
+	headroom := &fleetHeadroom{
+		headroomShare:  s.settings.Policy.HeadroomShare,
+		largestService: s.largestService(),
+		fittingByZone:  map[string]int{}, fittingOn: map[*machine]int{},
 	}
+	headroom.usedCPUs, headroom.totalCPUs = s.cpuUsage()
 	if headroom.largestService == nil {
 		return headroom
 	}
-	service := headroom.largestService
 	for _, m := range s.cluster.machines {
-		if m.spot || m.phase != machineUp || m.machineSpec == nil || m.cloud.failed || m.cloud.interruptionAt > 0 || m.connectivity.unreachableSince > 0 || !service.allowsMachine(m.machineType, m.zone, m.spot) {
-			continue
+		if m.mayHostNext(headroom.largestService) {
+			fitting := m.tasksBesideEqualPriority(headroom.largestService)
+			headroom.fittingOn[m] = fitting
+			headroom.fittingByZone[m.zone] += fitting
 		}
-		cpus, memoryGB := m.machineSpec.CPUs, m.machineSpec.MemoryGB
-		for _, a := range m.tasks {
-			if a.job != nil && a.job.rank <= service.rank {
-				cpus -= a.job.spec.CPUs
-				memoryGB -= a.job.spec.MemoryGB
-			}
+	}
+	return headroom
+}
+
+// largestService is the live service with the most CPUs in all, or nil.
+func (s *Scheduler) largestService() *job {
+	size := func(j *job) float64 { return float64(j.spec.Tasks) * j.spec.CPUs }
+	var largest *job
+	for _, j := range s.cluster.jobs {
+		if !j.service || j.cancelled || j.archived {
+			continue
 		}
-		fitting := 1 << 20
-		if service.spec.CPUs > 0 {
-			fitting = min(fitting, int(math.Floor(cpus/service.spec.CPUs+epsilon)))
+		if largest == nil || size(j) > size(largest) || size(j) == size(largest) && j.id < largest.id {
+			largest = j
 		}
-		if service.spec.MemoryGB > 0 {
-			fitting = min(fitting, int(math.Floor(memoryGB/service.spec.MemoryGB+epsilon)))
+	}
+	return largest
+}
+
+// mayHostNext reports whether the machine may be counted on for a service like the given one.
+func (m *machine) mayHostNext(service *job) bool {
+	if m.spot || m.phase != machineUp || m.machineSpec == nil {
+		return false
+	}
+	if m.cloud.failed || m.cloud.interruptionAt > 0 || m.connectivity.unreachableSince > 0 {
+		return false
+	}
+	return service.allowsMachine(m.machineType, m.zone, m.spot)
+}
+
+// tasksBesideEqualPriority is how many tasks of the service fit beside those of its own
+// and higher priority.
+func (m *machine) tasksBesideEqualPriority(service *job) int {
+	cpus, memoryGB := m.machineSpec.CPUs, m.machineSpec.MemoryGB
+	for _, a := range m.tasks {
+		if a.job != nil && a.job.rank <= service.rank {
+			cpus -= a.job.spec.CPUs
+			memoryGB -= a.job.spec.MemoryGB
 		}
-		headroom.fittingOn[m] = max(fitting, 0)
-		headroom.fittingByZone[m.zone] += max(fitting, 0)
 	}
-	return headroom
+	fitting := 1 << 20 // without bounds, if the service needs neither
+	if service.spec.CPUs > 0 {
+		fitting = min(fitting, int(math.Floor(cpus/service.spec.CPUs+epsilon)))
+	}
+	if service.spec.MemoryGB > 0 {
+		fitting = min(fitting, int(math.Floor(memoryGB/service.spec.MemoryGB+epsilon)))
+	}
+	return max(fitting, 0)
 }
 
-// fitsNextService reports whether the next service finds room.
-func (s *fleetHeadroom) fitsNextService() bool {
-	if s.largestService == nil {
+// fitsNextService reports whether the next service finds capacity at once.
+func (h *fleetHeadroom) fitsNextService() bool {
+	if h.largestService == nil {
 		return true
 	}
 	total := 0
-	for _, n := range s.fittingByZone {
-		total += min(n, s.largestService.spec.MaxTasksPerZone())
+	for _, fitting := range h.fittingByZone {
+		total += min(fitting, h.largestService.spec.MaxTasksPerZone())
 	}
-	return total >= s.largestService.spec.Tasks
+	return total >= h.largestService.spec.Tasks
 }
 
-// removeIfSpare takes a machine away, if enough is left then.
-func (s *fleetHeadroom) removeIfSpare(m *machine) bool {
+// removeIfSpare takes the machine off, if the headroom is enough without it.
+func (h *fleetHeadroom) removeIfSpare(m *machine) bool {
 	cpus := 0.0
 	if m.machineSpec != nil {
 		cpus = m.machineSpec.CPUs
 	}
-	if s.totalCPUs-cpus < s.usedCPUs*(1+s.scheduler.settings.Policy.HeadroomShare) {
+	if h.totalCPUs-cpus < h.usedCPUs*(1+h.headroomShare) {
 		return false
 	}
-	s.fittingByZone[m.zone] -= s.fittingOn[m]
-	if !s.fitsNextService() {
-		s.fittingByZone[m.zone] += s.fittingOn[m]
+	h.fittingByZone[m.zone] -= h.fittingOn[m]
+	if !h.fitsNextService() {
+		h.fittingByZone[m.zone] += h.fittingOn[m]
 		return false
 	}
-	delete(s.fittingOn, m)
-	s.totalCPUs -= cpus
+	delete(h.fittingOn, m)
+	h.totalCPUs -= cpus
 	return true
 }
 
-// cpuUsage sums what is in use and what there is, in CPUs.
+// cpuUsage sums the CPUs in use and those of all machines that are there to stay.
 func (s *Scheduler) cpuUsage() (used, total float64) {
 	for _, m := range s.cluster.machines {
 		if m.machineSpec == nil || m.phase == machineReleasing || m.cloud.failed || m.cloud.interruptionAt > 0 {
--- /dev/null
+++ b/internal/scheduler/load_log.go
@@ -0,0 +1,47 @@
+package scheduler
+
+import (
+	"maps"
+	"slices"
+
+	"github.com/yarrowgap/yarrowgap/internal/tuning"
+)
+
+// logLoad logs how full the cluster is and what tasks wait for.
+func (s *Scheduler) logLoad() {
+	s.logDelayedStarts()
+	for _, name := range slices.Sorted(maps.Keys(s.cluster.usage)) {
+		if usage := s.cluster.usage[name]; usage.CPUs > 0 {
+			s.logDebug("team usage", "team", name, "cpus_used", usage.CPUs, "cpus_limit", s.settings.Teams[name].CPUsMax)
+		}
+	}
+	waiting := map[string]int{}
+	for _, j := range s.cluster.jobs {
+		if tasks := j.pendingTasks(); tasks > 0 {
+			waiting[string(j.waiting.reason)] += tasks
+		}
+	}
+	used, total := s.cpuUsage()
+	s.logDebug("cluster load", "cpus_used", used, "cpus_total", total, "machines", len(s.cluster.machines), "jobs", len(s.cluster.jobs),
+		"waiting_for_capacity", waiting["no machine has room"], "waiting_for_quota", waiting["its team is at its limit"], "waiting_otherwise", waiting[""],
+		"cancellation_lag_s", (s.now.Mono - s.EnforcedCancellationWatermark(s.now.Mono)).Seconds())
+}
+
+// logDelayedStarts says so if starts wait long for their assignment to be recorded.
+func (s *Scheduler) logDelayedStarts() {
+	oldest := s.now.Mono
+	for _, a := range s.persister.unrecorded {
+		if !a.start.sent {
+			oldest = min(oldest, a.placedAt)
+		}
+	}
+	delay := s.now.Mono - oldest
+	if delay <= tuning.LateRecordAfter {
+		return
+	}
+	cause := "write rate"
+	if s.now.Mono < s.persister.blockedUntil+tuning.StoreRetryDelay {
+		cause = "key-value store refuses writes"
+	}
+	s.logInfo("starts wait for their assignment records", "cause", cause, "starts", len(s.persister.unrecorded), "longest_s", delay.Seconds(), "changes_per_s", s.settings.WriteRate)
+}
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -177,8 +177,8 @@
 
 // releaseState is that of a release that was asked for.
 type releaseState struct {
-	reason   string // of the last one, for the log
-	retryDue bool   // it has to be asked for once more
+	reason   ReleaseReason // of the last one, for the log
+	retryDue bool          // it has to be asked for once more
 }
 
 // quarantineState keeps work away from a machine on which it fails.
--- a/internal/scheduler/scalein.go
+++ b/internal/scheduler/scalein.go
@@ -7,14 +7,26 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// scaleIn gives back what is broken, lost, too slow to come up, or idle.
+// scaleIn releases machines that are broken, lost, too slow to come up or idle, and asks
+// again for releases whose outcome is unknown.
 func (s *Scheduler) scaleIn() {
 	if s.now.Mono < s.autoscaler.releaseRetryAt || !s.holdsLease() || !s.reconciler.CloudCallReady(s.now.Mono) {
 		return
 	}
+	names := s.releaseUnneeded()
+	names = append(names, s.releasesToRetry(tuning.MaxReleaseBatch-len(names))...)
+	if len(names) > 0 {
+		s.reconciler.TakeCloudCall(s.now.Mono)
+		s.effects.Release = append(s.effects.Release, names)
+	}
+}
+
+// releaseUnneeded begins the release of machines for which there is a reason and gives
+// their names.
+func (s *Scheduler) releaseUnneeded() []string {
 	missingZones := s.zonesMissingHeartbeats()
+	var headroom *fleetHeadroom // counted only if a machine is idle
 	var names []string
-	var headroom *fleetHeadroom // looked at once, and only if a machine stands idle
 	for _, m := range s.sortedMachines() {
 		if len(names) == tuning.MaxReleaseBatch {
 			break
@@ -25,269 +37,191 @@
 				headroom = s.newFleetHeadroom()
 			}
 			if headroom.removeIfSpare(m) {
-				reason = "idle"
+				reason = ReleaseIdle
 			}
 		}
-		if reason == "" {
-			continue
-		}
-		s.log(m.release.reason == reason, "giving machine back", "machine", m.name, "type", m.machineType, "zone", m.zone, "spot", m.spot, "why", reason, "tasks", len(m.tasks))
-		if m.release.reason == "" {
-			s.reconciler.CountOperation(s.now.Mono, reconcile.Operation{Kind: reconcile.ReleaseOperation, Machine: m.name})
+		if reason != "" {
+			s.beginRelease(m, reason)
+			names = append(names, m.name)
 		}
-		m.phase, m.release.reason = machineReleasing, reason // repeated while the cloud refuses
-		for _, a := range m.sortedAttempts() {
-			//mutation:release-detaches-unsent-only
-			if !a.start.sent {
-				s.detach(a)
-			}
+	}
+	return names
+}
+
+// beginRelease stops all use of a machine whose release is about to be asked for. While
+// the cloud refuses to release it, it is back in use, and this happens again.
+func (s *Scheduler) beginRelease(m *machine, reason ReleaseReason) {
+	log := s.logInfo
+	if m.release.reason == reason {
+		log = s.logDebug
+	}
+	log("machine release requested", "machine", m.name, "type", m.machineType, "zone", m.zone, "spot", m.spot, "reason", string(reason), "tasks", len(m.tasks))
+	if m.release.reason == "" {
+		s.reconciler.CountOperation(s.now.Mono, reconcile.Operation{Kind: reconcile.ReleaseOperation, Machine: m.name})
+	}
+	m.phase, m.release.reason = machineReleasing, reason
+	for _, a := range m.sortedAttempts() {
+		//mutation:release-detaches-unsent-only
+		if !a.start.sent {
+			s.detach(a)
 		}
-		names = append(names, m.name)
 	}
+}
+
+// releasesToRetry gives the names of at most limit machines whose release has to be asked
+// for once more.
+func (s *Scheduler) releasesToRetry(limit int) []string {
+	var names []string
 	for _, m := range s.sortedMachines() {
-		if m.phase == machineReleasing && m.release.retryDue && len(names) < tuning.MaxReleaseBatch {
+		if m.phase == machineReleasing && m.release.retryDue && len(names) < limit {
 			m.release.retryDue = false
 			names = append(names, m.name)
 		}
 	}
-	if len(names) > 0 {
-		s.reconciler.TakeCloudCall(s.now.Mono)
-		s.effects.Release = append(s.effects.Release, names)
-	}
+	return names
 }
 
-func (s *Scheduler) releaseReason(m *machine, missingZones map[string]bool) string {
-	now := s.now.Mono
+// releaseReason is why a machine has to be released, whatever the headroom; empty if it
+// has not.
+func (s *Scheduler) releaseReason(m *machine, missingZones map[string]bool) ReleaseReason {
 	switch m.phase {
 	case machineReleasing:
 		return ""
 	case machineBooting:
-		bootTimeout := max(tuning.MinBootTimeout, s.bootTime(m.machineType)*time.Duration(100*s.settings.Policy.BootTimeoutFactor)/100)
-		if m.cloud.failed {
-			return "failed while starting"
-		}
-		if now-m.cloud.provisionedAt > bootTimeout && now-max(m.knownAt, s.monitor.resumedAt) > tuning.FirstHeartbeatGrace {
-			// The grace is for those that came up before our term, or while we
-			// stood still: they report within seconds, and were given back by
-			// mistake without it.
-			//mutation:release-machine-that-never-came-up
-			return "never came up"
-		}
-		return ""
+		return s.bootReleaseReason(m)
+	default:
+		return s.upReleaseReason(m, missingZones)
+	}
+}
+
+// bootReleaseReason is why a machine that has not come up has to be released.
+func (s *Scheduler) bootReleaseReason(m *machine) ReleaseReason {
+	if m.cloud.failed {
+		return ReleaseBootFailed
+	}
+	now := s.now.Mono
+	bootTimeout := max(tuning.MinBootTimeout, s.bootTime(m.machineType)*time.Duration(100*s.settings.Policy.BootTimeoutFactor)/100)
+	// The grace is for machines that came up before the term or during a pause of this
+	// process: their heartbeats arrive within seconds.
+	if now-m.cloud.provisionedAt > bootTimeout && now-max(m.knownAt, s.monitor.resumedAt) > tuning.FirstHeartbeatGrace {
+		//mutation:release-machine-that-never-came-up
+		return ReleaseNeverUp
 	}
-	// Silence while this process stood still is not theirs: what they sent has yet
-	// to be read, or went elsewhere.
+	return ""
+}
+
+// upReleaseReason is why a machine that has come up has to be released.
+func (s *Scheduler) upReleaseReason(m *machine, missingZones map[string]bool) ReleaseReason {
+	now := s.now.Mono
+	// Heartbeats that did not come while this process was paused were not missed: they
+	// have yet to be read, or went to another controller.
 	heartbeatAge := now - max(m.connectivity.lastHeartbeatAt, s.monitor.resumedAt)
 	if m.cloud.failed && heartbeatAge > s.settings.HeartbeatInterval*2 {
-		return "failed"
+		return ReleaseFailed
 	}
 	if missingZones[m.zone] {
 		return s.zoneReleaseReason(m, heartbeatAge)
 	}
-	// Of a zone that was silent and is back, machines are heard one by one.
+	// After a partition, the machines of a zone are heard again one by one.
 	heartbeatAge = min(heartbeatAge, now-s.monitor.zoneMissingAt[m.zone])
 	//mutation:reconciliation-holds-release
 	if m.calls.unansweredSinceHeartbeat >= tuning.UnansweredProbeThreshold && !s.reconciler.HoldsRelease(now, m.name) && heartbeatAge > s.heartbeatOverdueAfter()+tuning.CommandTimeout*tuning.UnansweredProbeThreshold && len(m.tasks) > 0 {
-		// It is dead, hangs or is cut off. Until its lease ends its tasks could
-		// start nowhere else; the answer to the release lets them at once.
-		return "silent, and questions stay unanswered"
+		// Until its lease ends, its tasks could start nowhere else; the answer to the
+		// release proves them gone at once.
+		return ReleaseProbesUnanswered
 	}
 	if m.cloud.listed && m.cloud.missedLists >= tuning.MissingListThreshold && heartbeatAge > s.settings.HeartbeatInterval*2 {
-		// Once listed, a machine stays listed until it is gone, but a list can
-		// be old. So this proves nothing: the answer to the release does.
-		return "silent and no longer listed"
+		// A machine stays listed until it is gone, but lists may be old: only the
+		// answer to the release is proof.
+		return ReleaseNotListed
 	}
 	if m.connectivity.unreachableSince > 0 && now-max(m.connectivity.unreachableSince, s.monitor.resumedAt) > s.settings.WorkerLease {
-		return "nothing reaches it"
+		return ReleaseUnreachable
 	}
 	if heartbeatAge > s.settings.WorkerLease-tuning.EarlyReleaseMargin {
-		return "silent for longer than its lease"
+		return ReleaseLeaseExpired
 	}
 	if len(m.tasks) == 0 && m.cloud.interruptionAt == 0 && m.quarantine.until > now {
-		return "unrelated jobs fail there"
+		return ReleaseQuarantined
 	}
 	return ""
 }
 
-// heartbeatOverdueAfter is how long after the last sign of life a report is overdue.
+// heartbeatOverdueAfter is how old the last heartbeat has to be for the next to be overdue.
 func (s *Scheduler) heartbeatOverdueAfter() time.Duration {
 	return s.settings.HeartbeatInterval*5/4 + tuning.HeartbeatGrace
 }
 
-// zoneReleaseReason is why a machine of a zone that is silent as a whole is given back.
-func (s *Scheduler) zoneReleaseReason(m *machine, heartbeatAge time.Duration) string {
-	if at, ok := s.monitor.zoneHeartbeatAt[m.zone]; ok {
-		// The zone fell silent before our term, and was not heard in it.
-		heartbeatAge = max(heartbeatAge, s.now.Mono-at)
-	}
-	switch {
-	case heartbeatAge > time.Duration(float64(s.settings.WorkerLease)*tuning.ZonePartitionLeases):
-		return "its zone is silent for long"
-	case heartbeatAge > s.zoneReleaseDelay() && s.canMoveElsewhere(m):
-		return "its zone is silent, and its tasks can go elsewhere"
-	}
-	return ""
-}
-
-// ZoneLastSeen tells a new leader when its process last heard a peer in a zone.
-func (s *Scheduler) ZoneLastSeen(zone string, at time.Duration) {
-	s.monitor.zoneHeartbeatAt[zone] = max(at, s.monitor.zoneHeartbeatAt[zone])
-}
-
-// canMoveElsewhere reports whether most of what is on a silent machine could start in
-// another zone if it were given back. Replicas whose job may have no more tasks
-// elsewhere, as with two zones of which each may have half, come back sooner with
-// the zone: its machines are there then, with their images, and a new one would
-// have to boot first.
-func (s *Scheduler) canMoveElsewhere(m *machine) bool {
-	services, movable := 0, 0.0
-	var other *job
-	for _, a := range m.tasks {
-		j := a.job
-		switch {
-		case j == nil:
-		case j.service:
-			services++
-			movable += s.movableShare(j, m.zone)
-		case other == nil || j.id < other.id:
-			other = j
-		}
-	}
-	if services > 0 {
-		return 2*movable >= float64(services)
-	}
-	return other != nil && s.fitsSomewhereCached(other)
-}
-
-// movableShare is what share of the job's tasks in a zone its spread allows in
-// the others.
-func (s *Scheduler) movableShare(j *job, zone string) float64 {
-	if j.spec.Zone != "" || j.spec.SameZone {
-		return 0
-	}
-	activeByZone := map[string]int{}
-	for _, list := range j.active {
-		for _, a := range list {
-			activeByZone[a.machine.zone]++
-		}
-	}
-	zones := map[string]bool{}
-	for _, t := range s.cluster.machineTypes {
-		for _, other := range t.Zones {
-			zones[other] = other != zone && j.allowsMachine(t.Name, other, false)
-		}
-	}
-	allowed := 0
-	for other, ok := range zones {
-		if ok {
-			allowed += max(0, j.spec.MaxTasksPerZone()-activeByZone[other])
-		}
-	}
-	return min(1, float64(allowed)/float64(max(1, activeByZone[zone])))
-}
-
-// zoneReleaseDelay is how long a zone may be silent as a whole before its machines are
-// given back. A node in it may keep them alive, but not for longer than the time
-// for a cancellation allows: shortly before that, tasks had better start elsewhere
-// than end there with nobody to take them up.
-func (s *Scheduler) zoneReleaseDelay() time.Duration {
-	d := time.Duration(float64(s.settings.WorkerLease) * tuning.ZonePartitionLeases)
-	if s.settings.CancellationBound > 0 {
-		d = min(d, s.settings.CancellationBound-tuning.KeepaliveMargin-s.settings.HeartbeatInterval)
-	}
-	return max(d, s.settings.WorkerLease-tuning.EarlyReleaseMargin)
-}
-
-// zonesMissingHeartbeats are the zones in which most machines are silent, as of now, while there is more
-// than one: then it is the network, and a node inside may keep them alive. Not all:
-// the list still brings up machines there that were booting. Of machines that do
-// report, few were last heard a whole interval ago, so this tells long before any of
-// them is given back by itself.
-func (s *Scheduler) zonesMissingHeartbeats() map[string]bool {
-	total, missed, overdue := map[string]int{}, map[string]int{}, map[string]int{}
-	for _, m := range s.cluster.machines {
-		if m.phase != machineUp {
-			continue
-		}
-		total[m.zone]++
-		if s.now.Mono-m.connectivity.lastHeartbeatAt > s.heartbeatOverdueAfter() {
-			overdue[m.zone]++
-		}
-		if s.now.Mono-m.connectivity.lastHeartbeatAt > s.settings.HeartbeatInterval {
-			missed[m.zone]++
-		}
-	}
-	out := map[string]bool{}
-	for zone, machines := range total {
-		if machines > 1 && float64(missed[zone]) >= tuning.ZonePartitionShare*float64(machines) {
-			out[zone] = true
-			if float64(overdue[zone]) >= tuning.ZonePartitionShare*float64(machines) {
-				s.monitor.zoneMissingAt[zone] = s.now.Mono // not by machines that are just between two reports
-			}
-		}
-	}
-	return out
-}
-
-// idleLongEnough reports whether the machine has stood idle for long enough.
+// idleLongEnough reports whether a machine has been idle for its timeout while nothing
+// that waits may still be placed on it.
 func (s *Scheduler) idleLongEnough(m *machine) bool {
 	now := s.now.Mono
-	return m.phase == machineUp && len(m.tasks) == 0 && m.cloud.interruptionAt == 0 && !s.placement.due && !s.reconciler.HoldsIdleReleases() && now-m.connectivity.lastHeartbeatAt < s.settings.HeartbeatInterval*2 &&
-		now-max(m.idleSince, m.upAt) > s.idleTimeout(m)
+	if m.phase != machineUp || len(m.tasks) > 0 || m.cloud.interruptionAt > 0 {
+		return false
+	}
+	if s.placement.due || s.reconciler.HoldsIdleReleases() || now-m.connectivity.lastHeartbeatAt >= s.settings.HeartbeatInterval*2 {
+		return false
+	}
+	return now-max(m.idleSince, m.upAt) > s.idleTimeout(m)
 }
 
-// idleTimeout is how long a machine may stand idle: longer if it is cheap.
+// idleTimeout is how long a machine may be idle: a spot machine longer, by the ratio of
+// the prices.
 func (s *Scheduler) idleTimeout(m *machine) time.Duration {
-	d := s.settings.Policy.IdleTimeout
+	timeout := s.settings.Policy.IdleTimeout
 	if m.spot && m.machineSpec != nil && m.machineSpec.SpotPrice > 0 {
-		d = time.Duration(float64(d) * max(1, m.machineSpec.Price/m.machineSpec.SpotPrice))
+		timeout = time.Duration(float64(timeout) * max(1, m.machineSpec.Price/m.machineSpec.SpotPrice))
 	}
-	return d
+	return timeout
 }
 
-// ReleaseResult says what became of a release.
+// ReleaseResult is the outcome of a release.
 type ReleaseResult int
 
 // Outcomes of a release.
 const (
 	ReleaseUnknown ReleaseResult = iota // carried out, or not, or later
-	ReleaseDone                         // the machines and all on them are gone
+	ReleaseDone                         // the machines are gone, with all that ran there
 	ReleaseRefused                      // not carried out
 )
 
-// Released takes the answer to a release. ReleaseDone is the proof that lets the
-// tasks that were there be placed again.
+// Released takes the outcome of a release. ReleaseDone is the proof that lets the tasks
+// that were there be placed again.
 func (s *Scheduler) Released(now Now, names []string, result ReleaseResult) {
 	s.now = now
 	//mutation:release-needs-proof
 	if result != ReleaseDone {
 		s.autoscaler.releaseRetryAt = now.Mono + tuning.CloudRetryDelay
-		for _, name := range names {
-			m := s.cluster.machines[name]
-			switch {
-			case m == nil:
-			case result == ReleaseRefused:
-				m.phase = machineUp // it may have come back to life meanwhile
-				if m.address == "" {
-					m.phase = machineBooting
-				}
-			default:
-				m.release.retryDue = true
-			}
-		}
+		s.releaseFailed(names, result)
 		return
 	}
 	for _, name := range names {
-		m := s.cluster.machines[name]
 		s.cluster.released[name] = true
-		if m == nil {
-			continue
+		if m := s.cluster.machines[name]; m != nil {
+			s.counters.MachinesReleased++
+			s.removeMachine(m)
+		}
+	}
+}
+
+// releaseFailed puts machines back in use whose release was refused, since they may have
+// recovered meanwhile, and has a release without a known outcome asked for again.
+func (s *Scheduler) releaseFailed(names []string, result ReleaseResult) {
+	for _, name := range names {
+		m := s.cluster.machines[name]
+		switch {
+		case m == nil:
+		case result != ReleaseRefused:
+			m.release.retryDue = true
+		case m.address == "":
+			m.phase = machineBooting
+		default:
+			m.phase = machineUp
 		}
-		s.counters.MachinesReleased++
-		s.removeMachine(m)
 	}
 }
 
+// removeMachine ends a machine that is proven gone, and all its attempts with it.
 func (s *Scheduler) removeMachine(m *machine) {
 	for _, a := range m.sortedAttempts() {
 		s.classifyRecorded(a, reconcile.Absent)
@@ -295,8 +229,8 @@
 		s.handleFailedAttempt(a, "machine gone")
 	}
 	s.reconciler.MachineReleased(s.now.Mono, m.name)
-	for b := range m.batches {
-		b.namesReleasedMachine = true
+	for batch := range m.batches {
+		batch.namesReleasedMachine = true
 	}
 	delete(s.cluster.machines, m.name)
 	s.cluster.machinesByName = nil
--- /dev/null
+++ b/internal/scheduler/tick.go
@@ -0,0 +1,118 @@
+package scheduler
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/yarrowgap/yarrowgap/internal/tuning"
+)
+
+// ResignNoHeartbeats is why a leader resigns that no worker reaches.
+const ResignNoHeartbeats = "no worker reaches this controller"
+
+// maxPlacementInterval is after how long a placement round is due in any case: the cloud
+// may have capacity again, or a machine may be reachable again.
+const maxPlacementInterval = time.Second
+
+// Tick does what falls due as time passes.
+func (s *Scheduler) Tick(now Now) {
+	s.now = now
+	if paused := s.monitor.pausedFor(now.Mono); paused > 0 {
+		s.monitor.resumedAt = now.Mono
+		s.logInfo("process paused", "paused_s", paused.Seconds())
+	}
+	scan := now.Mono-s.monitor.scannedAt >= s.scanInterval()
+	if scan {
+		s.monitor.scannedAt = now.Mono
+		s.scanMachines()
+		//mutation:counter-check
+		s.watchCounterLimits()
+	}
+	s.resignIfIsolated()
+	if scan {
+		s.scaleIn()
+	}
+	if now.Mono-s.monitor.loadLoggedAt >= tuning.LoadLogInterval {
+		s.monitor.loadLoggedAt = now.Mono
+		s.logLoad()
+	}
+	s.reconciler.Advance(now.Mono)
+	s.resolveUnreadableRecords()
+	s.compactBatches()
+	if now.Mono-s.placement.lastRoundAt >= maxPlacementInterval {
+		s.placement.due = true
+	}
+	s.Settle(now)
+}
+
+// Settle does what has become due by the inputs since the last call: it places tasks,
+// scales out, writes records and sends commands. It follows every input.
+func (s *Scheduler) Settle(now Now) {
+	s.now = now
+	s.wakeBackedOffJobs()
+	if s.placement.due && now.Mono-s.placement.lastRoundAt >= s.placementInterval() {
+		s.placement.lastRoundAt = now.Mono
+		s.placement.rounds++
+		s.scaleOut(s.placePending())
+	}
+	s.flush()
+	s.sendToMachinesDue()
+}
+
+// sendToMachinesDue sends commands to the machines that were marked for it.
+func (s *Scheduler) sendToMachinesDue() {
+	for _, name := range slices.Sorted(maps.Keys(s.dispatcher.machinesDue)) {
+		delete(s.dispatcher.machinesDue, name)
+		if m := s.cluster.machines[name]; m != nil {
+			s.sendDue(m)
+		}
+	}
+}
+
+// PlacementPending reports whether a placement round waits for its interval to pass.
+func (s *Scheduler) PlacementPending() bool { return s.placement.due }
+
+// LeaseHeldUntil tells the leader how long its lease lasts unless it is renewed.
+func (s *Scheduler) LeaseHeldUntil(until time.Duration) {
+	s.leaseHeldUntil = max(s.leaseHeldUntil, until)
+}
+
+// holdsLease reports whether this process leads for certain. Calls to the cloud are neither
+// conditional nor fenced: a process that was paused for longer than its lease would find
+// that all machines missed their heartbeats, and release hundreds that work for its
+// successor.
+func (s *Scheduler) holdsLease() bool { return s.now.Mono < s.leaseHeldUntil }
+
+// placementInterval is the least time between two placement rounds, since each visits
+// every machine.
+func (s *Scheduler) placementInterval() time.Duration {
+	return tuning.MinPlacementInterval + s.scaleByCPUShare(time.Duration(len(s.cluster.machines))*tuning.PlacementIntervalPerMachine)
+}
+
+// scanInterval is the least time between two ticks that scan every machine.
+func (s *Scheduler) scanInterval() time.Duration {
+	return s.scaleByCPUShare(time.Duration(len(s.cluster.machines)) * tuning.ScanIntervalPerMachine)
+}
+
+// scaleByCPUShare stretches an interval that was measured with tuning.ReferenceCPUShare of a
+// core for a process that has less. It would spend all of its time on rounds while hundreds
+// of jobs wait, and fall behind with heartbeats, so that machines stay idle beside them.
+func (s *Scheduler) scaleByCPUShare(interval time.Duration) time.Duration {
+	if s.isCPULimited() {
+		return time.Duration(float64(interval) * tuning.ReferenceCPUShare / s.settings.CPUShare)
+	}
+	return interval
+}
+
+// wakeBackedOffJobs makes a placement round due for jobs whose backoff after a failed
+// attempt is over.
+func (s *Scheduler) wakeBackedOffJobs() {
+	for j := range s.placement.backingOff {
+		if s.now.Mono >= j.retry.at {
+			delete(s.placement.backingOff, j)
+			j.retry.at = 0
+			s.placement.due = true
+		}
+	}
+}
--- /dev/null
+++ b/internal/scheduler/zone_partition.go
@@ -0,0 +1,150 @@
+package scheduler
+
+import (
+	"time"
+
+	"github.com/yarrowgap/yarrowgap/internal/tuning"
+)
+
+// ZoneLastSeen tells a new leader when its process last reached a peer in a zone.
+func (s *Scheduler) ZoneLastSeen(zone string, at time.Duration) {
+	s.monitor.zoneHeartbeatAt[zone] = max(at, s.monitor.zoneHeartbeatAt[zone])
+}
+
+// zoneCounts counts the machines of a zone that are up.
+type zoneCounts struct {
+	up      int
+	missed  int // last heartbeat over an interval ago
+	overdue int // next heartbeat overdue
+}
+
+// zonesMissingHeartbeats are the zones with several machines of which most miss their
+// heartbeats now. That is the network, and a controller inside may keep the workers' leases
+// alive. Not all have to miss them: the cloud's list still brings up machines there that
+// were booting. Of machines that send heartbeats, few had their last one a whole interval
+// ago, so this tells long before any of them would be released by itself.
+func (s *Scheduler) zonesMissingHeartbeats() map[string]bool {
+	zones := map[string]*zoneCounts{}
+	for _, m := range s.cluster.machines {
+		if m.phase == machineUp {
+			s.countInZone(zones, m)
+		}
+	}
+	missing := map[string]bool{}
+	for zone, counts := range zones {
+		threshold := tuning.ZonePartitionShare * float64(counts.up)
+		if counts.up <= 1 || float64(counts.missed) < threshold {
+			continue
+		}
+		missing[zone] = true
+		if float64(counts.overdue) >= threshold { // not just between two heartbeats
+			s.monitor.zoneMissingAt[zone] = s.now.Mono
+		}
+	}
+	return missing
+}
+
+func (s *Scheduler) countInZone(zones map[string]*zoneCounts, m *machine) {
+	counts := zones[m.zone]
+	if counts == nil {
+		counts = &zoneCounts{}
+		zones[m.zone] = counts
+	}
+	counts.up++
+	heartbeatAge := s.now.Mono - m.connectivity.lastHeartbeatAt
+	if heartbeatAge > s.settings.HeartbeatInterval {
+		counts.missed++
+	}
+	if heartbeatAge > s.heartbeatOverdueAfter() {
+		counts.overdue++
+	}
+}
+
+// zoneReleaseReason is why a machine of a zone that misses its heartbeats has to be
+// released; empty if it has not.
+func (s *Scheduler) zoneReleaseReason(m *machine, heartbeatAge time.Duration) ReleaseReason {
+	if at, ok := s.monitor.zoneHeartbeatAt[m.zone]; ok {
+		// The zone was last seen before this term.
+		heartbeatAge = max(heartbeatAge, s.now.Mono-at)
+	}
+	switch {
+	case heartbeatAge > s.zonePartitionLimit():
+		return ReleaseZoneMissing
+	case heartbeatAge > s.zoneReleaseDelay() && s.canMoveElsewhere(m):
+		return ReleaseZoneTasksPlacable
+	}
+	return ""
+}
+
+// zonePartitionLimit is how long a partitioned zone keeps its machines in any case.
+func (s *Scheduler) zonePartitionLimit() time.Duration {
+	return time.Duration(float64(s.settings.WorkerLease) * tuning.ZonePartitionLeases)
+}
+
+// zoneReleaseDelay is how long a zone may miss its heartbeats before machines are released
+// whose tasks can move. A controller inside may keep the workers' leases alive, but not for
+// longer than the bound on cancellations allows. Shortly before that, tasks had better
+// start elsewhere than end there with nobody to place them again.
+func (s *Scheduler) zoneReleaseDelay() time.Duration {
+	delay := s.zonePartitionLimit()
+	if s.settings.CancellationBound > 0 {
+		delay = min(delay, s.settings.CancellationBound-tuning.KeepaliveMargin-s.settings.HeartbeatInterval)
+	}
+	return max(delay, s.settings.WorkerLease-tuning.EarlyReleaseMargin)
+}
+
+// canMoveElsewhere reports whether most of what runs on a machine could start in another
+// zone if the machine were released. Replicas whose job may have no more tasks elsewhere,
+// as with two zones of which each may have half, are back sooner with the zone: their
+// machines are there then, with their images, while new ones would have to boot first.
+func (s *Scheduler) canMoveElsewhere(m *machine) bool {
+	services, movable := 0, 0.0
+	var other *job
+	for _, a := range m.tasks {
+		j := a.job
+		switch {
+		case j == nil:
+		case j.service:
+			services++
+			movable += s.movableShare(j, m.zone)
+		case other == nil || j.id < other.id:
+			other = j
+		}
+	}
+	if services > 0 {
+		return 2*movable >= float64(services)
+	}
+	return other != nil && s.fitsSomewhereCached(other)
+}
+
+// movableShare is the share of a job's tasks in a zone that its spread allows in the others.
+func (s *Scheduler) movableShare(j *job, zone string) float64 {
+	if j.spec.Zone != "" || j.spec.SameZone {
+		return 0
+	}
+	activeByZone := map[string]int{}
+	for _, attempts := range j.active {
+		for _, a := range attempts {
+			activeByZone[a.machine.zone]++
+		}
+	}
+	allowed := 0
+	for other, allows := range s.zonesAllowed(j) {
+		if allows && other != zone {
+			allowed += max(0, j.spec.MaxTasksPerZone()-activeByZone[other])
+		}
+	}
+	return min(1, float64(allowed)/float64(max(1, activeByZone[zone])))
+}
+
+// zonesAllowed tells for each zone of the cloud whether the job may use ordinary machines
+// there. Where a zone's machine types differ in that, the type visited last decides.
+func (s *Scheduler) zonesAllowed(j *job) map[string]bool {
+	allowed := map[string]bool{}
+	for _, machineSpec := range s.cluster.machineTypes {
+		for _, zone := range machineSpec.Zones {
+			allowed[zone] = j.allowsMachine(machineSpec.Name, zone, false)
+		}
+	}
+	return allowed
+}
