--- /dev/null
+++ b/internal/scheduler/simulation_controllers_test.go
@@ -0,0 +1,330 @@
+package scheduler_test
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"github.com/yarrowgap/yarrowgap/internal/records"
+	"github.com/yarrowgap/yarrowgap/internal/scheduler"
+	"github.com/yarrowgap/yarrowgap/internal/tuning"
+	"github.com/yarrowgap/yarrowgap/wire"
+)
+
+// The controllers of the simulation: processes that elect a leader, watch the key-value
+// store, and drive the scheduler while they lead, as package controller does it.
+
+type simController struct {
+	sim         *simulation
+	name        string
+	incarnation int           // counts its processes
+	startedAt   time.Duration // its present process
+
+	scheduler  *scheduler.Scheduler // nil: it does not lead
+	term       uint64               // its last one as leader
+	electedAt  time.Duration
+	storeLease uint64
+
+	replica       *scheduler.Replica
+	replicaReadAt time.Duration // as of when the replica has all changes
+	watchInFlight bool          // a slow answer to its watch is on its way
+
+	// See simulation_confirmations_test.go.
+	confirmedCancellations []string // that users were told of here
+	peerConfirmedAt        map[*simController]time.Duration
+	leaderWatermark        time.Duration // as of when the last leader known had enforced all cancellations
+	leaderTerm             uint64
+
+	downUntil               time.Duration
+	pausedUntil             time.Duration // it does nothing until then, and then what came meanwhile
+	refusedUntil            time.Duration // by the key-value store
+	partitionedUntil        time.Duration // from the key-value store and all peers
+	workersUnreachableUntil time.Duration
+}
+
+func (sim *simulation) addController(name string) {
+	c := &simController{sim: sim, name: name, replica: scheduler.NewReplica()}
+	sim.controllers = append(sim.controllers, c)
+	sim.every(300*time.Millisecond, c.elect)
+	sim.every(100*time.Millisecond, c.watch)
+	sim.every(200*time.Millisecond, c.tick)
+	sim.every(700*time.Millisecond, c.pollPeers)
+}
+
+func (c *simController) alive() bool { return c.sim.now >= c.downUntil }
+
+func (c *simController) paused() bool { return c.sim.now < c.pausedUntil }
+
+// afterPause runs f: at once, or, if the process is paused, when it resumes. If the process
+// has ended by then, f does not run.
+func (c *simController) afterPause(f func()) {
+	if !c.paused() {
+		f()
+		return
+	}
+	incarnation := c.incarnation
+	c.sim.after(c.pausedUntil-c.sim.now+c.sim.linkDelay(), func() {
+		if c.incarnation == incarnation {
+			c.afterPause(f)
+		}
+	})
+}
+
+// reachesStore reports whether the controller is served by the key-value store.
+func (c *simController) reachesStore() bool {
+	now := c.sim.now
+	return c.alive() && !c.paused() && !c.sim.kvStore.Unavailable && now >= c.refusedUntil && now >= c.partitionedUntil
+}
+
+// reachesPeer reports whether the controller and a peer reach each other.
+func (c *simController) reachesPeer(peer *simController) bool {
+	if peer == c {
+		return false
+	}
+	sim := c.sim
+	for _, end := range []*simController{c, peer} {
+		if !end.alive() || end.paused() || sim.now < end.partitionedUntil || sim.now < sim.partitionedUntil[end.name] {
+			return false
+		}
+	}
+	from, to := sim.zoneOf(c.name), sim.zoneOf(peer.name)
+	return from == to || sim.zonePartitionedUntil[from] <= sim.now && sim.zonePartitionedUntil[to] <= sim.now
+}
+
+// crash ends the process; the next one starts after the given time.
+func (c *simController) crash(d time.Duration) {
+	c.scheduler, c.replica, c.leaderTerm = nil, scheduler.NewReplica(), 0
+	c.replicaReadAt, c.confirmedCancellations, c.pausedUntil, c.watchInFlight = 0, nil, 0, false
+	c.downUntil = c.sim.now + d
+	c.startedAt = c.downUntil
+	c.incarnation++
+}
+
+// elect is the election in short: renew the lease, or take the leader's key if it is free.
+func (c *simController) elect() {
+	switch {
+	case c.paused():
+	case !c.reachesStore():
+		isolated := c.sim.now < c.partitionedUntil && c.sim.now-c.replicaReadAt > tuning.IsolatedAfter
+		if c.scheduler != nil && isolated {
+			c.stepDown()
+		}
+	case c.scheduler != nil:
+		c.renewLease()
+	case c.leaderKeyIsFree():
+		c.campaign()
+	}
+}
+
+func (c *simController) renewLease() {
+	if !c.sim.kvStore.RenewLease(c.sim.now, c.storeLease) {
+		c.stepDown()
+		return
+	}
+	c.scheduler.LeaseHeldUntil(c.sim.now + tuning.LeaderLeaseTTL)
+}
+
+// leaderKeyIsFree reports whether there is no leader's key. One that is left by an earlier
+// process of this controller is removed, for the next election.
+func (c *simController) leaderKeyIsFree() bool {
+	item := c.sim.kvStore.Get(c.sim.now, records.LeaderKey)
+	if item.ModRevision == 0 {
+		return true
+	}
+	var leader records.Leader
+	must(wire.Unmarshal(item.Value, &leader))
+	if leader.Node == c.name && leader.Boot != uint64(c.incarnation) {
+		c.sim.kvStore.RevokeLease(item.Lease)
+	}
+	return false
+}
+
+// campaign takes the leader's key and begins a term, unless the process crashes meanwhile.
+func (c *simController) campaign() {
+	sim := c.sim
+	c.storeLease = sim.kvStore.GrantLease(sim.now, tuning.LeaderLeaseTTL)
+	status, reply := sim.kvStore.Commit(sim.now, wire.Txn{
+		If:   []wire.Compare{{Key: records.LeaderKey}},
+		Then: []wire.Op{{Set: records.LeaderKey, Value: records.Leader{Node: c.name, Boot: uint64(c.incarnation)}, Lease: &c.storeLease}},
+	})
+	if status != 200 {
+		return
+	}
+	c.term, c.electedAt = reply.Revision, sim.now
+	incarnation := c.incarnation
+	if sim.chance(0.1) {
+		c.crash(time.Duration(sim.rng.IntN(500)) * time.Millisecond)
+	}
+	sim.after(sim.linkDelay(), func() {
+		if c.incarnation == incarnation && c.reachesStore() && sim.kvStore.RenewLease(sim.now, c.storeLease) {
+			c.startTerm()
+		}
+	})
+}
+
+// startTerm reads all records and begins to lead.
+func (c *simController) startTerm() {
+	sim := c.sim
+	readAll := func(prefix string) []wire.KeyValue { return sim.kvStore.Range(sim.now, prefix, "", 1000).Items }
+	c.replica.Reset(readAll(records.LiveJobPrefix), sim.kvStore.Revision)
+	c.replicaReadAt, c.leaderTerm, c.peerConfirmedAt = sim.now, c.term, map[*simController]time.Duration{}
+	settings := sim.settings
+	settings.ColdRestart = !slices.ContainsFunc(sim.controllers, func(peer *simController) bool {
+		return (peer == c || c.reachesPeer(peer)) && c.survivedFailover(peer)
+	})
+	c.scheduler = scheduler.New(sim.schedulerNow(), settings, c.term, c.replica, readAll(records.BitmapPrefix), readAll(records.BatchPrefix), sim.machineTypes)
+	c.scheduler.LeaseHeldUntil(sim.now + tuning.LeaderLeaseTTL)
+	c.settle()
+	for _, heartbeat := range sim.heldHeartbeats {
+		sim.after(time.Duration(sim.rng.IntN(3000))*time.Millisecond, func() { c.heartbeat(&heartbeat) })
+	}
+	sim.heldHeartbeats = nil
+}
+
+// stepDown ends leadership that is lost or given up.
+func (c *simController) stepDown() {
+	c.leaderWatermark, c.scheduler = c.enforcedAsOf(), nil
+}
+
+// watch asks the key-value store for changes, one watch at a time.
+func (c *simController) watch() {
+	if c.scheduler == nil || !c.reachesStore() || c.watchInFlight {
+		return
+	}
+	sim := c.sim
+	changes, ok := sim.kvStore.Changes(sim.now, records.JobsPrefix, c.replica.Revision)
+	if !ok {
+		panic("the simulated key-value store has compacted changes")
+	}
+	var delay time.Duration
+	switch {
+	case sim.now < sim.slowWatchUntil:
+		delay = sim.randomDuration(500, 2500)
+	case sim.chance(0.02):
+		delay = sim.randomDuration(0, 600)
+	default:
+		c.applyWatch(changes, sim.now)
+		return
+	}
+	c.applyWatchAfter(delay, changes)
+}
+
+// applyWatchAfter applies a slow answer: it tells what was when it was asked for.
+func (c *simController) applyWatchAfter(delay time.Duration, changes wire.WatchReply) {
+	askedAt, leading, incarnation := c.sim.now, c.scheduler, c.incarnation
+	c.watchInFlight = true
+	c.sim.after(delay, func() {
+		c.afterPause(func() {
+			if c.incarnation != incarnation {
+				return
+			}
+			c.watchInFlight = false
+			// An answer that comes while the store refuses the controller is none.
+			if c.scheduler == leading && c.reachesStore() {
+				c.applyWatch(changes, askedAt)
+			}
+		})
+	})
+}
+
+// applyWatch takes a watch's answer to what was asked at the given time.
+func (c *simController) applyWatch(changes wire.WatchReply, askedAt time.Duration) {
+	c.scheduler.AdvanceCancellationWatermark(c.watermark())
+	c.replicaReadAt = max(c.replicaReadAt, askedAt)
+	jobChanges, unreadable := c.replica.Apply(changes)
+	if len(unreadable) > 0 {
+		panic(fmt.Sprint("unreadable records: ", unreadable))
+	}
+	c.scheduler.JobsReadAt(askedAt)
+	c.scheduler.JobsChanged(c.sim.schedulerNow(), jobChanges)
+	c.settle()
+}
+
+func (c *simController) tick() {
+	if c.scheduler == nil || !c.alive() || c.paused() {
+		return
+	}
+	c.scheduler.Tick(c.sim.schedulerNow())
+	if c.sim.rng.IntN(10) == 0 && !c.sim.cloudDown {
+		c.scheduler.MachinesListed(c.sim.schedulerNow(), c.sim.machineList())
+	}
+	c.settle()
+}
+
+// heartbeat takes a worker's heartbeat. It is not answered, so that the worker tries
+// another controller, by one that neither leads nor may keep workers alive.
+func (c *simController) heartbeat(heartbeat *wire.Heartbeat) (wire.HeartbeatReply, bool) {
+	if c.scheduler == nil && c.alive() && !c.reachesLeader() && c.leaderTerm != 0 && scheduler.TermOf(heartbeat.FencingToken) == c.leaderTerm {
+		// A controller that is isolated keeps workers alive for a while.
+		return wire.HeartbeatReply{FencingToken: heartbeat.FencingToken}, c.sim.now-c.leaderWatermark < c.keepaliveLimit()
+	}
+	if c.scheduler != nil && c.sim.now-c.watermark() >= c.keepaliveLimit() && c.sim.disabled != keepaliveBoundByWatermark {
+		c.stepDown()
+	}
+	if c.scheduler == nil || !c.alive() {
+		return wire.HeartbeatReply{}, false
+	}
+	reply, ok := c.scheduler.Heartbeat(c.sim.schedulerNow(), heartbeat)
+	if c.sim.decisions != nil {
+		c.sim.decisions.addReply(c.sim.now, c.name, heartbeat.Machine, reply, ok)
+	}
+	c.settle()
+	return reply, ok
+}
+
+// reachesLeader reports whether a heartbeat can be forwarded to a leader.
+func (c *simController) reachesLeader() bool {
+	return slices.ContainsFunc(c.sim.controllers, func(peer *simController) bool {
+		return peer.scheduler != nil && c.reachesPeer(peer)
+	})
+}
+
+// settle settles the leader's scheduler and carries out its effects.
+func (c *simController) settle() {
+	sim, leading := c.sim, c.scheduler
+	if leading == nil {
+		return
+	}
+	leading.Settle(sim.schedulerNow())
+	if sim.settleCount++; sim.settleCount%sim.size.auditEvery == 0 {
+		if err := leading.Audit(); err != nil {
+			panic(fmt.Sprintf("%v: %v", sim.now, err))
+		}
+	}
+	effects := leading.TakeEffects()
+	c.observe(effects)
+	for _, commit := range effects.Commits {
+		c.commit(commit)
+	}
+	for _, call := range effects.DirectCalls {
+		c.callWorker(call)
+	}
+	for _, request := range effects.Provision {
+		c.provision(request.Request)
+	}
+	for _, names := range effects.Release {
+		c.release(names)
+	}
+	if effects.Resign != "" && c.scheduler == leading {
+		c.stepDown()
+		if c.reachesStore() {
+			sim.kvStore.RevokeLease(c.storeLease)
+		}
+	}
+}
+
+// observe digests and prints a leader's effects, if that is asked for.
+func (c *simController) observe(effects scheduler.Effects) {
+	if c.sim.decisions != nil {
+		c.sim.decisions.addEffects(c.sim.now, c.name, effects)
+	}
+	if !c.sim.traceLogs {
+		return
+	}
+	for _, line := range effects.Log {
+		fmt.Println(c.sim.now, c.name, line.Msg, line.Args)
+	}
+	if effects.Resign != "" {
+		fmt.Println(c.sim.now, c.name, "resigns:", effects.Resign)
+	}
+}
