--- a/internal/scheduler/decision_digest_test.go
+++ b/internal/scheduler/decision_digest_test.go
@@ -18,21 +18,21 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// printDigest has TestDecisionDigest play all digest worlds and print what it found:
+// printDigest has TestDecisionDigest run all digest simulations and print their digests:
 //
 //	go test ./internal/scheduler -run TestDecisionDigest -decision-digest -v
 //
-// A change that is to leave behaviour alone leaves the total as it is.
-var printDigest = flag.Bool("decision-digest", false, "play all digest worlds and print a digest of all decisions")
+// A change that is not meant to change behaviour leaves the total as it is.
+var printDigest = flag.Bool("decision-digest", false, "run all digest simulations and print a digest of all decisions")
 
 const (
-	digestSimulations      = 60 // that are played with the flag
-	quickDigestSimulations = 4  // that are played twice without it
+	digestSimulations      = 60 // that run with the flag
+	quickDigestSimulations = 4  // that run twice without it
 )
 
-// decisionDigest hashes what leaders decide: direct calls, transactions, rentals, releases,
-// answers to reports, and when leadership is given up. Log lines, texts of reasons and Go
-// names have no part in it.
+// decisionDigest hashes what leaders decide: direct calls, transactions, provisioning
+// requests, releases, replies to heartbeats, and resignations. Log lines, texts of reasons
+// and Go names have no part in it.
 type decisionDigest struct {
 	hash     hash.Hash
 	encoding cbor.EncMode
@@ -69,33 +69,33 @@
 }
 
 // addEffects hashes what a leader decided after one input, in the order of its decisions.
-func (d *decisionDigest) addEffects(now time.Duration, node string, e scheduler.Effects) {
+func (d *decisionDigest) addEffects(now time.Duration, controller string, e scheduler.Effects) {
 	for _, call := range e.DirectCalls {
-		d.add(now, node, "direct", call.ID, call.Machine, call.Addr, call.Body)
+		d.add(now, controller, "direct", call.ID, call.Machine, call.Addr, call.Body)
 	}
 	for _, commit := range e.Commits {
-		d.add(now, node, "commit", commit.ID, encodeSorted(d, commit.Txn.If), encodeSorted(d, commit.Txn.Then))
+		d.add(now, controller, "commit", commit.ID, encodeSorted(d, commit.Txn.If), encodeSorted(d, commit.Txn.Then))
 	}
 	for _, rental := range e.Provision {
-		d.add(now, node, "rent", rental.Request)
+		d.add(now, controller, "rent", rental.Request)
 	}
 	for _, names := range e.Release {
-		d.add(now, node, "release", names)
+		d.add(now, controller, "release", names)
 	}
 	if e.Resign != "" {
-		d.add(now, node, "resign")
+		d.add(now, controller, "resign")
 	}
 }
 
 // addReply hashes a leader's answer to a worker.
-func (d *decisionDigest) addReply(now time.Duration, node, machine string, reply wire.HeartbeatReply, ok bool) {
-	d.add(now, node, "reply", machine, reply, ok)
+func (d *decisionDigest) addReply(now time.Duration, controller, machine string, reply wire.HeartbeatReply, ok bool) {
+	d.add(now, controller, "reply", machine, reply, ok)
 }
 
 func (d *decisionDigest) String() string { return hex.EncodeToString(d.hash.Sum(nil)) }
 
-// digestSimulation prepares world number i: its settings, users and troubles follow from the
-// number, so that all settings meet all kinds of trouble. It returns the world's end.
+// digestSimulation prepares a simulation: its settings, users and faults follow from its
+// number, so that all settings meet all kinds of faults. It returns when it ends.
 func digestSimulation(number int) (*simulation, time.Duration) {
 	sim := newSimulation(uint64(1000 + number))
 	sim.decisions = newDecisionDigest()
@@ -124,7 +124,7 @@
 	return sim, 260 * time.Second
 }
 
-// scheduleDigestRestarts has all controllers end and come back while services and arrays run.
+// scheduleDigestRestarts has all controllers crash and restart while services and arrays run.
 func scheduleDigestRestarts(sim *simulation, number int) (end time.Duration) {
 	for index := range 6 {
 		sim.after(time.Duration(index)*200*time.Millisecond, func() { sim.submit(sim.serviceJob(fmt.Sprintf("run-%06d", index), 2)) })
@@ -156,9 +156,9 @@
 	return 170 * time.Second
 }
 
-// playDigestSimulation plays world number i to its end.
-func playDigestSimulation(i int) *decisionDigest {
-	sim, end := digestSimulation(i)
+// runDigestSimulation runs a simulation to its end.
+func runDigestSimulation(number int) *decisionDigest {
+	sim, end := digestSimulation(number)
 	sim.run(end)
 	for _, j := range sim.jobs {
 		sim.decisions.add("job", j.ID, sim.pollJob(j.ID))
@@ -166,31 +166,31 @@
 	return sim.decisions
 }
 
-// Decisions follow from the inputs alone: a world that is played twice is decided the same
-// way. With -decision-digest it prints the digests of many worlds, to be compared with
-// those of another version.
+// Decisions follow from the inputs alone: two runs of a simulation have the same. With
+// -decision-digest the digests of many simulations are printed, to be compared with those of
+// another version.
 func TestDecisionDigest(t *testing.T) {
 	if !*printDigest {
 		for i := range quickDigestSimulations {
-			first, second := playDigestSimulation(i), playDigestSimulation(i)
+			first, second := runDigestSimulation(i), runDigestSimulation(i)
 			if first.count == 0 || first.String() != second.String() {
-				t.Errorf("world %d: %d decisions with digest %s, then %d with %s", i, first.count, first, second.count, second)
+				t.Errorf("simulation %d: %d decisions with digest %s, then %d with %s", i, first.count, first, second.count, second)
 			}
 		}
 		return
 	}
 	var digests [digestSimulations]*decisionDigest
-	t.Run("worlds", func(t *testing.T) {
+	t.Run("simulations", func(t *testing.T) {
 		for i := range digests {
 			t.Run(fmt.Sprint(i), func(t *testing.T) {
 				t.Parallel()
-				digests[i] = playDigestSimulation(i)
+				digests[i] = runDigestSimulation(i)
 			})
 		}
 	})
 	total := sha256.New()
 	for i, d := range digests {
-		fmt.Printf("world %2d: %7d decisions %s\n", i, d.count, d)
+		fmt.Printf("simulation %2d: %7d decisions %s\n", i, d.count, d)
 		fmt.Fprintln(total, d)
 	}
 	fmt.Printf("decision digest: %x\n", total.Sum(nil))
--- a/internal/scheduler/export_test.go
+++ b/internal/scheduler/export_test.go
@@ -1,59 +1,84 @@
 package scheduler
 
-import "fmt"
+import (
+	"fmt"
+	"math"
+)
 
-// Audit recomputes the books from the machines' attempts and says where they
-// differ: what is in no book is placed twice, what stays in one is lost room.
+// Audit recomputes the accounting from the attempts on machines and says where the two
+// differ: what is not counted is placed twice, what stays counted is lost capacity.
 func (s *Scheduler) Audit() error {
-	use := map[string]TeamQuota{}
-	perJob := map[string]map[int]int{}
+	a := &audit{cpusByTeam: map[string]float64{}, machinesByTask: map[taskRef]int{}}
 	for _, m := range s.cluster.machines {
-		cpus := 0.0
-		for ref, a := range m.tasks {
-			if a.machine != m || a.ref != ref {
-				return fmt.Errorf("%s holds an attempt of %v on %s", m.name, a.ref, a.machine.name)
-			}
-			if a.job == nil {
-				continue
-			}
-			cpus += a.job.spec.CPUs
-			u := use[a.job.spec.Team]
-			u.CPUs += a.job.spec.CPUs
-			use[a.job.spec.Team] = u
-			if perJob[ref.jobID] == nil {
-				perJob[ref.jobID] = map[int]int{}
-			}
-			perJob[ref.jobID][ref.index]++
+		if err := a.addMachine(m); err != nil {
+			return err
 		}
-		if d := cpus - m.used.cpus; d > 0.01 || d < -0.01 {
-			return fmt.Errorf("%s: %v CPUs in use, booked %v", m.name, cpus, m.used.cpus)
+	}
+	for team, usage := range s.cluster.usage {
+		if !sameCPUs(a.cpusByTeam[team], usage.CPUs) {
+			return fmt.Errorf("team %s: %v CPUs in use, %v counted", team, a.cpusByTeam[team], usage.CPUs)
 		}
 	}
-	for team, u := range s.cluster.usage {
-		if d := use[team].CPUs - u.CPUs; d > 0.01 || d < -0.01 {
-			return fmt.Errorf("team %s: %v CPUs in use, booked %v", team, use[team].CPUs, u.CPUs)
+	for _, j := range s.cluster.jobs {
+		if err := a.checkJob(j); err != nil {
+			return err
 		}
 	}
-	for id, j := range s.cluster.jobs {
-		n := 0
-		for index, list := range j.active {
-			n++
-			if perJob[id][index] != len(list) {
-				return fmt.Errorf("%s/%d: on %d machines, booked %d", id, index, perJob[id][index], len(list))
-			}
+	return nil
+}
+
+// audit is what is in use by the attempts on machines.
+type audit struct {
+	cpusByTeam     map[string]float64
+	machinesByTask map[taskRef]int
+}
+
+// addMachine adds the attempts on a machine and checks what is counted for it.
+func (a *audit) addMachine(m *machine) error {
+	cpus := 0.0
+	for ref, attempt := range m.tasks {
+		if attempt.machine != m || attempt.ref != ref {
+			return fmt.Errorf("%s holds an attempt of %v on %s", m.name, attempt.ref, attempt.machine.name)
 		}
-		if n != j.activeCount {
-			return fmt.Errorf("%s: %d active, booked %d", id, n, j.activeCount)
+		if attempt.job == nil {
+			continue
 		}
-		free := map[int]bool{}
-		for _, i := range j.indices.freed {
-			free[i] = true
+		cpus += attempt.job.spec.CPUs
+		a.cpusByTeam[attempt.job.spec.Team] += attempt.job.spec.CPUs
+		a.machinesByTask[ref]++
+	}
+	if !sameCPUs(cpus, m.used.cpus) {
+		return fmt.Errorf("%s: %v CPUs in use, %v counted", m.name, cpus, m.used.cpus)
+	}
+	return nil
+}
+
+// checkJob checks what is counted for a job, and that none of its tasks is forgotten.
+func (a *audit) checkJob(j *job) error {
+	active := 0
+	for index, attempts := range j.active {
+		active++
+		if machines := a.machinesByTask[taskRef{j.id, index}]; machines != len(attempts) {
+			return fmt.Errorf("%s/%d: on %d machines, %d counted", j.id, index, machines, len(attempts))
 		}
-		for i := 0; i < j.spec.Tasks; i++ {
-			if !j.progress.done.Has(i) && len(j.active[i]) == 0 && i < j.indices.next && !free[i] && !j.cancelled && !j.archived {
-				return fmt.Errorf("%s/%d is neither done, nor active, nor waiting", id, i)
-			}
+	}
+	if active != j.activeCount {
+		return fmt.Errorf("%s: %d active, %d counted", j.id, active, j.activeCount)
+	}
+	if j.cancelled || j.archived {
+		return nil
+	}
+	freed := map[int]bool{}
+	for _, index := range j.indices.freed {
+		freed[index] = true
+	}
+	for index := range min(j.spec.Tasks, j.indices.next) {
+		if !j.progress.done.Has(index) && len(j.active[index]) == 0 && !freed[index] {
+			return fmt.Errorf("%s/%d is neither done, nor active, nor waiting", j.id, index)
 		}
 	}
 	return nil
 }
+
+// sameCPUs allows for sums in another order.
+func sameCPUs(a, b float64) bool { return math.Abs(a-b) <= 0.01 }
--- a/internal/scheduler/fault_injection_test.go
+++ b/internal/scheduler/fault_injection_test.go
@@ -10,68 +10,75 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// The world's own checks can fail: controllers that all stand still once the troubles are
-// over leave jobs waiting beside room, and answer no question.
+// The simulation's own checks can fail: controllers that are all paused once faults are over
+// leave jobs waiting beside free capacity, and answer no poll.
 func TestSimulationNoticesWaitingAndForgottenJobs(t *testing.T) {
 	sim := newSimulation(5)
 	sim.faultsActive = false
 	sim.checker.FaultsEnded(0)
 	sim.run(10 * time.Second)
-	job := func(id string) *wire.Job {
-		return &wire.Job{ID: id, Class: "c", Team: "red", Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, EstimatedRunS: 5}
-	}
-	sim.submit(job("run-000001"))
+
+	sim.submit(&wire.Job{ID: "run-000001", Class: "c", Team: "red", Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, EstimatedRunS: 5})
 	for _, c := range sim.controllers {
 		c.pausedUntil = 10 * time.Minute
 	}
 	sim.every(5*time.Second, func() { sim.pollJob("run-000001") })
 	sim.run(115 * time.Second)
-	all := strings.Join(sim.checker.Violations, "\n")
-	for _, rule := range []string{"left_waiting: run-000001", "forgotten: no question about run-000001"} {
-		if !strings.Contains(all, rule) {
-			t.Errorf("%q went unnoticed; broken: %s", rule, all)
+
+	violations := strings.Join(sim.checker.Violations, "\n")
+	for _, violation := range []string{"left_waiting: run-000001", "forgotten: no question about run-000001"} {
+		if !strings.Contains(violations, violation) {
+			t.Errorf("%q went unnoticed; violations: %s", violation, violations)
 		}
 	}
 }
 
 // A machine that hangs keeps its tasks past its lease, until its worker resumes.
 func TestHungMachineKeepsItsTasksUntilItsWorkerResumes(t *testing.T) {
-	for _, hang := range []time.Duration{3 * time.Second, 11 * time.Second, 13 * time.Second, 50 * time.Second} {
-		rules := simulator.NewRuleChecker(map[string]float64{"red": 8}, time.Minute)
-		j := &wire.Job{ID: "run-000001", Team: "red", Shape: wire.ShapeArray, Tasks: 1, CPUs: 1, Image: "img"}
-		rules.AddJob(j)
-		mt := wire.MachineType{Name: "small", CPUs: 8, MemoryGB: 8, FetchGBPerS: 1}
-		wk := simulator.NewWorker(0, simulator.WorkerConfig{
-			Name: "n-000001", MachineType: mt, Zone: "a", LeaseDuration: 12 * time.Second, Checker: rules,
-			RunTime: func(string) time.Duration { return 2 * time.Second },
-		})
-		wk.HandleHeartbeatReply(0, 0, 1, wire.HeartbeatReply{FencingToken: 1, Commands: []wire.Command{{Verb: wire.VerbRun, Task: "run-000001/0", Attempt: 1}}})
-		end := time.Second + hang
-		for now := time.Second; now <= end; now += 100 * time.Millisecond {
-			wk.Pause(now)
-			if rules.PlacedTasks(j.ID) != 1 {
-				t.Fatalf("hung for %v of %v: its task is gone", now-time.Second, hang)
+	const lease = 12 * time.Second
+	for _, hungFor := range []time.Duration{3 * time.Second, 11 * time.Second, 13 * time.Second, 50 * time.Second} {
+		t.Run(hungFor.String(), func(t *testing.T) {
+			checker := simulator.NewRuleChecker(map[string]float64{"red": 8}, time.Minute)
+			j := &wire.Job{ID: "run-000001", Team: "red", Shape: wire.ShapeArray, Tasks: 1, CPUs: 1, Image: "img"}
+			checker.AddJob(j)
+			machineType := wire.MachineType{Name: "small", CPUs: 8, MemoryGB: 8, FetchGBPerS: 1}
+			worker := simulator.NewWorker(0, simulator.WorkerConfig{
+				Name: "n-000001", MachineType: machineType, Zone: "a", LeaseDuration: lease, Checker: checker,
+				RunTime: func(string) time.Duration { return 2 * time.Second },
+			})
+			worker.HandleHeartbeatReply(0, 0, 1, wire.HeartbeatReply{FencingToken: 1, Commands: []wire.Command{{Verb: wire.VerbRun, Task: "run-000001/0", Attempt: 1}}})
+
+			hungAt := time.Second
+			resumedAt := hungAt + hungFor
+			for now := hungAt; now <= resumedAt; now += 100 * time.Millisecond {
+				worker.Pause(now)
+				if checker.PlacedTasks(j.ID) != 1 {
+					t.Fatalf("its task is gone after %v", now-hungAt)
+				}
 			}
-		}
-		wk.Advance(end + time.Millisecond)
-		if rules.IsCompleted("run-000001/0") {
-			t.Fatalf("after %v: its task went on while it hung", hang)
-		}
-		killed := end+time.Millisecond > 12*time.Second
-		if gone := rules.PlacedTasks(j.ID) == 0; gone != killed || (wk.Incarnation == 2) != killed {
-			t.Fatalf("after %v: killed %v in session %d", hang, gone, wk.Incarnation)
-		}
+			worker.Advance(resumedAt + time.Millisecond)
+
+			if checker.IsCompleted("run-000001/0") {
+				t.Fatal("its task ran on while it hung")
+			}
+			leaseExpired := resumedAt+time.Millisecond > lease
+			if killed := checker.PlacedTasks(j.ID) == 0; killed != leaseExpired || (worker.Incarnation == 2) != leaseExpired {
+				t.Fatalf("killed %v in incarnation %d", killed, worker.Incarnation)
+			}
+		})
 	}
 }
 
-// runServicesWithFault runs worlds with eight services, in which something happens after 20 s,
-// and says what they break.
+// runServicesWithFault runs a simulation of eight services, with a fault after 20 s, and
+// gives the violations of rules.
 func runServicesWithFault(seed uint64, until time.Duration, fault func(sim *simulation)) string {
 	sim := newSimulation(seed)
 	for i := range 8 {
 		sim.after(time.Duration(i)*100*time.Millisecond, func() {
-			sim.submit(&wire.Job{ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: []string{"red", "blue"}[i%2], Shape: wire.ShapeService,
-				Priority: wire.PriorityProduction, Tasks: 3, CPUs: 1, MemoryGB: 2, Image: "img", ImageGB: 1})
+			sim.submit(&wire.Job{
+				ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: []string{"red", "blue"}[i%2], Shape: wire.ShapeService,
+				Priority: wire.PriorityProduction, Tasks: 3, CPUs: 1, MemoryGB: 2, Image: "img", ImageGB: 1,
+			})
 		})
 	}
 	sim.after(20*time.Second+sim.randomDuration(0, 2000), func() { fault(sim) })
@@ -79,32 +86,32 @@
 	return strings.Join(sim.checker.Violations, "\n")
 }
 
-// Machines hang for less than a lease and are given back; the deletion is held back on
-// its way for longer than a cancellation has; the machines go on and report, and jobs that
-// run there are cancelled.
+// Machines hang for less than a lease and are released; the release is delayed on its way
+// for longer than the bound on cancellations; the machines resume and send heartbeats, and
+// jobs that run there are cancelled.
 func TestCancellationDuringDelayedReleaseOfHungMachine(t *testing.T) {
 	for seed := range uint64(15) {
-		b := runServicesWithFault(seed, 140*time.Second, func(sim *simulation) {
+		violations := runServicesWithFault(seed, 140*time.Second, func(sim *simulation) {
 			sim.releasesDelayedUntil = sim.now + 70*time.Second
-			back := sim.now + sim.randomDuration(7500, 10_500)
+			resumedAt := sim.now + sim.randomDuration(7500, 10_500)
 			for _, name := range sim.machineNames {
 				if sim.workers[name].HasJob("run-000003") || sim.workers[name].HasJob("run-000002") {
-					sim.hungUntil[name] = back
+					sim.hungUntil[name] = resumedAt
 				}
 			}
 			sim.after(sim.randomDuration(11_000, 16_000), sim.cancelHalfOfServices)
 		})
-		if b != "" {
-			t.Fatalf("seed %d: %s", seed, b)
+		if violations != "" {
+			t.Fatalf("seed %d: %s", seed, violations)
 		}
 	}
 }
 
-// Machines hang past their lease, and their deletion is held back: until it is carried
-// out, or their workers resume, their tasks are on them and start nowhere else.
+// Machines hang past their lease, and their release is delayed: until it is carried out, or
+// their workers resume, their tasks are on them and start nowhere else.
 func TestTasksOfHungMachinesRestartOnlyAfterProof(t *testing.T) {
 	for seed := range uint64(15) {
-		b := runServicesWithFault(seed, 100*time.Second, func(sim *simulation) {
+		violations := runServicesWithFault(seed, 100*time.Second, func(sim *simulation) {
 			sim.releasesDelayedUntil = sim.now + sim.randomDuration(25_000, 40_000)
 			for _, name := range sim.machineNames {
 				if sim.workers[name].HasJob("run-000003") {
@@ -112,57 +119,60 @@
 				}
 			}
 		})
-		if b != "" {
-			t.Fatalf("seed %d: %s", seed, b)
+		if violations != "" {
+			t.Fatalf("seed %d: %s", seed, violations)
 		}
 	}
 }
 
-// Machines come that nobody expects, by rentals that got no answer. Those that never come
-// up are given back, though no answer ever named them, and the others are known: none is
-// charged for long for nothing.
+// Machines appear that nobody expects, by provisioning requests that got no answer. Those
+// that never come up are released, though no answer ever named them, and the others are
+// adopted: none is charged for long without use.
 func TestUnexpectedMachinesAreAdoptedOrReleased(t *testing.T) {
 	for seed := range uint64(10) {
 		sim := newSimulation(seed)
 		sim.run(10 * time.Second)
-		var late []string
+		var unexpected []string
 		for i := range 4 {
 			sim.after(sim.randomDuration(0, 20_000), func() {
-				late = append(late, sim.bootMachineIn([]time.Duration{never, 40 * time.Second, sim.randomDuration(1, 2000), never}[i], sim.machineTypes[i%2], "a", i%2 == 0))
+				bootTime := []time.Duration{never, 40 * time.Second, sim.randomDuration(1, 2000), never}[i]
+				unexpected = append(unexpected, sim.bootMachineIn(bootTime, sim.machineTypes[i%2], "a", i%2 == 0))
 			})
 		}
 		sim.run(150 * time.Second)
+
 		known := sim.knownMachines()
-		for _, name := range late {
-			m := sim.lifecycles[name]
-			if m.removedAt == 0 && (m.upAt > sim.now || !known[name]) {
-				t.Errorf("seed %d: %s, which nobody expected and is up at %v, is charged for nothing after %v", seed, name, m.upAt, sim.now-m.provisionedAt)
+		for _, name := range unexpected {
+			machine := sim.lifecycles[name]
+			if machine.removedAt == 0 && (machine.upAt > sim.now || !known[name]) {
+				t.Errorf("seed %d: %s, which nobody expected and is up at %v, is charged for nothing after %v", seed, name, machine.upAt, sim.now-machine.provisionedAt)
 			}
 		}
 	}
 }
 
-// knownMachines are the machines that whoever leads has in its books.
+// knownMachines are the machines that whoever leads knows.
 func (sim *simulation) knownMachines() map[string]bool {
-	out := map[string]bool{}
+	known := map[string]bool{}
 	for _, c := range sim.controllers {
-		if c.scheduler != nil {
-			for _, m := range c.scheduler.Machines(sim.schedulerNow(), "", 500) {
-				out[m.Name] = true
-			}
+		if c.scheduler == nil {
+			continue
+		}
+		for _, m := range c.scheduler.Machines(sim.schedulerNow(), "", 500) {
+			known[m.Name] = true
 		}
 	}
-	return out
+	return known
 }
 
-// maxStartAfterCancellation is how long in a world without troubles a task may still start after its
-// job's cancellation was confirmed ("those whose start command was still in flight"): the
-// leader's watch, up to 125 ms after, and the way of the stop, up to 20 ms.
+// maxStartAfterCancellation is how long after the confirmation of its job's cancellation a
+// task may still start if there are no faults ("those whose start command was still in
+// flight"): the leader's watch, up to 125 ms after, and the way of the stop, up to 20 ms.
 const maxStartAfterCancellation = 150 * time.Millisecond
 
-// Without troubles no task starts after its job's cancellation was confirmed but what was
-// in flight, though jobs of one task come four a second and a quarter of them is
-// cancelled, mostly as they start.
+// Without faults no task starts after its job's cancellation was confirmed but what was in
+// flight, though jobs of one task come four a second and a quarter of them is cancelled,
+// mostly as they start.
 func TestNoStartAfterConfirmedCancellation(t *testing.T) {
 	starts := 0
 	for seed := range uint64(8) {
--- /dev/null
+++ b/internal/scheduler/fleet_harness_test.go
@@ -0,0 +1,218 @@
+package scheduler
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/yarrowgap/yarrowgap/internal/policy"
+	"github.com/yarrowgap/yarrowgap/internal/records"
+	"github.com/yarrowgap/yarrowgap/wire"
+)
+
+// fleetHarness drives the scheduler of a large fleet: transactions and direct calls succeed
+// at once, and every machine runs what it is told to.
+type fleetHarness struct {
+	tb        testing.TB
+	scheduler *Scheduler
+	now       time.Duration
+	cpuShare  float64 // that the next leader has; 0: not known
+
+	items    map[string]wire.KeyValue // what is stored, by key
+	revision uint64                   // of the last transaction
+	live     map[string]*LiveJob
+
+	machineNames []string
+	tasks        map[string]map[string]wire.TaskStatus // by machine and task
+	sequences    map[string]uint64                     // of the last heartbeat, by machine
+	tokens       map[string]uint64                     // highest that a machine has seen
+
+	directCalls  int // so far
+	statusProbes int // direct calls without commands
+	writes       int // changes written so far
+}
+
+// fleetTeams is how many teams submit jobs, by turns.
+const fleetTeams = 12
+
+func fleetSettings() Settings {
+	teams := map[string]TeamQuota{}
+	for i := range fleetTeams {
+		teams[fmt.Sprintf("team-%02d", i)] = TeamQuota{CPUs: 1500, CPUsMax: 100_000}
+	}
+	return Settings{
+		Teams: teams, HeartbeatInterval: 5 * time.Second, WorkerLease: 26500 * time.Millisecond, CancellationBound: 46500 * time.Millisecond,
+		MaxTransactionOps: 12, MaxValueBytes: 4096, WriteRate: 70, GuaranteedStartWithin: 5 * time.Second, Policy: policy.Defaults(false),
+	}
+}
+
+var fleetMachineTypes = []wire.MachineType{{Name: "box", CPUs: 16, MemoryGB: 64, CacheGB: 50, FetchGBPerS: 0.5, Price: 1, SpotPrice: 0.5, BootS: 10, Zones: []string{"a", "b"}}}
+
+// newFleetHarness brings machines up and fills them: two tasks of services and four of
+// arrays on each.
+func newFleetHarness(tb testing.TB, machines int) *fleetHarness {
+	tb.Helper()
+	f := &fleetHarness{
+		tb: tb, now: time.Hour, revision: 100, items: map[string]wire.KeyValue{}, live: map[string]*LiveJob{},
+		tasks: map[string]map[string]wire.TaskStatus{}, sequences: map[string]uint64{}, tokens: map[string]uint64{},
+	}
+	for i := range machines {
+		f.machineNames = append(f.machineNames, machineNumber(i))
+		f.tasks[f.machineNames[i]] = map[string]wire.TaskStatus{}
+	}
+	f.startTerm(50)
+	f.heartbeatAll()
+	for i := range machines / 4 {
+		f.submit(wire.Job{ID: fmt.Sprintf("run-1%05d", i), Shape: wire.ShapeService, Priority: wire.PriorityProduction, Tasks: 8, CPUs: 2, MemoryGB: 3, SpreadZones: true})
+	}
+	deadline := 600.0
+	for i := range machines / 16 {
+		f.submit(wire.Job{ID: fmt.Sprintf("run-2%05d", i), Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: 64, CPUs: 2, MemoryGB: 3, EstimatedRunS: 40, DeadlineS: &deadline})
+	}
+	for range 200 {
+		f.now += 100 * time.Millisecond
+		f.settle()
+	}
+	f.heartbeatAll()
+	return f
+}
+
+func (f *fleetHarness) clock() Now { return Now{Mono: f.now, Wall: f.now.Milliseconds()} }
+
+// startTerm starts a term from what is stored.
+func (f *fleetHarness) startTerm(term uint64) {
+	var batches []wire.KeyValue
+	for key, item := range f.items {
+		if strings.HasPrefix(key, records.BatchPrefix) {
+			batches = append(batches, item)
+		}
+	}
+	replica := NewReplica()
+	replica.Live = f.live
+	settings := fleetSettings()
+	settings.CPUShare = f.cpuShare
+	f.scheduler = New(f.clock(), settings, term, replica, nil, batches, fleetMachineTypes)
+	f.scheduler.autoscaler.listed = true
+	f.scheduler.LeaseHeldUntil(1000 * time.Hour)
+}
+
+// submit submits a job of the next team, unless it names one.
+func (f *fleetHarness) submit(j wire.Job) {
+	j.CreatedAtMilli, j.Image, j.ImageGB = f.now.Milliseconds(), "img", 1
+	if j.Team == "" {
+		j.Team = fmt.Sprintf("team-%02d", len(f.live)%fleetTeams)
+	}
+	f.revision++
+	live := &LiveJob{Record: &records.Job{Job: j}, ModRevision: f.revision}
+	f.live[j.ID] = live
+	f.scheduler.JobsChanged(f.clock(), []JobChange{{j.ID, live}})
+}
+
+// newHeartbeat is the next heartbeat of a machine. Zones take turns.
+func (f *fleetHarness) newHeartbeat(name string) *wire.Heartbeat {
+	f.sequences[name]++
+	heartbeat := &wire.Heartbeat{
+		Machine: name, Address: name + ":1", Type: "box", Zone: string("ab"[int(name[len(name)-1])%2]),
+		Incarnation: 1, Sequence: f.sequences[name], FencingToken: f.tokens[name],
+	}
+	for _, task := range f.tasks[name] {
+		heartbeat.Tasks = append(heartbeat.Tasks, task)
+	}
+	return heartbeat
+}
+
+// apply has a machine execute commands.
+func (f *fleetHarness) apply(name string, token uint64, commands []wire.Command) {
+	f.tokens[name] = max(f.tokens[name], token)
+	tasks := f.tasks[name]
+	for _, command := range commands {
+		switch task, ok := tasks[command.Task]; {
+		case command.Verb == wire.VerbRun && !ok:
+			tasks[command.Task] = runningReport(command)
+		case command.Verb == wire.VerbStop && ok && task.Attempt == command.Attempt:
+			task.State, task.Cause = wire.TaskExited, wire.CauseStopped
+			tasks[command.Task] = task
+		case command.Verb == wire.VerbForget && ok && task.Attempt == command.Attempt:
+			delete(tasks, command.Task)
+		}
+	}
+}
+
+// heartbeat sends a machine's heartbeat and has it execute the reply.
+func (f *fleetHarness) heartbeat(name string) {
+	f.tb.Helper()
+	reply, ok := f.scheduler.Heartbeat(f.clock(), f.newHeartbeat(name))
+	if !ok {
+		f.tb.Fatalf("the heartbeat of %s is not answered", name)
+	}
+	f.apply(name, reply.FencingToken, reply.Commands)
+	f.settle()
+}
+
+// heartbeatAll lets one heartbeat interval pass, in which every machine sends a heartbeat.
+func (f *fleetHarness) heartbeatAll() {
+	f.tb.Helper()
+	for _, name := range f.machineNames {
+		f.now += f.scheduler.settings.HeartbeatInterval / time.Duration(len(f.machineNames))
+		f.heartbeat(name)
+	}
+}
+
+// allHeardNow has the scheduler take all machines for heard from just now.
+func (f *fleetHarness) allHeardNow() {
+	f.scheduler.monitor.lastHeartbeatAt = f.now
+	for _, m := range f.scheduler.sortedMachines() {
+		m.connectivity.lastHeartbeatAt = f.now
+	}
+}
+
+// settle settles the scheduler and carries out its effects until there are no more.
+func (f *fleetHarness) settle() {
+	f.tb.Helper()
+	for range 50 {
+		f.scheduler.Settle(f.clock())
+		effects := f.scheduler.TakeEffects()
+		if effects.Resign != "" {
+			f.tb.Fatalf("resigned: %s", effects.Resign)
+		}
+		for _, c := range effects.Commits {
+			f.commit(c)
+		}
+		for _, call := range effects.DirectCalls {
+			f.call(call)
+		}
+		if len(effects.Commits)+len(effects.DirectCalls) == 0 {
+			return
+		}
+	}
+}
+
+// commit carries a transaction out.
+func (f *fleetHarness) commit(c Commit) {
+	f.tb.Helper()
+	f.revision++
+	for _, op := range c.Txn.Then {
+		f.writes++
+		if op.Delete != "" {
+			delete(f.items, op.Delete)
+			continue
+		}
+		encoded, err := wire.Marshal(op.Value)
+		if err != nil {
+			f.tb.Fatal(err)
+		}
+		f.items[op.Set] = wire.KeyValue{Key: op.Set, Value: encoded, ModRevision: f.revision}
+	}
+	f.scheduler.CommitDone(f.clock(), c.ID, CommitDone, f.revision, nil)
+}
+
+// call has a machine execute a direct call, and answers it.
+func (f *fleetHarness) call(call DirectCall) {
+	f.directCalls++
+	if len(call.Body.Commands) == 0 {
+		f.statusProbes++
+	}
+	f.apply(call.Machine, call.Body.FencingToken, call.Body.Commands)
+	f.scheduler.CallDone(f.clock(), call.ID, CallExecuted, f.newHeartbeat(call.Machine))
+}
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -1,7 +1,7 @@
 package scheduler
 
 import (
-	"maps"
+	"fmt"
 	"slices"
 	"strings"
 	"testing"
@@ -13,31 +13,36 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// harness drives one leader by hand: every commit succeeds at once, and direct
+// harness drives one scheduler step by step: every transaction succeeds at once, and direct
 // calls wait until the test answers them.
 type harness struct {
-	t                 *testing.T
-	scheduler         *Scheduler
-	now               time.Duration
-	revision          uint64
-	items             map[string]wire.KeyValue
-	calls             []DirectCall
+	t         *testing.T
+	scheduler *Scheduler
+	now       time.Duration
+
+	items         map[string]wire.KeyValue // what is stored, by key
+	revision      uint64                   // of the last transaction
+	refuseCommits bool
+
+	calls             []DirectCall // in flight
 	provisionRequests []ProvisionRequest
 	releases          [][]string
-	sequences         map[string]uint64
-	refuseCommits     bool // commits are refused
-
-	startsInReplies []wire.Command // starts in answers to reports
+	startsInReplies   []wire.Command
+	sequences         map[string]uint64 // of the last heartbeat, by machine
 }
 
+// harnessTerm is the term of a new harness.
 const harnessTerm = 50
 
+// newHarness begins a term with live jobs and stored assignments.
 func newHarness(t *testing.T, thrifty bool, live map[string]*LiveJob, machines []wire.KeyValue) *harness {
+	t.Helper()
 	return newHarnessWith(t, thrifty, live, machines, func(*Settings) {})
 }
 
 // newHarnessWith changes the settings before the term begins.
 func newHarnessWith(t *testing.T, thrifty bool, live map[string]*LiveJob, machines []wire.KeyValue, change func(*Settings)) *harness {
+	t.Helper()
 	h := &harness{t: t, now: time.Hour, revision: 100, items: map[string]wire.KeyValue{}, sequences: map[string]uint64{}}
 	types := []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchGBPerS: 1, Price: 1, SpotPrice: 0.5, BootS: 10, Zones: []string{"a", "b"}}}
 	settings := Settings{Teams: map[string]TeamQuota{"red": {CPUs: 8, CPUsMax: 16}, "blue": {CPUs: 8, CPUsMax: 16}},
@@ -48,8 +53,9 @@
 	return h
 }
 
-// startTerm begins a term.
+// startTerm begins a term from what is stored.
 func (h *harness) startTerm(settings Settings, term uint64, live map[string]*LiveJob, storedRecords []wire.KeyValue, types []wire.MachineType) {
+	h.t.Helper()
 	replica := NewReplica()
 	for id, liveJob := range live {
 		replica.Live[id] = liveJob
@@ -59,11 +65,16 @@
 	h.settle()
 }
 
+// machineNumber is the name of a machine.
+func machineNumber(number int) string { return fmt.Sprintf("n-%06d", number) }
+
 func (h *harness) clock() Now { return Now{Mono: h.now, Wall: h.now.Milliseconds()} }
 
+// settle settles the scheduler and commits its transactions until there are no more.
 func (h *harness) settle() {
+	h.t.Helper()
 	for range 20 {
-		h.now += 4 * time.Millisecond // batches are spaced
+		h.now += 4 * time.Millisecond // assignment batches are spaced
 		h.scheduler.Settle(h.clock())
 		effects := h.scheduler.TakeEffects()
 		h.calls = append(h.calls, effects.DirectCalls...)
@@ -76,29 +87,37 @@
 			return
 		}
 		for _, c := range effects.Commits {
-			if h.refuseCommits {
-				h.scheduler.CommitDone(h.clock(), c.ID, CommitRefused, 0, nil)
-				continue
-			}
-			h.revision++
-			for _, change := range c.Txn.Then {
-				raw, err := wire.Marshal(change.Value)
-				if err != nil {
-					h.t.Fatal(err)
-				}
-				if change.Delete != "" {
-					delete(h.items, change.Delete)
-				} else {
-					h.items[change.Set] = wire.KeyValue{Key: change.Set, Value: raw, ModRevision: h.revision}
-				}
-			}
-			h.scheduler.CommitDone(h.clock(), c.ID, CommitDone, h.revision, nil)
+			h.commit(c)
+		}
+	}
+}
+
+// commit carries a transaction out, or refuses it.
+func (h *harness) commit(c Commit) {
+	h.t.Helper()
+	if h.refuseCommits {
+		h.scheduler.CommitDone(h.clock(), c.ID, CommitRefused, 0, nil)
+		return
+	}
+	h.revision++
+	for _, op := range c.Txn.Then {
+		if op.Delete != "" {
+			delete(h.items, op.Delete)
+			continue
+		}
+		encoded, err := wire.Marshal(op.Value)
+		if err != nil {
+			h.t.Fatal(err)
 		}
+		h.items[op.Set] = wire.KeyValue{Key: op.Set, Value: encoded, ModRevision: h.revision}
 	}
+	h.scheduler.CommitDone(h.clock(), c.ID, CommitDone, h.revision, nil)
 }
 
-// advance lets time go by, with ticks, while the named machines keep reporting.
+// advance lets time pass, with ticks, while the named machines send heartbeats and answer
+// status probes.
 func (h *harness) advance(duration time.Duration, machines ...string) {
+	h.t.Helper()
 	for end := h.now + duration; h.now < end; {
 		h.now += tuning.TickInterval
 		for _, machine := range machines {
@@ -110,8 +129,9 @@
 	}
 }
 
-// answerStatusProbes answers the calls without commands for the named machines.
+// answerStatusProbes answers the status probes of the named machines.
 func (h *harness) answerStatusProbes(machines []string) {
+	h.t.Helper()
 	calls := h.calls
 	h.calls = nil
 	for _, c := range calls {
@@ -123,11 +143,13 @@
 	}
 }
 
-// heartbeat sends a machine's report, under the token it was last told.
+// heartbeat sends a machine's heartbeat, under the fencing token that is now used with it.
 func (h *harness) heartbeat(name string, tasks ...wire.TaskStatus) wire.HeartbeatReply {
+	h.t.Helper()
 	return h.heartbeatWithToken(name, h.fencingToken(name), tasks...)
 }
 
+// fencingToken is the fencing token that is now used with a machine; 0: it is not known.
 func (h *harness) fencingToken(name string) uint64 {
 	if m := h.scheduler.cluster.machines[name]; m != nil {
 		return h.scheduler.fencingToken(m)
@@ -135,6 +157,8 @@
 	return 0
 }
 
+// newHeartbeat is the next heartbeat of a machine. Machines up to n-5 are in zone a, the
+// others in zone b.
 func (h *harness) newHeartbeat(name string, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
 	h.sequences[name]++
 	zone := "a"
@@ -144,10 +168,12 @@
 	return &wire.Heartbeat{Machine: name, Address: name + ":1", Type: "box", Zone: zone, Incarnation: 1, Sequence: h.sequences[name], FencingToken: token, Tasks: tasks}
 }
 
+// heartbeatWithToken sends a machine's heartbeat under the given fencing token.
 func (h *harness) heartbeatWithToken(name string, token uint64, tasks ...wire.TaskStatus) wire.HeartbeatReply {
+	h.t.Helper()
 	reply, ok := h.scheduler.Heartbeat(h.clock(), h.newHeartbeat(name, token, tasks...))
 	if !ok {
-		h.t.Fatal("not answered")
+		h.t.Fatalf("the heartbeat of %s is not answered", name)
 	}
 	for _, command := range reply.Commands {
 		if command.Verb == wire.VerbRun {
@@ -158,17 +184,20 @@
 	return reply
 }
 
-// bringUp brings machines up: they report, and answer the question that follows.
+// bringUp brings machines up: they send a heartbeat, and answer the status probe that
+// follows.
 func (h *harness) bringUp(names ...string) {
-	for _, n := range names {
-		h.heartbeat(n)
+	h.t.Helper()
+	for _, name := range names {
+		h.heartbeat(name)
 		h.answerAll(CallExecuted)
-		h.heartbeat(n)
+		h.heartbeat(name)
 	}
 }
 
-// answerAll answers all direct calls that are out with what was asked for.
+// answerAll ends all direct calls that are in flight, as answer does.
 func (h *harness) answerAll(result CallResult) {
+	h.t.Helper()
 	for len(h.calls) > 0 {
 		c := h.calls[0]
 		h.calls = h.calls[1:]
@@ -176,33 +205,48 @@
 	}
 }
 
-func (h *harness) answer(c DirectCall, result CallResult) {
+// answer ends a direct call. Unless it is lost, the machine has done what it was told, and
+// lists the tasks that it had acknowledged before and those that were started or stopped.
+func (h *harness) answer(call DirectCall, result CallResult) {
+	h.t.Helper()
 	var heartbeat *wire.Heartbeat
 	if result != CallLost {
-		var tasks []wire.TaskStatus
-		m := h.scheduler.cluster.machines[c.Machine]
-		for _, a := range m.sortedAttempts() {
-			if a.start.acknowledged {
-				tasks = append(tasks, wire.TaskStatus{Task: wire.TaskName(a.ref.jobID, a.ref.index), Attempt: a.number, State: wire.TaskRunning})
-			}
+		tasks := h.tasksAfter(call)
+		heartbeat = h.newHeartbeat(call.Machine, call.Body.FencingToken, tasks...)
+	}
+	h.scheduler.CallDone(h.clock(), call.ID, result, heartbeat)
+	h.settle()
+}
+
+// tasksAfter lists the tasks of a machine after it has executed a direct call.
+func (h *harness) tasksAfter(call DirectCall) (tasks []wire.TaskStatus) {
+	for _, a := range h.scheduler.cluster.machines[call.Machine].sortedAttempts() {
+		if a.start.acknowledged {
+			tasks = append(tasks, runningStatus(a))
 		}
-		for _, command := range c.Body.Commands {
-			if command.Verb == wire.VerbRun {
-				tasks = append(tasks, wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: wire.TaskRunning})
-			}
-			for i := range tasks {
-				if command.Verb == wire.VerbStop && tasks[i].Task == command.Task {
-					tasks[i].State, tasks[i].Cause = wire.TaskExited, wire.CauseStopped
-				}
+	}
+	for _, command := range call.Body.Commands {
+		if command.Verb == wire.VerbRun {
+			tasks = append(tasks, runningReport(command))
+		}
+		for i := range tasks {
+			if command.Verb == wire.VerbStop && tasks[i].Task == command.Task {
+				tasks[i].State, tasks[i].Cause = wire.TaskExited, wire.CauseStopped
 			}
 		}
-		heartbeat = h.newHeartbeat(c.Machine, c.Body.FencingToken, tasks...)
 	}
-	h.scheduler.CallDone(h.clock(), c.ID, result, heartbeat)
-	h.settle()
+	return tasks
+}
+
+// runningStatus is how a worker reports a running attempt.
+func runningStatus(a *attempt) wire.TaskStatus {
+	return wire.TaskStatus{Task: wire.TaskName(a.ref.jobID, a.ref.index), Attempt: a.number, State: wire.TaskRunning}
 }
 
+// submit submits a job, with defaults for what it does not say, and lets a placement round
+// follow.
 func (h *harness) submit(j wire.Job) {
+	h.t.Helper()
 	j.CreatedAtMilli = h.now.Milliseconds()
 	if j.Team == "" {
 		j.Team = "red"
@@ -222,7 +266,7 @@
 	h.settle()
 }
 
-// startCommands lists the start commands in answers and among the calls that are out.
+// startCommands lists the starts in replies to heartbeats and in calls that are in flight.
 func (h *harness) startCommands() (out []wire.Command) {
 	out = append(out, h.startsInReplies...)
 	for _, c := range h.calls {
@@ -235,141 +279,52 @@
 	return out
 }
 
-func runningReport(o wire.Command) wire.TaskStatus {
-	return wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: wire.TaskRunning}
+// runningReport is how a worker reports the task of a start, once it runs.
+func runningReport(start wire.Command) wire.TaskStatus {
+	return wire.TaskStatus{Task: start.Task, Attempt: start.Attempt, State: wire.TaskRunning}
 }
 
-func exitedReport(o wire.Command, cause string) wire.TaskStatus {
-	return wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: wire.TaskExited, Cause: cause}
+// exitedReport is how a worker reports the task of a start, once it has exited.
+func exitedReport(start wire.Command, cause string) wire.TaskStatus {
+	return wire.TaskStatus{Task: start.Task, Attempt: start.Attempt, State: wire.TaskExited, Cause: cause}
 }
 
-func machineRecordItem(t *testing.T, name string, rec records.LegacyMachine) wire.KeyValue {
-	raw, err := wire.Marshal(rec)
+// machineRecordItem is a stored record of the layout that had one for each machine.
+func machineRecordItem(t *testing.T, name string, record records.LegacyMachine) wire.KeyValue {
+	t.Helper()
+	encoded, err := wire.Marshal(record)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return wire.KeyValue{Key: records.LegacyMachineKey(name), Value: raw, ModRevision: 7}
+	return wire.KeyValue{Key: records.LegacyMachineKey(name), Value: encoded, ModRevision: 7}
 }
 
-// recordedAttempts counts the attempts in the batches.
-func (h *harness) recordedAttempts() (n int) {
-	for key, it := range h.items {
+// recordedAttempts counts the attempts in stored assignment batches.
+func (h *harness) recordedAttempts() (count int) {
+	h.t.Helper()
+	for key, item := range h.items {
 		if !strings.HasPrefix(key, records.BatchPrefix) {
 			continue
 		}
-		rec, err := records.DecodeBatch(it.Value)
+		batch, err := records.DecodeBatch(item.Value)
 		if err != nil {
 			h.t.Fatal(err)
 		}
-		for _, m := range rec.Machines {
-			for _, r := range m.Runs {
-				n += int(r[2])
+		for _, m := range batch.Machines {
+			for _, run := range m.Runs {
+				count += int(run[2])
 			}
 		}
 	}
-	return n
+	return count
 }
 
-// runningTasks lists what a machine would report: all that is placed there, running.
+// runningTasks lists all tasks that were started on a machine as running.
 func (h *harness) runningTasks(name string) (out []wire.TaskStatus) {
 	for _, a := range h.scheduler.cluster.machines[name].sortedAttempts() {
 		if a.start.sent {
-			out = append(out, wire.TaskStatus{Task: wire.TaskName(a.ref.jobID, a.ref.index), Attempt: a.number, State: wire.TaskRunning})
-		}
-	}
-	return out
-}
-
-// fakeWorkers stands for the machines of a desk: it runs what the leader starts.
-type fakeWorkers struct {
-	harness                           *harness
-	startedAt                         time.Duration
-	runTask                           func(task, machine string) (time.Duration, string) // for how long, and how it ends
-	machines                          []string
-	tasks                             map[string]map[string]*fakeTask
-	firstStartAfter, establishedAfter map[string]time.Duration // when a job's first task started, and had run for 30 s
-	startCount                        int
-	checkpointTime                    time.Duration        // how long a stopped task saves
-	imageFetchTime                    func() time.Duration // how long an image takes; nil: no time
-}
-
-type fakeTask struct {
-	report               wire.TaskStatus
-	startedAt, endsAt    time.Duration
-	cause                string
-	fetchedAt, stoppedAt time.Duration // has its image from then on; was stopped
-}
-
-func newFakeWorkers(h *harness, runTask func(task, machine string) (time.Duration, string)) *fakeWorkers {
-	workers := &fakeWorkers{harness: h, startedAt: h.now, runTask: runTask, machines: []string{"n-1", "n-2", "n-3"},
-		tasks: map[string]map[string]*fakeTask{}, firstStartAfter: map[string]time.Duration{}, establishedAfter: map[string]time.Duration{}}
-	for _, machine := range workers.machines {
-		workers.tasks[machine] = map[string]*fakeTask{}
-	}
-	h.bringUp(workers.machines...)
-	return workers
-}
-
-// step lets half a second go by.
-func (workers *fakeWorkers) step() {
-	h := workers.harness
-	h.now += 500 * time.Millisecond
-	calls := h.calls
-	h.calls = nil
-	for _, call := range calls {
-		workers.apply(call.Machine, call.Body.Commands)
-	}
-	for _, call := range calls {
-		h.scheduler.CallDone(h.clock(), call.ID, CallExecuted, h.newHeartbeat(call.Machine, call.Body.FencingToken, workers.taskReports(call.Machine)...))
-	}
-	for _, machine := range workers.machines {
-		workers.apply(machine, h.heartbeat(machine, workers.taskReports(machine)...).Commands)
-	}
-	h.scheduler.Tick(h.clock())
-	h.settle()
-}
-
-func (workers *fakeWorkers) apply(machine string, commands []wire.Command) {
-	for _, command := range commands {
-		switch running := workers.tasks[machine][command.Task]; {
-		case command.Verb == wire.VerbRun && (running == nil || running.report.Attempt != command.Attempt):
-			run, cause := workers.runTask(command.Task, machine)
-			task := &fakeTask{report: runningReport(command), startedAt: workers.harness.now, endsAt: workers.harness.now + run, cause: cause}
-			if workers.imageFetchTime != nil {
-				task.fetchedAt = workers.harness.now + workers.imageFetchTime()
-				task.endsAt += task.fetchedAt - workers.harness.now
-			}
-			workers.tasks[machine][command.Task] = task
-			workers.startCount++
-			id, _, _ := wire.ParseTaskName(command.Task)
-			if _, ok := workers.firstStartAfter[id]; !ok {
-				workers.firstStartAfter[id] = workers.harness.now - workers.startedAt
-			}
-		case command.Verb == wire.VerbStop && running != nil && running.report.Attempt == command.Attempt && workers.checkpointTime > 0:
-			if running.stoppedAt == 0 {
-				running.stoppedAt, running.endsAt, running.cause = workers.harness.now, min(running.endsAt, workers.harness.now+workers.checkpointTime), wire.CauseStopped
-			}
-		case command.Verb != wire.VerbRun && running != nil && running.report.Attempt == command.Attempt:
-			delete(workers.tasks[machine], command.Task)
-		}
-	}
-}
-
-func (workers *fakeWorkers) taskReports(machine string) (out []wire.TaskStatus) {
-	for _, name := range slices.Sorted(maps.Keys(workers.tasks[machine])) {
-		task := workers.tasks[machine][name]
-		id, _, _ := wire.ParseTaskName(name)
-		if _, ok := workers.establishedAfter[id]; !ok && workers.harness.now-task.startedAt >= 30*time.Second {
-			workers.establishedAfter[id] = workers.harness.now - workers.startedAt
-		}
-		task.report.State = wire.TaskRunning
-		if task.fetchedAt > workers.harness.now {
-			task.report.State = wire.TaskFetching
-		}
-		if task.endsAt <= workers.harness.now {
-			task.report.State, task.report.Cause = wire.TaskExited, task.cause
+			out = append(out, runningStatus(a))
 		}
-		out = append(out, task.report)
 	}
 	return out
 }
--- /dev/null
+++ b/internal/scheduler/statusprobe_test.go
@@ -0,0 +1,119 @@
+package scheduler
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/yarrowgap/yarrowgap/internal/tuning"
+	"github.com/yarrowgap/yarrowgap/wire"
+)
+
+// Machines that do not answer leave status probes to those that were not probed yet, and are
+// probed less and less often.
+func TestStatusProbesAreBounded(t *testing.T) {
+	const machines = 3 * tuning.MinConcurrentStatusProbes
+	h := newHarness(t, false, nil, nil)
+	listed := func(from, to int) (list []wire.ListedMachine) {
+		for i := from; i < to; i++ {
+			list = append(list, wire.ListedMachine{Name: machineNumber(i), Type: "box", Zone: "a", Address: fmt.Sprintf("m%d:1", i), State: wire.MachineRunning})
+		}
+		return list
+	}
+	scan := func() {
+		t.Helper()
+		h.scheduler.monitor.lastHeartbeatAt = h.now
+		for _, m := range h.scheduler.cluster.machines {
+			m.connectivity.lastHeartbeatAt = h.now
+		}
+		h.scheduler.Tick(h.clock())
+		h.settle()
+		if len(h.calls) > tuning.MinConcurrentStatusProbes {
+			t.Fatalf("%d status probes in flight", len(h.calls))
+		}
+	}
+	h.scheduler.MachinesListed(h.clock(), listed(0, machines))
+	h.now += 2 * h.scheduler.settings.HeartbeatInterval
+	h.scheduler.MachinesListed(h.clock(), listed(0, machines)) // now they count as up
+
+	probed := map[string]int{}
+	for range 4 {
+		scan()
+		for _, call := range h.calls {
+			probed[call.Machine]++
+		}
+		h.answerAll(CallLost)
+	}
+	if len(probed) != machines {
+		t.Errorf("%d of %d machines probed", len(probed), machines)
+	}
+
+	h.now += 16 * tuning.MinStatusProbeInterval
+	scan()
+	if len(h.calls) != tuning.MinConcurrentStatusProbes/2 {
+		t.Errorf("%d status probes of machines that do not answer", len(h.calls))
+	}
+	h.scheduler.MachinesListed(h.clock(), listed(machines, machines+1))
+	h.now += 2 * h.scheduler.settings.HeartbeatInterval
+	h.scheduler.MachinesListed(h.clock(), listed(machines, machines+1))
+	h.settle()
+	if last := h.calls[len(h.calls)-1].Machine; last != machineNumber(machines) {
+		t.Errorf("the new machine waits; probed last: %s", last)
+	}
+}
+
+// With a small CPU share, a new leader of hundreds of machines probes them no faster than
+// the share allows, probes each in time, and none that is about to send a heartbeat.
+func TestStatusProbesAreSpacedByCPUShare(t *testing.T) {
+	const machines, share = 600, 0.072
+	f := newFleetHarness(t, machines)
+	f.cpuShare = share
+	f.startTerm(60)
+	f.statusProbes = 0
+	f.settle()
+	if f.statusProbes > tuning.MinConcurrentStatusProbes {
+		t.Errorf("%d machines probed at once", f.statusProbes)
+	}
+
+	rate := tuning.MaxStatusProbeRate * share
+	startedAt, limit := f.now, time.Duration(2*machines/rate*float64(time.Second))
+	for f.now < startedAt+limit {
+		f.now += tuning.TickInterval / 2
+		f.scheduler.Tick(f.clock())
+		f.now += tuning.TickInterval / 2
+		f.settle()
+		if most := tuning.MinConcurrentStatusProbes + (f.now-startedAt).Seconds()*rate + 1; float64(f.statusProbes) > most {
+			t.Fatalf("%d machines probed after %v, over %.0f", f.statusProbes, f.now-startedAt, most)
+		}
+	}
+	for _, m := range f.scheduler.cluster.machines {
+		if !m.confirmed {
+			t.Fatalf("%s was not probed within %v", m.name, limit)
+		}
+	}
+}
+
+// A worker to which the leader's token is new sends a heartbeat at once: it is probed only if
+// it does not.
+func TestNoStatusProbeWhereHeartbeatIsExpectedSoon(t *testing.T) {
+	f := newFleetHarness(t, 40)
+	f.cpuShare = 0.072
+	f.startTerm(60)
+	f.settle()
+	m := f.scheduler.cluster.machines[f.machineNames[len(f.machineNames)-1]]
+	if m.confirmed {
+		t.Fatal("probed before, though there are more machines than status probes")
+	}
+	f.now += time.Second // there are status probes again
+	callsBefore := f.directCalls
+
+	if _, ok := f.scheduler.Heartbeat(f.clock(), f.newHeartbeat(m.name)); !ok || m.calls.inFlight {
+		t.Errorf("answered %v, probed at once %v", ok, m.calls.inFlight)
+	}
+	f.now += tuning.StatusProbeHoldOff
+	f.scheduler.Settle(f.clock())
+	f.scheduler.probeStatus(m)
+	if !m.calls.inFlight || f.directCalls != callsBefore {
+		t.Error("not probed though its heartbeat did not come")
+	}
+}
