--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -41,7 +41,7 @@
 func BenchmarkTick(b *testing.B) {
 	benchmarkSizes(b, func(b *testing.B, f *fleetHarness) {
 		for range b.N {
-			f.allHeardNow()
+			f.refreshHeartbeats()
 			f.scheduler.Tick(f.clock())
 			f.scheduler.TakeEffects()
 		}
--- a/internal/scheduler/fleet_harness_test.go
+++ b/internal/scheduler/fleet_harness_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"strings"
 	"testing"
 	"time"
 
@@ -82,17 +81,11 @@
 
 // startTerm starts a term from what is stored.
 func (f *fleetHarness) startTerm(term uint64) {
-	var batches []wire.KeyValue
-	for key, item := range f.items {
-		if strings.HasPrefix(key, records.BatchPrefix) {
-			batches = append(batches, item)
-		}
-	}
 	replica := NewReplica()
 	replica.Live = f.live
 	settings := fleetSettings()
 	settings.CPUShare = f.cpuShare
-	f.scheduler = New(f.clock(), settings, term, replica, nil, batches, fleetMachineTypes)
+	f.scheduler = New(f.clock(), settings, term, replica, nil, storedBatches(f.items), fleetMachineTypes)
 	f.scheduler.autoscaler.listed = true
 	f.scheduler.LeaseHeldUntil(1000 * time.Hour)
 }
@@ -159,8 +152,8 @@
 	}
 }
 
-// allHeardNow has the scheduler take all machines for heard from just now.
-func (f *fleetHarness) allHeardNow() {
+// refreshHeartbeats makes the last heartbeat of every machine one of just now.
+func (f *fleetHarness) refreshHeartbeats() {
 	f.scheduler.monitor.lastHeartbeatAt = f.now
 	for _, m := range f.scheduler.sortedMachines() {
 		m.connectivity.lastHeartbeatAt = f.now
@@ -192,18 +185,8 @@
 func (f *fleetHarness) commit(c Commit) {
 	f.tb.Helper()
 	f.revision++
-	for _, op := range c.Txn.Then {
-		f.writes++
-		if op.Delete != "" {
-			delete(f.items, op.Delete)
-			continue
-		}
-		encoded, err := wire.Marshal(op.Value)
-		if err != nil {
-			f.tb.Fatal(err)
-		}
-		f.items[op.Set] = wire.KeyValue{Key: op.Set, Value: encoded, ModRevision: f.revision}
-	}
+	f.writes += len(c.Txn.Then)
+	storeTransaction(f.tb, f.items, c.Txn, f.revision)
 	f.scheduler.CommitDone(f.clock(), c.ID, CommitDone, f.revision, nil)
 }
 
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -100,18 +100,34 @@
 		return
 	}
 	h.revision++
-	for _, op := range c.Txn.Then {
+	storeTransaction(h.t, h.items, c.Txn, h.revision)
+	h.scheduler.CommitDone(h.clock(), c.ID, CommitDone, h.revision, nil)
+}
+
+// storeTransaction carries out the changes of a transaction on what is stored.
+func storeTransaction(tb testing.TB, items map[string]wire.KeyValue, transaction wire.Txn, revision uint64) {
+	tb.Helper()
+	for _, op := range transaction.Then {
 		if op.Delete != "" {
-			delete(h.items, op.Delete)
+			delete(items, op.Delete)
 			continue
 		}
 		encoded, err := wire.Marshal(op.Value)
 		if err != nil {
-			h.t.Fatal(err)
+			tb.Fatal(err)
 		}
-		h.items[op.Set] = wire.KeyValue{Key: op.Set, Value: encoded, ModRevision: h.revision}
+		items[op.Set] = wire.KeyValue{Key: op.Set, Value: encoded, ModRevision: revision}
 	}
-	h.scheduler.CommitDone(h.clock(), c.ID, CommitDone, h.revision, nil)
+}
+
+// storedBatches are the assignment batches among what is stored.
+func storedBatches(items map[string]wire.KeyValue) (batches []wire.KeyValue) {
+	for key, item := range items {
+		if strings.HasPrefix(key, records.BatchPrefix) {
+			batches = append(batches, item)
+		}
+	}
+	return batches
 }
 
 // advance lets time pass, with ticks, while the named machines send heartbeats and answer
@@ -302,10 +318,7 @@
 // recordedAttempts counts the attempts in stored assignment batches.
 func (h *harness) recordedAttempts() (count int) {
 	h.t.Helper()
-	for key, item := range h.items {
-		if !strings.HasPrefix(key, records.BatchPrefix) {
-			continue
-		}
+	for _, item := range storedBatches(h.items) {
 		batch, err := records.DecodeBatch(item.Value)
 		if err != nil {
 			h.t.Fatal(err)
--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -8,7 +8,7 @@
 // beside other services; work of lower priority makes way. Without it, a fleet that was
 // scaled in to what its services fill would make the next one wait for a boot.
 //
-// Machines that are released one after the other are taken off by removeIfSpare, so that
+// Machines that are released one after the other are taken off by removeIfDispensable, so that
 // together they leave enough headroom.
 type fleetHeadroom struct {
 	headroomShare       float64 // spare CPUs that are wanted, as a share of those in use
@@ -96,8 +96,8 @@
 	return total >= h.largestService.spec.Tasks
 }
 
-// removeIfSpare takes the machine off, if the headroom is enough without it.
-func (h *fleetHeadroom) removeIfSpare(m *machine) bool {
+// removeIfDispensable takes the machine off, if the headroom is enough without it.
+func (h *fleetHeadroom) removeIfDispensable(m *machine) bool {
 	cpus := 0.0
 	if m.machineSpec != nil {
 		cpus = m.machineSpec.CPUs
--- a/internal/scheduler/scalein.go
+++ b/internal/scheduler/scalein.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// releaseUnneeded begins the release of machines for which there is a reason and gives
+// releaseUnneeded starts the release of machines for which there is a reason and gives
 // their names.
 func (s *Scheduler) releaseUnneeded() []string {
 	missingZones := s.zonesMissingHeartbeats()
@@ -36,21 +36,21 @@
 			if headroom == nil {
 				headroom = s.newFleetHeadroom()
 			}
-			if headroom.removeIfSpare(m) {
+			if headroom.removeIfDispensable(m) {
 				reason = ReleaseIdle
 			}
 		}
 		if reason != "" {
-			s.beginRelease(m, reason)
+			s.startRelease(m, reason)
 			names = append(names, m.name)
 		}
 	}
 	return names
 }
 
-// beginRelease stops all use of a machine whose release is about to be asked for. While
+// startRelease stops all use of a machine whose release is about to be asked for. While
 // the cloud refuses to release it, it is back in use, and this happens again.
-func (s *Scheduler) beginRelease(m *machine, reason ReleaseReason) {
+func (s *Scheduler) startRelease(m *machine, reason ReleaseReason) {
 	log := s.logInfo
 	if m.release.reason == reason {
 		log = s.logDebug
--- a/internal/scheduler/scalein_test.go
+++ b/internal/scheduler/scalein_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"slices"
-	"strings"
 	"testing"
 	"time"
 
@@ -173,7 +172,7 @@
 
 			if recovered {
 				cancelled := records.Job{Job: job, Cancelled: true}
-				h = newHarness(t, false, map[string]*LiveJob{job.ID: {Record: &cancelled, ModRevision: 90}}, h.storedBatches())
+				h = newHarness(t, false, map[string]*LiveJob{job.ID: {Record: &cancelled, ModRevision: 90}}, storedBatches(h.items))
 				h.sequences["n-1"] = 100
 			} else {
 				h.scheduler.Cancelled(h.clock(), []string{job.ID})
@@ -204,13 +203,3 @@
 	}
 	return stopped
 }
-
-// storedBatches are the assignment batches that are stored.
-func (h *harness) storedBatches() (batches []wire.KeyValue) {
-	for key, item := range h.items {
-		if strings.HasPrefix(key, records.BatchPrefix) {
-			batches = append(batches, item)
-		}
-	}
-	return batches
-}
--- a/internal/scheduler/simulation_workers_test.go
+++ b/internal/scheduler/simulation_workers_test.go
@@ -29,9 +29,9 @@
 const (
 	// heartbeatTimeout is how long a worker waits for the answer to a heartbeat.
 	heartbeatTimeout = 4 * time.Second
-	// changeReportDelay is the least time between two heartbeats, the second of which
+	// statusChangeDelay is the least time between two heartbeats, the second of which
 	// reports what the answer to the first changed.
-	changeReportDelay = 500 * time.Millisecond
+	statusChangeDelay = 500 * time.Millisecond
 	// controllerRetryDelay is how long after a refusal a worker tries another controller.
 	controllerRetryDelay = time.Second
 )
@@ -155,7 +155,7 @@
 	x.worker.HandleHeartbeatReply(sim.now, x.sentAt, x.incarnation, reply)
 	if len(reply.Commands) > 0 {
 		x.followed = true
-		sim.after(max(0, x.sentAt+changeReportDelay-sim.now), x.sendNext)
+		sim.after(max(0, x.sentAt+statusChangeDelay-sim.now), x.sendNext)
 	}
 }
 
--- a/internal/scheduler/tick_test.go
+++ b/internal/scheduler/tick_test.go
@@ -61,7 +61,7 @@
 	for range 400 {
 		f.now += 5 * time.Millisecond
 		lastRoundAt, scannedAt, scaledOutAt := f.scheduler.placement.lastRoundAt, f.scheduler.monitor.scannedAt, f.scheduler.autoscaler.scaledOutAt
-		f.allHeardNow()
+		f.refreshHeartbeats()
 		f.scheduler.placement.due = true
 		f.scheduler.Tick(f.clock())
 		f.scheduler.TakeEffects()
--- a/internal/scheduler/zone_partition.go
+++ b/internal/scheduler/zone_partition.go
@@ -13,9 +13,9 @@
 
 // zoneCounts counts the machines of a zone that are up.
 type zoneCounts struct {
-	up      int
-	missed  int // last heartbeat over an interval ago
-	overdue int // next heartbeat overdue
+	machines int
+	missed   int // last heartbeat over an interval ago
+	overdue  int // next heartbeat overdue
 }
 
 // zonesMissingHeartbeats are the zones with several machines of which most miss their
@@ -32,8 +32,8 @@
 	}
 	missing := map[string]bool{}
 	for zone, counts := range zones {
-		threshold := tuning.ZonePartitionShare * float64(counts.up)
-		if counts.up <= 1 || float64(counts.missed) < threshold {
+		threshold := tuning.ZonePartitionShare * float64(counts.machines)
+		if counts.machines <= 1 || float64(counts.missed) < threshold {
 			continue
 		}
 		missing[zone] = true
@@ -50,7 +50,7 @@
 		counts = &zoneCounts{}
 		zones[m.zone] = counts
 	}
-	counts.up++
+	counts.machines++
 	heartbeatAge := s.now.Mono - m.connectivity.lastHeartbeatAt
 	if heartbeatAge > s.settings.HeartbeatInterval {
 		counts.missed++
