--- a/internal/scheduler/dispatch.go
+++ b/internal/scheduler/dispatch.go
@@ -1,8 +1,6 @@
 package scheduler
 
 import (
-	"maps"
-	"slices"
 	"time"
 
 	"github.com/yarrowgap/yarrowgap/internal/reconcile"
@@ -32,14 +30,6 @@
 // shares one call.
 func (d *dispatchState) markDue(m *machine) { d.machinesDue[m.name] = true }
 
-// takeDue gives the names of the machines that commands are due for, in order, and none of
-// them again until it is marked anew.
-func (d *dispatchState) takeDue() []string {
-	names := slices.Sorted(maps.Keys(d.machinesDue))
-	clear(d.machinesDue)
-	return names
-}
-
 // exchange says who opened the connection by which commands and a heartbeat pass.
 type exchange int
 
--- a/internal/scheduler/jobwrite.go
+++ b/internal/scheduler/jobwrite.go
@@ -156,7 +156,7 @@
 	j.write.blockedUntil = s.now.Mono + tuning.StoreRetryDelay
 	for _, chunk := range write.chunks {
 		if outcome.conflicting[records.BitmapKey(j.id, chunk)] {
-			s.effects.Resign = "a job's bitmap was changed by another writer"
+			s.effects.Resign = ResignBitmapConflict
 		}
 	}
 }
--- a/internal/scheduler/reasons.go
+++ b/internal/scheduler/reasons.go
@@ -21,3 +21,33 @@
 func stopReasonOf(class reconcile.Class) StopReason {
 	return StopReason("reconciliation: " + class.String())
 }
+
+// ResignReason says why the scheduler gives up leadership.
+type ResignReason string
+
+// Reasons for giving up leadership.
+const (
+	ResignNoHeartbeats       ResignReason = "no worker reaches this controller"
+	ResignHigherFencingToken ResignReason = "a worker has seen a higher fencing token"
+	ResignLeaderKeyLost      ResignReason = "another leader holds the key"
+	ResignBitmapConflict     ResignReason = "a job's bitmap was changed by another writer"
+	ResignCountersExhausted  ResignReason = "fencing counters nearly used up"
+)
+
+// ReleaseReason says why a machine is released.
+type ReleaseReason string
+
+// Reasons for releases.
+const (
+	ReleaseBootFailed        ReleaseReason = "failed while booting"
+	ReleaseNeverUp           ReleaseReason = "never came up"
+	ReleaseFailed            ReleaseReason = "failed"
+	ReleaseProbesUnanswered  ReleaseReason = "missed heartbeats and unanswered status probes"
+	ReleaseNotListed         ReleaseReason = "missed heartbeats and no longer listed"
+	ReleaseUnreachable       ReleaseReason = "unreachable"
+	ReleaseLeaseExpired      ReleaseReason = "no heartbeat for its lease"
+	ReleaseQuarantined       ReleaseReason = "quarantined: unrelated jobs fail on it"
+	ReleaseZoneMissing       ReleaseReason = "its zone has missed heartbeats for too long"
+	ReleaseZoneTasksPlacable ReleaseReason = "its zone misses heartbeats and its tasks fit elsewhere"
+	ReleaseIdle              ReleaseReason = "idle"
+)
