--- a/cmd/restartbench/plot.go
+++ b/cmd/restartbench/plot.go
@@ -58,9 +58,9 @@
 			continue
 		}
 		for _, v := range s.variants {
-			summary := m.summarize(v.results)
-			add(v.name, percent(s.changed), summary.mean)
-			add(v.name+", highest", percent(s.changed), summary.highest)
+			values := m.summarize(v.results)
+			add(v.name, percent(s.changed), values.mean)
+			add(v.name+", highest", percent(s.changed), values.highest)
 		}
 	}
 	var arguments []any
--- a/cmd/simulator/submit.go
+++ b/cmd/simulator/submit.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"fmt"
 	"io"
 	"net/http"
@@ -34,7 +35,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err := post("http://"+c.Simulator+uploadPath, encoded); err != nil {
+	if _, err = post("http://"+c.Simulator+uploadPath, encoded); err != nil {
 		return err
 	}
 	reply, err := post("http://"+c.Controller+submitPath, encoded)
@@ -62,7 +63,12 @@
 
 // post sends a body and returns the reply. A status of refusal is an error.
 func post(url string, body []byte) ([]byte, error) {
-	response, err := http.Post(url, wire.ContentType, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, url, bytes.NewReader(body))
+	if err != nil {
+		return nil, err
+	}
+	request.Header.Set("Content-Type", wire.ContentType)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/yarrowgap/check.go
+++ b/cmd/yarrowgap/check.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, policy.Settings{}, usageError{err}
 	}
-	operatorSettings := policy.Defaults(cfg.CostSensitive())
+	operatorSettings := policy.Defaults(policy.CostSensitivity(cfg.CostSensitive()))
 	for _, script := range f.scripts() {
 		operatorSettings, err = policy.Load(script, operatorSettings)
 		if err != nil {
--- a/internal/api/harness_test.go
+++ b/internal/api/harness_test.go
@@ -51,7 +51,7 @@
 
 func startCluster(tb testing.TB, size int) *cluster {
 	tb.Helper()
-	return startClusterWith(tb, size, policy.Defaults(false), defaultTeamLimit)
+	return startClusterWith(tb, size, policy.Defaults(policy.CostInsensitive), defaultTeamLimit)
 }
 
 // startClusterWith starts controllers with the operators' settings and a limit on the
--- a/internal/api/reconcile_test.go
+++ b/internal/api/reconcile_test.go
@@ -39,7 +39,7 @@
 // startLoadedCluster starts three controllers and fifty machines that are full of long tasks.
 func startLoadedCluster(t *testing.T) *cluster {
 	t.Helper()
-	operators := policy.Defaults(false)
+	operators := policy.Defaults(policy.CostInsensitive)
 	operators.ReconcileRestarts, operators.HeadroomShare = true, 0
 	c := startClusterWith(t, 3, operators, 2*reconcileTasks)
 	const jobs = 10
--- a/internal/config/capacity.go
+++ b/internal/config/capacity.go
@@ -51,7 +51,7 @@
 		capacity.ByConnections = s.MaxConnections()
 	}
 	if quota.CPUShare > 0 {
-		perMachine := tuning.HeartbeatCPUCost.Seconds() * tuning.HeartbeatsPerInterval / s.Deployment.Workers.ReportS
+		perMachine := tuning.HeartbeatCPUCost.Seconds() * tuning.HeartbeatsPerInterval / s.Deployment.Workers.HeartbeatS
 		capacity.ByCPU = int(quota.CPUShare / perMachine)
 	}
 	return capacity
@@ -114,11 +114,11 @@
 	nodes := float64(1 + len(s.Peers))
 	minCancelS := d.Workers.LeaseS + tuning.KeepaliveMargin.Seconds()
 	list := []Shortfall{
-		{"deployment.state.value_kb", d.State.ValueKB, minValueKB, "records of large jobs do not fit and are refused"},
-		{"deployment.state.write_rps", d.State.WriteRPS, minWriteRPS, "starts wait for their records for over a second"},
-		{"deployment.state.rps", d.State.RPS, requestsPerNode * nodes, "leases, watches and queries of all nodes do not fit"},
-		{"deployment.workers.lease_s", d.Workers.LeaseS, heartbeatsPerLease * d.Workers.ReportS, "a late heartbeat costs a worker its tasks"},
-		{"deployment.workers.cancel_s", d.Workers.CancelS, minCancelS, "workers of an isolated zone cannot be kept alive"},
+		{"deployment.state.value_kb", d.Store.ValueKB, minValueKB, "records of large jobs do not fit and are refused"},
+		{"deployment.state.write_rps", d.Store.WriteRPS, minWriteRPS, "starts wait for their records for over a second"},
+		{"deployment.state.rps", d.Store.RPS, requestsPerNode * nodes, "leases, watches and queries of all nodes do not fit"},
+		{"deployment.workers.lease_s", d.Workers.LeaseS, heartbeatsPerLease * d.Workers.HeartbeatS, "a late heartbeat costs a worker its tasks"},
+		{"deployment.workers.cancel_s", d.Workers.CancellationS, minCancelS, "workers of an isolated zone cannot be kept alive"},
 	}
 	if d.Quota.FDLimit > 0 {
 		list = append(list, Shortfall{"deployment.quota.fd_limit", float64(d.Quota.FDLimit), minSockets, "too few sockets for the controller's own calls"})
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -33,7 +33,7 @@
 // Endpoints are the addresses of the external services.
 type Endpoints struct {
 	Cloud string `toml:"cloud"`
-	State string `toml:"state"` // of the key-value store
+	Store string `toml:"state"` // the key-value store
 }
 
 // Deployment describes the cluster that the controllers manage, and the limits of the
@@ -45,7 +45,7 @@
 	Teams        []Team         `toml:"teams"`
 	Objectives   []Objective    `toml:"objectives"`
 	Workers      WorkerTimes    `toml:"workers"`
-	State        StoreLimits    `toml:"state"`
+	Store        StoreLimits    `toml:"state"`
 	Cloud        CloudLimits    `toml:"cloud"`
 	Quota        ResourceLimits `toml:"quota"`
 }
@@ -73,9 +73,9 @@
 
 // WorkerTimes are the protocol's times of workers, in seconds.
 type WorkerTimes struct {
-	ReportS float64 `toml:"report_s"` // the heartbeat interval
-	LeaseS  float64 `toml:"lease_s"`  // how long a worker runs tasks without an answer
-	CancelS float64 `toml:"cancel_s"` // within which tasks of a cancelled job end
+	HeartbeatS    float64 `toml:"report_s"` // the heartbeat interval
+	LeaseS        float64 `toml:"lease_s"`  // how long a worker runs tasks without an answer
+	CancellationS float64 `toml:"cancel_s"` // within which tasks of a cancelled job end
 }
 
 // StoreLimits are the limits of the key-value store.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Node != "drover-0" || len(s.Deployment.Teams) != 1 || s.Deployment.State.TxnOps != 12 {
+	if s.Node != "drover-0" || len(s.Deployment.Teams) != 1 || s.Deployment.Store.TxnOps != 12 {
 		t.Errorf("read as %+v", s)
 	}
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -108,7 +108,7 @@
 
 func (s *Settings) validateEndpoints(v *validator) {
 	v.address("outside.cloud", s.Endpoints.Cloud)
-	v.address("outside.state", s.Endpoints.State)
+	v.address("outside.state", s.Endpoints.Store)
 }
 
 func (d *Deployment) validateCluster(v *validator) {
@@ -135,14 +135,14 @@
 }
 
 func (d *Deployment) validateLimits(v *validator) {
-	v.positive("deployment.workers.report_s", d.Workers.ReportS)
+	v.positive("deployment.workers.report_s", d.Workers.HeartbeatS)
 	v.positive("deployment.workers.lease_s", d.Workers.LeaseS)
-	v.positive("deployment.workers.cancel_s", d.Workers.CancelS)
-	v.positive("deployment.state.rps", d.State.RPS)
-	v.positive("deployment.state.write_rps", d.State.WriteRPS)
-	v.positive("deployment.state.value_kb", d.State.ValueKB)
-	if d.State.TxnOps < minTxnOps {
-		v.fail("deployment.state.txn_ops", "must be at least %d, is %d", minTxnOps, d.State.TxnOps)
+	v.positive("deployment.workers.cancel_s", d.Workers.CancellationS)
+	v.positive("deployment.state.rps", d.Store.RPS)
+	v.positive("deployment.state.write_rps", d.Store.WriteRPS)
+	v.positive("deployment.state.value_kb", d.Store.ValueKB)
+	if d.Store.TxnOps < minTxnOps {
+		v.fail("deployment.state.txn_ops", "must be at least %d, is %d", minTxnOps, d.Store.TxnOps)
 	}
 	v.positive("deployment.cloud.rps", d.Cloud.RPS)
 	v.notNegative("deployment.cloud.list_lag_s", d.Cloud.ListLagS)
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -141,5 +141,5 @@
 func (c *Controller) KeepaliveBound() time.Duration {
 	workers := &c.cfg.Deployment.Workers
 	//mutation:keepalive-drift-margin
-	return max(0, config.Seconds(workers.CancelS)-config.Seconds(workers.LeaseS)-tuning.KeepaliveMargin)
+	return max(0, config.Seconds(workers.CancellationS)-config.Seconds(workers.LeaseS)-tuning.KeepaliveMargin)
 }
--- a/internal/controller/cancellations_test.go
+++ b/internal/controller/cancellations_test.go
@@ -209,7 +209,7 @@
 	c := newTestController(t)
 	w := &c.cfg.Deployment.Workers
 	for _, s := range []struct{ cancel, lease float64 }{{32, 12}, {70, 45}, {40, 12}, {600, 45}, {13.5, 12}, {12, 32}} {
-		w.CancelS, w.LeaseS = s.cancel, s.lease
+		w.CancellationS, w.LeaseS = s.cancel, s.lease
 		bound := c.KeepaliveBound().Seconds()
 		if bound < 0 {
 			t.Errorf("%+v: kept alive for %v s", s, bound)
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -13,6 +13,7 @@
 // newTestController makes a controller with the example settings that logs nothing and is not
 // run.
 func newTestController(t *testing.T) *Controller {
+	t.Helper()
 	t.Helper()
 	b, err := os.ReadFile("../../examples/local.toml")
 	if err != nil {
@@ -22,5 +23,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return New(cfg, policy.Defaults(false), slog.New(slog.NewTextHandler(io.Discard, nil)))
+	return New(cfg, policy.Defaults(policy.CostInsensitive), slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
--- a/internal/controller/executor.go
+++ b/internal/controller/executor.go
@@ -17,12 +17,8 @@
 
 // execute starts the I/O that the scheduler decided on. Called with the lock held.
 func (c *Controller) execute(sched *scheduler.Scheduler, effects scheduler.Effects) {
-	for _, entry := range effects.Log {
-		level := slog.LevelInfo
-		if entry.Debug {
-			level = slog.LevelDebug
-		}
-		c.log.Log(context.Background(), level, entry.Msg, entry.Args...)
+	for _, line := range effects.Log {
+		c.log.Log(context.Background(), line.Level, line.Message, line.Attributes...)
 	}
 	c.tracer.ReconcileEvents(c.startedAt, effects.Reconciliation)
 	calls := executor{c, sched}
--- a/internal/controller/heartbeat_test.go
+++ b/internal/controller/heartbeat_test.go
@@ -37,7 +37,7 @@
 		t.Errorf("kept alive for longer than a cancellation leaves time for: %+v", a)
 	}
 	w := c.cfg.Deployment.Workers
-	if c.KeepaliveBound() > config.Seconds(w.CancelS-w.LeaseS) {
+	if c.KeepaliveBound() > config.Seconds(w.CancellationS-w.LeaseS) {
 		t.Errorf("bound %v", c.KeepaliveBound())
 	}
 }
--- a/internal/controller/queries_test.go
+++ b/internal/controller/queries_test.go
@@ -22,6 +22,7 @@
 // that. Answers to requests that holdBack picks are read at once and sent when proceed is
 // closed; received says that one was read.
 func newControllerWithStore(t *testing.T, holdBack func(*http.Request) bool) (c *Controller, client *kvstore.Client, received, proceed chan struct{}) {
+	t.Helper()
 	t.Helper()
 	simulated := simulator.NewDeployment(simulator.DeploymentConfig{HeartbeatInterval: time.Second, LeaseDuration: time.Second})
 	state := simulated.KVStoreHandler()
--- a/internal/controller/replication.go
+++ b/internal/controller/replication.go
@@ -46,7 +46,7 @@
 func (s *jobSync) refreshInterval() time.Duration {
 	c := s.controller
 	controllers := float64(1 + len(c.membership.peers))
-	rate := c.cfg.Deployment.State.RPS * tuning.SyncRateShare
+	rate := c.cfg.Deployment.Store.RPS * tuning.SyncRateShare
 	return max(tuning.MinSyncInterval, config.Seconds(controllers/rate))
 }
 
--- a/internal/controller/scheduler_settings.go
+++ b/internal/controller/scheduler_settings.go
@@ -11,12 +11,12 @@
 	deployment := &c.cfg.Deployment
 	return scheduler.Settings{
 		Teams:                 teamQuotas(deployment.Teams),
-		HeartbeatInterval:     config.Seconds(deployment.Workers.ReportS),
+		HeartbeatInterval:     config.Seconds(deployment.Workers.HeartbeatS),
 		WorkerLease:           config.Seconds(deployment.Workers.LeaseS),
-		CancellationBound:     config.Seconds(deployment.Workers.CancelS),
-		MaxTransactionOps:     deployment.State.TxnOps,
-		MaxValueBytes:         int(deployment.State.ValueKB * 1024),
-		WriteRate:             deployment.State.WriteRPS,
+		CancellationBound:     config.Seconds(deployment.Workers.CancellationS),
+		MaxTransactionOps:     deployment.Store.TxnOps,
+		MaxValueBytes:         int(deployment.Store.ValueKB * 1024),
+		WriteRate:             deployment.Store.WriteRPS,
 		ColdRestart:           c.coldRestart(),
 		TraceOperations:       c.tracer.Enabled(),
 		Objectives:            objectives(deployment.Objectives),
--- a/internal/controller/submit.go
+++ b/internal/controller/submit.go
@@ -34,7 +34,7 @@
 	}
 	job.CreatedAtMilli = time.Now().UnixMilli()
 	record := records.Job{Job: *job}
-	if tooLong(&record, c.cfg.Deployment.State.ValueKB) {
+	if tooLong(&record, c.cfg.Deployment.Store.ValueKB) {
 		//mutation:long-submission-of-known-job
 		return request.refuseUnlessKnown(ctx, job.ID, refuse(http.StatusBadRequest, "the job's description is too long"))
 	}
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -37,7 +37,7 @@
 		}
 		stored := CheckBytes(t, name+encoding.extension, encoded)
 		decoded := reflect.New(reflect.TypeOf(message).Elem()).Interface()
-		if err := encoding.unmarshal(stored, decoded); err != nil {
+		if err = encoding.unmarshal(stored, decoded); err != nil {
 			t.Fatal(err)
 		}
 		if !reflect.DeepEqual(decoded, message) {
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -46,7 +46,7 @@
 			}
 			dir := t.TempDir()
 			replacement := filepath.Join(dir, "mutated.go")
-			if err := os.WriteFile(replacement, mutated, 0o600); err != nil {
+			if err = os.WriteFile(replacement, mutated, 0o600); err != nil {
 				t.Fatal(err)
 			}
 			overlay, err := json.Marshal(map[string]any{"Replace": map[string]string{path: replacement}})
@@ -54,15 +54,15 @@
 				t.Fatal(err)
 			}
 			list := filepath.Join(dir, "overlay.json")
-			if err := os.WriteFile(list, overlay, 0o600); err != nil {
+			if err = os.WriteFile(list, overlay, 0o600); err != nil {
 				t.Fatal(err)
 			}
 			pkg, run, _ := strings.Cut(m.test, ":")
 			test := func(more ...string) (string, error) {
 				cmd := exec.Command("go", append(append([]string{"test"}, more...), "-run", run, "./"+pkg)...)
 				cmd.Dir = all.root
-				out, err := cmd.CombinedOutput()
-				return string(out), err
+				output, runErr := cmd.CombinedOutput()
+				return string(output), runErr
 			}
 			didNotRun := func(out string) bool {
 				return strings.Contains(out, "[build failed]") || strings.Contains(out, "[setup failed]") ||
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -27,9 +27,18 @@
 	TraceFile             string        // where spans go: empty nowhere, "-" standard output, else a file
 }
 
-// Defaults are the settings without a script. costSensitive is whether price or useful
-// work is among the deployment's objectives.
-func Defaults(costSensitive bool) Settings {
+// CostSensitivity is whether price or useful work is among the deployment's objectives.
+type CostSensitivity bool
+
+const (
+	// CostInsensitive deployments keep headroom ready.
+	CostInsensitive CostSensitivity = false
+	// CostSensitive deployments economise.
+	CostSensitive CostSensitivity = true
+)
+
+// Defaults are the settings without a script.
+func Defaults(sensitivity CostSensitivity) Settings {
 	settings := Settings{
 		AckTimeout:            tuning.AckTimeout,
 		DispatchRetryCount:    tuning.DispatchRetryCount,
@@ -42,7 +51,7 @@
 		Preempt:               true,
 		BootTimeoutFactor:     tuning.BootTimeoutFactor,
 	}
-	if costSensitive {
+	if sensitivity == CostSensitive {
 		settings.HeadroomShare = tuning.CostSensitiveHeadroomShare
 		settings.IdleTimeout = tuning.CostSensitiveIdleTimeout
 	}
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -9,32 +9,32 @@
 )
 
 func TestExampleScript(t *testing.T) {
-	s, err := policy.Load("../../examples/operators.star", policy.Defaults(true))
+	s, err := policy.Load("../../examples/operators.star", policy.Defaults(policy.CostSensitive))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if s.DefaultDispatchBudget != 2*time.Minute || s.MaxMachines != 64 || s.HeadroomShare != 0.5 || !s.Preempt {
 		t.Errorf("read as %+v", s)
 	}
-	if _, err := policy.Load("../../examples/none.star", policy.Defaults(true)); err == nil {
+	if _, err := policy.Load("../../examples/none.star", policy.Defaults(policy.CostSensitive)); err == nil {
 		t.Error("a script that is not there was loaded")
 	}
 }
 
 // The deployed script enables reconciliation after failovers; without a script it is off.
 func TestReconcileSettings(t *testing.T) {
-	s, err := policy.Load("../../deploy/recovery.star", policy.Defaults(false))
+	s, err := policy.Load("../../deploy/recovery.star", policy.Defaults(policy.CostInsensitive))
 	if err != nil || !s.ReconcileRestarts || s.ReconcileWait != 0 || s.TraceFile != "" {
 		t.Errorf("read as %+v, %v", s, err)
 	}
-	s, err = policy.Eval("m.star", "recovery_wait_s = 7.5\ntrace_file = \"-\"", policy.Defaults(false))
+	s, err = policy.Eval("m.star", "recovery_wait_s = 7.5\ntrace_file = \"-\"", policy.Defaults(policy.CostInsensitive))
 	if err != nil || s.ReconcileRestarts || s.ReconcileWait != 7500*time.Millisecond || s.TraceFile != "-" {
 		t.Errorf("read as %+v, %v", s, err)
 	}
 }
 
 func TestEmptyScriptKeepsDefaults(t *testing.T) {
-	want := policy.Defaults(false)
+	want := policy.Defaults(policy.CostInsensitive)
 	got, err := policy.Eval("empty.star", "", want)
 	if err != nil || got != want {
 		t.Errorf("%+v, %v", got, err)
@@ -62,7 +62,7 @@
 		{"x = open('/etc/passwd')", "undefined: open"},
 	} {
 		t.Run(tc.src, func(t *testing.T) {
-			_, err := policy.Eval("m.star", tc.src, policy.Defaults(false))
+			_, err := policy.Eval("m.star", tc.src, policy.Defaults(policy.CostInsensitive))
 			if err == nil || !strings.Contains(err.Error(), tc.want) {
 				t.Errorf("%q: %v, want %q", tc.src, err, tc.want)
 			}
--- a/internal/reconcile/classify.go
+++ b/internal/reconcile/classify.go
@@ -119,7 +119,6 @@
 // Classify gives the one verdict on an attempt. It never starts a task again while an
 // attempt of it may still be there: Replace needs the proof that Absent and Ended are.
 func Classify(e Evidence) Verdict {
-	needed := e.JobIsLive && !e.TaskIsDone
 	switch e.Observation {
 	case Unreported:
 		if !e.JobIsLive {
@@ -127,31 +126,35 @@
 		}
 		return Verdict{MissingUnproven, Await}
 	case Absent:
-		return Verdict{MissingProven, replaceIf(needed && !e.HasDuplicate)}
+		return Verdict{MissingProven, e.replaceOrDrop()}
 	case Completed:
-		if needed {
+		if e.taskIsNeeded() {
 			return Verdict{FinishedUnrecorded, RecordDone}
 		}
 		return Verdict{Obsolete, Drop}
 	case Ended:
 		if e.Recorded {
-			return Verdict{Failed, replaceIf(needed && !e.HasDuplicate)}
+			return Verdict{Failed, e.replaceOrDrop()}
 		}
 		return Verdict{Obsolete, Drop}
 	}
-	return classifyActive(e, needed)
+	return classifyActive(e)
 }
 
-func replaceIf(needed bool) Action {
-	if needed {
+// taskIsNeeded reports whether the task still has to be run to completion.
+func (e *Evidence) taskIsNeeded() bool { return e.JobIsLive && !e.TaskIsDone }
+
+// replaceOrDrop is what follows from an attempt that is proven to be gone.
+func (e *Evidence) replaceOrDrop() Action {
+	if e.taskIsNeeded() && !e.HasDuplicate {
 		return Replace
 	}
 	return Drop
 }
 
-func classifyActive(e Evidence, needed bool) Verdict {
+func classifyActive(e Evidence) Verdict {
 	switch {
-	case !needed:
+	case !e.taskIsNeeded():
 		return Verdict{Obsolete, Stop}
 	case e.HasDuplicate:
 		return Verdict{Superseded, Stop}
--- a/internal/reconcile/holds.go
+++ b/internal/reconcile/holds.go
@@ -8,9 +8,9 @@
 
 // MayHaveCapacity reports whether a machine may yet turn out to have free capacity, so
 // that no machine is provisioned and nothing preempted for work that would fit there. One
-// that left a status probe unanswered counts only after a cold restart.
-func (r *Reconciler) MayHaveCapacity(machine string, unanswered bool) bool {
-	if !r.config.Enabled || r.phase != Collecting || unanswered && !r.config.Cold {
+// that left status probes unanswered counts only after a cold restart.
+func (r *Reconciler) MayHaveCapacity(machine string, unansweredProbes int) bool {
+	if !r.config.Enabled || r.phase != Collecting || unansweredProbes > 0 && !r.config.Cold {
 		return false
 	}
 	m := r.machines[machine]
--- a/internal/reconcile/reconciler_test.go
+++ b/internal/reconcile/reconciler_test.go
@@ -184,7 +184,7 @@
 			t.Fatalf("%d operations counted, %d attributed, %d given", total, attributed, operations)
 		}
 		for _, m := range inv.machines {
-			if r.MayHaveCapacity(m, false) && config.CollectBound() <= 11*time.Second {
+			if r.MayHaveCapacity(m, 0) && config.CollectBound() <= 11*time.Second {
 				t.Fatalf("%s is waited for after the bound", m)
 			}
 		}
@@ -223,13 +223,13 @@
 	} {
 		r := begin(tc.enabled, tc.cold)
 		now := time.Second
-		if got := r.MayHaveCapacity(machine, false); got != tc.capacity {
+		if got := r.MayHaveCapacity(machine, 0); got != tc.capacity {
 			t.Errorf("%s: capacity of a machine that is probed: %v", tc.name, got)
 		}
-		if got := r.MayHaveCapacity(machine, true); got != tc.unanswered {
+		if got := r.MayHaveCapacity(machine, 1); got != tc.unanswered {
 			t.Errorf("%s: capacity of one that did not answer: %v", tc.name, got)
 		}
-		if r.MayHaveCapacity(other, false) {
+		if r.MayHaveCapacity(other, 0) {
 			t.Errorf("%s: a confirmed machine is waited for", tc.name)
 		}
 		if got := r.HoldsRelease(now, machine); got != tc.kept {
@@ -247,7 +247,7 @@
 	}
 	r := begin(true, true)
 	r.ControllerSurvived()
-	if r.HoldsRelease(time.Second, machine) || r.MayHaveCapacity(machine, true) {
+	if r.HoldsRelease(time.Second, machine) || r.MayHaveCapacity(machine, 1) {
 		t.Error("held as after a cold restart though a controller survived")
 	}
 }
--- a/internal/restartsim/cluster.go
+++ b/internal/restartsim/cluster.go
@@ -109,7 +109,7 @@
 	for team := range teamCount {
 		teams[teamName(team)] = scheduler.TeamQuota{CPUs: teamGuaranteeCPUs, CPUsMax: teamLimitCPUs}
 	}
-	operators := policy.Defaults(false)
+	operators := policy.Defaults(policy.CostInsensitive)
 	operators.HeadroomShare = 0
 	operators.ReconcileRestarts = plan.Recovery
 	return scheduler.Settings{
--- a/internal/scheduler/combined_faults_placement_test.go
+++ b/internal/scheduler/combined_faults_placement_test.go
@@ -199,8 +199,8 @@
 			}
 		})
 		// Jobs that ended in an outage are all written after it, and starts with them.
-		sim.after(outageStart, func() { sim.kvStore.SetUnavailable(sim.now, true) })
-		sim.after(outageEnd, func() { sim.kvStore.SetUnavailable(sim.now, false) })
+		sim.after(outageStart, func() { sim.kvStore.StartOutage() })
+		sim.after(outageEnd, func() { sim.kvStore.EndOutage(sim.now) })
 		sim.checkWaitingJobs(100 * time.Second)
 		sim.run(200 * time.Second)
 		sim.failOnViolations(t, seed)
--- a/internal/scheduler/combined_faults_test.go
+++ b/internal/scheduler/combined_faults_test.go
@@ -23,21 +23,21 @@
 				leader.refusedUntil = sim.now + 10*time.Second
 				sim.after(sim.randomDuration(1000, 1500), func() {
 					sim.cancelHalfOfServices()
-					sim.kvStore.SetUnavailable(sim.now, true)
+					sim.kvStore.StartOutage()
 					for _, c := range sim.controllers {
 						if c != leader {
 							c.crash(time.Second)
 						}
 					}
 				})
-				sim.after(70*time.Second, func() { sim.kvStore.SetUnavailable(sim.now, false) })
+				sim.after(70*time.Second, func() { sim.kvStore.EndOutage(sim.now) })
 			}},
 		{"the same, and all peers live", peerCancellationLists,
 			func(sim *simulation, leader *simController) {
 				leader.refusedUntil = sim.now + 10*time.Second
 				sim.after(sim.randomDuration(100, 1500), sim.cancelHalfOfServices)
-				sim.after(sim.randomDuration(1600, 2200), func() { sim.kvStore.SetUnavailable(sim.now, true) })
-				sim.after(70*time.Second, func() { sim.kvStore.SetUnavailable(sim.now, false) })
+				sim.after(sim.randomDuration(1600, 2200), func() { sim.kvStore.StartOutage() })
+				sim.after(70*time.Second, func() { sim.kvStore.EndOutage(sim.now) })
 			}},
 		{"a leader that no worker reaches is then cut off from the node that they come to", enforcedWatermark,
 			func(sim *simulation, leader *simController) {
--- a/internal/scheduler/decision_digest_test.go
+++ b/internal/scheduler/decision_digest_test.go
@@ -105,7 +105,7 @@
 	sim.duplicateRate = pick(3, 0.05, 0, 0.3)
 	sim.heartbeatCopyRate = pick(4, 0, 0.02, 0.2)
 	sim.settings.MinimizeCost = number%4 == 1
-	sim.settings.Policy = policy.Defaults(sim.settings.MinimizeCost)
+	sim.settings.Policy = policy.Defaults(policy.CostSensitivity(sim.settings.MinimizeCost))
 	sim.settings.Policy.ReconcileRestarts = number%2 == 0
 	sim.settings.Policy.UseSpot = number%7 != 3
 	sim.settings.Policy.Preempt = number%9 != 4
--- a/internal/scheduler/effects.go
+++ b/internal/scheduler/effects.go
@@ -1,6 +1,8 @@
 package scheduler
 
 import (
+	"log/slog"
+
 	"github.com/yarrowgap/yarrowgap/internal/reconcile"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
@@ -38,9 +40,9 @@
 
 // LogLine is a line for the log, with attributes in pairs of key and value.
 type LogLine struct {
-	Debug bool
-	Msg   string
-	Args  []any
+	Level      slog.Level
+	Message    string
+	Attributes []any
 }
 
 // TakeEffects returns the effects gathered since the last call.
@@ -51,12 +53,12 @@
 	return effects
 }
 
-func (s *Scheduler) log(debug bool, message string, args ...any) {
-	s.effects.Log = append(s.effects.Log, LogLine{debug, message, args})
-}
-
 // logDebug adds a line for debugging.
-func (s *Scheduler) logDebug(message string, attributes ...any) { s.log(true, message, attributes...) }
+func (s *Scheduler) logDebug(message string, attributes ...any) {
+	s.effects.Log = append(s.effects.Log, LogLine{slog.LevelDebug, message, attributes})
+}
 
 // logInfo adds a line that operators see by default.
-func (s *Scheduler) logInfo(message string, attributes ...any) { s.log(false, message, attributes...) }
+func (s *Scheduler) logInfo(message string, attributes ...any) {
+	s.effects.Log = append(s.effects.Log, LogLine{slog.LevelInfo, message, attributes})
+}
--- a/internal/scheduler/fleet_harness_test.go
+++ b/internal/scheduler/fleet_harness_test.go
@@ -42,7 +42,7 @@
 	}
 	return Settings{
 		Teams: teams, HeartbeatInterval: 5 * time.Second, WorkerLease: 26500 * time.Millisecond, CancellationBound: 46500 * time.Millisecond,
-		MaxTransactionOps: 12, MaxValueBytes: 4096, WriteRate: 70, GuaranteedStartWithin: 5 * time.Second, Policy: policy.Defaults(false),
+		MaxTransactionOps: 12, MaxValueBytes: 4096, WriteRate: 70, GuaranteedStartWithin: 5 * time.Second, Policy: policy.Defaults(policy.CostInsensitive),
 	}
 }
 
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -47,7 +47,7 @@
 	types := []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchGBPerS: 1, Price: 1, SpotPrice: 0.5, BootS: 10, Zones: []string{"a", "b"}}}
 	settings := Settings{Teams: map[string]TeamQuota{"red": {CPUs: 8, CPUsMax: 16}, "blue": {CPUs: 8, CPUsMax: 16}},
 		HeartbeatInterval: time.Second, WorkerLease: 12 * time.Second, MaxTransactionOps: 12, MaxValueBytes: 4096, WriteRate: 1000, MinimizeCost: thrifty,
-		GuaranteedStartWithin: 2 * time.Second, Policy: policy.Defaults(thrifty)}
+		GuaranteedStartWithin: 2 * time.Second, Policy: policy.Defaults(policy.CostSensitivity(thrifty))}
 	change(&settings)
 	h.startTerm(settings, harnessTerm, live, machines, types)
 	return h
--- a/internal/scheduler/heartbeat_test.go
+++ b/internal/scheduler/heartbeat_test.go
@@ -366,11 +366,11 @@
 	}
 	early.Machine, early.Address = m.name, m.address
 	h.heartbeat(m.name, h.runningTasks(m.name)...)
-	heard, any, session := m.connectivity.lastHeartbeatAt, h.scheduler.monitor.lastHeartbeatAt, m.heartbeats.incarnation
+	heard, anyHeard, session := m.connectivity.lastHeartbeatAt, h.scheduler.monitor.lastHeartbeatAt, m.heartbeats.incarnation
 	h.now += 5 * time.Second
 	for _, copy := range []*wire.Heartbeat{early, {Machine: m.name, Address: m.address, Type: "box", Zone: "a", Incarnation: 0, Sequence: 99, FencingToken: early.FencingToken}} {
 		reply, ok := h.scheduler.Heartbeat(h.clock(), copy)
-		if !ok || len(reply.Commands) != 0 || len(m.tasks) != 1 || m.connectivity.lastHeartbeatAt != heard || h.scheduler.monitor.lastHeartbeatAt != any || m.heartbeats.incarnation != session {
+		if !ok || len(reply.Commands) != 0 || len(m.tasks) != 1 || m.connectivity.lastHeartbeatAt != heard || h.scheduler.monitor.lastHeartbeatAt != anyHeard || m.heartbeats.incarnation != session {
 			t.Errorf("a late copy: %+v, %d tasks, heard %v then %v", reply, len(m.tasks), heard, m.connectivity.lastHeartbeatAt)
 		}
 	}
--- a/internal/scheduler/leadership_faults_test.go
+++ b/internal/scheduler/leadership_faults_test.go
@@ -92,7 +92,7 @@
 			if sim.rng.IntN(3) == 0 {
 				// The outage ends for a moment, and another begins.
 				sim.after(apart+sim.randomDuration(5000, 50_000), func() {
-					sim.kvStore.SetUnavailable(sim.now, false)
+					sim.kvStore.EndOutage(sim.now)
 					sim.after(sim.randomDuration(50, 3000), func() { sim.refuseLeaderThenOutage(sim.randomDuration(0, 1000)) })
 					sim.after(sim.randomDuration(1, 3000), sim.cancelRandomService)
 				})
@@ -159,8 +159,8 @@
 				})
 			}
 			sim.after(sim.randomDuration(10_000, 40_000), func() {
-				sim.kvStore.SetUnavailable(sim.now, true)
-				sim.after(sim.randomDuration(5000, 50_000), func() { sim.kvStore.SetUnavailable(sim.now, false) })
+				sim.kvStore.StartOutage()
+				sim.after(sim.randomDuration(5000, 50_000), func() { sim.kvStore.EndOutage(sim.now) })
 			})
 			sim.after(118*time.Second, func() { sim.lossRate, sim.delayRate, sim.duplicateRate, sim.heartbeatCopyRate = 0, 0, 0, 0 })
 		}},
@@ -281,8 +281,8 @@
 		c.refusedUntil = sim.now + alone + time.Second
 	}
 	sim.after(alone, func() {
-		sim.kvStore.SetUnavailable(sim.now, true)
-		sim.after(sim.size.cancellationBound+sim.randomDuration(5000, 25_000), func() { sim.kvStore.SetUnavailable(sim.now, false) })
+		sim.kvStore.StartOutage()
+		sim.after(sim.size.cancellationBound+sim.randomDuration(5000, 25_000), func() { sim.kvStore.EndOutage(sim.now) })
 	})
 }
 
--- a/internal/scheduler/message_faults_test.go
+++ b/internal/scheduler/message_faults_test.go
@@ -45,7 +45,7 @@
 				sim.replayHeartbeatsToNewLeader(leader, 300, 6000)
 			}},
 		{"an old report arrives after newer ones, from an earlier session or attempt too", nil,
-			func(sim *simulation, leader *simController) {
+			func(sim *simulation, _ *simController) {
 				for _, name := range sim.machineNames {
 					if sim.rng.IntN(3) == 0 {
 						sim.hungUntil[name] = sim.now + sim.randomDuration(3000, 20_000) // some into their next session
@@ -57,7 +57,7 @@
 				sim.after(sim.randomDuration(0, 20_000), sim.cancelHalfOfServices)
 			}},
 		{"a command or its answer is held up, and the machine hangs and goes on", nil,
-			func(sim *simulation, leader *simController) {
+			func(sim *simulation, _ *simController) {
 				sim.delayRate, sim.duplicateRate, sim.maxCallDelayMS = 0.2, 0.4, 700
 				sim.failTasksOnHalfOfMachines()
 				for i := range 12 {
--- a/internal/scheduler/restart_simulation_test.go
+++ b/internal/scheduler/restart_simulation_test.go
@@ -36,8 +36,8 @@
 		})
 	}},
 	{"kvstore_outage_while_loading", func(sim *simulation, downFor time.Duration) {
-		sim.after(downFor/2, func() { sim.kvStore.SetUnavailable(sim.now, true) })
-		sim.after(downFor+sim.randomDuration(500, 6000), func() { sim.kvStore.SetUnavailable(sim.now, false) })
+		sim.after(downFor/2, func() { sim.kvStore.StartOutage() })
+		sim.after(downFor+sim.randomDuration(500, 6000), func() { sim.kvStore.EndOutage(sim.now) })
 	}},
 	{"kvstore_slow_and_loses_replies", func(sim *simulation, downFor time.Duration) {
 		sim.after(downFor, func() { sim.lossRate, sim.maxWriteDelayMS, sim.slowWatchUntil = 0.2, 1500, sim.now+15*time.Second })
@@ -47,7 +47,7 @@
 		sim.cloudDown = true
 		sim.after(downFor+50*time.Second, func() { sim.cloudDown = false })
 	}},
-	{"half_of_the_machines_gone", func(sim *simulation, downFor time.Duration) {
+	{"half_of_the_machines_gone", func(sim *simulation, _ time.Duration) {
 		for i, name := range sim.machineNames {
 			if i%2 == 0 {
 				sim.workers[name].Terminate()
--- a/internal/scheduler/simulation_controllers_test.go
+++ b/internal/scheduler/simulation_controllers_test.go
@@ -322,7 +322,7 @@
 		return
 	}
 	for _, line := range effects.Log {
-		fmt.Println(c.sim.now, c.name, line.Msg, line.Args)
+		fmt.Println(c.sim.now, c.name, line.Message, line.Attributes)
 	}
 	if effects.Resign != "" {
 		fmt.Println(c.sim.now, c.name, "resigns:", effects.Resign)
--- a/internal/scheduler/simulation_faults_test.go
+++ b/internal/scheduler/simulation_faults_test.go
@@ -74,8 +74,8 @@
 
 // stopStore stops the key-value store for a while.
 func (f injectedFault) stopStore() {
-	f.kvStore.SetUnavailable(f.now, true)
-	f.after(f.duration/2, func() { f.kvStore.SetUnavailable(f.now, false) })
+	f.kvStore.StartOutage()
+	f.after(f.duration/2, func() { f.kvStore.EndOutage(f.now) })
 }
 
 // disturbCloud delays releases, or stops the cloud.
@@ -138,8 +138,8 @@
 		}
 	}
 	if f.rng.IntN(2) == 0 && f.now+90*time.Second < f.lastFault {
-		f.after(leaderOnly, func() { f.kvStore.SetUnavailable(f.now, true) })
-		f.after(leaderOnly+f.size.cancellationBound+f.duration, func() { f.kvStore.SetUnavailable(f.now, false) })
+		f.after(leaderOnly, func() { f.kvStore.StartOutage() })
+		f.after(leaderOnly+f.size.cancellationBound+f.duration, func() { f.kvStore.EndOutage(f.now) })
 	}
 }
 
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -150,7 +150,7 @@
 		Teams:             map[string]scheduler.TeamQuota{"red": quota, "blue": quota},
 		HeartbeatInterval: size.heartbeatInterval, WorkerLease: workerLease, CancellationBound: size.cancellationBound,
 		MaxTransactionOps: 12, MaxValueBytes: 4096, WriteRate: size.writeRate,
-		Policy: policy.Defaults(false),
+		Policy: policy.Defaults(policy.CostInsensitive),
 	}
 }
 
--- a/internal/scheduler/statusprobe.go
+++ b/internal/scheduler/statusprobe.go
@@ -1,8 +1,6 @@
 package scheduler
 
 import (
-	"time"
-
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
@@ -49,7 +47,7 @@
 
 // probedLately reports whether it is too early for another probe of the machine.
 func (s *Scheduler) probedLately(m *machine) bool {
-	interval := time.Duration(tuning.MinStatusProbeInterval) << min(m.calls.unanswered, maxProbeBackoffDoublings)
+	interval := tuning.MinStatusProbeInterval << min(m.calls.unanswered, maxProbeBackoffDoublings)
 	return m.calls.probedAt > 0 && s.now.Mono-m.calls.probedAt < interval
 }
 
--- a/internal/scheduler/unconfirmed_capacity.go
+++ b/internal/scheduler/unconfirmed_capacity.go
@@ -15,7 +15,7 @@
 		if m.confirmed || m.phase == machineReleasing || m.machineSpec == nil || m.cloud.failed || m.cloud.interruptionAt > 0 {
 			continue
 		}
-		if !s.reconciler.MayHaveCapacity(m.name, m.calls.unanswered > 0) {
+		if !s.reconciler.MayHaveCapacity(m.name, m.calls.unanswered) {
 			continue
 		}
 		visit(m, capacitySlot{m.machineType, m.zone, m.spot, m.machineSpec, m.machineSpec.CPUs - m.used.cpus, m.machineSpec.GPUs - m.used.gpus, m.machineSpec.MemoryGB - m.used.memoryGB})
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -39,7 +39,7 @@
 // cloudServer serves the cloud of a deployment.
 type cloudServer struct {
 	deployment *Deployment
-	ctx        context.Context // ends the agents on provisioned machines
+	ctx        context.Context //nolint:containedctx // ends the agents on machines, which outlive the request that provisioned them
 }
 
 // CloudHandler returns the HTTP handler of the cloud. The agents on the machines that it
@@ -109,7 +109,8 @@
 // startMachine provisions a machine of a request and lets it boot.
 func (s cloudServer) startMachine(machineType wire.MachineType, request wire.ProvisionRequest) string {
 	d := s.deployment
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	var config net.ListenConfig
+	listener, err := config.Listen(s.ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err) // there is no loopback interface
 	}
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -81,16 +81,19 @@
 }
 
 // StartKVStoreOutage makes the key-value store refuse every request.
-func (d *Deployment) StartKVStoreOutage() { d.setKVStoreDown(true) }
+func (d *Deployment) StartKVStoreOutage() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.faults.kvStoreDown = true
+	d.kvStore.StartOutage()
+}
 
 // EndKVStoreOutage makes the key-value store serve again.
-func (d *Deployment) EndKVStoreOutage() { d.setKVStoreDown(false) }
-
-func (d *Deployment) setKVStoreDown(down bool) {
+func (d *Deployment) EndKVStoreOutage() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.faults.kvStoreDown = down
-	d.kvStore.SetUnavailable(d.now(), down)
+	d.faults.kvStoreDown = false
+	d.kvStore.EndOutage(d.now())
 }
 
 // StartCloudOutage makes the cloud refuse every request.
--- a/internal/simulator/kv_store.go
+++ b/internal/simulator/kv_store.go
@@ -42,14 +42,17 @@
 	}
 }
 
-// SetUnavailable starts or ends an outage. When it ends, every lease is renewed.
-func (s *KVStore) SetUnavailable(now time.Duration, unavailable bool) {
-	if s.Unavailable && !unavailable {
+// StartOutage makes the store refuse every request, and keeps leases from expiring.
+func (s *KVStore) StartOutage() { s.Unavailable = true }
+
+// EndOutage makes the store serve again, with every lease renewed.
+func (s *KVStore) EndOutage(now time.Duration) {
+	if s.Unavailable {
 		for _, l := range s.leases {
 			l.renew(now)
 		}
 	}
-	s.Unavailable = unavailable
+	s.Unavailable = false
 }
 
 // Get reads a key. The ModRevision of a missing key is 0.
--- a/internal/simulator/rule_checker_test.go
+++ b/internal/simulator/rule_checker_test.go
@@ -78,8 +78,8 @@
 	}
 }
 
-func (f *ruleFixture) checkWaiting(from, to time.Duration, placed bool, free ...FreeCapacity) {
-	for now := from; now <= to; now += 3 * time.Second {
+func (f *ruleFixture) checkWaiting(to time.Duration, placed bool, free ...FreeCapacity) {
+	for now := time.Duration(0); now <= to; now += 3 * time.Second {
 		f.CheckWaiting(now, free, func(string) bool { return placed })
 	}
 }
@@ -118,7 +118,7 @@
 // violations: a start that was in flight may still be carried out.
 func TestLateStartsAreCountedAndAllowedWithinTheGracePeriod(t *testing.T) {
 	f := newRuleFixture()
-	f.cancel(time.Second)
+	f.cancel()
 	f.TaskStarted(time.Second, f.task(0), f.machineA) // at the same moment
 	if len(f.LateStarts) > 0 {
 		t.Error("counted: ", f.LateStarts)
@@ -129,9 +129,10 @@
 	}
 }
 
-func (f *ruleFixture) cancel(now time.Duration) {
+// cancel has the user cancel the job, which is confirmed at 1 s.
+func (f *ruleFixture) cancel() {
 	f.CancelRequested(f.job.ID)
-	f.StateConfirmed(now, f.job.ID, wire.JobCancelled)
+	f.StateConfirmed(time.Second, f.job.ID, wire.JobCancelled)
 }
 
 // completeTasks completes some tasks and calls the job done.
@@ -148,17 +149,26 @@
 	f.TaskStarted(0, wire.TaskName(j.ID, 0), f.machineB)
 }
 
-// pausePastLease pauses a machine past its lease, and starts its task elsewhere during the
-// pause or after it.
-func (f *ruleFixture) pausePastLease(resumes bool) {
+// restartAfterPause pauses a machine past its lease, and starts its task elsewhere after it
+// has resumed.
+func (f *ruleFixture) restartAfterPause() {
+	f.pausedWorker().Advance(21 * time.Second)
+	f.TaskStarted(22*time.Second, f.task(0), f.machineB)
+}
+
+// restartDuringPause does the same before the machine has resumed.
+func (f *ruleFixture) restartDuringPause() {
+	f.pausedWorker()
+	f.TaskStarted(22*time.Second, f.task(0), f.machineB)
+}
+
+// pausedWorker is a machine with a task that is paused past its lease.
+func (f *ruleFixture) pausedWorker() *Worker {
 	f.job.Shape = wire.ShapeService
 	worker := f.newWorker("n-000007", "a", fixtureMachineTypes[0], 12*time.Second)
 	start := wire.Command{Verb: wire.VerbRun, Task: f.task(0), Attempt: 1}
 	worker.HandleCommands(0, wire.DirectCommands{FencingToken: 1, Incarnation: 1, Commands: []wire.Command{start}})
 	worker.Advance(2 * time.Second)
 	worker.Pause(20 * time.Second)
-	if resumes {
-		worker.Advance(21 * time.Second)
-	}
-	f.TaskStarted(22*time.Second, f.task(0), f.machineB)
+	return worker
 }
--- a/internal/simulator/rules_answers_test.go
+++ b/internal/simulator/rules_answers_test.go
@@ -18,10 +18,10 @@
 		func(f *ruleFixture) { f.StateConfirmed(time.Second, "run-000009", "") }},
 	{RuleForgotten, "an ended job gets 404",
 		func(f *ruleFixture) {
-			f.cancel(time.Second)
+			f.cancel()
 			f.QueryAnswered(2*time.Second, 2*time.Second, f.job.ID, "")
 		},
-		func(f *ruleFixture) { f.cancel(time.Second) }},
+		func(f *ruleFixture) { f.cancel() }},
 	{RuleForgotten, "a repeated submission gets 400",
 		func(f *ruleFixture) { f.SubmissionRefused(time.Second, f.job.ID, 400) },
 		func(f *ruleFixture) { f.SubmissionRefused(time.Second, "run-000009", 400) }},
@@ -59,15 +59,15 @@
 		},
 		func(f *ruleFixture) { f.completeTasks(3); f.QueryAnswered(0, 2*time.Second, f.job.ID, wire.JobRunning) }}, // asked before
 	{RuleWentBack, "a job that was cancelled is done",
-		func(f *ruleFixture) { f.cancel(time.Second); f.completeTasks(3) },
+		func(f *ruleFixture) { f.cancel(); f.completeTasks(3) },
 		func(f *ruleFixture) { f.CancelRequested(f.job.ID); f.completeTasks(3) }},
 	{RuleWentBack, "a cancelled job is pending at another node",
 		func(f *ruleFixture) {
-			f.cancel(time.Second)
+			f.cancel()
 			f.QueryAnswered(time.Second, 2*time.Second, f.job.ID, wire.JobPending)
 		},
 		func(f *ruleFixture) {
-			f.cancel(time.Second)
+			f.cancel()
 			f.QueryAnswered(time.Second-1, 2*time.Second, f.job.ID, wire.JobPending)
 		}},
 	{RuleWentBack, "a job is cancelled that its user has not cancelled",
--- a/internal/simulator/rules_placement_test.go
+++ b/internal/simulator/rules_placement_test.go
@@ -16,7 +16,7 @@
 			f.TaskStarted(1, f.task(0), f.machineB)
 		}},
 	{RuleRanTwice, "a machine hangs past its lease and its task starts elsewhere",
-		func(f *ruleFixture) { f.pausePastLease(false) }, func(f *ruleFixture) { f.pausePastLease(true) }},
+		func(f *ruleFixture) { f.restartDuringPause() }, func(f *ruleFixture) { f.restartAfterPause() }},
 	{RuleQuota, "a team uses more than its limit",
 		func(f *ruleFixture) {
 			j := f.submitSecondJob(func(j *wire.Job) { j.CPUs = 3 })
--- a/internal/simulator/worker_agent.go
+++ b/internal/simulator/worker_agent.go
@@ -111,18 +111,23 @@
 		sleep(ctx, pending.partitionedFor)
 		return true
 	}
-	status, reply := a.post(pending.heartbeat)
+	status, reply := a.post(ctx, pending.heartbeat)
 	return a.awaitNextHeartbeat(ctx, a.handleReply(pending, status, reply))
 }
 
 // post sends a heartbeat to the current controller. The status is 0 without an answer.
-func (a *workerAgent) post(heartbeat wire.Heartbeat) (status int, reply []byte) {
+func (a *workerAgent) post(ctx context.Context, heartbeat wire.Heartbeat) (status int, reply []byte) {
 	encoded, err := wire.Marshal(heartbeat)
 	if err != nil {
 		panic(err) // message types always have a CBOR form
 	}
 	address := a.deployment.config.Controllers[a.controllers[a.current]]
-	response, err := a.client.Post("http://"+address+agentHeartbeatRoute, wire.ContentType, bytes.NewReader(encoded))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+agentHeartbeatRoute, bytes.NewReader(encoded))
+	if err != nil {
+		panic(err) // addresses of controllers make valid URLs
+	}
+	request.Header.Set("Content-Type", wire.ContentType)
+	response, err := a.client.Do(request)
 	if err != nil {
 		return 0, nil
 	}
