--- a/internal/mutation/leadership_test.go
+++ b/internal/mutation/leadership_test.go
@@ -8,7 +8,7 @@
 		scenario: "all controllers are down for longer than a lease, and jobs were cancelled right before",
 		marker:   "recover-cancelled-flag",
 		operator: replace("false"),
-		test:     "internal/scheduler:^TestCombinedLeadershipFaults$/^controllers_away$",
+		test:     "internal/scheduler:^TestCombinedLeadershipFaults$/^all_controllers_down$",
 	},
 	{
 		scenario: "the key-value store is slow, and a peer's cancellation list arrives before the watch shows the job",
@@ -20,25 +20,25 @@
 		scenario: "a peer's cancellation list arrives before the watch shows the job, then the key-value store refuses the leader alone and then everybody",
 		marker:   "pending-cancellations",
 		operator: remove(),
-		test:     "internal/scheduler:^TestCombinedLeadershipFaults$/^slow_then_refused$",
+		test:     "internal/scheduler:^TestCombinedLeadershipFaults$/^slow_store_then_outage$",
 	},
 	{
 		scenario: "the key-value store refuses the leader alone and then everybody, and the confirming controller fails or a reply is lost",
 		marker:   "peer-cancellations",
 		operator: setCondition(false),
-		test:     "internal/scheduler:^TestCombinedLeadershipFaults$/^refused_then_out_and_confirmer_fails$",
+		test:     "internal/scheduler:^TestCombinedLeadershipFaults$/^store_outage_and_confirmer_fails$",
 	},
 	{
 		scenario: "jobs are cancelled as the key-value store refuses the leader alone, and everybody a second later",
 		marker:   "peer-cancellations",
 		operator: setCondition(false),
-		test:     "internal/scheduler:^TestCombinedLeadershipFaults$/^refused_then_out$",
+		test:     "internal/scheduler:^TestCombinedLeadershipFaults$/^store_refuses_leader_then_outage$",
 	},
 	{
 		scenario: "jobs are cancelled during a failover",
 		marker:   "recovered-attempt-of-cancelled-job",
 		operator: dropOperands(2, 0),
-		test:     "internal/scheduler:^TestCombinedLeadershipFaults$/^handover$",
+		test:     "internal/scheduler:^TestCombinedLeadershipFaults$/^repeated_failovers$",
 	},
 	{
 		scenario: "jobs are cancelled at a controller that recovers as the next leader",
@@ -50,7 +50,7 @@
 		scenario: "leadership moves back and forth, all controllers fail and one restarts within a second",
 		marker:   "recovery-reads-each-assignment",
 		operator: remove(),
-		test:     "internal/scheduler:^TestCombinedLeadershipFaults$/^back_and_forth$",
+		test:     "internal/scheduler:^TestCombinedLeadershipFaults$/^alternating_leaders$",
 	},
 	{
 		scenario: "ten leaders in two minutes",
@@ -62,7 +62,7 @@
 		scenario: "a zone is partitioned for longer than a lease, and release calls go unanswered",
 		marker:   "release-detaches-unsent-only",
 		operator: setCondition(true),
-		test:     "internal/scheduler:^TestCombinedLeadershipFaults$/^zone_cut$",
+		test:     "internal/scheduler:^TestCombinedLeadershipFaults$/^zone_partition$",
 	},
 	{
 		scenario: "a zone is partitioned, and a follower in it keeps its workers alive",
@@ -98,7 +98,7 @@
 		scenario: "a leader is partitioned from the key-value store and its peers, and its successor learns of cancellations during recovery",
 		marker:   "recovered-attempt-of-cancelled-job",
 		operator: dropOperands(2, 0),
-		test:     "internal/scheduler:^TestCombinedLeadershipFaults$/^leader_cut$",
+		test:     "internal/scheduler:^TestCombinedLeadershipFaults$/^leader_partition$",
 	},
 	{
 		scenario: "a job is cancelled while its machine is scaled in, and the cloud does not answer",
@@ -110,6 +110,6 @@
 		scenario: "a job is cancelled while its machine is scaled in, and the key-value store refuses the leader alone and then everybody",
 		marker:   "stops-while-releasing",
 		operator: remove(),
-		test:     "internal/scheduler:^TestCombinedLeadershipFaults$/^given_back_without_an_answer$",
+		test:     "internal/scheduler:^TestCombinedLeadershipFaults$/^release_unanswered$",
 	},
 }
--- a/internal/scheduler/assignments_test.go
+++ b/internal/scheduler/assignments_test.go
@@ -14,8 +14,8 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// A round's starts on many machines take one change; what is left of batches is
-// written again elsewhere before they are deleted, and nothing is left in the end.
+// The assignments of a placement round on many machines take one change; what is left of
+// batches is written again before they are deleted, and nothing is left in the end.
 func TestAssignmentBatchesAreCompactedAndDeleted(t *testing.T) {
 	h := newHarness(t, false, nil, nil)
 	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 8, CPUsMax: 1000}
@@ -37,7 +37,7 @@
 		t.Fatalf("%d tasks recorded in %d values", h.recordedAttempts(), n)
 	}
 	h.answerAll(CallExecuted)
-	// A machine of the batch goes: a new leader would look for it.
+	// A machine of the batch is released: a new leader would wait for it.
 	var gone string
 	for _, m := range h.scheduler.sortedMachines() {
 		if len(m.tasks) > 0 {
@@ -85,12 +85,12 @@
 		h.answerAll(CallExecuted)
 	}
 	if n := batches(); n != 0 {
-		t.Errorf("%d batches are left of nothing", n)
+		t.Errorf("%d batches are left though no attempt is", n)
 	}
 }
 
-// The estimate of a batch's size is never below its size, whatever is in it, and
-// what was written is read back as it was.
+// The estimate of a batch's size is never below its size, whatever is in it, and what was
+// written is restored as it was.
 func TestAssignmentBatchFitsValueLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(Now{}, Settings{}, 1, NewReplica(), nil, nil, nil)
@@ -104,26 +104,26 @@
 			}
 			machines = append(machines, m)
 		}
-		w := newBatchEncoder(limit)
+		encoder := newBatchEncoder(limit)
 		number := rapid.Uint64Range(0, 1<<62).Draw(t, "number")
 		for i := range rapid.IntRange(1, 400).Draw(t, "tasks") {
 			m := machines[rapid.IntRange(0, len(machines)-1).Draw(t, "on")]
 			j := &job{id: fmt.Sprintf("run-%06d", rapid.IntRange(0, 5).Draw(t, "job"))}
 			number += rapid.Uint64Range(1, 3).Draw(t, "step")
-			if !w.add(&attempt{ref: taskRef{j.id, i + 99000}, job: j, machine: m, number: number}) {
+			if !encoder.add(&attempt{ref: taskRef{j.id, i + 99000}, job: j, machine: m, number: number}) {
 				break
 			}
 		}
-		batch := w.finish()
+		batch := encoder.finish()
 		raw, err := wire.Marshal(batch)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if size := wire.JSONSize(batch); size > limit || size > w.size {
-			t.Fatalf("%d tasks take %d bytes of %d, thought %d", len(w.attempts), size, limit, w.size)
+		if size := wire.JSONSize(batch); size > limit || size > encoder.size {
+			t.Fatalf("%d tasks take %d bytes of %d, estimated %d", len(encoder.attempts), size, limit, encoder.size)
 		}
 		next := New(Now{}, Settings{}, l.term+1, NewReplica(), nil, []wire.KeyValue{{Key: records.BatchKey(1, 1), Value: raw, ModRevision: 3}}, nil)
-		for _, a := range w.attempts {
+		for _, a := range encoder.attempts {
 			m := next.cluster.machines[a.machine.name]
 			if m == nil || m.machineType != a.machine.machineType || m.spot != a.machine.spot || m.address != a.machine.address {
 				t.Fatalf("machine read back as %+v", m)
--- a/internal/scheduler/combined_faults_test.go
+++ b/internal/scheduler/combined_faults_test.go
@@ -5,20 +5,18 @@
 	"strings"
 	"testing"
 	"time"
-
-	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Two troubles that meet, with generated times, around services that are cancelled
-// meanwhile: the rules hold in each world, and in some the checker finds them broken
-// once the guard that the meeting is about is taken out.
+// Two faults at once, at random times, around services that are cancelled meanwhile: the rules
+// hold in each simulation, and in some the checker finds them broken once the safeguard that
+// the scenario is about is taken out.
 func TestCombinedFaults(t *testing.T) {
-	for _, m := range []struct {
-		name  string
-		guard safeguard
-		meet  func(sim *simulation, leader *simController)
+	for _, scenario := range []struct {
+		name      string
+		safeguard safeguard
+		inject    func(sim *simulation, leader *simController)
 	}{
-		{"the state service refuses the leader alone, then everybody for longer than a cancellation has, and a peer starts anew", keepaliveBoundByWatermark,
+		{"the key-value store refuses the leader alone, then everybody for longer than the cancellation bound, and a peer restarts", keepaliveBoundByWatermark,
 			func(sim *simulation, leader *simController) {
 				leader.refusedUntil = sim.now + 10*time.Second
 				sim.after(sim.randomDuration(1000, 1500), func() {
@@ -32,14 +30,14 @@
 				})
 				sim.after(70*time.Second, func() { sim.kvStore.SetUnavailable(sim.now, false) })
 			}},
-		{"the same, and all peers live", peerCancellationLists,
+		{"the same, and all peers stay up", peerCancellationLists,
 			func(sim *simulation, leader *simController) {
 				leader.refusedUntil = sim.now + 10*time.Second
 				sim.after(sim.randomDuration(100, 1500), sim.cancelHalfOfServices)
 				sim.after(sim.randomDuration(1600, 2200), func() { sim.kvStore.SetUnavailable(sim.now, true) })
 				sim.after(70*time.Second, func() { sim.kvStore.SetUnavailable(sim.now, false) })
 			}},
-		{"a leader that no worker reaches is then cut off from the node that they come to", enforcedWatermark,
+		{"a leader that no worker reaches is then partitioned from the controller that they reach", enforcedWatermark,
 			func(sim *simulation, leader *simController) {
 				leader.workersUnreachableUntil = sim.now + 60*time.Second
 				sim.after(sim.randomDuration(50, 200), sim.cancelHalfOfServices)
@@ -56,9 +54,9 @@
 					sim.zonePartitionedUntil[zone] = sim.now + 60*time.Second
 				})
 			}},
-		{"a leader stands still, and is cut off with its zone when it goes on; the cloud is down", watermarkAtReading,
+		{"a leader is paused, and partitioned with its zone when it resumes; the cloud is down", watermarkAtReading,
 			func(sim *simulation, leader *simController) {
-				sim.cloudDown = true // or the zone's machines would be given back in time
+				sim.cloudDown = true // or the zone's machines would be released in time
 				leader.pausedUntil = sim.now + sim.randomDuration(4000, 9000)
 				sim.after(sim.randomDuration(50, 200), func() {
 					sim.zonePartitionedUntil[sim.zoneOf(leader.name)] = sim.now + 60*time.Second
@@ -71,20 +69,19 @@
 				})
 			}},
 	} {
-		t.Run(m.name, func(t *testing.T) {
+		t.Run(scenario.name, func(t *testing.T) {
 			broken := func(without safeguard, seed uint64) string {
 				sim := newSimulation(seed)
 				sim.disabled = without
 				for i := range 8 {
 					sim.after(time.Duration(i)*100*time.Millisecond, func() {
-						sim.submit(&wire.Job{ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: []string{"red", "blue"}[i%2], Shape: wire.ShapeService,
-							Priority: wire.PriorityProduction, Tasks: 3, CPUs: 1, MemoryGB: 2, Image: "img", ImageGB: 1})
+						sim.submit(sim.serviceJob(fmt.Sprintf("run-%06d", i), 3))
 					})
 				}
 				sim.after(20*time.Second+sim.randomDuration(0, 2000), func() {
 					for _, c := range sim.controllers {
 						if c.scheduler != nil {
-							m.meet(sim, c)
+							scenario.inject(sim, c)
 						}
 					}
 				})
@@ -96,19 +93,19 @@
 				if b := broken(noSafeguard, seed); b != "" {
 					t.Fatalf("seed %d: %s", seed, b)
 				}
-				if broken(m.guard, seed) != "" {
+				if broken(scenario.safeguard, seed) != "" {
 					caught++
 				}
 			}
 			if caught == 0 {
-				t.Error("without its guard no world breaks a rule: the meeting shows nothing")
+				t.Error("without its safeguard no simulation breaks a rule: the scenario shows nothing")
 			}
-			t.Logf("without the guard, %d of 25 worlds break a rule", caught)
+			t.Logf("without the safeguard, %d of 25 simulations break a rule", caught)
 		})
 	}
 }
 
-// randomDuration draws a time in milliseconds.
+// randomDuration draws a duration, with both bounds in milliseconds.
 func (sim *simulation) randomDuration(from, to int) time.Duration {
 	return time.Duration(from+sim.rng.IntN(to-from)) * time.Millisecond
 }
--- a/internal/scheduler/fencing_test.go
+++ b/internal/scheduler/fencing_test.go
@@ -8,8 +8,9 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Attempts' numbers and tokens of a term never reach those of the next: a leader that has
-// counted far resigns, and until then it numbers no more attempts than there are.
+// The attempt numbers and fencing tokens of a term never reach those of the next: a leader
+// whose counters are nearly used up resigns, and until then it makes no attempt without a
+// number of its own.
 func TestFencingCountersStayWithinTerm(t *testing.T) {
 	resigns := func(h *harness) bool {
 		h.now += tuning.TickInterval
@@ -29,7 +30,7 @@
 		h.bringUp("n-1")
 		h.scheduler.cluster.machines["n-1"].fencing.counter = uint64(used)
 		if got := resigns(h); got != want {
-			t.Errorf("fence %v: resigned %v", used, got)
+			t.Errorf("fencing counter %v: resigned %v", used, got)
 		}
 	}
 
--- a/internal/scheduler/heartbeat_test.go
+++ b/internal/scheduler/heartbeat_test.go
@@ -11,8 +11,8 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Reports that contradict themselves, each other and all that was ever placed change
-// nothing that the books could not bear, and end neither the process nor the lead.
+// Heartbeats that contradict themselves, each other and all that was ever placed leave the
+// sums of the cluster's state right, and end neither the process nor leadership.
 func TestContradictoryHeartbeatsKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		h := newHarness(t, false, nil, nil)
@@ -29,20 +29,20 @@
 				Cause:   rapid.SampledFrom([]string{"", "odd", wire.CauseDone, wire.CauseError, wire.CauseStopped, wire.CauseNoCapacity, wire.CauseUnknown}).Draw(r, "cause"),
 			}
 		})
-		for range rapid.IntRange(1, 30).Draw(r, "reports") {
-			rep := &wire.Heartbeat{Machine: rapid.SampledFrom([]string{"n-1", "n-2", "n-9"}).Draw(r, "machine"), Address: "a:1",
+		for range rapid.IntRange(1, 30).Draw(r, "heartbeats") {
+			heartbeat := &wire.Heartbeat{Machine: rapid.SampledFrom([]string{"n-1", "n-2", "n-9"}).Draw(r, "machine"), Address: "a:1",
 				Type: rapid.SampledFrom([]string{"box", "none", ""}).Draw(r, "type"), Zone: rapid.SampledFrom([]string{"a", "b", "none"}).Draw(r, "zone"),
-				Incarnation: rapid.Uint64Range(1, 4).Draw(r, "session"), Sequence: rapid.Uint64Range(0, 40).Draw(r, "tick"),
+				Incarnation: rapid.Uint64Range(1, 4).Draw(r, "incarnation"), Sequence: rapid.Uint64Range(0, 40).Draw(r, "sequence"),
 				FencingToken: rapid.SampledFrom([]uint64{0, 7, h.scheduler.term << tuning.FencingBits, h.scheduler.term<<tuning.FencingBits | 9, 1<<64 - 1}).Draw(r, "token"),
 				Tasks:        rapid.SliceOfN(task, 0, 6).Draw(r, "tasks")}
 			h.now += time.Duration(rapid.IntRange(1, 3000).Draw(r, "ms")) * time.Millisecond
-			h.heartbeat("n-4") // a sound one: a leader that hears nothing new resigns
+			h.heartbeat("n-4") // a sound one: a leader without heartbeats resigns
 			if rapid.Bool().Draw(r, "direct") && len(h.calls) > 0 {
 				c := h.calls[0]
 				h.calls = h.calls[1:]
-				h.scheduler.CallDone(h.clock(), c.ID, CallResult(rapid.IntRange(0, 2).Draw(r, "result")), rep)
+				h.scheduler.CallDone(h.clock(), c.ID, CallResult(rapid.IntRange(0, 2).Draw(r, "result")), heartbeat)
 			} else {
-				h.scheduler.Heartbeat(h.clock(), rep)
+				h.scheduler.Heartbeat(h.clock(), heartbeat)
 			}
 			h.scheduler.Tick(h.clock())
 			h.settle() // fails the test if the leader resigns
@@ -53,8 +53,8 @@
 	})
 }
 
-// Nothing is started before its machine's record has it, and nothing at all
-// while the state service takes no writes.
+// Nothing is started before a record has it, and nothing at all while the key-value store
+// takes no writes.
 func TestNoDispatchBeforeAssignmentIsRecorded(t *testing.T) {
 	h := newHarness(t, false, nil, nil)
 	h.bringUp("n-1")
@@ -71,9 +71,9 @@
 	}
 }
 
-// An unacknowledged start is sent again, with the same attempt, at growing
-// intervals, until the budget is spent; then it is stopped under a higher token
-// and placed again only when a report under that token shows it gone.
+// A start that is not acknowledged is sent again, with the same attempt, at growing
+// intervals, until the deadline for it; then it is stopped under a higher fencing token, and
+// placed again only when a heartbeat under that token proves it absent.
 func TestUnacknowledgedDispatchIsRetriedThenFenced(t *testing.T) {
 	h := newHarness(t, false, nil, nil)
 	h.bringUp("n-1")
@@ -88,7 +88,7 @@
 			for _, o := range c.Body.Commands {
 				if o.Verb == wire.VerbRun {
 					if o.Attempt != first.Attempt {
-						t.Fatalf("probe with another attempt: %v", o)
+						t.Fatalf("retry with another attempt: %v", o)
 					}
 					at = append(at, h.now-begun)
 					token = c.Body.FencingToken
@@ -98,20 +98,20 @@
 		h.answerAll(CallLost)
 		h.now += tuning.TickInterval
 		m := h.scheduler.cluster.machines["n-1"]
-		h.scheduler.monitor.lastHeartbeatAt, m.connectivity.lastHeartbeatAt, m.connectivity.unreachableSince = h.now, h.now, 0 // neither silence nor deafness is the matter here
+		h.scheduler.monitor.lastHeartbeatAt, m.connectivity.lastHeartbeatAt, m.connectivity.unreachableSince = h.now, h.now, 0 // the machine is neither silent nor unreachable
 		h.scheduler.Tick(h.clock())
 		h.settle()
 	}
 	if len(at) < 3 || len(at) > tuning.DispatchRetryCount+1 {
-		t.Fatalf("probes at %v", at)
+		t.Fatalf("dispatches at %v", at)
 	}
 	for i := 2; i < len(at); i++ {
 		if at[i]-at[i-1] < at[i-1]-at[i-2] {
-			t.Fatalf("probes at %v do not slow down", at)
+			t.Fatalf("dispatches at %v do not slow down", at)
 		}
 	}
 	if last := at[len(at)-1]; last > 30*time.Second || h.now-begun < 30*time.Second {
-		t.Fatalf("last probe after %v, given up after %v, budget 30 s", last, h.now-begun)
+		t.Fatalf("last dispatch after %v, given up after %v, budget 30 s", last, h.now-begun)
 	}
 	stopped := false
 	for _, c := range h.calls {
@@ -123,9 +123,9 @@
 		t.Fatalf("no stop under a higher token: %+v", h.calls)
 	}
 	h.answerAll(CallLost)
-	h.heartbeatWithToken("n-1", token) // does not list it, but under the old token
+	h.heartbeatWithToken("n-1", token) // does not list it, but under the token before
 	if len(h.scheduler.cluster.machines["n-1"].tasks) != 1 {
-		t.Fatal("taken for gone without proof")
+		t.Fatal("removed without a proof of absence")
 	}
 	h.heartbeat("n-1")
 	h.advance(time.Second, "n-1")
@@ -135,7 +135,7 @@
 	}
 }
 
-// A report that overtakes the answer which carried a start proves nothing.
+// A heartbeat that overtakes the reply which carried a start proves nothing.
 func TestOvertakenReplyDoesNotProveAbsence(t *testing.T) {
 	h := newHarness(t, false, nil, nil)
 	h.bringUp("n-1")
@@ -145,15 +145,15 @@
 	direct := h.newHeartbeat("n-1", h.fencingToken("n-1"))
 	direct.Sequence = a.start.replySequence + 1
 	if h.scheduler.provenAbsent(a, direct, leaderInitiated) {
-		t.Error("a direct answer counts as proof against a start in a report's answer")
+		t.Error("the reply to a direct call counts as proof against a start in a heartbeat's reply")
 	}
 	if !h.scheduler.provenAbsent(a, direct, workerInitiated) {
-		t.Error("the next report does not count as proof")
+		t.Error("the next heartbeat does not count as proof")
 	}
 }
 
-// A done task is forgotten only when it is durably done, and always under a
-// higher token than its start had.
+// The worker is told to forget a done task only when that is durable, and always under a
+// higher token than the start had.
 func TestForgetOnlyAfterDurableCompletion(t *testing.T) {
 	h := newHarness(t, false, nil, nil)
 	h.bringUp("n-1")
@@ -187,8 +187,8 @@
 	}
 }
 
-// A new attempt is not sent to a machine that still lists an ended one of the
-// same task: a late copy of the old start could run beside it elsewhere.
+// A new attempt is not sent to a machine that still lists an ended one of the same task: a
+// late duplicate of the earlier start could run beside it elsewhere.
 func TestNoDispatchBesideEndedAttempt(t *testing.T) {
 	h := newHarness(t, false, nil, nil)
 	h.bringUp("n-1")
@@ -211,8 +211,8 @@
 	}
 }
 
-// A job that fails wherever it runs is tried at growing intervals and blames no
-// machine for good; a machine on which unrelated jobs fail is avoided.
+// A job that fails wherever it runs is retried at growing intervals and puts no machine in
+// quarantine; a machine on which unrelated jobs fail goes there.
 func TestFailingJobBacksOffAndFaultyMachineIsQuarantined(t *testing.T) {
 	h := newHarness(t, false, nil, nil)
 	h.bringUp("n-1")
@@ -228,10 +228,10 @@
 		h.advance(tuning.TickInterval, "n-1")
 	}
 	if tries < 4 || tries > 10 {
-		t.Errorf("%d tries in a minute", tries)
+		t.Errorf("%d attempts in a minute", tries)
 	}
 	if h.scheduler.cluster.machines["n-1"].quarantine.until > h.now {
-		t.Error("one failing job made its machine suspect")
+		t.Error("one failing job put its machine in quarantine")
 	}
 	h.submit(wire.Job{ID: "run-000002", Tasks: 1, CPUs: 1})
 	for _, c := range h.calls {
@@ -243,16 +243,16 @@
 		}
 	}
 	if h.scheduler.cluster.machines["n-1"].quarantine.until <= h.now {
-		t.Error("two unrelated failing jobs did not")
+		t.Error("two unrelated failing jobs did not put it in quarantine")
 	}
 	if f := h.scheduler.Failures(0, 1); len(f) != 1 || f[0].Task != "run-000002/0" || f[0].Cause != wire.CauseError {
 		t.Errorf("failures: %+v", f)
 	}
 }
 
-// A machine whose reports arrive while nothing reaches it gets no new work; what
-// was placed there counts until it is proven gone, and it is given back. Without
-// the guard, every start that goes there waits out its whole budget.
+// A machine whose heartbeats arrive while nothing reaches it gets no new work; what was
+// placed there counts until it is proven absent, and the machine is released. Else every
+// start that goes there would wait until its deadline.
 func TestUnreachableMachineGetsNoWorkAndIsReleased(t *testing.T) {
 	h := newHarness(t, false, nil, nil)
 	h.bringUp("n-1")
@@ -285,14 +285,14 @@
 	h.submit(wire.Job{ID: "run-000002", Tasks: 4, CPUs: 1})
 	runUnreachable(2*time.Second, "n-2")
 	if n := len(h.scheduler.cluster.machines["n-1"].tasks); n != 1 {
-		t.Fatalf("%d tasks on the deaf machine, 1 may be there", n)
+		t.Fatalf("%d tasks on the unreachable machine, 1 may be there", n)
 	}
 	if n := len(h.scheduler.cluster.machines["n-2"].tasks); n != 4 {
 		t.Errorf("%d of 4 tasks on the other", n)
 	}
 	runUnreachable(h.scheduler.settings.WorkerLease, "n-2")
 	if len(h.releases) != 1 || h.releases[0][0] != "n-1" {
-		t.Fatalf("given back: %v", h.releases)
+		t.Fatalf("released: %v", h.releases)
 	}
 	if n := len(h.scheduler.cluster.machines["n-2"].tasks); n != 4 {
 		t.Error("placed again before the release was answered")
@@ -305,8 +305,8 @@
 	}
 }
 
-// A machine that does not answer a start gets no more until it shows that it hears
-// us, though it reported just now.
+// A machine that does not answer a start gets no more until it shows that commands reach it,
+// though a heartbeat has just arrived.
 func TestNoNewWorkAfterUnansweredDispatch(t *testing.T) {
 	h := newHarness(t, false, nil, nil)
 	h.bringUp("n-1")
@@ -318,14 +318,14 @@
 	if n := len(h.scheduler.cluster.machines["n-1"].tasks); n != 1 {
 		t.Fatalf("%d tasks on a machine that did not answer", n)
 	}
-	h.advance(time.Second, "n-1") // under the token that it was told meanwhile
+	h.advance(time.Second, "n-1") // under the token that it got meanwhile
 	if n := len(h.scheduler.cluster.machines["n-1"].tasks); n != 2 {
-		t.Fatalf("%d tasks on a machine that hears us", n)
+		t.Fatalf("%d tasks on a machine that is reached", n)
 	}
 }
 
-// A worker's session that ends although it was answered says that the answers are
-// lost; a direct call that it answers says otherwise.
+// A worker's incarnation that ends although its heartbeats were answered shows that the
+// replies are lost; its answer to a direct call shows that it is reached.
 func TestLeaseExpiryDespiteRepliesMarksMachineUnreachable(t *testing.T) {
 	h := newHarness(t, false, nil, nil)
 	h.bringUp("n-1")
@@ -335,27 +335,27 @@
 	r.Incarnation = 2
 	h.scheduler.Heartbeat(h.clock(), r)
 	if m := h.scheduler.cluster.machines["n-1"]; m.connectivity.unreachableSince == 0 || h.scheduler.schedulable(m) {
-		t.Fatal("usable though its answers are lost")
+		t.Fatal("usable though replies to it are lost")
 	}
 	h.scheduler.Tick(h.clock())
 	h.settle()
 	if len(h.calls) != 1 {
-		t.Fatalf("not asked directly: %+v", h.calls)
+		t.Fatalf("not probed: %+v", h.calls)
 	}
 	answer := h.newHeartbeat("n-1", h.calls[0].Body.FencingToken)
 	answer.Incarnation = 2
 	h.scheduler.CallDone(h.clock(), h.calls[0].ID, CallExecuted, answer)
 	if m := h.scheduler.cluster.machines["n-1"]; m.connectivity.unreachableSince != 0 {
-		t.Error("still taken for deaf")
+		t.Error("still taken for unreachable")
 	}
 }
 
-// Copies of reports that come late prove nothing, change nothing, are no sign of
-// life, get no starts, and bring no machine back that was given back.
+// Duplicates of heartbeats that come late prove nothing, change nothing, do not show that the
+// machine is alive, get no starts, and bring no released machine back.
 func TestDuplicateLateHeartbeatsAreIgnored(t *testing.T) {
 	h := newHarness(t, false, nil, nil)
 	h.bringUp("n-1", "n-2")
-	early := h.newHeartbeat("n-1", h.fencingToken("n-1")) // before it had anything
+	early := h.newHeartbeat("n-1", h.fencingToken("n-1")) // before anything was placed
 	h.submit(wire.Job{ID: "run-000001", Tasks: 1, CPUs: 8})
 	h.answerAll(CallExecuted)
 	var m *machine
@@ -371,15 +371,15 @@
 	for _, copy := range []*wire.Heartbeat{early, {Machine: m.name, Address: m.address, Type: "box", Zone: "a", Incarnation: 0, Sequence: 99, FencingToken: early.FencingToken}} {
 		reply, ok := h.scheduler.Heartbeat(h.clock(), copy)
 		if !ok || len(reply.Commands) != 0 || len(m.tasks) != 1 || m.connectivity.lastHeartbeatAt != heard || h.scheduler.monitor.lastHeartbeatAt != any || m.heartbeats.incarnation != session {
-			t.Errorf("a late copy: %+v, %d tasks, heard %v then %v", reply, len(m.tasks), heard, m.connectivity.lastHeartbeatAt)
+			t.Errorf("a late duplicate: %+v, %d tasks, last heartbeat at %v then %v", reply, len(m.tasks), heard, m.connectivity.lastHeartbeatAt)
 		}
 	}
 	h.scheduler.Released(h.clock(), []string{m.name}, ReleaseDone)
 	if h.scheduler.Heartbeat(h.clock(), early); h.scheduler.cluster.machines[m.name] != nil {
-		t.Error("a machine that was given back is adopted by a late copy")
+		t.Error("a released machine is adopted for a late duplicate")
 	}
-	// To a new leader it is the first it hears: the machine may be there, but
-	// nothing is placed on it, and it goes back when nothing follows.
+	// To a new leader it is the first from that machine, which may be there; but nothing
+	// is placed on it, and it is released when nothing follows.
 	e := newHarness(t, false, nil, nil)
 	for i, token := range []uint64{0, (harnessTerm - 1) << tuning.FencingBits} {
 		first := *early
@@ -392,16 +392,16 @@
 	e.advance(3*e.scheduler.settings.WorkerLease, "n-6")
 	for _, name := range []string{"n-3", "n-4"} {
 		if x := e.scheduler.cluster.machines[name]; x != nil && len(x.tasks) > 0 {
-			t.Errorf("placed on %s on the word of a late copy", name)
+			t.Errorf("placed on %s for a late duplicate", name)
 		}
 	}
 	if len(e.releases) == 0 {
-		t.Error("never given back")
+		t.Error("never released")
 	}
 }
 
-// On a machine that will be taken, what may complete in time runs on; what may
-// not moves if there is room; shortly before the end everything is stopped.
+// On a machine whose interruption is announced, what may complete in time runs on; what may
+// not is moved if there is capacity elsewhere; shortly before the end everything is stopped.
 func TestSpotInterruptionDrainsMachine(t *testing.T) {
 	h := newHarness(t, false, nil, nil)
 	h.bringUp("n-1")
@@ -425,12 +425,12 @@
 		return stopped
 	}
 	if s := notice(15); s["run-000001"] || s["run-000002"] {
-		t.Errorf("stopped without room elsewhere: %v", s)
+		t.Errorf("stopped without capacity elsewhere: %v", s)
 	}
 	h.now += 2 * tuning.FreeCapacityMemory
 	h.bringUp("n-2")
 	if s := notice(14); s["run-000001"] || !s["run-000002"] {
-		t.Errorf("with room elsewhere: %v", s)
+		t.Errorf("with capacity elsewhere: %v", s)
 	}
 	if s := notice(1); !s["run-000001"] {
 		t.Errorf("not stopped before the end: %v", s)
--- a/internal/scheduler/leadership_faults_test.go
+++ b/internal/scheduler/leadership_faults_test.go
@@ -10,19 +10,19 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Changes of leadership, outages and cuts that meet cancellations, with generated
-// times. No rule is broken, and once the troubles are over everything accepted runs,
-// or is gone if it was cancelled. internal/mutation takes out what keeps the rules.
+// Failovers, outages and partitions combined with cancellations, at random times: no rule is
+// broken, and once the faults are over everything accepted runs, or is gone if it was
+// cancelled. internal/mutation takes the safeguards out and sees this fail.
 func TestCombinedLeadershipFaults(t *testing.T) {
-	for _, m := range []struct {
-		name string
-		meet func(sim *simulation)
+	for _, scenario := range []struct {
+		name   string
+		inject func(sim *simulation)
 	}{
-		{"controllers_away", func(sim *simulation) {
-			// All controllers are away for about a lease or longer, ended or at a
-			// standstill, while machines hang or are cut off beyond that.
+		{"all_controllers_down", func(sim *simulation) {
+			// All controllers are down or paused for about a lease or longer, while
+			// machines hang or are partitioned for longer than that.
 			away := sim.randomDuration(9000, 20_000)
-			sim.cancelHalfOfServices() // at the end of the last, which has no time for the stops
+			sim.cancelHalfOfServices() // just before the last fails, which has no time for the stops
 			for range 2 {
 				name := sim.machineNames[sim.rng.IntN(len(sim.machineNames))]
 				sim.hungUntil[name] = sim.now + sim.randomDuration(3000, 11_000)
@@ -44,10 +44,10 @@
 			})
 			sim.after(away+sim.randomDuration(100, 4000), sim.cancelHalfOfServices)
 		}},
-		{"slow_then_refused", func(sim *simulation) {
+		{"slow_store_then_outage", func(sim *simulation) {
 			// Answers to watches take seconds, and jobs are cancelled right after they
-			// were accepted, before the state service refuses the leader alone and then
-			// everybody.
+			// were accepted, before the key-value store refuses the leader alone and
+			// then everybody.
 			sim.slowWatchUntil = sim.now + 10*time.Second
 			for i := range 30 {
 				id := fmt.Sprintf("run-%06d", 500+i)
@@ -58,16 +58,16 @@
 			}
 			sim.after(sim.randomDuration(3000, 5000), func() { sim.refuseLeaderThenOutage(sim.randomDuration(100, 2000)) })
 		}},
-		{"refused_then_out", func(sim *simulation) {
-			// Cancelled at the moment of the refusal, a second later nobody is served;
-			// the confirming node may fail, and answers to cancellations may be lost.
+		{"store_refuses_leader_then_outage", func(sim *simulation) {
+			// Jobs are cancelled at the moment of the refusal, and a second later nobody
+			// is served.
 			sim.refuseLeaderThenOutage(sim.randomDuration(900, 1100))
 			sim.after(sim.randomDuration(1, 100), sim.cancelHalfOfServices)
 		}},
-		{"refused_then_out_and_confirmer_fails", func(sim *simulation) {
+		{"store_outage_and_confirmer_fails", func(sim *simulation) {
 			apart := sim.randomDuration(100, 5000)
 			sim.refuseLeaderThenOutage(apart)
-			fate := sim.rng.IntN(8) // half of the time it lives
+			fault := sim.rng.IntN(8) // half of the time there is none
 			for range 6 {
 				id := fmt.Sprintf("run-%06d", sim.rng.IntN(8))
 				sim.after(sim.randomDuration(0, int(apart/time.Millisecond)), func() {
@@ -76,7 +76,7 @@
 						return
 					}
 					sim.after(sim.randomDuration(1, 1500), func() {
-						switch fate {
+						switch fault {
 						case 0:
 							c.crash(sim.randomDuration(1, 1000))
 						case 1:
@@ -98,9 +98,9 @@
 				})
 			}
 		}},
-		{"handover", func(sim *simulation) {
-			// Cancelled in the seconds in which the work changes hands: the leader
-			// ends, or stands still, or loses its lease.
+		{"repeated_failovers", func(sim *simulation) {
+			// Jobs are cancelled during failovers: the leader fails, or is paused, or
+			// loses its lease.
 			for i := range 5 {
 				sim.after(time.Duration(i)*sim.randomDuration(3500, 9000), func() {
 					c := sim.currentLeader()
@@ -121,9 +121,9 @@
 				})
 			}
 		}},
-		{"back_and_forth", func(sim *simulation) {
-			// Two lead by turns, all end, and one returns, also within a second; what
-			// they wrote may be carried out late.
+		{"alternating_leaders", func(sim *simulation) {
+			// Two controllers lead by turns, all fail, and one returns, also within a
+			// second; what they wrote may be executed late.
 			sim.lossRate, sim.delayRate, sim.duplicateRate, sim.heartbeatCopyRate = 0.05, 0.1, 0.2, 0.2
 			for i := range 4 {
 				sim.after(time.Duration(i)*sim.randomDuration(2700, 5000), func() {
@@ -147,7 +147,7 @@
 			sim.after(60*time.Second, func() { sim.lossRate, sim.delayRate, sim.duplicateRate, sim.heartbeatCopyRate = 0, 0, 0, 0 })
 		}},
 		{"ten_leaders", func(sim *simulation) {
-			// Ten leaders in two minutes; an outage falls among them.
+			// Ten leaders in two minutes, with an outage among them.
 			sim.lossRate, sim.delayRate, sim.duplicateRate, sim.heartbeatCopyRate = 0.03, 0.05, 0.1, 0.2
 			for i := range 10 {
 				sim.after(time.Duration(i)*11*time.Second+sim.randomDuration(0, 5000), func() {
@@ -164,12 +164,13 @@
 			})
 			sim.after(118*time.Second, func() { sim.lossRate, sim.delayRate, sim.duplicateRate, sim.heartbeatCopyRate = 0, 0, 0, 0 })
 		}},
-		{"zone_cut", func(sim *simulation) {
-			// A zone with workers and controllers is cut off for longer than a lease,
-			// with the leader in it or not, while jobs are cancelled on either side.
+		{"zone_partition", func(sim *simulation) {
+			// A zone with workers and controllers is partitioned for longer than a
+			// lease, with the leader in it or not, while jobs are cancelled on either
+			// side.
 			zone := []string{"a", "b"}[sim.rng.IntN(2)]
 			if sim.rng.IntN(4) > 0 {
-				sim.cloudUnresponsiveUntil = sim.now + 60*time.Second // what is given back is not proven gone
+				sim.cloudUnresponsiveUntil = sim.now + 60*time.Second // releases prove nothing
 			}
 			for range 3 {
 				sim.after(sim.randomDuration(0, 25_000), sim.cancelRandomService)
@@ -191,9 +192,9 @@
 				})
 			}
 		}},
-		{"leader_cut", func(sim *simulation) {
-			// The leader is cut from the state service and the others, not from workers
-			// and users; jobs are cancelled through its successor.
+		{"leader_partition", func(sim *simulation) {
+			// The leader is partitioned from the key-value store and its peers, not from
+			// workers and users; jobs are cancelled through its successor.
 			c := sim.currentLeader()
 			c.partitionedUntil = sim.now + sim.randomDuration(15_000, 70_000)
 			for range 3 {
@@ -201,9 +202,9 @@
 			}
 			sim.after(sim.randomDuration(3000, 20_000), sim.cancelRandomService)
 		}},
-		{"given_back_without_an_answer", func(sim *simulation) {
-			// Machines hang until they are given back, and go on within their lease;
-			// the cloud does not answer, and the leader's lease falls in doubt.
+		{"release_unanswered", func(sim *simulation) {
+			// Machines hang until they are released, and resume within their lease; the
+			// cloud does not answer, and the leader's lease is in doubt.
 			sim.cloudUnresponsiveUntil = sim.now + 75*time.Second
 			for _, i := range sim.rng.Perm(len(sim.machineNames))[:max(1, len(sim.machineNames)/4)] {
 				sim.hungUntil[sim.machineNames[i]] = sim.now + sim.randomDuration(8000, 11_000)
@@ -214,7 +215,7 @@
 			})
 		}},
 	} {
-		t.Run(m.name, func(t *testing.T) {
+		t.Run(scenario.name, func(t *testing.T) {
 			broken := 0
 			for seed := range uint64(leadershipFaultSeeds) {
 				sim := newSimulation(100 + seed)
@@ -222,28 +223,28 @@
 					sim.after(time.Duration(i)*100*time.Millisecond, func() { sim.submit(sim.serviceJob(fmt.Sprintf("run-%06d", i), 3)) })
 				}
 				sim.submitArrays(120 * time.Second)
-				sim.after(20*time.Second+sim.randomDuration(0, 2000), func() { m.meet(sim) })
+				sim.after(20*time.Second+sim.randomDuration(0, 2000), func() { scenario.inject(sim) })
 				sim.after(150*time.Second, func() {
 					sim.faultsActive = false
 					sim.every(5*time.Second, func() { sim.pollAll() })
 				})
 				sim.run(210 * time.Second)
-				if fault := sim.firstFailure(); fault != "" {
+				if failure := sim.firstFailure(); failure != "" {
 					broken++
-					t.Errorf("seed %d: %s", seed, fault)
+					t.Errorf("seed %d: %s", seed, failure)
 				}
 			}
 			if broken > 0 {
-				t.Logf("%d of %d worlds", broken, leadershipFaultSeeds)
+				t.Logf("%d of %d simulations fail", broken, leadershipFaultSeeds)
 			}
 		})
 	}
 }
 
-// leadershipFaultSeeds is how many worlds a meeting is tried in.
+// leadershipFaultSeeds is how many simulations each combination of faults is injected into.
 const leadershipFaultSeeds = 12
 
-// serviceJob is a job of replicas for both teams by turns.
+// serviceJob is a job of replicas, for both teams by turns.
 func (sim *simulation) serviceJob(id string, tasks int) *wire.Job {
 	return &wire.Job{ID: id, Class: "c", Team: []string{"red", "blue"}[int(id[len(id)-1])%2], Shape: wire.ShapeService,
 		Priority: wire.PriorityProduction, Tasks: tasks, CPUs: 1, MemoryGB: 2, Image: "img", ImageGB: 1}
@@ -262,8 +263,8 @@
 	})
 }
 
-// currentLeader is the node that leads as far as the state service knows, or any that
-// believes so.
+// currentLeader is the controller that leads as far as the key-value store knows, or else any
+// that takes itself for the leader.
 func (sim *simulation) currentLeader() *simController {
 	var out *simController
 	for _, c := range sim.controllers {
@@ -274,8 +275,8 @@
 	return out
 }
 
-// refuseLeaderThenOutage has the state service refuse the leader alone for that long, and then
-// everybody for longer than a cancellation has.
+// refuseLeaderThenOutage has the key-value store refuse the leader alone for that long, and
+// then everybody for longer than the cancellation bound.
 func (sim *simulation) refuseLeaderThenOutage(alone time.Duration) {
 	if c := sim.currentLeader(); c != nil {
 		c.refusedUntil = sim.now + alone + time.Second
@@ -289,8 +290,9 @@
 // cancelRandomService cancels one of the services.
 func (sim *simulation) cancelRandomService() { sim.cancel(fmt.Sprintf("run-%06d", sim.rng.IntN(8))) }
 
-// cancelLosingReply cancels a job at a node, which it returns. In half of the cases only
-// the answer of the state service is lost, and the user is told by a repeated request.
+// cancelLosingReply cancels a job at a controller, which it returns. In half of the cases the
+// reply of the key-value store is lost, and a repeated request confirms the cancellation to
+// the user.
 func (sim *simulation) cancelLosingReply(id string) *simController {
 	if sim.rng.IntN(2) == 0 {
 		if it := sim.kvStore.Get(sim.now, records.JobKey(id)); it.ModRevision != 0 && sim.servingController() != nil {
@@ -315,7 +317,7 @@
 	}
 }
 
-// firstFailure says which rule is broken, or what is left undone.
+// firstFailure says which rule was broken, or which job is not served once the faults are over.
 func (sim *simulation) firstFailure() string {
 	if len(sim.checker.Violations) > 0 {
 		return strings.Join(sim.checker.Violations[:min(3, len(sim.checker.Violations))], "\n")
--- a/internal/scheduler/machine_faults_test.go
+++ b/internal/scheduler/machine_faults_test.go
@@ -10,9 +10,9 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// A new leader whose machine opens no connections, while direct commands reach it: it
-// asks until it is answered, goes on with the machine by its answers alone, starts and
-// stops there, keeps the lead and does not give the machine back.
+// A new leader has a machine that opens no connections, while direct calls reach it: it
+// probes until it is answered, goes on with the replies alone, starts and stops tasks there,
+// keeps leadership and does not release the machine.
 func TestMachineWithoutHeartbeatsIsDrivenByStatusProbes(t *testing.T) {
 	for seed := range uint64(10) {
 		rng := rand.New(rand.NewPCG(seed, 11))
@@ -27,7 +27,7 @@
 			on[name] = map[string]wire.TaskStatus{task: {Task: task, Attempt: 9, State: wire.TaskRunning}}
 		}
 		h := newHarness(t, false, live, storedRecords)
-		lost := rng.IntN(3) // first questions to n-1 that get no answer
+		lost := rng.IntN(3) // first status probes of n-1 that get no answer
 		spell := func(t time.Duration) {
 			for end := h.now + t; h.now < end; {
 				calls := h.calls
@@ -61,7 +61,7 @@
 		spell(15 * time.Second)
 		for _, m := range h.scheduler.cluster.machines {
 			if !m.confirmed || len(m.tasks) != 1 {
-				t.Fatalf("seed %d: %s is not confirmed by its answers", seed, m.name)
+				t.Fatalf("seed %d: %s is not confirmed by its replies", seed, m.name)
 			}
 		}
 		h.submit(wire.Job{ID: "run-000002", Tasks: 2, CPUs: 1})
@@ -83,14 +83,14 @@
 		h.submit(wire.Job{ID: "run-000003", Tasks: 1, CPUs: 1})
 		spell(40 * time.Second)
 		if len(h.releases) > 0 || len(h.scheduler.cluster.machines) != 2 {
-			t.Fatalf("seed %d: given back though it answers: %v", seed, h.releases)
+			t.Fatalf("seed %d: released though it answers: %v", seed, h.releases)
 		}
 	}
 }
 
-// A machine that nobody expected appears by its report. It is adopted, and what it has
-// with it counts from then on and is written down, or is stopped if it must not run: a
-// cancelled or ended job's task, one that is done, one that is elsewhere too.
+// A machine that nobody expected appears by its heartbeat. It is adopted. What runs on it
+// counts from then on and is recorded, or is stopped if it must not run: a task of a
+// cancelled or ended job, one that is done, one that is elsewhere too.
 func TestUnexpectedMachineIsAdopted(t *testing.T) {
 	done := records.NewBitmap(2)
 	done.Add(1)
@@ -119,7 +119,7 @@
 			}
 			h := newHarness(t, false, live, []wire.KeyValue{machineRecordItem(t, "n-1", records.LegacyMachine{Type: "box", Zone: "a", Address: "n-1:1",
 				Tasks: map[string][]records.AssignedTask{"run-000002": {{Index: 1, Attempt: 8}}, "run-000004": {{Index: 0, Attempt: 9}}}})})
-			h.calls = nil // n-1 is silent, so the cancelled job is live on
+			h.calls = nil // n-1 sends no heartbeat, so the cancelled job stays live
 			stops := 0
 			count := func(cmds []wire.Command) {
 				for _, o := range cmds {
@@ -146,18 +146,18 @@
 				t.Errorf("%d stops", stops)
 			}
 			if id, _, _ := wire.ParseTaskName(c.task); !c.stopped && (h.recordedAttempts() != 1 || len(h.scheduler.cluster.jobs[id].active[0]) != 1) {
-				t.Errorf("not counted, or not written down: %d", h.recordedAttempts())
+				t.Errorf("not counted, or not recorded: %d", h.recordedAttempts())
 			}
-			// Nothing of it is taken for gone, or placed elsewhere, by what is no newer.
+			// A heartbeat that is no newer removes nothing of it and has nothing placed elsewhere.
 			old := h.newHeartbeat("n-2", h.fencingToken("n-2"))
 			old.Sequence = 1
 			before := len(m.tasks)
 			if h.scheduler.Heartbeat(h.clock(), old); len(m.tasks) != before {
-				t.Error("a report that is no newer than the last changes something")
+				t.Error("a heartbeat that is no newer than the last changes something")
 			}
 		})
 	}
-	// Without tasks it is used, and given back when it is idle.
+	// Without tasks it is used, and released when it is idle.
 	h := newHarness(t, true, nil, nil)
 	h.heartbeat("n-1")
 	h.heartbeat("n-2")
@@ -167,7 +167,7 @@
 	}
 }
 
-// The answer of another machine, which has the address now, says nothing of ours.
+// The reply of another machine, which has the address now, says nothing of the one called.
 func TestReplyFromReusedAddressIsIgnored(t *testing.T) {
 	h := newHarness(t, false, nil, nil)
 	h.bringUp("n-1")
@@ -179,20 +179,20 @@
 	m := h.scheduler.cluster.machines["n-1"]
 	heard := m.connectivity.lastHeartbeatAt
 	if len(h.calls) == 0 {
-		t.Fatal("not asked though it is silent")
+		t.Fatal("not probed though its heartbeats are overdue")
 	}
 	c := h.calls[0]
 	other := h.newHeartbeat("n-2", c.Body.FencingToken)
 	other.Address, other.Sequence = m.address, 1000
 	h.scheduler.CallDone(h.clock(), c.ID, CallExecuted, other)
 	if len(m.tasks) != 1 || m.connectivity.lastHeartbeatAt != heard || m.calls.unansweredSinceHeartbeat == 0 {
-		t.Errorf("%d tasks, heard %v then %v, %d questions in vain", len(m.tasks), heard, m.connectivity.lastHeartbeatAt, m.calls.unansweredSinceHeartbeat)
+		t.Errorf("%d tasks, last heartbeat at %v then %v, %d unanswered calls", len(m.tasks), heard, m.connectivity.lastHeartbeatAt, m.calls.unansweredSinceHeartbeat)
 	}
 }
 
-// A worker's token of a later term ends a lead: 200 would hold the worker here while its
-// lease runs out. One that no leader can have given ends none; a report under it is not
-// answered, and changes nothing.
+// A worker's fencing token of a later term ends leadership: an answer would keep the worker
+// at this leader while its lease runs out. A token that no leader can have given does not; a
+// heartbeat under it is not answered, and changes nothing.
 func TestHigherFencingTokenEndsLeadership(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 13))
 	for range 20 {
@@ -214,17 +214,17 @@
 				call := h.scheduler.TakeEffects().DirectCalls[0]
 				h.scheduler.CallDone(h.clock(), call.ID, CallRefused, r)
 			} else if _, ok := h.scheduler.Heartbeat(h.clock(), r); ok {
-				t.Fatalf("a report %d terms ahead is answered", c.ahead)
+				t.Fatalf("a heartbeat %d terms ahead is answered", c.ahead)
 			}
 			if resign := h.scheduler.TakeEffects().Resign != ""; resign != c.resign || m.heartbeats.sequence != tick {
-				t.Fatalf("%d terms ahead, direct %v: resigns %v, tick %d then %d", c.ahead, c.direct, resign, tick, m.heartbeats.sequence)
+				t.Fatalf("%d terms ahead, direct %v: resigns %v, sequence %d then %d", c.ahead, c.direct, resign, tick, m.heartbeats.sequence)
 			}
 		}
 	}
 }
 
-// A start that is still on its way is stopped: from then on commands bear a higher token,
-// so that a worker which has seen the stop refuses the start, however late it comes.
+// A start that is still in flight is stopped: from then on commands bear a higher fencing
+// token, so that a worker which has seen the stop refuses the start, however late it comes.
 func TestDelayedStartIsFencedAfterStop(t *testing.T) {
 	h := newHarness(t, false, nil, nil)
 	h.bringUp("n-1")
@@ -238,8 +238,8 @@
 	if token := h.fencingToken("n-1"); token <= held {
 		t.Fatalf("token %d after the stop of a start under %d", token, held)
 	}
-	h.heartbeatWithToken("n-1", held) // does not list it, but under the old token
+	h.heartbeatWithToken("n-1", held) // does not list it, but under the token before
 	if len(h.scheduler.cluster.machines["n-1"].tasks) != 1 {
-		t.Fatal("taken for gone while its start is on its way")
+		t.Fatal("removed while its start is in flight")
 	}
 }
--- a/internal/scheduler/message_faults_test.go
+++ b/internal/scheduler/message_faults_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"strings"
 	"testing"
 	"time"
 
@@ -10,18 +9,17 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// messageFaultSeeds is how many worlds each meeting of reports, commands and machines is
-// brought about in.
+// messageFaultSeeds is how many simulations each combination of faults is injected into.
 const messageFaultSeeds = 25
 
-// Meetings of reports, commands and machines, with generated times: no rule is broken
-// in any world, every accepted array is completed and every service is complete again
-// once the troubles are over. internal/mutation takes the guards out and sees this fail.
+// Combined faults of heartbeats, commands and machines at random times: no rule is broken,
+// and once the faults are over every accepted array is completed and every service is
+// complete again. internal/mutation takes the safeguards out and sees this fail.
 func TestCombinedMessageFaults(t *testing.T) {
-	for _, m := range []struct {
-		name string
-		prep func(sim *simulation)
-		meet func(sim *simulation, leader *simController)
+	for _, scenario := range []struct {
+		name    string
+		prepare func(sim *simulation)
+		inject  func(sim *simulation, leader *simController)
 	}{
 		{"workers open no connections, while direct commands reach them", nil,
 			func(sim *simulation, leader *simController) {
@@ -36,19 +34,19 @@
 					sim.after(sim.randomDuration(0, 10_000), func() { leader.crash(sim.randomDuration(100, 3000)) })
 				}
 			}},
-		{"an old report reaches every controller just as a new leader begins", nil,
+		{"an old heartbeat reaches every controller just as a new leader begins", nil,
 			func(sim *simulation, leader *simController) {
 				sim.replayHeartbeatsToNewLeader(leader, 0, 20)
 			}},
-		{"a report is held back until a new leader has acted", nil,
+		{"a heartbeat is held back until a new leader has acted", nil,
 			func(sim *simulation, leader *simController) {
 				sim.replayHeartbeatsToNewLeader(leader, 300, 6000)
 			}},
-		{"an old report arrives after newer ones, from an earlier session or attempt too", nil,
+		{"an old heartbeat arrives after newer ones, from an earlier incarnation or attempt too", nil,
 			func(sim *simulation, leader *simController) {
 				for _, name := range sim.machineNames {
 					if sim.rng.IntN(3) == 0 {
-						sim.hungUntil[name] = sim.now + sim.randomDuration(3000, 20_000) // some into their next session
+						sim.hungUntil[name] = sim.now + sim.randomDuration(3000, 20_000) // some into their next incarnation
 					}
 				}
 				for range 40 {
@@ -56,7 +54,7 @@
 				}
 				sim.after(sim.randomDuration(0, 20_000), sim.cancelHalfOfServices)
 			}},
-		{"a command or its answer is held up, and the machine hangs and goes on", nil,
+		{"a command or its answer is delayed, and the machine hangs and resumes", nil,
 			func(sim *simulation, leader *simController) {
 				sim.delayRate, sim.duplicateRate, sim.maxCallDelayMS = 0.2, 0.4, 700
 				sim.failTasksOnHalfOfMachines()
@@ -71,7 +69,7 @@
 				}
 				sim.after(sim.randomDuration(0, 20_000), sim.cancelHalfOfServices)
 			}},
-		{"machines are up within two seconds and get work while writes lag, and the leader ends",
+		{"machines are up within two seconds and get work while writes lag, and the leader fails",
 			func(sim *simulation) { sim.maxWriteDelayMS = 3000 },
 			func(sim *simulation, leader *simController) {
 				for i := range 12 {
@@ -86,7 +84,7 @@
 					}
 				})
 			}},
-		{"a leader ends while machines with long tasks can't be reached or hear no answer", nil,
+		{"a leader fails while machines with long tasks are partitioned, one way or both", nil,
 			func(sim *simulation, leader *simController) {
 				for _, name := range sim.machineNames {
 					until := sim.now + sim.randomDuration(3000, 30_000)
@@ -100,7 +98,7 @@
 				sim.after(sim.randomDuration(0, 3000), func() { leader.crash(sim.randomDuration(100, 5000)) })
 				sim.after(sim.randomDuration(0, 8000), sim.cancelHalfOfServices)
 			}},
-		{"machines that nobody expected appear by their reports", nil,
+		{"machines that nobody expected appear by their heartbeats", nil,
 			func(sim *simulation, leader *simController) {
 				sim.cloudDown = true // the list does not show them
 				for range 4 {
@@ -112,32 +110,29 @@
 				sim.after(sim.randomDuration(8000, 20_000), func() { sim.cloudDown = false })
 			}},
 	} {
-		t.Run(m.name, func(t *testing.T) {
+		t.Run(scenario.name, func(t *testing.T) {
 			failed := 0
 			first := ""
 			for seed := range uint64(messageFaultSeeds) {
 				sim := newSimulation(seed)
-				if m.prep != nil {
-					m.prep(sim)
+				if scenario.prepare != nil {
+					scenario.prepare(sim)
 				}
 				for i := range 8 {
 					sim.after(time.Duration(i)*100*time.Millisecond, func() {
-						sim.submit(&wire.Job{ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: []string{"red", "blue"}[i%2], Shape: wire.ShapeService,
-							Priority: wire.PriorityProduction, Tasks: 2, CPUs: 1, MemoryGB: 2, Image: "img", ImageGB: 1, SpreadZones: i%3 == 0})
+						service := sim.serviceJob(fmt.Sprintf("run-%06d", i), 2)
+						service.SpreadZones = i%3 == 0
+						sim.submit(service)
 					})
 				}
 				for i := range 30 {
 					sim.after(time.Duration(i)*2*time.Second+sim.randomDuration(0, 1500), func() { sim.submitArray(100+i, 1+sim.rng.IntN(3)) })
 				}
-				sim.every(time.Second, func() {
-					for _, j := range sim.jobs {
-						sim.pollJob(j.ID)
-					}
-				})
+				sim.every(time.Second, sim.pollAll)
 				sim.after(20*time.Second+sim.randomDuration(0, 2000), func() {
 					for _, c := range sim.controllers {
 						if c.scheduler != nil {
-							m.meet(sim, c)
+							scenario.inject(sim, c)
 							return
 						}
 					}
@@ -146,23 +141,23 @@
 					sim.faultsActive, sim.delayRate, sim.duplicateRate, sim.maxWriteDelayMS, sim.maxCallDelayMS = false, 0, 0, 0, 0
 				})
 				sim.run(185 * time.Second)
-				if wrong := sim.firstViolation(); wrong != "" {
+				if failure := sim.firstFailure(); failure != "" {
 					failed++
 					if first == "" {
-						first = fmt.Sprintf("seed %d: %s", seed, wrong)
+						first = fmt.Sprintf("seed %d: %s", seed, failure)
 					}
 				}
 			}
 			if failed > 0 {
-				t.Errorf("%d of %d worlds; the first: %s", failed, messageFaultSeeds, first)
+				t.Errorf("%d of %d simulations; the first: %s", failed, messageFaultSeeds, first)
 			}
 		})
 	}
 }
 
-// Jobs of two or three tasks end far apart across changes of the leader, while writes
-// lag and copies of reports come late: none is called done early, all become done, and
-// no task starts again that has completed.
+// The tasks of small jobs end far apart from each other across failovers, while writes lag
+// and duplicates of heartbeats come late: no job is done early, all become done, and no task
+// starts again that has completed.
 func TestSpreadCompletionsSurviveFailovers(t *testing.T) {
 	starts, repeated := 0, 0
 	for seed := range uint64(messageFaultSeeds) {
@@ -175,11 +170,7 @@
 					Priority: wire.PriorityNormal, Tasks: 2 + i%2, CPUs: 1, MemoryGB: 2, Image: "img", ImageGB: 1, EstimatedRunS: 20})
 			})
 		}
-		sim.every(time.Second, func() {
-			for _, j := range sim.jobs {
-				sim.pollJob(j.ID)
-			}
-		})
+		sim.every(time.Second, sim.pollAll)
 		for i := range 6 {
 			sim.after(time.Duration(8+9*i)*time.Second+sim.randomDuration(0, 4000), func() {
 				for _, c := range sim.controllers {
@@ -191,8 +182,8 @@
 		}
 		sim.after(75*time.Second, func() { sim.maxWriteDelayMS, sim.heartbeatCopyRate = 0, 0 })
 		sim.run(180 * time.Second)
-		if wrong := sim.firstViolation(); wrong != "" {
-			t.Fatalf("seed %d: %s", seed, wrong)
+		if failure := sim.firstFailure(); failure != "" {
+			t.Fatalf("seed %d: %s", seed, failure)
 		}
 		starts, repeated = starts+sim.checker.Starts, repeated+sim.checker.RepeatedStarts
 	}
@@ -203,48 +194,31 @@
 	}
 }
 
-// firstViolation says which rule was broken, or what was not served once the troubles were over.
-func (sim *simulation) firstViolation() string {
-	if len(sim.checker.Violations) > 0 {
-		return strings.Join(sim.checker.Violations[:min(3, len(sim.checker.Violations))], "\n")
-	}
-	for _, j := range sim.jobs {
-		switch state := sim.pollJob(j.ID); {
-		case state == wire.JobCancelled && sim.checker.PlacedTasks(j.ID) == 0:
-		case state == wire.JobDone && !j.Service():
-		case state == wire.JobPending && j.Service() && sim.checker.PlacedTasks(j.ID) == j.Tasks:
-		default:
-			return fmt.Sprintf("unserved: %s is %s with %d of %d tasks on machines", j.ID, state, sim.checker.PlacedTasks(j.ID), j.Tasks)
-		}
-	}
-	return ""
-}
-
-// submitArray submits an array whose tasks end far apart from each other in some worlds.
+// submitArray submits an array whose tasks end far apart from each other in some simulations.
 func (sim *simulation) submitArray(i, tasks int) {
 	sim.submit(&wire.Job{ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: []string{"red", "blue"}[i%2], Shape: wire.ShapeArray,
 		Priority: []string{wire.PriorityUrgent, wire.PriorityNormal, wire.PriorityIdle}[i%3], Tasks: tasks, CPUs: float64(1 + i%3), MemoryGB: 2,
 		Image: fmt.Sprintf("img-%d", i%3), ImageGB: 1, EstimatedRunS: 8, Spot: i%4 == 0, SameZone: i%5 == 0})
 }
 
-// submitGang submits a gang: when a member ends, the others are stopped, also those
-// whose start is still on its way.
+// submitGang submits a gang: when a member ends, the others are stopped, also those whose
+// start is still in flight.
 func (sim *simulation) submitGang(i int) {
 	sim.submit(&wire.Job{ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: []string{"red", "blue"}[i%2], Shape: wire.ShapeGang,
 		Priority: wire.PriorityNormal, Tasks: 3, CPUs: 1, MemoryGB: 2, Image: fmt.Sprintf("img-%d", i%3), ImageGB: 0.2, EstimatedRunS: 8})
 }
 
-// failTasksOnHalfOfMachines makes tasks fail on half of the machines, until the troubles are over.
+// failTasksOnHalfOfMachines makes tasks fail on half of the machines, until the faults are over.
 func (sim *simulation) failTasksOnHalfOfMachines() {
 	for _, name := range sim.machineNames {
 		sim.faultyMachines[name] = sim.rng.IntN(2) == 0
 	}
 }
 
-// replayHeartbeatsToNewLeader keeps reports of each machine from the seconds before the leader ends,
-// until a new one has been there for some milliseconds, and then brings them to every
-// controller. Half of the machines can't be reached meanwhile, so that the old report
-// is all that the new leader has of them.
+// replayHeartbeatsToNewLeader keeps heartbeats of each machine from the seconds before the
+// leader fails until a new one has led for some milliseconds, and then delivers them to every
+// controller. Half of the machines are partitioned meanwhile, so that the old heartbeat is
+// all that the new leader has of them.
 func (sim *simulation) replayHeartbeatsToNewLeader(leader *simController, from, to int) {
 	var kept []wire.Heartbeat
 	take := func() {
@@ -284,7 +258,7 @@
 	})
 }
 
-// duplicateHeartbeats brings a report of each machine to every controller after a while.
+// duplicateHeartbeats delivers a heartbeat of each machine to every controller after a while.
 func (sim *simulation) duplicateHeartbeats(late time.Duration) {
 	for _, wk := range sim.respondingWorkers() {
 		r := wk.Heartbeat(sim.now)
@@ -296,7 +270,7 @@
 	}
 }
 
-// respondingWorkers are the workers that are there and do not hang.
+// respondingWorkers are the workers that are up and do not hang.
 func (sim *simulation) respondingWorkers() (out []*simulator.Worker) {
 	for _, name := range sim.machineNames {
 		if wk := sim.workers[name]; !wk.Terminated && sim.hungUntil[name] <= sim.now {
