--- a/internal/scheduler/dispatch.go
+++ b/internal/scheduler/dispatch.go
@@ -1,6 +1,9 @@
 package scheduler
 
 import (
+	"iter"
+	"maps"
+	"slices"
 	"time"
 
 	"github.com/yarrowgap/yarrowgap/internal/reconcile"
@@ -30,6 +33,19 @@
 // shares one call.
 func (d *dispatchState) markDue(m *machine) { d.machinesDue[m.name] = true }
 
+// takeDue yields the names of the machines that commands are due for, in order. Each stays
+// marked until its turn, so that no status probe goes to it before its commands.
+func (d *dispatchState) takeDue() iter.Seq[string] {
+	return func(yield func(string) bool) {
+		for _, name := range slices.Sorted(maps.Keys(d.machinesDue)) {
+			delete(d.machinesDue, name)
+			if !yield(name) {
+				return
+			}
+		}
+	}
+}
+
 // exchange says who opened the connection by which commands and a heartbeat pass.
 type exchange int
 
--- a/internal/scheduler/tick.go
+++ b/internal/scheduler/tick.go
@@ -1,8 +1,6 @@
 package scheduler
 
 import (
-	"maps"
-	"slices"
 	"time"
 
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
@@ -59,8 +57,7 @@
 
 // sendToMachinesDue sends commands to the machines that were marked for it.
 func (s *Scheduler) sendToMachinesDue() {
-	for _, name := range slices.Sorted(maps.Keys(s.dispatcher.machinesDue)) {
-		delete(s.dispatcher.machinesDue, name)
+	for name := range s.dispatcher.takeDue() {
 		if m := s.cluster.machines[name]; m != nil {
 			s.sendDue(m)
 		}
