--- a/internal/scheduler/combined_faults_placement_test.go
+++ b/internal/scheduler/combined_faults_placement_test.go
@@ -11,13 +11,10 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-const (
-	maxWaitBesideCapacity = 90 * time.Second  // no job waits for longer while a machine that fits has room
-	maxUnanswered         = 75 * time.Second  // a job about which no question is answered for that long is forgotten
-	startBound            = 240 * time.Second // the largest jobs begin within it
-)
+// startBound is how long the largest jobs may wait for their first task.
+const startBound = 240 * time.Second
 
-// acceptsWrites reports whether the state service takes n more changes now.
+// acceptsWrites reports whether the key-value store takes n more changes now.
 func (sim *simulation) acceptsWrites(n int) bool {
 	if sim.writeRate == 0 {
 		return true
@@ -31,123 +28,28 @@
 	return true
 }
 
-// checkWaitingJobs checks from a moment on, once all troubles are over, that no job waits
-// beside room and that each is known: those that hold no matter how others fare.
-func (sim *simulation) checkWaitingJobs(from time.Duration) {
-	since := map[string]map[string]time.Duration{} // by job and machine with room
-	answer := map[string]time.Duration{}           // when a question about it was last answered
-	type attempt struct {
-		task   string
-		number uint64
-	}
-	seen := map[attempt]bool{}
-	over := map[string]bool{} // jobs
-	sim.after(from-sim.now, func() {
-		sim.every(time.Second, func() {
-			use, fresh := map[string]float64{}, map[string]bool{}
-			taken := map[string]*wire.Job{} // by machine: what its tasks take
-			on := map[string]string{}       // zones of tasks that are on a machine
-			for _, name := range sim.machineNames {
-				sum := &wire.Job{}
-				sim.workers[name].EachAttempt(func(task string, number uint64, exited bool) {
-					j := sim.checker.JobOfTask(task)
-					if a := (attempt{task, number}); !seen[a] {
-						seen[a], fresh[j.ID] = true, true
-					}
-					if !exited {
-						sum.CPUs, sum.MemoryGB = sum.CPUs+j.CPUs, sum.MemoryGB+j.MemoryGB
-						use[j.Team] += j.CPUs
-						on[task] = sim.workers[name].Zone
-					}
-				})
-				taken[name] = sum
-			}
-			for _, j := range sim.jobs {
-				if over[j.ID] {
-					continue
-				}
-				state := sim.pollJob(j.ID)
-				over[j.ID] = state == wire.JobDone || state == wire.JobCancelled
-				if state != "" {
-					answer[j.ID] = sim.now
-				} else if sim.now-max(from, answer[j.ID]) > maxUnanswered {
-					sim.checker.Violations = append(sim.checker.Violations, fmt.Sprintf("%v forgotten: %s", sim.now, j.ID))
-				}
-				task, zones := "", map[string]int{}
-				for i := range j.Tasks {
-					name := wire.TaskName(j.ID, i)
-					if z, there := on[name]; there {
-						zones[z]++
-					} else if !sim.checker.IsCompleted(name) && task == "" {
-						task = name
-					}
-				}
-				// The same machine all the time: under load some has room at any moment,
-				// between the end of a task and the next one's start.
-				var beside []string
-				if state == wire.JobPending && task != "" && !fresh[j.ID] && use[j.Team]+j.CPUs <= sim.checker.QuotaLimit(j.Team) {
-					beside = sim.machinesThatFit(j, zones, taken)
-				}
-				waits := map[string]time.Duration{}
-				for _, name := range beside {
-					waits[name] = sim.now
-					if at, ok := since[j.ID][name]; ok {
-						waits[name] = at
-					}
-					if sim.now-waits[name] > maxWaitBesideCapacity {
-						sim.checker.RecordLeftWaiting(sim.now, task, name, waits[name])
-						waits[name] = sim.now
-					}
-				}
-				since[j.ID] = waits
-			}
-		})
-	})
-}
-
-// machinesThatFit lists machines that could take one more task of the job, which has tasks in
-// the zones already.
-func (sim *simulation) machinesThatFit(j *wire.Job, zones map[string]int, taken map[string]*wire.Job) (out []string) {
-	for _, name := range sim.machineNames {
-		wk := sim.workers[name]
-		if wk.Terminated || wk.Spot && !j.Spot || j.Zone != "" && j.Zone != wk.Zone || zones[wk.Zone] >= j.MaxTasksPerZone() {
-			continue
-		}
-		if j.SameZone && len(zones) > 0 && zones[wk.Zone] == 0 {
-			continue
-		}
-		if j.Gang() && len(zones) == 0 {
-			continue // room for one task is not enough
-		}
-		if taken[name].CPUs+j.CPUs <= wk.MachineType.CPUs && taken[name].MemoryGB+j.MemoryGB <= wk.MachineType.MemoryGB {
-			out = append(out, name)
-		}
-	}
-	return out
-}
-
-// endedState reports what became of a job for good; empty: it lives.
+// endedState gives the state in which a job has ended; empty: it is live.
 func (sim *simulation) endedState(id string) string {
-	it := sim.kvStore.Get(sim.now, records.EndedJobKey(id))
-	if it.ModRevision == 0 {
+	item := sim.kvStore.Get(sim.now, records.EndedJobKey(id))
+	if item.ModRevision == 0 {
 		return ""
 	}
-	var rec records.EndedJob
-	must(wire.Unmarshal(it.Value, &rec))
-	return rec.State
+	var record records.EndedJob
+	must(wire.Unmarshal(item.Value, &record))
+	return record.State
 }
 
 func (sim *simulation) failOnViolations(t *testing.T, seed uint64) {
 	t.Helper()
 	if n := len(sim.checker.Violations); n > 0 {
-		t.Fatalf("seed %d: %d broken:\n%s", seed, n, strings.Join(sim.checker.Violations[:min(4, n)], "\n"))
+		t.Fatalf("seed %d: %d violations:\n%s", seed, n, strings.Join(sim.checker.Violations[:min(4, n)], "\n"))
 	}
 }
 
-// The outage in which one-task jobs go on coming and ending.
+// The key-value store is unavailable while one-task jobs go on arriving and ending.
 const outageStart, outageEnd = 60 * time.Second, 85 * time.Second
 
-// outageEndAround is when the outage ends that a moment falls into, or is shortly before.
+// outageEndAround is when the outage ends, for a moment in it or close to it, and 0 for others.
 func outageEndAround(at time.Duration) time.Duration {
 	if at > outageStart-5*time.Second && at < outageEnd+5*time.Second {
 		return outageEnd
@@ -155,193 +57,258 @@
 	return 0
 }
 
-// One-task jobs come four a second for two minutes, a quarter of them cancelled, at a
-// state service that takes twenty changes a second, and none for a while: the leader
-// keeps its share of them, jobs are accepted, start, and end.
+// startTimes has when the first task of each job was first listed by a worker.
+type startTimes map[string]time.Duration
+
+// recordStarts has a startTimes follow the simulation.
+func (sim *simulation) recordStarts() startTimes {
+	starts := startTimes{}
+	sim.every(500*time.Millisecond, func() {
+		for _, name := range sim.machineNames {
+			sim.workers[name].EachAttempt(func(task string, _ uint64, _ bool) {
+				if id, _, _ := wire.ParseTaskName(task); starts[id] == 0 {
+					starts[id] = sim.now
+				}
+			})
+		}
+	})
+	return starts
+}
+
+// smallJobs is a stream of one-task jobs, a quarter of which are cancelled.
+type smallJobs struct {
+	sim         *simulation
+	count       int
+	submittedAt map[string]time.Duration
+	cancelled   map[string]bool
+}
+
+// submitSmallJobs submits four jobs a second for two minutes.
+func (sim *simulation) submitSmallJobs() *smallJobs {
+	jobs := &smallJobs{sim: sim, submittedAt: map[string]time.Duration{}, cancelled: map[string]bool{}}
+	sim.every(250*time.Millisecond, func() {
+		if sim.now < 10*time.Second || sim.now > 130*time.Second {
+			return
+		}
+		jobs.count++
+		j := &wire.Job{ID: fmt.Sprintf("run-%06d", jobs.count), Class: "c", Team: []string{"red", "blue"}[jobs.count%2], Shape: wire.ShapeArray,
+			Priority: wire.PriorityNormal, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 0.1, EstimatedRunS: 8}
+		jobs.submittedAt[j.ID] = sim.now
+		if sim.rng.IntN(4) == 0 {
+			jobs.cancelled[j.ID] = true
+			sim.after(sim.randomDuration(100, 12_000), func() { sim.cancel(j.ID) })
+		}
+		sim.submit(j)
+	})
+	return jobs
+}
+
+// checkStarts checks that all jobs have ended, and that hardly any that were not cancelled
+// started late. No start can be recorded in the outage.
+func (jobs *smallJobs) checkStarts(t *testing.T, seed uint64, starts startTimes) {
+	t.Helper()
+	late, longest := 0, time.Duration(0)
+	for id, submittedAt := range jobs.submittedAt {
+		acceptedAt := jobs.sim.acceptedAt[id]
+		if wait := starts[id] - max(acceptedAt, outageEndAround(acceptedAt)); !jobs.cancelled[id] {
+			longest = max(longest, wait)
+			if wait > 10*time.Second {
+				late++
+			}
+		}
+		if jobs.sim.endedState(id) == "" {
+			t.Fatalf("seed %d: %s, submitted at %v, has not ended; it started at %v", seed, id, submittedAt, starts[id])
+		}
+	}
+	if late > jobs.count/100 {
+		t.Errorf("seed %d: %d of %d jobs started later than 10 s after they could, the last %v", seed, late, jobs.count, longest)
+	}
+	t.Logf("seed %d: %d jobs, %d late, the last after %v, %d transactions of leaders were refused", seed, jobs.count, late, longest, jobs.sim.refusedTransactions)
+}
+
+// checkAcceptance checks that submissions were accepted in time.
+func (jobs *smallJobs) checkAcceptance(t *testing.T, seed uint64) {
+	t.Helper()
+	for _, j := range jobs.sim.jobs {
+		submittedAt := jobs.submittedAt[j.ID]
+		wait := jobs.sim.acceptedAt[j.ID] - submittedAt
+		if inOutage := outageEndAround(submittedAt) > 0; wait > 10*time.Second && !inOutage || wait > 60*time.Second {
+			t.Errorf("seed %d: %s was accepted after %v", seed, j.ID, wait)
+		}
+	}
+}
+
+// checkWriteRate checks that the leader kept to its share of the store's rate: in any ten
+// seconds of the first 200, and with the burst of one second.
+func (sim *simulation) checkWriteRate(t *testing.T, seed uint64) {
+	t.Helper()
+	for at := range 190 {
+		sum := 0
+		for _, changes := range sim.changesBySecond[at : at+10] {
+			sum += changes
+		}
+		if sum > 10*16+16 {
+			t.Fatalf("seed %d: the leader makes %d changes in the 10 s from %d s on", seed, sum, at)
+		}
+	}
+}
+
+// One-task jobs arrive four a second for two minutes, a quarter of them are cancelled, and
+// the key-value store takes twenty changes a second, and none for a while. The leader keeps
+// to its share of them; jobs are accepted, start and end.
 func TestSmallJobsUnderWriteBudgetAndOutage(t *testing.T) {
 	for seed := range uint64(3) {
 		size := smallSimulation
 		size.teamCPUs, size.writeRate, size.maxPerKind = 200, 20, 12
 		sim := newSimulationOf(seed, size)
 		sim.faultsActive, sim.writeRate, sim.writeBudget = false, 20, 20
-		begun, over := map[string]time.Duration{}, map[string]time.Duration{}
-		came := map[string]time.Duration{}
 		sim.changesBySecond, sim.acceptedAt = make([]int, 201), map[string]time.Duration{}
-		cancelled := map[string]bool{}
-		n := 0
-		sim.every(250*time.Millisecond, func() {
-			if sim.now < 10*time.Second || sim.now > 130*time.Second {
-				return
-			}
-			n++
-			j := &wire.Job{ID: fmt.Sprintf("run-%06d", n), Class: "c", Team: []string{"red", "blue"}[n%2], Shape: wire.ShapeArray,
-				Priority: wire.PriorityNormal, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 0.1, EstimatedRunS: 8}
-			came[j.ID] = sim.now
-			if sim.rng.IntN(4) == 0 {
-				cancelled[j.ID] = true
-				sim.after(sim.randomDuration(100, 12_000), func() { sim.cancel(j.ID) })
-			}
-			sim.submit(j)
-		})
-		sim.every(500*time.Millisecond, func() {
-			for _, name := range sim.machineNames {
-				sim.workers[name].EachAttempt(func(task string, _ uint64, _ bool) {
-					id, _, _ := wire.ParseTaskName(task)
-					if begun[id] == 0 {
-						begun[id] = sim.now
-					}
-				})
-			}
-			for _, j := range sim.jobs {
-				if over[j.ID] == 0 && sim.endedState(j.ID) != "" {
-					over[j.ID] = sim.now
-				}
-			}
-		})
-		// Jobs that ended in an outage are all written after it, and starts with them.
+		jobs := sim.submitSmallJobs()
+		starts := sim.recordStarts()
+		// Jobs that end in the outage are all written after it, together with new starts.
 		sim.after(outageStart, func() { sim.kvStore.SetUnavailable(sim.now, true) })
 		sim.after(outageEnd, func() { sim.kvStore.SetUnavailable(sim.now, false) })
 		sim.checkWaitingJobs(100 * time.Second)
 		sim.run(200 * time.Second)
 		sim.failOnViolations(t, seed)
-		late, slowest := 0, time.Duration(0)
-		for id := range came {
-			// No start can be written in the outage.
-			if wait := begun[id] - max(sim.acceptedAt[id], outageEndAround(sim.acceptedAt[id])); !cancelled[id] {
-				slowest = max(slowest, wait)
-				if wait > 10*time.Second {
-					late++
-				}
-			}
-			if over[id] == 0 {
-				t.Fatalf("seed %d: %s, which came at %v, has not ended; it began at %v", seed, id, came[id], begun[id])
-			}
+		jobs.checkStarts(t, seed, starts)
+		sim.checkWriteRate(t, seed)
+		jobs.checkAcceptance(t, seed)
+	}
+}
+
+// overloadJobs is more work than there is capacity for. Jobs belong to groups: their class
+// and team, and the largest ones.
+type overloadJobs struct {
+	sim         *simulation
+	groupsOf    map[string][]string
+	submittedAt map[string]time.Duration
+}
+
+const largestGroup = "largest"
+
+func (sim *simulation) submitOverload() *overloadJobs {
+	jobs := &overloadJobs{sim: sim, groupsOf: map[string][]string{}, submittedAt: map[string]time.Duration{}}
+	n := 0
+	sim.every(2*time.Second, func() {
+		if sim.now < 5*time.Second || sim.now > 300*time.Second {
+			return
 		}
-		if late > n/100 {
-			t.Errorf("seed %d: %d of %d jobs began later than 10 s after they could, the last %v", seed, late, n, slowest)
+		n++
+		deadline := float64(30 + sim.rng.IntN(60))
+		j := &wire.Job{ID: fmt.Sprintf("run-%06d", n), Class: []string{"train", "sweep"}[n%2], Team: []string{"red", "blue"}[n/2%2], Shape: wire.ShapeArray,
+			Priority: []string{wire.PriorityUrgent, wire.PriorityUrgent, wire.PriorityNormal}[n%3], Tasks: 1 + sim.rng.IntN(9), CPUs: float64(1 + sim.rng.IntN(3)), MemoryGB: 1,
+			Image: fmt.Sprintf("img-%d", n%3), ImageGB: 1, EstimatedRunS: 8, DeadlineS: &deadline}
+		groups := []string{j.Class, j.Team}
+		if n%12 == 4 {
+			j.Tasks, j.Priority = 30, wire.PriorityNormal
+			groups = append(groups, largestGroup)
 		}
-		for at := range 190 {
-			sum := 0
-			for _, k := range sim.changesBySecond[at : at+10] {
-				sum += k
+		jobs.groupsOf[j.ID], jobs.submittedAt[j.ID] = groups, sim.now
+		sim.submit(j)
+	})
+	return jobs
+}
+
+// check checks that the largest jobs started in time, and that at least half of each group
+// has ended.
+func (jobs *overloadJobs) check(t *testing.T, seed uint64, starts startTimes) {
+	t.Helper()
+	ended, all := map[string]int{}, map[string]int{}
+	for id, groups := range jobs.groupsOf {
+		for _, group := range groups {
+			all[group]++
+			if jobs.sim.endedState(id) != "" {
+				ended[group]++
 			}
-			if sum > 10*16+16 { // its share of the rate, and of one second's burst
-				t.Fatalf("seed %d: the leader makes %d changes in the 10 s from %d s on", seed, sum, at)
+			if group == largestGroup && (starts[id] == 0 || starts[id]-jobs.submittedAt[id] > startBound) {
+				t.Errorf("seed %d: %s, one of the largest, was submitted at %v and started at %v", seed, id, jobs.submittedAt[id], starts[id])
 			}
 		}
-		for _, j := range sim.jobs {
-			wait := sim.acceptedAt[j.ID] - came[j.ID]
-			if out := outageEndAround(came[j.ID]) > 0; wait > 10*time.Second && !out || wait > 60*time.Second {
-				t.Errorf("seed %d: %s was accepted after %v", seed, j.ID, wait)
-			}
+	}
+	for group := range all {
+		if 2*ended[group] < all[group] {
+			t.Errorf("seed %d: %d of %d of %s have ended", seed, ended[group], all[group], group)
 		}
-		t.Logf("seed %d: %d jobs, %d late, the last after %v, the leader was refused %d times", seed, n, late, slowest, sim.refusedTransactions)
 	}
+	t.Logf("seed %d: ended %v of %v", seed, ended, all)
 }
 
-// There is more work than room, urgent and not, over slow links: the largest jobs begin
-// within four minutes, and of each class, team and of the largest at least half is served.
+// There is more work than capacity, urgent and not, over slow links: the largest jobs start
+// within four minutes, and of each class, each team and the largest at least half end.
 func TestOverloadStarvesNoJob(t *testing.T) {
 	for seed := range uint64(3) {
 		size := smallSimulation
 		size.teamCPUs, size.maxPerKind = 60, 2
 		sim := newSimulationOf(seed, size)
 		sim.faultsActive, sim.maxLinkDelay = false, 400*time.Millisecond
-		served, all := map[string]int{}, map[string]int{}
-		of := map[string][]string{}
-		begun, came := map[string]time.Duration{}, map[string]time.Duration{}
-		n := 0
-		sim.every(2*time.Second, func() {
-			if sim.now < 5*time.Second || sim.now > 300*time.Second {
-				return
-			}
-			n++
-			due := float64(30 + sim.rng.IntN(60))
-			j := &wire.Job{ID: fmt.Sprintf("run-%06d", n), Class: []string{"train", "sweep"}[n%2], Team: []string{"red", "blue"}[n/2%2], Shape: wire.ShapeArray,
-				Priority: []string{wire.PriorityUrgent, wire.PriorityUrgent, wire.PriorityNormal}[n%3], Tasks: 1 + sim.rng.IntN(9), CPUs: float64(1 + sim.rng.IntN(3)), MemoryGB: 1,
-				Image: fmt.Sprintf("img-%d", n%3), ImageGB: 1, EstimatedRunS: 8, DeadlineS: &due}
-			groups := []string{j.Class, j.Team}
-			if n%12 == 4 {
-				j.Tasks, j.Priority = 30, wire.PriorityNormal
-				groups = append(groups, "largest")
-			}
-			of[j.ID], came[j.ID] = groups, sim.now
-			sim.submit(j)
-		})
-		sim.every(500*time.Millisecond, func() {
-			for _, name := range sim.machineNames {
-				sim.workers[name].EachAttempt(func(task string, _ uint64, _ bool) {
-					if id, _, _ := wire.ParseTaskName(task); begun[id] == 0 {
-						begun[id] = sim.now
-					}
-				})
-			}
-		})
+		jobs := sim.submitOverload()
+		starts := sim.recordStarts()
 		sim.checkWaitingJobs(20 * time.Second)
 		sim.run(640 * time.Second)
 		sim.failOnViolations(t, seed)
-		for id, groups := range of {
-			for _, g := range groups {
-				all[g]++
-				if sim.endedState(id) != "" {
-					served[g]++
-				}
-				if g == "largest" && (begun[id] == 0 || begun[id]-came[id] > startBound) {
-					t.Errorf("seed %d: %s, one of the largest, came at %v and began at %v", seed, id, came[id], begun[id])
-				}
-			}
+		jobs.check(t, seed, starts)
+	}
+}
+
+// crashLeaders crashes the controllers that lead, each for a while.
+func (sim *simulation) crashLeaders(minDownMS, maxDownMS int) {
+	for _, c := range sim.controllers {
+		if c.scheduler != nil {
+			c.crash(sim.randomDuration(minDownMS, maxDownMS))
 		}
-		for g := range all {
-			if 2*served[g] < all[g] {
-				t.Errorf("seed %d: %d of %d of %s are served", seed, served[g], all[g], g)
-			}
+	}
+}
+
+// submitQuotaFillers submits arrays, and services that are cancelled later, which fill
+// their teams' quotas.
+func (sim *simulation) submitQuotaFillers(until time.Duration) {
+	n := 0
+	sim.every(700*time.Millisecond, func() {
+		if sim.now > until {
+			return
+		}
+		n++
+		j := &wire.Job{ID: fmt.Sprintf("run-%06d", n), Class: "c", Team: []string{"red", "blue"}[sim.rng.IntN(2)], Shape: wire.ShapeArray,
+			Priority: wire.PriorityNormal, Tasks: 2 + sim.rng.IntN(6), CPUs: float64(2 + sim.rng.IntN(3)), MemoryGB: 1, Image: "img", ImageGB: 0.5, EstimatedRunS: 8, Spot: true}
+		if n%4 == 0 {
+			j.Shape, j.Priority, j.Tasks, j.EstimatedRunS = wire.ShapeService, wire.PriorityProduction, 1+sim.rng.IntN(2), 0
+			sim.after(sim.randomDuration(20_000, 40_000), func() { sim.cancel(j.ID) })
+		}
+		sim.submit(j)
+	})
+}
+
+// disturbFailover has machines hang or partitioned, the leader crash and recent jobs be
+// cancelled, all within some seconds.
+func (sim *simulation) disturbFailover() {
+	duration := sim.randomDuration(4000, 20_000)
+	for _, name := range sim.machineNames {
+		switch sim.rng.IntN(4) {
+		case 0:
+			sim.hungUntil[name] = sim.now + duration
+		case 1:
+			sim.partitionedUntil[name] = sim.now + duration
 		}
-		t.Logf("seed %d: served %v of %v", seed, served, all)
+	}
+	sim.after(sim.randomDuration(0, 4000), func() { sim.crashLeaders(500, 6000) })
+	for range 4 {
+		sim.after(sim.randomDuration(0, 6000), func() {
+			recent := sim.rng.IntN(min(len(sim.jobs), 12))
+			sim.cancel(sim.jobs[len(sim.jobs)-1-recent].ID)
+		})
 	}
 }
 
-// Teams are at their limits when the leader changes, while some machines cannot be
-// asked, or hang, and jobs are cancelled: what may still be there counts.
+// Teams are at their quota limits when the leader changes, while some machines hang or are
+// partitioned and jobs are cancelled: what may still be on those machines counts.
 func TestQuotaLimitsHoldAcrossFailovers(t *testing.T) {
 	for seed := range uint64(6) {
 		sim := newSimulation(seed)
 		sim.lossRate, sim.delayRate = 0.02, 0.02
-		n := 0
-		sim.every(700*time.Millisecond, func() {
-			if sim.now > 100*time.Second {
-				return
-			}
-			n++
-			j := &wire.Job{ID: fmt.Sprintf("run-%06d", n), Class: "c", Team: []string{"red", "blue"}[sim.rng.IntN(2)], Shape: wire.ShapeArray,
-				Priority: wire.PriorityNormal, Tasks: 2 + sim.rng.IntN(6), CPUs: float64(2 + sim.rng.IntN(3)), MemoryGB: 1, Image: "img", ImageGB: 0.5, EstimatedRunS: 8, Spot: true}
-			if n%4 == 0 {
-				j.Shape, j.Priority, j.Tasks, j.EstimatedRunS = wire.ShapeService, wire.PriorityProduction, 1+sim.rng.IntN(2), 0
-				sim.after(sim.randomDuration(20_000, 40_000), func() { sim.cancel(j.ID) })
-			}
-			sim.submit(j)
-		})
+		sim.submitQuotaFillers(100 * time.Second)
 		for i := range 5 {
-			sim.after(time.Duration(15+18*i)*time.Second+sim.randomDuration(0, 3000), func() {
-				long := sim.randomDuration(4000, 20_000)
-				for _, name := range sim.machineNames {
-					switch sim.rng.IntN(4) {
-					case 0:
-						sim.hungUntil[name] = sim.now + long
-					case 1:
-						sim.partitionedUntil[name] = sim.now + long
-					}
-				}
-				sim.after(sim.randomDuration(0, 4000), func() {
-					for _, node := range sim.controllers {
-						if node.scheduler != nil {
-							node.crash(sim.randomDuration(500, 6000))
-						}
-					}
-				})
-				for range 4 {
-					sim.after(sim.randomDuration(0, 6000), func() { sim.cancel(sim.jobs[len(sim.jobs)-1-sim.rng.IntN(min(len(sim.jobs), 12))].ID) })
-				}
-			})
+			sim.after(time.Duration(15+18*i)*time.Second+sim.randomDuration(0, 3000), sim.disturbFailover)
 		}
 		sim.after(125*time.Second, func() { sim.faultsActive = false })
 		sim.checkWaitingJobs(160 * time.Second)
@@ -350,58 +317,62 @@
 	}
 }
 
-// Jobs that are bound to a zone lose machines, some in every zone and once all of one
-// zone, and leaders change: they start again where they may, and only there.
+// submitZonalJobs submits jobs with each rule for zones, some of them services that are
+// cancelled later.
+func (sim *simulation) submitZonalJobs(until time.Duration) {
+	n := 0
+	sim.every(1500*time.Millisecond, func() {
+		if sim.now > until {
+			return
+		}
+		n++
+		j := &wire.Job{ID: fmt.Sprintf("run-%06d", n), Class: "c", Team: []string{"red", "blue"}[sim.rng.IntN(2)], Shape: wire.ShapeArray,
+			Priority: wire.PriorityNormal, Tasks: 2 + sim.rng.IntN(5), CPUs: float64(1 + sim.rng.IntN(2)), MemoryGB: 1, Image: "img", ImageGB: 0.5, EstimatedRunS: 8, Spot: sim.rng.IntN(2) == 0}
+		switch n % 3 {
+		case 0:
+			j.SameZone = true
+		case 1:
+			j.SpreadZones = true
+		default:
+			j.Zone = []string{"a", "b"}[sim.rng.IntN(2)]
+		}
+		if sim.rng.IntN(6) == 0 {
+			j.Shape, j.Tasks, j.EstimatedRunS = wire.ShapeService, 1+sim.rng.IntN(4), 0
+			sim.after(sim.randomDuration(60_000, 100_000), func() { sim.cancel(j.ID) })
+		}
+		sim.submit(j)
+	})
+}
+
+// disturbZone has machines terminate without notice or partitioned, those of one zone more
+// often, if there is one, and the leader crash every other time.
+func (sim *simulation) disturbZone() {
+	zone := []string{"a", "b", ""}[sim.rng.IntN(3)]
+	for _, name := range sim.machineNames {
+		if worker := sim.workers[name]; worker.Zone == zone || sim.rng.IntN(4) == 0 {
+			switch sim.rng.IntN(3) {
+			case 0:
+				worker.Terminate()
+			case 1:
+				sim.partitionedUntil[name] = sim.now + sim.randomDuration(4000, 15_000)
+			}
+		}
+	}
+	if sim.rng.IntN(2) == 0 {
+		sim.after(sim.randomDuration(0, 4000), func() { sim.crashLeaders(500, 4000) })
+	}
+}
+
+// Jobs that are bound to a zone lose machines, some in every zone and once all of one zone,
+// and leaders change: the jobs start again where they may, and only there.
 func TestZonalJobsSurviveMachineLoss(t *testing.T) {
 	for seed := range uint64(6) {
 		sim := newSimulation(seed)
 		sim.lossRate, sim.delayRate = 0.02, 0.02
 		sim.settings.Teams = map[string]scheduler.TeamQuota{"red": {CPUs: 12, CPUsMax: 24}, "blue": {CPUs: 12, CPUsMax: 24}}
-		n := 0
-		sim.every(1500*time.Millisecond, func() {
-			if sim.now > 110*time.Second {
-				return
-			}
-			n++
-			j := &wire.Job{ID: fmt.Sprintf("run-%06d", n), Class: "c", Team: []string{"red", "blue"}[sim.rng.IntN(2)], Shape: wire.ShapeArray,
-				Priority: wire.PriorityNormal, Tasks: 2 + sim.rng.IntN(5), CPUs: float64(1 + sim.rng.IntN(2)), MemoryGB: 1, Image: "img", ImageGB: 0.5, EstimatedRunS: 8, Spot: sim.rng.IntN(2) == 0}
-			switch n % 3 {
-			case 0:
-				j.SameZone = true
-			case 1:
-				j.SpreadZones = true
-			default:
-				j.Zone = []string{"a", "b"}[sim.rng.IntN(2)]
-			}
-			if sim.rng.IntN(6) == 0 {
-				j.Shape, j.Tasks, j.EstimatedRunS = wire.ShapeService, 1+sim.rng.IntN(4), 0
-				sim.after(sim.randomDuration(60_000, 100_000), func() { sim.cancel(j.ID) })
-			}
-			sim.submit(j)
-		})
+		sim.submitZonalJobs(110 * time.Second)
 		for i := range 6 {
-			sim.after(time.Duration(10+15*i)*time.Second+sim.randomDuration(0, 3000), func() {
-				zone := []string{"a", "b", ""}[sim.rng.IntN(3)]
-				for _, name := range sim.machineNames {
-					if wk := sim.workers[name]; wk.Zone == zone || sim.rng.IntN(4) == 0 {
-						switch sim.rng.IntN(3) {
-						case 0:
-							wk.Terminate() // taken without notice
-						case 1:
-							sim.partitionedUntil[name] = sim.now + sim.randomDuration(4000, 15_000)
-						}
-					}
-				}
-				if sim.rng.IntN(2) == 0 {
-					sim.after(sim.randomDuration(0, 4000), func() {
-						for _, node := range sim.controllers {
-							if node.scheduler != nil {
-								node.crash(sim.randomDuration(500, 4000))
-							}
-						}
-					})
-				}
-			})
+			sim.after(time.Duration(10+15*i)*time.Second+sim.randomDuration(0, 3000), sim.disturbZone)
 		}
 		sim.after(130*time.Second, func() { sim.faultsActive = false })
 		sim.checkWaitingJobs(170 * time.Second)
@@ -415,42 +386,42 @@
 	}
 }
 
-// The checks of the added rules have to be able to fail: where leaders place nothing a
-// job waits beside room, and with no node left no question about it is answered.
+// The checks of waitingChecker have to be able to fail: if leaders place nothing, a job waits
+// beside free capacity, and with no controller left no poll of it is answered.
 func TestWaitingChecksCanFail(t *testing.T) {
-	for _, m := range []struct {
+	for _, tc := range []struct {
 		name, want string
-		spoil      func(sim *simulation)
+		inject     func(sim *simulation)
 	}{
-		{"leaders that take the team's limit for none", "left_waiting", func(sim *simulation) {
+		{"leaders without quota settings", "left_waiting", func(sim *simulation) {
 			for _, c := range sim.controllers {
 				c.crash(time.Second)
 			}
 			sim.settings.Teams = map[string]scheduler.TeamQuota{}
 		}},
-		{"no node", "forgotten", func(sim *simulation) {
+		{"no controller", "forgotten", func(sim *simulation) {
 			for _, c := range sim.controllers {
 				c.crash(time.Hour)
 			}
 		}},
 	} {
-		t.Run(m.name, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			sim := newSimulation(1)
 			sim.faultsActive = false
 			sim.after(20*time.Second, func() {
-				m.spoil(sim)
+				tc.inject(sim)
 				sim.jobs = append(sim.jobs, &wire.Job{ID: "run-000001", Team: "red", Shape: wire.ShapeArray, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img"})
 				sim.checker.AddJob(sim.jobs[0])
 				_, _ = sim.kvStore.Commit(sim.now, wire.Txn{Then: []wire.Op{{Set: records.JobKey("run-000001"), Value: records.Job{Job: *sim.jobs[0]}}}})
 			})
 			sim.checkWaitingJobs(21 * time.Second)
 			sim.run(100 * time.Second)
-			if len(sim.checker.Violations) > 0 && m.want == "left_waiting" {
+			if len(sim.checker.Violations) > 0 && tc.want == "left_waiting" {
 				t.Fatalf("too early: %v", sim.checker.Violations)
 			}
 			sim.run(140 * time.Second)
-			if b := strings.Join(sim.checker.Violations, "\n"); !strings.Contains(b, m.want) {
-				t.Errorf("%s is not seen: %q", m.want, b)
+			if violations := strings.Join(sim.checker.Violations, "\n"); !strings.Contains(violations, tc.want) {
+				t.Errorf("%s is not noticed: %q", tc.want, violations)
 			}
 		})
 	}
--- a/internal/scheduler/deadline_test.go
+++ b/internal/scheduler/deadline_test.go
@@ -8,14 +8,14 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// What a deployment expects of a class decides when a job is due: the owner's
-// deadline, a multiple of it, or a time of its own.
+// The objective of a job's class decides by when the job should be complete: by its owner's
+// deadline, by multiples of that, or within a time of its own.
 func TestDeadlinesFollowObjectives(t *testing.T) {
 	owner := 100.0
 	for _, tc := range []struct {
-		aim  Objective
-		due  *float64
-		want []float64
+		objective     Objective
+		ownerDeadline *float64
+		want          []float64
 	}{
 		{Objective{}, &owner, []float64{100}},
 		{Objective{}, nil, nil},
@@ -26,29 +26,31 @@
 		{Objective{DeadlineMultiples: []float64{1}, WithinS: 60}, &owner, []float64{60, 100}},
 	} {
 		h := newHarness(t, false, nil, nil)
-		h.scheduler.settings.Objectives = map[string]Objective{"c": tc.aim}
-		if got := tc.aim.deadlinesOf(&wire.Job{Class: "c", Shape: wire.ShapeArray, DeadlineS: tc.due}); !slices.Equal(got, tc.want) {
-			t.Errorf("%+v: due after %v, want %v", tc.aim, got, tc.want)
+		h.scheduler.settings.Objectives = map[string]Objective{"c": tc.objective}
+		h.submit(wire.Job{ID: "run-000001", Class: "c", Tasks: 1, CPUs: 1, DeadlineS: tc.ownerDeadline})
+		if got := h.scheduler.cluster.jobs["run-000001"].plan.deadlines; !slices.Equal(got, tc.want) {
+			t.Errorf("%+v: deadlines %v, want %v", tc.objective, got, tc.want)
 		}
 	}
 }
 
-// One more job than fits in time: the largest is given up, not the smallest ones.
+// With one more job than can be on time, the largest misses its deadline, and not the small
+// ones.
 func TestDeadlinePlanKeepsMostJobsOnTime(t *testing.T) {
 	h := newHarness(t, false, nil, nil)
 	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 8, CPUsMax: 1000}
 	h.bringUp("n-1") // 8 CPUs
-	due := 25.0
+	deadline := 25.0
 	for i, tasks := range []int{4, 16, 4, 4} {
-		h.submit(wire.Job{ID: fmt.Sprintf("run-%06d", i), Tasks: tasks, CPUs: 1, EstimatedRunS: 10, DeadlineS: &due})
+		h.submit(wire.Job{ID: fmt.Sprintf("run-%06d", i), Tasks: tasks, CPUs: 1, EstimatedRunS: 10, DeadlineS: &deadline})
 	}
 	h.scheduler.planDeadlines()
 	for id, want := range map[string]int{"run-000000": 0, "run-000001": 1, "run-000002": 0, "run-000003": 0} {
 		if got := h.scheduler.cluster.jobs[id].plan.feasible; got != want {
-			t.Errorf("%s misses %d deadlines", id, got)
+			t.Errorf("%s misses %d deadlines, want %d", id, got, want)
 		}
 	}
-	// What cannot meet its deadline may meet the next, if that spoils nobody's.
+	// A job that misses its first deadline may meet the next, if all others stay on time.
 	h.scheduler.settings.Objectives = map[string]Objective{"": {DeadlineMultiples: []float64{1, 2}}}
 	for _, j := range h.scheduler.cluster.jobs {
 		j.plan.deadlines = h.scheduler.settings.Objectives[j.spec.Class].deadlinesOf(&j.spec)
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -260,7 +260,7 @@
 		a := r.assign(j, index, m)
 		r.scheduler.persister.queueAssignment(a)
 		picker.recordAssignment(m)
-		r.scheduler.logDebug("task assigned", "task", wire.TaskName(j.id, index), "attempt", a.number, "machine", m.name, "has_image", m.hasImage(j.spec.Image))
+		r.scheduler.logDebug("task placed", "task", wire.TaskName(j.id, index), "attempt", a.number, "machine", m.name, "has_image", m.hasImage(j.spec.Image))
 	}
 	return n
 }
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -12,9 +12,9 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Under lasting overload the largest job, which a plan by deadlines gives up
-// first, begins within four minutes and is finished; so is a gang that fits only
-// on machines that are kept free for it.
+// Under lasting overload the largest job, whose deadline the plan gives up first, starts
+// within four minutes and finishes, and so does a gang that fits only on machines that are
+// reserved for it.
 func TestLargestJobsFinishUnderOverload(t *testing.T) {
 	for seed := range uint64(3) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -23,20 +23,20 @@
 		workers := newFakeWorkers(h, func(string, string) (time.Duration, string) {
 			return time.Duration(4+rng.IntN(9)) * time.Second, wire.CauseDone
 		})
-		due := 30.0
-		h.submit(wire.Job{ID: "run-900000", Tasks: 120, CPUs: 2, EstimatedRunS: 8, DeadlineS: &due})
+		deadline := 30.0
+		h.submit(wire.Job{ID: "run-900000", Tasks: 120, CPUs: 2, EstimatedRunS: 8, DeadlineS: &deadline})
 		for n := 0; h.now < workers.startedAt+900*time.Second; n++ {
 			if n == 40 {
-				h.submit(wire.Job{ID: "run-900001", Tasks: 2, CPUs: 8, EstimatedRunS: 8, DeadlineS: &due, Shape: wire.ShapeGang})
+				h.submit(wire.Job{ID: "run-900001", Tasks: 2, CPUs: 8, EstimatedRunS: 8, DeadlineS: &deadline, Shape: wire.ShapeGang})
 			}
-			if rng.IntN(2) == 0 { // some two and a half times what fits
-				h.submit(wire.Job{ID: fmt.Sprintf("run-%06d", n), Tasks: 2 + rng.IntN(9), CPUs: 2, EstimatedRunS: 8, DeadlineS: &due})
+			if rng.IntN(2) == 0 { // about two and a half times the capacity
+				h.submit(wire.Job{ID: fmt.Sprintf("run-%06d", n), Tasks: 2 + rng.IntN(9), CPUs: 2, EstimatedRunS: 8, DeadlineS: &deadline})
 			}
 			workers.step()
 		}
 		for _, id := range []string{"run-900000", "run-900001"} {
 			if at, ok := workers.firstStartAfter[id]; !ok || at > 240*time.Second {
-				t.Fatalf("%s begins after %v", id, at)
+				t.Fatalf("%s starts after %v", id, at)
 			}
 			if j := h.scheduler.cluster.jobs[id]; j != nil {
 				t.Fatalf("%s: %d of %d done after 15 minutes", id, j.progress.doneCount, j.spec.Tasks)
@@ -45,9 +45,8 @@
 	}
 }
 
-// Idle work of a guest, in a cluster that work within other teams' guarantees keeps
-// full, comes to stay within four minutes: it began again and again, and each time
-// lost its room within seconds, which counts as no beginning.
+// Idle work of a guest team is established within four minutes in a cluster that work within
+// other teams' guarantees keeps full. Starts that are preempted within seconds don't count.
 func TestIdleGuestJobIsEstablishedUnderLoad(t *testing.T) {
 	h := newHarness(t, false, nil, nil)
 	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, CPUsMax: 1000}
@@ -65,22 +64,22 @@
 			h.submit(wire.Job{ID: fmt.Sprintf("run-%06d", n), Tasks: 2 + rng.IntN(9), CPUs: 2, EstimatedRunS: 8})
 		}
 		workers.step()
-		if use := h.scheduler.teamUsage("guest").CPUs; h.now > workers.startedAt+tuning.ArrayStarvationBound+10*time.Second && use > 4 {
-			t.Fatalf("the guest has %v of 24 CPUs that others are guaranteed", use)
+		if cpus := h.scheduler.teamUsage("guest").CPUs; h.now > workers.startedAt+tuning.ArrayStarvationBound+10*time.Second && cpus > 4 {
+			t.Fatalf("the guest uses %v of 24 CPUs that others are guaranteed", cpus)
 		}
 	}
 	if at, ok := workers.establishedAfter["run-900000"]; !ok || at > 240*time.Second {
-		t.Errorf("the guest's job comes to stay after %v", at)
+		t.Errorf("the guest's job is established after %v", at)
 	}
 }
 
-// A service whose replicas failed on three machines over time, and run on others, is
-// no job with a mistake: its missing replicas are placed at once. One stayed missing.
+// A service whose replicas failed on three machines over time, and run on others, does not
+// count as invalid: its missing replicas are placed at once.
 func TestServiceSurvivesFaultyMachines(t *testing.T) {
 	h := newHarness(t, false, nil, nil)
-	fail := map[string]bool{}
+	faulty := map[string]bool{}
 	workers := newFakeWorkers(h, func(_, m string) (time.Duration, string) {
-		if fail[m] {
+		if faulty[m] {
 			return time.Second, wire.CauseError
 		}
 		return time.Hour, wire.CauseDone
@@ -90,16 +89,16 @@
 		for range 40 {
 			workers.step()
 		}
-		fail[m] = true
-		for _, x := range workers.tasks[m] {
-			x.endsAt, x.cause = h.now, wire.CauseError
+		faulty[m] = true
+		for _, task := range workers.tasks[m] {
+			task.endsAt, task.cause = h.now, wire.CauseError
 		}
 		for range 8 {
 			workers.step()
 		}
-		fail[m] = false
-		if n := h.scheduler.cluster.jobs["run-000001"]; n.activeCount != 6 && n.retry.at <= h.now {
-			t.Errorf("after the failures on %d machines %d of 6 replicas are placed", i+1, n.activeCount)
+		faulty[m] = false
+		if j := h.scheduler.cluster.jobs["run-000001"]; j.activeCount != 6 && j.retry.at <= h.now {
+			t.Errorf("after failures on %d machines %d of 6 replicas are placed", i+1, j.activeCount)
 		}
 	}
 	for range 40 {
@@ -110,8 +109,8 @@
 	}
 }
 
-// What a job that waited for long gets ahead of others is no bound: with room for all
-// of it, all of it runs. It had to wait until its first tasks had run for a while.
+// The first tasks that a starved job gets ahead of others are no upper bound: with capacity
+// for the whole job, all of it runs at once.
 func TestStarvedJobIsNotCappedWhereCapacityIsFree(t *testing.T) {
 	h := newHarness(t, false, nil, nil)
 	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, CPUsMax: 1000}
@@ -125,13 +124,13 @@
 		workers.step()
 	}
 	if n := h.scheduler.cluster.jobs["run-000002"].activeCount; n != 20 {
-		t.Errorf("%d of 20 tasks run where there is room for all", n)
+		t.Errorf("%d of 20 tasks run where there is capacity for all", n)
 	}
 }
 
-// A job that was submitted with a mistake fails wherever it runs: it is tried with one
-// task at a time, holds nothing against machines and does not slow others. A machine
-// that is faulty is avoided, since several jobs fail there that succeed elsewhere.
+// A job that was submitted with a mistake fails on every machine: it is tried with one task
+// at a time, does not count against machines and does not delay others. A faulty machine is
+// quarantined, since several jobs fail there that succeed elsewhere.
 func TestInvalidJobsAreThrottledAndFaultyMachinesQuarantined(t *testing.T) {
 	h := newHarness(t, false, nil, nil)
 	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, CPUsMax: 1000}
@@ -148,10 +147,10 @@
 	for h.now < workers.startedAt+60*time.Second {
 		workers.step()
 	}
-	tried := workers.startCount
-	came := map[string]time.Duration{}
+	startsBefore := workers.startCount
+	submittedAfter := map[string]time.Duration{}
 	for n := range 30 {
-		came[fmt.Sprintf("run-%06d", 100+n)] = h.now - workers.startedAt
+		submittedAfter[fmt.Sprintf("run-%06d", 100+n)] = h.now - workers.startedAt
 		h.submit(wire.Job{ID: fmt.Sprintf("run-%06d", 100+n), Tasks: 2, CPUs: 2, EstimatedRunS: 4})
 		for range 4 {
 			workers.step()
@@ -160,21 +159,21 @@
 	for h.now < workers.startedAt+240*time.Second {
 		workers.step()
 	}
-	if again := workers.startCount - tried - 60; again > 5*10 {
-		t.Errorf("jobs with a mistake were started %d times in three minutes", again)
+	if starts := workers.startCount - startsBefore - 60; starts > 5*10 {
+		t.Errorf("invalid jobs were started %d times in three minutes", starts)
 	}
 	for _, m := range h.scheduler.cluster.machines {
 		if m.quarantine.until > h.now {
-			t.Errorf("%s counts as faulty", m.name)
+			t.Errorf("%s is quarantined", m.name)
 		}
 	}
-	for id, at := range came {
-		if begun, ok := workers.firstStartAfter[id]; !ok || h.scheduler.cluster.jobs[id] != nil || begun-at > 2*time.Second {
-			t.Errorf("%s, which came at %v, began at %v", id, at, begun)
+	for id, at := range submittedAfter {
+		if started, ok := workers.firstStartAfter[id]; !ok || h.scheduler.cluster.jobs[id] != nil || started-at > 2*time.Second {
+			t.Errorf("%s, submitted at %v, started at %v", id, at, started)
 		}
 	}
-	if l := h.scheduler; l.cluster.jobs["run-000001"].likelyInvalid(h.scheduler.now.Mono) != true {
-		t.Error("a job that fails everywhere is not doubted")
+	if !h.scheduler.cluster.jobs["run-000001"].likelyInvalid(h.scheduler.now.Mono) {
+		t.Error("a job that fails everywhere does not count as invalid")
 	}
 	faulty = true
 	for n := range 8 {
@@ -184,21 +183,21 @@
 		}
 	}
 	for name, m := range h.scheduler.cluster.machines {
-		if avoided := m.quarantine.until > h.now; avoided != (name == "n-2") {
-			t.Errorf("%s avoided: %v", name, avoided)
+		if quarantined := m.quarantine.until > h.now; quarantined != (name == "n-2") {
+			t.Errorf("%s quarantined: %v", name, quarantined)
 		}
 	}
 }
 
-// A production service gets room under its team's limit from its own team's
-// lower work, and that room is not taken by others meanwhile.
+// Under its team's limit, a production service preempts lower work of its own team, and no
+// other work takes that quota meanwhile.
 func TestProductionPreemptsWithinItsTeamLimit(t *testing.T) {
 	h := newHarness(t, false, nil, nil)
 	h.bringUp("n-1", "n-2", "n-3")
 	h.submit(wire.Job{ID: "run-000001", Tasks: 30, CPUs: 1})
 	h.answerAll(CallExecuted)
-	if u := h.scheduler.teamUsage("red").CPUs; u != 16 {
-		t.Fatalf("team uses %v of 16", u)
+	if cpus := h.scheduler.teamUsage("red").CPUs; cpus != 16 {
+		t.Fatalf("the team uses %v of 16 CPUs", cpus)
 	}
 	h.submit(wire.Job{ID: "run-000002", Tasks: 2, CPUs: 1, Shape: wire.ShapeService, Priority: wire.PriorityProduction})
 	for range 5 {
@@ -210,11 +209,11 @@
 		t.Fatalf("%d of 2 replicas run", j.runningCount)
 	}
 	if h.scheduler.counters.Preempted != 2 || h.scheduler.teamUsage("red").CPUs > 16 {
-		t.Fatalf("%d stops, team uses %v", h.scheduler.counters.Preempted, h.scheduler.teamUsage("red").CPUs)
+		t.Fatalf("%d preemptions, the team uses %v CPUs", h.scheduler.counters.Preempted, h.scheduler.teamUsage("red").CPUs)
 	}
 }
 
-// A gang is placed as a whole or not at all, and one member's end stops it.
+// A gang is placed as a whole or not at all, and stopped as a whole when one member fails.
 func TestGangIsPlacedAndStoppedAsAWhole(t *testing.T) {
 	h := newHarness(t, false, nil, nil)
 	h.bringUp("n-1")
@@ -227,20 +226,20 @@
 	if n := len(h.startCommands()); n != 3 {
 		t.Fatalf("%d of 3 members started", n)
 	}
-	var lost wire.Command
-	var where string
-	for _, c := range h.calls {
-		lost, where = c.Body.Commands[0], c.Machine
+	var failed wire.Command
+	var machine string
+	for _, call := range h.calls {
+		failed, machine = call.Body.Commands[0], call.Machine
 	}
 	h.answerAll(CallExecuted)
-	h.heartbeat(where, exitedReport(lost, wire.CauseError))
-	left := 0
+	h.heartbeat(machine, exitedReport(failed, wire.CauseError))
+	remaining := 0
 	for _, a := range h.scheduler.cluster.jobs["run-000001"].sortedAttempts() {
 		if !a.stop.requested {
-			left++
+			remaining++
 		}
 	}
-	if left != 0 {
-		t.Fatalf("%d members go on without the failed one", left)
+	if remaining != 0 {
+		t.Fatalf("%d members go on without the failed one", remaining)
 	}
 }
--- a/internal/scheduler/placement_wait_test.go
+++ b/internal/scheduler/placement_wait_test.go
@@ -10,12 +10,12 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// maxWaitBesideCapacity is how long no job may wait while a machine that fits has room and its
-// team is under its limit.
+// maxWaitBesideCapacity is how long a job may wait at the most while a machine has capacity
+// for it and its team is under its limit.
 const maxWaitBesideCapacity = 90 * time.Second
 
-// A job that has missed all its deadlines is finished where nothing else wants the
-// room, however large its tasks are against the share that it gets ahead of others.
+// A job that has missed all its deadlines finishes where no other job needs the capacity,
+// however large its tasks are compared with the share that aged jobs get ahead of others.
 func TestAgedJobShareIsNoUpperBound(t *testing.T) {
 	for seed := range uint64(3) {
 		rng := rand.New(rand.NewPCG(seed, 21))
@@ -24,8 +24,8 @@
 		workers := newFakeWorkers(h, func(string, string) (time.Duration, string) {
 			return time.Duration(50+rng.IntN(20)) * time.Second, wire.CauseDone
 		})
-		due := 30.0
-		h.submit(wire.Job{ID: "run-000001", Tasks: 18, CPUs: float64(5 + rng.IntN(4)), EstimatedRunS: 60, DeadlineS: &due})
+		deadline := 30.0
+		h.submit(wire.Job{ID: "run-000001", Tasks: 18, CPUs: float64(5 + rng.IntN(4)), EstimatedRunS: 60, DeadlineS: &deadline})
 		for h.now < workers.startedAt+560*time.Second {
 			workers.step()
 		}
@@ -35,8 +35,8 @@
 	}
 }
 
-// Two jobs for which the same machine was freed do not take its room from each other
-// for good, where a stop takes longer than the gap between two looks for room.
+// Two jobs for which tasks on the same machine were preempted do not take its reservation
+// from each other for ever, where a stop takes longer than the interval of their searches.
 func TestPreemptedCapacityIsUsed(t *testing.T) {
 	for seed := range uint64(5) {
 		rng := rand.New(rand.NewPCG(seed, 22))
@@ -55,19 +55,19 @@
 		}
 		for id, j := range h.scheduler.cluster.jobs {
 			if j.rank != idleRank && j.activeCount == 0 {
-				t.Errorf("seed %d: %s waits beside room: %s", seed, id, j.waiting.reason)
+				t.Errorf("seed %d: %s waits beside free capacity: %s", seed, id, j.waiting.reason)
 			}
 		}
 	}
 }
 
-// A start that was lost is sent again before its job has waited for long, however far
-// off its deadline is: the budget is hours for some.
+// A lost start is sent again before its job has waited for long, however far off the job's
+// deadline is, on which the dispatch budget depends.
 func TestLostStartIsRetriedInTime(t *testing.T) {
-	for _, due := range []float64{60, 900, 4000, 100_000} {
+	for _, deadline := range []float64{60, 900, 4000, 100_000} {
 		h := newHarness(t, false, nil, nil)
 		h.bringUp("n-1")
-		h.submit(wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1, DeadlineS: &due})
+		h.submit(wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1, DeadlineS: &deadline})
 		lost := 0
 		for end := h.now + 300*time.Second; h.now < end; {
 			last := h.now
@@ -75,22 +75,23 @@
 				h.advance(time.Second, "n-1")
 			}
 			if wait := h.now - last; wait > maxWaitBesideCapacity/3 {
-				t.Errorf("due in %v s: sent again after %v, having been lost %d times", due, wait, lost)
+				t.Errorf("deadline in %v s: retried after %v, having been lost %d times", deadline, wait, lost)
 				break
 			}
 			if h.scheduler.cluster.jobs["run-000001"].activeCount == 0 {
-				break // given up, and to be placed anew
+				break // abandoned, and to be placed again
 			}
 			lost++
 			h.startsInReplies = nil
 			h.answerAll(CallLost)
 			h.heartbeat("n-1")
-			h.startsInReplies = nil // nor does what the answer carried arrive
+			h.startsInReplies = nil // the reply is lost too
 		}
 	}
 }
 
-// What production waits for in vain is not kept from its team: its zone has no machine.
+// A production job whose zone has no machine reserves no quota, and its team's other work
+// goes on.
 func TestUnplaceableProductionReservesNoQuota(t *testing.T) {
 	h := newHarness(t, false, nil, nil)
 	workers := newFakeWorkers(h, func(string, string) (time.Duration, string) { return 20 * time.Second, wire.CauseDone })
@@ -100,22 +101,22 @@
 		workers.step()
 	}
 	if j := h.scheduler.cluster.jobs["run-000002"]; j != nil && j.progress.doneCount == 0 && j.runningCount == 0 {
-		t.Errorf("nothing of it runs: %s", j.waiting.reason)
+		t.Errorf("no task runs: %s", j.waiting.reason)
 	}
-	stopped := h.scheduler.counters.Preempted
+	preempted := h.scheduler.counters.Preempted
 	for h.now < workers.startedAt+3*maxWaitBesideCapacity {
 		workers.step()
 	}
 	if j := h.scheduler.cluster.jobs["run-000002"]; j != nil {
 		t.Errorf("%d of %d tasks done", j.progress.doneCount, j.spec.Tasks)
 	}
-	if n := h.scheduler.counters.Preempted - stopped; n > 0 {
-		t.Errorf("%d of its tasks were stopped for what cannot start", n)
+	if n := h.scheduler.counters.Preempted - preempted; n > 0 {
+		t.Errorf("%d of its tasks were preempted for a job that cannot start", n)
 	}
 }
 
-// Images are fetched one after the other on a machine, but no job waits for its turn
-// for long.
+// A machine fetches images of different jobs one after the other, but no job waits for long
+// for others' fetches.
 func TestWaitForOtherImageFetchesIsBounded(t *testing.T) {
 	for seed := range uint64(3) {
 		rng := rand.New(rand.NewPCG(seed, 23))
@@ -137,7 +138,7 @@
 	}
 }
 
-// A gang that fits on no set of machines that there are keeps none of them free.
+// A gang that does not fit on all machines together reserves none of them.
 func TestGangThatCannotFitReservesNothing(t *testing.T) {
 	h := newHarness(t, false, nil, nil)
 	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, CPUsMax: 1000}
@@ -155,20 +156,20 @@
 	}
 }
 
-// A gang whose tasks belong together goes to the zone that has room for all of them.
+// A gang that has to be in one zone goes to the zone with capacity for all of it.
 func TestGangIsPlacedInTheZoneThatFitsIt(t *testing.T) {
-	for _, roomy := range []string{"a", "b"} {
+	for _, zone := range []string{"a", "b"} {
 		h := newHarness(t, false, nil, nil)
 		h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, CPUsMax: 1000}
-		names := []string{"n-1", "n-6", "n-7"} // after n-5: zone b
-		if roomy == "a" {
+		names := []string{"n-1", "n-6", "n-7"} // those after n-5 are in zone b
+		if zone == "a" {
 			names = []string{"n-1", "n-2", "n-6"}
 		}
 		h.bringUp(names...)
 		h.submit(wire.Job{ID: "run-000001", Tasks: 2, CPUs: 8, Shape: wire.ShapeGang, SameZone: true})
 		h.advance(5*time.Second, names...)
 		if n := len(h.startCommands()); n != 2 {
-			t.Errorf("room in zone %s: %d of 2 members started", roomy, n)
+			t.Errorf("capacity in zone %s: %d of 2 members started", zone, n)
 		}
 	}
 }
