--- a/internal/scheduler/attempt.go
+++ b/internal/scheduler/attempt.go
@@ -81,6 +81,21 @@
 // attached reports whether the attempt counts as being on its machine.
 func (a *attempt) attached() bool { return a.machine.tasks[a.ref] == a }
 
+// setState takes the state that the worker lists for the attempt, and counts it among
+// those of its job that run.
+func (a *attempt) setState(state string) {
+	if a.job != nil {
+		if a.state == wire.TaskRunning {
+			a.job.runningCount--
+		}
+		if state == wire.TaskRunning {
+			a.job.runningCount++
+		}
+	}
+	a.state = state
+	a.machine.taskSummary = nil
+}
+
 // attach counts an attempt as being on its machine.
 func (s *Scheduler) attach(a *attempt) { s.cluster.attach(a) }
 
--- a/internal/scheduler/attempt_outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -205,7 +205,7 @@
 	j.progress.add(index)
 	s.logDebug("task done", "task", wire.TaskName(j.id, index))
 	s.counters.Finished++
-	s.markDirty(j)
+	s.persister.markDirty(j, s.now.Mono)
 	s.placement.due = true
 	for _, a := range slices.Clone(j.active[index]) {
 		s.stopNow(a, StopTaskDone)
--- a/internal/scheduler/effects.go
+++ b/internal/scheduler/effects.go
@@ -10,8 +10,8 @@
 	DirectCalls []DirectCall
 	Commits     []Commit
 	Provision   []ProvisionRequest
-	Release     [][]string // names of machines, one slice a request
-	Resign      string     // why leadership has to be given up; empty: it goes on
+	Release     [][]string   // names of machines, one slice a request
+	Resign      ResignReason // empty: leadership goes on
 	Log         []LogLine
 	// Reconciliation has the events of the term's reconciliation, for traces.
 	Reconciliation []reconcile.Event
--- a/internal/scheduler/fencing.go
+++ b/internal/scheduler/fencing.go
@@ -54,6 +54,6 @@
 		highest = max(highest, m.fencing.counter)
 	}
 	if float64(highest) > maxCounter*tuning.MaxFencingCounterUse {
-		s.effects.Resign = "fencing counters nearly used up"
+		s.effects.Resign = ResignCountersExhausted
 	}
 }
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -90,7 +90,7 @@
 		s.logInfo("heartbeat with an impossible fencing token", "machine", heartbeat.Machine, "fencing_token", heartbeat.FencingToken, "term", s.term)
 	default:
 		//mutation:resign-on-higher-fencing-token
-		s.effects.Resign = "a worker has seen a higher fencing token"
+		s.effects.Resign = ResignHigherToken
 	}
 	return true
 }
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -165,24 +165,10 @@
 // markDirtyIfComplete has a job's last write made once it is over.
 func (s *Scheduler) markDirtyIfComplete(j *job) {
 	if j.readyToArchive() {
-		s.markDirty(j)
+		s.persister.markDirty(j, s.now.Mono)
 	}
 }
 
-// markDirty notes that there is something of the job to write.
-func (s *Scheduler) markDirty(j *job) {
-	if j.write.dirtyAt == 0 {
-		j.write.dirtyAt = s.now.Mono
-		s.persister.dirtyJobs[j] = true
-	}
-}
-
-// markClean notes that there is nothing of the job to write.
-func (s *Scheduler) markClean(j *job) {
-	j.write.dirtyAt = 0
-	delete(s.persister.dirtyJobs, j)
-}
-
 // pendingTasks is how many tasks are neither done nor have an attempt.
 func (j *job) pendingTasks() int {
 	if j.cancelled || j.archived {
--- a/internal/scheduler/jobwrite.go
+++ b/internal/scheduler/jobwrite.go
@@ -27,6 +27,20 @@
 	chunks         []int          // further chunks that were written
 }
 
+// markDirty notes that there is something of the job to write.
+func (p *persistState) markDirty(j *job, now time.Duration) {
+	if j.write.dirtyAt == 0 {
+		j.write.dirtyAt = now
+		p.dirtyJobs[j] = true
+	}
+}
+
+// markClean notes that there is nothing of the job to write.
+func (p *persistState) markClean(j *job) {
+	j.write.dirtyAt = 0
+	delete(p.dirtyJobs, j)
+}
+
 // jobsDueForWrite gives the jobs that have had something to write for that long, the longest
 // first.
 func (p *persistState) jobsDueForWrite(now, minAge time.Duration) []*job {
@@ -94,8 +108,8 @@
 		if t.budgetLeft() < s.settings.WriteRate*tuning.StartWriteReserve {
 			return // starts, and jobs that end, come first
 		}
-		if j.progress.doneCount == j.progress.savedCount {
-			s.markClean(j)
+		if !j.progress.unsaved() {
+			s.persister.markClean(j)
 			continue
 		}
 		write := t.addProgressOf(j)
@@ -156,7 +170,7 @@
 	j.write.blockedUntil = s.now.Mono + tuning.StoreRetryDelay
 	for _, chunk := range write.chunks {
 		if outcome.conflicting[records.BitmapKey(j.id, chunk)] {
-			s.effects.Resign = "a job's bitmap was changed by another writer"
+			s.effects.Resign = ResignBitmapChanged
 		}
 	}
 }
@@ -166,27 +180,26 @@
 		s.persister.deleteLater(records.BitmapKey(j.id, chunk))
 	}
 	s.logInfo("job ended", "job", j.id, "state", j.endState(), "after_s", (s.now.Mono - j.createdAt).Seconds())
-	j.progress.saved = slices.Clone(j.progress.done)
-	j.progress.savedCount = j.progress.doneCount
-	s.markClean(j)
+	j.progress.markAllSaved()
+	s.persister.markClean(j)
 	s.archiveJob(j)
 }
 
 func (s *Scheduler) jobProgressWritten(write jobWrite, revision uint64) {
 	j := write.job
+	chunks := write.chunks
+	for _, chunk := range chunks {
+		j.write.chunkRevisions[chunk] = revision
+	}
 	if write.wroteJobRecord {
 		j.modRevision = max(j.modRevision, revision)
-		_ = j.progress.saved.MergeChunk(0, write.doneBits.EncodeChunk(0)) // encoded from a bitmap of its size
-	}
-	for _, chunk := range write.chunks {
-		j.write.chunkRevisions[chunk] = revision
-		_ = j.progress.saved.MergeChunk(chunk, write.doneBits.EncodeChunk(chunk))
+		chunks = append(chunks, 0)
 	}
-	j.progress.savedCount = j.progress.saved.Count()
+	j.progress.markSaved(write.doneBits, chunks)
 	//mutation:release-saved-attempt
 	s.dropSavedAssignments(j)
-	s.markClean(j)
-	if j.progress.savedCount != j.progress.doneCount || j.readyToArchive() {
-		s.markDirty(j)
+	s.persister.markClean(j)
+	if j.progress.unsaved() || j.readyToArchive() {
+		s.persister.markDirty(j, s.now.Mono)
 	}
 }
--- a/internal/scheduler/persist.go
+++ b/internal/scheduler/persist.go
@@ -114,7 +114,7 @@
 		}
 	}
 	if outcome.conflicting[records.LeaderKey] {
-		s.effects.Resign = "another leader holds the key"
+		s.effects.Resign = ResignLeaderKeyChanged
 		return
 	}
 	if result == CommitRefused || result == CommitUnknown {
--- a/internal/scheduler/reasons.go
+++ b/internal/scheduler/reasons.go
@@ -21,3 +21,14 @@
 func stopReasonOf(class reconcile.Class) StopReason {
 	return StopReason("reconciliation: " + class.String())
 }
+
+// ResignReason says why a leader has to give up leadership. The empty one: it does not.
+type ResignReason string
+
+// Reasons of the scheduler for resigning.
+const (
+	ResignHigherToken       ResignReason = "a worker has seen a higher fencing token"
+	ResignCountersExhausted ResignReason = "this term's fencing counters or attempt numbers are nearly used up"
+	ResignLeaderKeyChanged  ResignReason = "another leader holds the key"
+	ResignBitmapChanged     ResignReason = "a job's done bitmap was changed by another leader"
+)
--- a/internal/scheduler/tasklist.go
+++ b/internal/scheduler/tasklist.go
@@ -85,7 +85,7 @@
 		return
 	}
 	s.logInfo("unexpected attempt", "task", status.Task, "attempt", a.number, "machine", m.name, "reason", verdict.Class)
-	s.stopAttempt(a, false, verdict.Class.String())
+	s.stopNow(a, stopReasonOf(verdict.Class))
 }
 
 // updateTaskState takes the state of an attempt that is on the machine.
@@ -95,20 +95,13 @@
 	if a.state == state {
 		return
 	}
-	a.machine.taskSummary = nil
+	a.setState(state)
 	s.logDebug("task state changed", "task", a.ref.String(), "attempt", a.number, "machine", a.machine.name, "state", state)
-	if a.job != nil {
-		if a.state == wire.TaskRunning {
-			a.job.runningCount--
-		}
-		if state == wire.TaskRunning {
-			a.job.runningCount++
-			a.runningAt = s.now.Mono
-			a.machine.addImage(a.job.spec.Image, a.job.spec.ImageGB)
-			s.counters.Started++
-		}
+	if a.job != nil && state == wire.TaskRunning {
+		a.runningAt = s.now.Mono
+		a.machine.addImage(a.job.spec.Image, a.job.spec.ImageGB)
+		s.counters.Started++
 	}
-	a.state = state
 }
 
 // acknowledgeStart takes note that the worker has listed the attempt.
