--- a/internal/scheduler/assignmentrestore.go
+++ b/internal/scheduler/assignmentrestore.go
@@ -125,7 +125,7 @@
 		start: startState{sent: true},
 	}
 	b.neededBy[a] = true
-	s.attach(a)
+	s.cluster.attach(a)
 	a.reconciliation.class = reconcile.MissingUnproven
 	s.reconciler.ExpectAttempt(m.name)
 	if j == nil || j.cancelled {
--- a/internal/scheduler/attempt.go
+++ b/internal/scheduler/attempt.go
@@ -96,11 +96,6 @@
 	a.machine.taskSummary = nil
 }
 
-// attach counts an attempt as being on its machine.
-func (s *Scheduler) attach(a *attempt) { s.cluster.attach(a) }
-
-func (s *Scheduler) teamUsage(team string) *teamUsage { return s.cluster.usageOf(team) }
-
 // detach removes an attempt that is proven to be gone, with what was kept because of it.
 func (s *Scheduler) detach(a *attempt) {
 	if !a.attached() {
@@ -114,19 +109,28 @@
 	s.placement.due = true
 }
 
-// stopNow asks for an attempt's end without a checkpoint.
-func (s *Scheduler) stopNow(a *attempt, reason StopReason) { s.stopAttempt(a, false, string(reason)) }
+// stopNow asks for an attempt's end. An earlier request that left the time for a
+// checkpoint is replaced.
+func (s *Scheduler) stopNow(a *attempt, reason StopReason) {
+	if !a.stop.requested || a.stop.checkpoint {
+		s.requestStop(a, stopRequest{requested: true}, reason)
+	}
+}
 
-// stopAttempt asks for an attempt's end, with a checkpoint if it may have the time for
-// one. The stop is sent at once. An attempt whose start was never sent simply ends.
-func (s *Scheduler) stopAttempt(a *attempt, checkpoint bool, reason string) {
+// stopAfterCheckpoint asks for an attempt's end, and leaves it the time for a checkpoint.
+func (s *Scheduler) stopAfterCheckpoint(a *attempt, reason StopReason) {
 	if !a.stop.requested {
-		s.logDebug("task stop requested", "task", a.ref.String(), "machine", a.machine.name, "reason", reason)
+		s.requestStop(a, stopRequest{requested: true, checkpoint: true}, reason)
 	}
-	if a.stop.requested && (checkpoint || !a.stop.checkpoint) {
-		return
+}
+
+// requestStop has a stop sent at once. An attempt whose start was never sent simply ends.
+func (s *Scheduler) requestStop(a *attempt, request stopRequest, reason StopReason) {
+	if !a.stop.requested {
+		s.logDebug("task stop requested", "task", a.ref.String(), "machine", a.machine.name, "reason", reason)
 	}
-	a.stop.requested, a.stop.checkpoint, a.stop.sentAt = true, checkpoint, 0
+	request.sent = a.stop.sent
+	a.stop = request
 	a.machine.taskSummary = nil
 	//mutation:stop-detaches-unsent-only
 	if !a.start.sent {
--- a/internal/scheduler/attempt_outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -225,11 +225,12 @@
 		if a.job == nil || a.stop.requested {
 			continue
 		}
-		checkpoint := a.job.canCheckpointWithin(left)
-		if !checkpoint && s.mayRunUntilInterruption(a, left) {
-			continue
+		switch {
+		case a.job.canCheckpointWithin(left):
+			s.stopAfterCheckpoint(a, StopSpotInterruption)
+		case !s.mayRunUntilInterruption(a, left):
+			s.stopNow(a, StopSpotInterruption)
 		}
-		s.stopAttempt(a, checkpoint, string(StopSpotInterruption))
 	}
 }
 
--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -95,7 +95,7 @@
 		smallest.cpus, smallest.memoryGB = min(smallest.cpus, j.spec.CPUs), min(smallest.memoryGB, j.spec.MemoryGB)
 	}
 	var machines []*machine
-	for _, m := range s.sortedMachines() {
+	for _, m := range s.cluster.sortedMachines() {
 		if m.machineSpec != nil && m.hasAtLeast(smallest) && s.schedulable(m) && !m.summarize().hasUnknownTask {
 			machines = append(machines, m)
 		}
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -98,7 +98,7 @@
 func (r *placementRound) reserveForGang(j *job, n int) {
 	var machines []*machine
 	capacity := zoneCapacity{}
-	for _, m := range r.scheduler.sortedMachines() {
+	for _, m := range r.scheduler.cluster.sortedMachines() {
 		if !r.scheduler.canHost(m, j) {
 			continue
 		}
@@ -159,7 +159,7 @@
 	}
 	attemptsByZone := j.attemptsByZone()
 	capacity := zoneCapacity{}
-	for _, m := range r.scheduler.sortedMachines() {
+	for _, m := range r.scheduler.cluster.sortedMachines() {
 		if !r.scheduler.canHost(m, j) || !j.allowsZone(attemptsByZone, m.zone) {
 			continue
 		}
--- a/internal/scheduler/machinescan.go
+++ b/internal/scheduler/machinescan.go
@@ -243,7 +243,7 @@
 		s.counters.DispatchGiveUps++
 		s.log(false, "start never acknowledged, giving up", "task", wire.TaskName(a.ref.jobID, a.ref.index), "machine", m.name, "probes", a.retry.count)
 		s.cluster.failures = append(s.cluster.failures, Failure{wire.TaskName(a.ref.jobID, a.ref.index), a.number, m.name, "ack timeout", s.now.Wall})
-		s.stopAttempt(a, false, "start never acknowledged")
+		s.stopNow(a, StopNeverAcknowledged)
 	}
 	if due {
 		s.sendDue(m)
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -273,7 +273,7 @@
 // assignment is recorded, for which it has to be queued.
 func (r *placementRound) assign(j *job, index int, m *machine) *attempt {
 	a := r.scheduler.newAttempt(j, index, m)
-	r.scheduler.attach(a)
+	r.scheduler.cluster.attach(a)
 	return a
 }
 
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -65,7 +65,7 @@
 			h.submit(wire.Job{ID: fmt.Sprintf("run-%06d", n), Tasks: 2 + rng.IntN(9), CPUs: 2, EstimatedRunS: 8})
 		}
 		workers.step()
-		if use := h.scheduler.teamUsage("guest").CPUs; h.now > workers.startedAt+tuning.ArrayStarvationBound+10*time.Second && use > 4 {
+		if use := h.scheduler.cluster.usageOf("guest").CPUs; h.now > workers.startedAt+tuning.ArrayStarvationBound+10*time.Second && use > 4 {
 			t.Fatalf("the guest has %v of 24 CPUs that others are guaranteed", use)
 		}
 	}
@@ -197,7 +197,7 @@
 	h.bringUp("n-1", "n-2", "n-3")
 	h.submit(wire.Job{ID: "run-000001", Tasks: 30, CPUs: 1})
 	h.answerAll(CallExecuted)
-	if u := h.scheduler.teamUsage("red").CPUs; u != 16 {
+	if u := h.scheduler.cluster.usageOf("red").CPUs; u != 16 {
 		t.Fatalf("team uses %v of 16", u)
 	}
 	h.submit(wire.Job{ID: "run-000002", Tasks: 2, CPUs: 1, Shape: wire.ShapeService, Priority: wire.PriorityProduction})
@@ -209,8 +209,8 @@
 	if j := h.scheduler.cluster.jobs["run-000002"]; j.runningCount != 2 {
 		t.Fatalf("%d of 2 replicas run", j.runningCount)
 	}
-	if h.scheduler.counters.Preempted != 2 || h.scheduler.teamUsage("red").CPUs > 16 {
-		t.Fatalf("%d stops, team uses %v", h.scheduler.counters.Preempted, h.scheduler.teamUsage("red").CPUs)
+	if h.scheduler.counters.Preempted != 2 || h.scheduler.cluster.usageOf("red").CPUs > 16 {
+		t.Fatalf("%d stops, team uses %v", h.scheduler.counters.Preempted, h.scheduler.cluster.usageOf("red").CPUs)
 	}
 }
 
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -78,8 +78,11 @@
 	s.counters.Preempted++
 	s.logDebug("task preempted", "task", wire.TaskName(victim.ref.jobID, victim.ref.index), "attempt", victim.number,
 		"machine", victim.machine.name, "for_job", j.id, "reason", string(cause))
-	saveCheckpoint := victim.job.spec.CheckpointIntervalS > 0 && !j.isProduction()
-	s.stopAttempt(victim, saveCheckpoint, "preempted for "+j.id)
+	if victim.job.spec.CheckpointIntervalS > 0 && !j.isProduction() {
+		s.stopAfterCheckpoint(victim, StopPreempted)
+	} else {
+		s.stopNow(victim, StopPreempted)
+	}
 }
 
 // startUnderWay reports whether a start was sent that the worker has not acknowledged yet,
@@ -109,7 +112,7 @@
 // exceedsGuarantee reports whether the job's team keeps its guarantee without one of the
 // job's tasks.
 func (s *Scheduler) exceedsGuarantee(j *job) bool {
-	guarantee, usage := s.settings.Teams[j.spec.Team], s.teamUsage(j.spec.Team)
+	guarantee, usage := s.settings.Teams[j.spec.Team], s.cluster.usageOf(j.spec.Team)
 	return usage.CPUs-j.spec.CPUs >= guarantee.CPUs-epsilon ||
 		j.spec.GPUs > 0 && usage.GPUs-j.spec.GPUs >= guarantee.GPUs-epsilon
 }
@@ -223,7 +226,7 @@
 // collects where preemption would free more, until there is enough.
 func (p *preemptionSearch) collectOptions() []preemptionOption {
 	var options []preemptionOption
-	for _, m := range p.round.scheduler.sortedMachines() {
+	for _, m := range p.round.scheduler.cluster.sortedMachines() {
 		if p.found == p.wanted {
 			return nil
 		}
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -38,7 +38,7 @@
 	if !ok {
 		return 0
 	}
-	usage := s.teamUsage(j.spec.Team)
+	usage := s.cluster.usageOf(j.spec.Team)
 	count := math.Inf(1)
 	if j.spec.CPUs > 0 {
 		count = min(count, math.Floor((limit.CPUsMax-usage.CPUs-reserved.CPUs+epsilon)/j.spec.CPUs))
@@ -51,7 +51,7 @@
 
 // quotaShortfall is what so many tasks of the job would take beyond its team's limit.
 func (s *Scheduler) quotaShortfall(j *job, tasks int) resources {
-	limit, usage := s.settings.Teams[j.spec.Team], s.teamUsage(j.spec.Team)
+	limit, usage := s.settings.Teams[j.spec.Team], s.cluster.usageOf(j.spec.Team)
 	return resources{
 		cpus: usage.CPUs + float64(tasks)*j.spec.CPUs - limit.CPUsMax,
 		gpus: usage.GPUs + float64(tasks)*j.spec.GPUs - limit.GPUsMax,
--- a/internal/scheduler/reconciliation_test.go
+++ b/internal/scheduler/reconciliation_test.go
@@ -32,6 +32,7 @@
 
 // assignmentRecord is a record of one attempt of the restarted job's first task.
 func assignmentRecord(t *testing.T, machine string, attempt uint64) wire.KeyValue {
+	t.Helper()
 	return machineRecordItem(t, machine, records.LegacyMachine{Type: "box", Zone: "a", Address: machine + ":1",
 		Tasks: map[string][]records.AssignedTask{restartedJobID: {{Index: 0, Attempt: attempt}}}})
 }
--- a/internal/scheduler/restart_simulation_test.go
+++ b/internal/scheduler/restart_simulation_test.go
@@ -47,7 +47,7 @@
 		sim.cloudDown = true
 		sim.after(downFor+50*time.Second, func() { sim.cloudDown = false })
 	}},
-	{"half_of_the_machines_gone", func(sim *simulation, downFor time.Duration) {
+	{"half_of_the_machines_gone", func(sim *simulation, _ time.Duration) {
 		for i, name := range sim.machineNames {
 			if i%2 == 0 {
 				sim.workers[name].Terminate()
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -122,7 +122,7 @@
 
 // probeRestoredMachines asks all machines for a heartbeat under this term's token.
 func (s *Scheduler) probeRestoredMachines() {
-	for _, m := range s.sortedMachines() {
+	for _, m := range s.cluster.sortedMachines() {
 		if s.dispatcher.machinesDue[m.name] {
 			s.sendDue(m) // its reply is such a heartbeat
 		}
--- a/internal/scheduler/tasklist.go
+++ b/internal/scheduler/tasklist.go
@@ -77,7 +77,7 @@
 	}
 	verdict := reconcile.Classify(s.evidenceFor(a, reconcile.Active))
 	s.deferVerdict(a, verdict)
-	s.attach(a)
+	s.cluster.attach(a)
 	//mutation:record-unexpected-attempt
 	s.persister.queueAssignment(a)
 	if verdict.Action == reconcile.Adopt {
--- a/internal/scheduler/unconfirmed_capacity.go
+++ b/internal/scheduler/unconfirmed_capacity.go
@@ -11,7 +11,7 @@
 	if !s.reconciler.AwaitsCapacity() {
 		return
 	}
-	for _, m := range s.sortedMachines() {
+	for _, m := range s.cluster.sortedMachines() {
 		if m.confirmed || m.phase == machineReleasing || m.machineSpec == nil || m.cloud.failed || m.cloud.interruptionAt > 0 {
 			continue
 		}
--- a/internal/scheduler/views.go
+++ b/internal/scheduler/views.go
@@ -76,7 +76,7 @@
 // Machines lists machines by name, those after from, up to the limit.
 func (s *Scheduler) Machines(now Now, from string, limit int) []MachineView {
 	var views []MachineView
-	for _, m := range s.sortedMachines() {
+	for _, m := range s.cluster.sortedMachines() {
 		if m.name <= from {
 			continue
 		}
