--- a/internal/scheduler/attempt.go
+++ b/internal/scheduler/attempt.go
@@ -81,10 +81,20 @@
 // attached reports whether the attempt counts as being on its machine.
 func (a *attempt) attached() bool { return a.machine.tasks[a.ref] == a }
 
-// attach counts an attempt as being on its machine.
-func (s *Scheduler) attach(a *attempt) { s.cluster.attach(a) }
-
-func (s *Scheduler) teamUsage(team string) *teamUsage { return s.cluster.usageOf(team) }
+// setState takes the state that the worker lists for the attempt, and counts it among
+// those of its job that run.
+func (a *attempt) setState(state string) {
+	if a.job != nil {
+		if a.state == wire.TaskRunning {
+			a.job.runningCount--
+		}
+		if state == wire.TaskRunning {
+			a.job.runningCount++
+		}
+	}
+	a.state = state
+	a.machine.taskSummary = nil
+}
 
 // detach removes an attempt that is proven to be gone, with what was kept because of it.
 func (s *Scheduler) detach(a *attempt) {
@@ -99,19 +109,28 @@
 	s.placement.due = true
 }
 
-// stopNow asks for an attempt's end without a checkpoint.
-func (s *Scheduler) stopNow(a *attempt, reason StopReason) { s.stopAttempt(a, false, string(reason)) }
+// stopNow asks for an attempt's end. An earlier request that left the time for a
+// checkpoint is replaced.
+func (s *Scheduler) stopNow(a *attempt, reason StopReason) {
+	if !a.stop.requested || a.stop.checkpoint {
+		s.requestStop(a, stopRequest{requested: true}, reason)
+	}
+}
+
+// stopAfterCheckpoint asks for an attempt's end, and leaves it the time for a checkpoint.
+func (s *Scheduler) stopAfterCheckpoint(a *attempt, reason StopReason) {
+	if !a.stop.requested {
+		s.requestStop(a, stopRequest{requested: true, checkpoint: true}, reason)
+	}
+}
 
-// stopAttempt asks for an attempt's end, with a checkpoint if it may have the time for
-// one. The stop is sent at once. An attempt whose start was never sent simply ends.
-func (s *Scheduler) stopAttempt(a *attempt, checkpoint bool, reason string) {
+// requestStop has a stop sent at once. An attempt whose start was never sent simply ends.
+func (s *Scheduler) requestStop(a *attempt, request stopRequest, reason StopReason) {
 	if !a.stop.requested {
 		s.logDebug("task stop requested", "task", a.ref.String(), "machine", a.machine.name, "reason", reason)
 	}
-	if a.stop.requested && (checkpoint || !a.stop.checkpoint) {
-		return
-	}
-	a.stop.requested, a.stop.checkpoint, a.stop.sentAt = true, checkpoint, 0
+	request.sent = a.stop.sent
+	a.stop = request
 	a.machine.taskSummary = nil
 	//mutation:stop-detaches-unsent-only
 	if !a.start.sent {
--- a/internal/scheduler/attempt_outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -205,7 +205,7 @@
 	j.progress.add(index)
 	s.logDebug("task done", "task", wire.TaskName(j.id, index))
 	s.counters.Finished++
-	s.markDirty(j)
+	s.persister.markDirty(j, s.now.Mono)
 	s.placement.due = true
 	for _, a := range slices.Clone(j.active[index]) {
 		s.stopNow(a, StopTaskDone)
@@ -225,11 +225,12 @@
 		if a.job == nil || a.stop.requested {
 			continue
 		}
-		checkpoint := a.job.canCheckpointWithin(left)
-		if !checkpoint && s.mayRunUntilInterruption(a, left) {
-			continue
+		switch {
+		case a.job.canCheckpointWithin(left):
+			s.stopAfterCheckpoint(a, StopSpotInterruption)
+		case !s.mayRunUntilInterruption(a, left):
+			s.stopNow(a, StopSpotInterruption)
 		}
-		s.stopAttempt(a, checkpoint, string(StopSpotInterruption))
 	}
 }
 
--- a/internal/scheduler/machinescan.go
+++ b/internal/scheduler/machinescan.go
@@ -75,5 +75,5 @@
 	s.counters.DispatchGiveUps++
 	s.logInfo("dispatch abandoned: start never acknowledged", "task", task, "attempt", a.number, "machine", a.machine.name, "retries", a.retry.count)
 	s.cluster.failures = append(s.cluster.failures, Failure{task, a.number, a.machine.name, "ack timeout", s.now.Wall})
-	s.stopAttempt(a, false, "start never acknowledged")
+	s.stopNow(a, StopNeverAcknowledged)
 }
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -64,7 +64,7 @@
 			h.submit(wire.Job{ID: fmt.Sprintf("run-%06d", n), Tasks: 2 + rng.IntN(9), CPUs: 2, EstimatedRunS: 8})
 		}
 		workers.step()
-		if cpus := h.scheduler.teamUsage("guest").CPUs; h.now > workers.startedAt+tuning.ArrayStarvationBound+10*time.Second && cpus > 4 {
+		if cpus := h.scheduler.cluster.usageOf("guest").CPUs; h.now > workers.startedAt+tuning.ArrayStarvationBound+10*time.Second && cpus > 4 {
 			t.Fatalf("the guest uses %v of 24 CPUs that others are guaranteed", cpus)
 		}
 	}
@@ -196,7 +196,7 @@
 	h.bringUp("n-1", "n-2", "n-3")
 	h.submit(wire.Job{ID: "run-000001", Tasks: 30, CPUs: 1})
 	h.answerAll(CallExecuted)
-	if cpus := h.scheduler.teamUsage("red").CPUs; cpus != 16 {
+	if cpus := h.scheduler.cluster.usageOf("red").CPUs; cpus != 16 {
 		t.Fatalf("the team uses %v of 16 CPUs", cpus)
 	}
 	h.submit(wire.Job{ID: "run-000002", Tasks: 2, CPUs: 1, Shape: wire.ShapeService, Priority: wire.PriorityProduction})
@@ -208,8 +208,8 @@
 	if j := h.scheduler.cluster.jobs["run-000002"]; j.runningCount != 2 {
 		t.Fatalf("%d of 2 replicas run", j.runningCount)
 	}
-	if h.scheduler.counters.Preempted != 2 || h.scheduler.teamUsage("red").CPUs > 16 {
-		t.Fatalf("%d preemptions, the team uses %v CPUs", h.scheduler.counters.Preempted, h.scheduler.teamUsage("red").CPUs)
+	if h.scheduler.counters.Preempted != 2 || h.scheduler.cluster.usageOf("red").CPUs > 16 {
+		t.Fatalf("%d preemptions, the team uses %v CPUs", h.scheduler.counters.Preempted, h.scheduler.cluster.usageOf("red").CPUs)
 	}
 }
 
