--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -89,7 +89,7 @@
 	} {
 		h := newHarness(t, false, nil, nil)
 		h.scheduler.settings.Teams["blue"] = TeamQuota{CPUs: 8, CPUsMax: 16}
-		h.scheduler.teamUsage("blue").CPUs = 10
+		h.scheduler.cluster.usageOf("blue").CPUs = 10
 		a := &attempt{job: &tc.victim, start: tc.start, stop: tc.stop}
 		if got := h.scheduler.mayPreempt(&tc.job, a); got != tc.want {
 			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -47,7 +47,7 @@
 	} {
 		h := newHarness(t, false, nil, nil)
 		h.scheduler.settings.Teams["red"] = TeamQuota{CPUsMax: 16, GPUsMax: 4}
-		usage := h.scheduler.teamUsage("red")
+		usage := h.scheduler.cluster.usageOf("red")
 		usage.CPUs, usage.GPUs = tc.usage.CPUs, tc.usage.GPUs
 		tc.spec.Team = "red"
 		if got := h.scheduler.quotaHeadroom(&job{spec: tc.spec}, tc.reserved); got != tc.want {
