--- a/internal/scheduler/autoscaler.go
+++ b/internal/scheduler/autoscaler.go
@@ -17,6 +17,8 @@
 // none, has come. An offer has at most one pending request, and none is sent for it
 // before its backoff is over: see available. Request names are never used twice.
 type autoscalerState struct {
+	*termContext
+
 	pending           map[string]*pendingRequest // by name
 	unavailableUntil  map[offer]time.Duration
 	nextRequestNumber uint64
--- a/internal/scheduler/cancellations.go
+++ b/internal/scheduler/cancellations.go
@@ -6,6 +6,8 @@
 
 // cancellationState says which cancellations this leader knows of.
 type cancellationState struct {
+	*termContext
+
 	// watermark is the time as of which all cancellations are known.
 	watermark time.Duration
 	// pending has the cancelled jobs that the watch has yet to show, and since when.
--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -59,8 +59,8 @@
 }
 
 // missedHeartbeatsAfter is how long after its last heartbeat a machine counts as silent.
-func (s *Scheduler) missedHeartbeatsAfter() time.Duration {
-	return missedHeartbeats * s.settings.HeartbeatInterval
+func (c *termContext) missedHeartbeatsAfter() time.Duration {
+	return missedHeartbeats * c.settings.HeartbeatInterval
 }
 
 // schedulable reports whether tasks may be placed on the machine at all. One that left a
--- a/internal/scheduler/cluster.go
+++ b/internal/scheduler/cluster.go
@@ -13,6 +13,8 @@
 // of jobProgress count up or down, and keep this invariant: the resources in use on a
 // machine and by a team, and a job's active tasks, are the sums over attached attempts.
 type clusterState struct {
+	*termContext
+
 	machines       map[string]*machine
 	machinesByName []*machine // in that order; nil after a machine was added or removed
 	machineTypes   map[string]*wire.MachineType
--- a/internal/scheduler/dispatch.go
+++ b/internal/scheduler/dispatch.go
@@ -15,17 +15,20 @@
 // due for. A machine has at most one call in flight; what falls due meanwhile is sent when
 // the call is done.
 type dispatchState struct {
+	*termContext
+
 	calls             map[uint64]*commandCall
 	probes            statusProbes
 	machinesDue       map[string]bool // by name; commands for them are sent at the end of the input
 	lastAttemptNumber uint64          // in this term
 }
 
-func newDispatchState(now time.Duration) dispatchState {
+func newDispatchState(context *termContext) dispatchState {
 	return dispatchState{
+		termContext: context,
 		calls:       map[uint64]*commandCall{},
 		machinesDue: map[string]bool{},
-		probes:      statusProbes{rate: tokenBucket{tokens: tuning.MinConcurrentStatusProbes, refilledAt: now}},
+		probes:      statusProbes{rate: tokenBucket{tokens: tuning.MinConcurrentStatusProbes, refilledAt: context.now.Mono}},
 	}
 }
 
--- a/internal/scheduler/dispatchretry.go
+++ b/internal/scheduler/dispatchretry.go
@@ -38,8 +38,8 @@
 
 // dispatchDeadline is when the time to start the attempt ends, counted from its job's
 // creation.
-func (s *Scheduler) dispatchDeadline(a *attempt) time.Duration {
-	budget := s.settings.Policy.DefaultDispatchBudget
+func (c *termContext) dispatchDeadline(a *attempt) time.Duration {
+	budget := c.settings.Policy.DefaultDispatchBudget
 	if deadlineS := a.job.spec.DeadlineS; deadlineS != nil {
 		budget = time.Duration(*deadlineS * float64(time.Second))
 	}
@@ -49,13 +49,13 @@
 // dispatchRetryDelay divides the time between the first dispatch and the deadline into the
 // set number of retries. Each delay is twice the one before, none is below the
 // acknowledgement timeout, and none is above the bound for retries.
-func (s *Scheduler) dispatchRetryDelay(a *attempt) time.Duration {
-	retries := max(1, s.settings.Policy.DispatchRetryCount)
-	base := float64(s.dispatchDeadline(a)-a.start.firstSentAt) / (math.Pow(2, float64(retries)) - 1)
-	first := max(float64(s.settings.Policy.AckTimeout), base)
+func (c *termContext) dispatchRetryDelay(a *attempt) time.Duration {
+	retries := max(1, c.settings.Policy.DispatchRetryCount)
+	base := float64(c.dispatchDeadline(a)-a.start.firstSentAt) / (math.Pow(2, float64(retries)) - 1)
+	first := max(float64(c.settings.Policy.AckTimeout), base)
 	delay := time.Duration(first * math.Pow(2, float64(min(a.retry.count, maxRetryDoublings))))
 	// Where the deadline is hours off, the second dispatch would come minutes after the
 	// first: the task would wait on a machine that has only lost one message.
 	//mutation:dispatch-retry-bound
-	return min(delay, max(s.settings.Policy.AckTimeout, tuning.MaxDispatchRetryInterval))
+	return min(delay, max(c.settings.Policy.AckTimeout, tuning.MaxDispatchRetryInterval))
 }
--- a/internal/scheduler/effects.go
+++ b/internal/scheduler/effects.go
@@ -54,11 +54,11 @@
 }
 
 // logDebug adds a line for debugging.
-func (s *Scheduler) logDebug(message string, attributes ...any) {
-	s.effects.Log = append(s.effects.Log, LogLine{slog.LevelDebug, message, attributes})
+func (c *termContext) logDebug(message string, attributes ...any) {
+	c.effects.Log = append(c.effects.Log, LogLine{slog.LevelDebug, message, attributes})
 }
 
 // logInfo adds a line that operators see by default.
-func (s *Scheduler) logInfo(message string, attributes ...any) {
-	s.effects.Log = append(s.effects.Log, LogLine{slog.LevelInfo, message, attributes})
+func (c *termContext) logInfo(message string, attributes ...any) {
+	c.effects.Log = append(c.effects.Log, LogLine{slog.LevelInfo, message, attributes})
 }
--- a/internal/scheduler/fencing.go
+++ b/internal/scheduler/fencing.go
@@ -19,8 +19,8 @@
 func counterOf(token uint64) uint64 { return token & maxCounter }
 
 // fencingToken is the token to use with a machine now.
-func (s *Scheduler) fencingToken(m *machine) uint64 {
-	return newFencingToken(s.term, m.fencing.counter)
+func (c *termContext) fencingToken(m *machine) uint64 {
+	return newFencingToken(c.term, m.fencing.counter)
 }
 
 // raise moves on to the next fencing token of a machine. Once its worker has seen that, it
--- a/internal/scheduler/monitor.go
+++ b/internal/scheduler/monitor.go
@@ -9,6 +9,8 @@
 // monitorState follows the heartbeats of the fleet and of zones as a whole, and pauses of
 // this process: what a pause delays counts as missed by nobody.
 type monitorState struct {
+	*termContext
+
 	lastHeartbeatAt time.Duration            // of any machine
 	zoneHeartbeatAt map[string]time.Duration // before this term, see ZoneLastSeen
 	zoneMissingAt   map[string]time.Duration // when a whole zone last missed its heartbeats
--- a/internal/scheduler/persist.go
+++ b/internal/scheduler/persist.go
@@ -15,6 +15,8 @@
 // progress and the ends of jobs, and deletions, within the write budget. A batch or a job has
 // at most one write in flight.
 type persistState struct {
+	*termContext
+
 	inFlight          map[uint64]*transactionContents
 	batches           map[string]*assignmentBatch // by key, those that are or may be stored
 	unrecorded        []*attempt                  // to be written with the next batch
@@ -26,12 +28,13 @@
 	blockedUntil      time.Duration               // no writes until then: the key-value store refused one
 }
 
-func newPersistState(now time.Duration, writeRate float64) persistState {
+func newPersistState(context *termContext) persistState {
 	return persistState{
+		termContext: context,
 		inFlight:    map[uint64]*transactionContents{},
 		batches:     map[string]*assignmentBatch{},
 		dirtyJobs:   map[*job]bool{},
-		writeBudget: tokenBucket{tokens: writeRate, refilledAt: now},
+		writeBudget: tokenBucket{tokens: context.settings.WriteRate, refilledAt: context.now.Mono},
 	}
 }
 
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -9,6 +9,8 @@
 
 // placementState says when the next placement round is due.
 type placementState struct {
+	*termContext
+
 	due         bool // something changed that a round may act on
 	lastRoundAt time.Duration
 	rounds      uint64
--- a/internal/scheduler/placement_cost.go
+++ b/internal/scheduler/placement_cost.go
@@ -32,8 +32,8 @@
 	minimizeCost bool // price counts
 }
 
-func (s *Scheduler) newCostModel() costModel {
-	return costModel{now: s.now.Mono, minimizeCost: s.settings.MinimizeCost}
+func (c *termContext) newCostModel() costModel {
+	return costModel{now: c.now.Mono, minimizeCost: c.settings.MinimizeCost}
 }
 
 // cost is that of one more task of the job on the machine. The terms are always added in
--- a/internal/scheduler/reconciliation.go
+++ b/internal/scheduler/reconciliation.go
@@ -198,7 +198,9 @@
 }
 
 // fromEarlierTerm reports whether an attempt's number is of a term before this one.
-func (s *Scheduler) fromEarlierTerm(number uint64) bool { return number>>tuning.FencingBits != s.term }
+func (c *termContext) fromEarlierTerm(number uint64) bool {
+	return number>>tuning.FencingBits != c.term
+}
 
 // countStopProven takes note that an attempt is gone, if a difference asked for its stop.
 func (s *Scheduler) countStopProven(a *attempt) {
--- a/internal/scheduler/scalein.go
+++ b/internal/scheduler/scalein.go
@@ -148,8 +148,8 @@
 }
 
 // heartbeatOverdueAfter is how old the last heartbeat has to be for the next to be overdue.
-func (s *Scheduler) heartbeatOverdueAfter() time.Duration {
-	return s.settings.HeartbeatInterval*5/4 + tuning.HeartbeatGrace
+func (c *termContext) heartbeatOverdueAfter() time.Duration {
+	return c.settings.HeartbeatInterval*5/4 + tuning.HeartbeatGrace
 }
 
 // idleLongEnough reports whether a machine has been idle for its timeout while nothing
@@ -167,8 +167,8 @@
 
 // idleTimeout is how long a machine may be idle: a spot machine longer, by the ratio of
 // the prices.
-func (s *Scheduler) idleTimeout(m *machine) time.Duration {
-	timeout := s.settings.Policy.IdleTimeout
+func (c *termContext) idleTimeout(m *machine) time.Duration {
+	timeout := c.settings.Policy.IdleTimeout
 	if m.spot && m.machineSpec != nil && m.machineSpec.SpotPrice > 0 {
 		timeout = time.Duration(float64(timeout) * max(1, m.machineSpec.Price/m.machineSpec.SpotPrice))
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -31,21 +31,14 @@
 	Wall int64
 }
 
-// Scheduler is the state of a leader during one term.
+// Scheduler is the state of a leader during one term. It routes inputs to its parts, each
+// of which owns its state.
 type Scheduler struct {
-	settings  Settings
-	term      uint64
-	startedAt time.Duration // of the term
-	now       Now           // time of the latest input
-	effects   Effects
-	counters  Counters
+	*termContext
 
 	// ObserveAckLatency, if set, receives the time from a start to its acknowledgement.
 	ObserveAckLatency func(time.Duration)
 
-	nextEffectID   uint64
-	leaseHeldUntil time.Duration // leadership is certain until then
-
 	cluster       clusterState
 	placement     placementState
 	autoscaler    autoscalerState
@@ -91,18 +84,21 @@
 
 // newEmptyScheduler makes a scheduler that knows of nothing yet.
 func newEmptyScheduler(now Now, settings Settings, term uint64) *Scheduler {
+	context := &termContext{settings: settings, term: term, now: now, startedAt: now.Mono}
 	return &Scheduler{
-		settings: settings, term: term, now: now, startedAt: now.Mono,
+		termContext: context,
 		cluster: clusterState{
-			machines: map[string]*machine{}, machineTypes: map[string]*wire.MachineType{}, jobs: map[string]*job{},
+			termContext: context,
+			machines:    map[string]*machine{}, machineTypes: map[string]*wire.MachineType{}, jobs: map[string]*job{},
 			usage: map[string]*teamUsage{}, released: map[string]bool{},
 		},
-		placement:     placementState{due: true, lastRoundAt: now.Mono - time.Second, backingOff: map[*job]bool{}},
-		autoscaler:    autoscalerState{pending: map[string]*pendingRequest{}, unavailableUntil: map[offer]time.Duration{}},
-		dispatcher:    newDispatchState(now.Mono),
-		persister:     newPersistState(now.Mono, settings.WriteRate),
-		cancellations: cancellationState{pending: map[string]time.Duration{}},
+		placement:     placementState{termContext: context, due: true, lastRoundAt: now.Mono - time.Second, backingOff: map[*job]bool{}},
+		autoscaler:    autoscalerState{termContext: context, pending: map[string]*pendingRequest{}, unavailableUntil: map[offer]time.Duration{}},
+		dispatcher:    newDispatchState(context),
+		persister:     newPersistState(context),
+		cancellations: cancellationState{termContext: context, pending: map[string]time.Duration{}},
 		monitor: monitorState{
+			termContext:     context,
 			lastHeartbeatAt: now.Mono, tickedAt: now.Mono,
 			zoneHeartbeatAt: map[string]time.Duration{}, zoneMissingAt: map[string]time.Duration{},
 		},
--- a/internal/scheduler/statusprobe.go
+++ b/internal/scheduler/statusprobe.go
@@ -76,8 +76,8 @@
 
 // isCPULimited reports whether the process has so small a share of a core that work which
 // can wait is spread out.
-func (s *Scheduler) isCPULimited() bool {
-	return s.settings.CPUShare > 0 && s.settings.CPUShare < tuning.ReferenceCPUShare
+func (c *termContext) isCPULimited() bool {
+	return c.settings.CPUShare > 0 && c.settings.CPUShare < tuning.ReferenceCPUShare
 }
 
 // heartbeatExpectedSoon reports whether the machine's next heartbeat will come before a
--- a/internal/scheduler/tick.go
+++ b/internal/scheduler/tick.go
@@ -68,15 +68,15 @@
 func (s *Scheduler) PlacementPending() bool { return s.placement.due }
 
 // LeaseHeldUntil tells the leader how long its lease lasts unless it is renewed.
-func (s *Scheduler) LeaseHeldUntil(until time.Duration) {
-	s.leaseHeldUntil = max(s.leaseHeldUntil, until)
+func (c *termContext) LeaseHeldUntil(until time.Duration) {
+	c.leaseHeldUntil = max(c.leaseHeldUntil, until)
 }
 
 // holdsLease reports whether this process leads for certain. Calls to the cloud are neither
 // conditional nor fenced: a process that was paused for longer than its lease would find
 // that all machines missed their heartbeats, and release hundreds that work for its
 // successor.
-func (s *Scheduler) holdsLease() bool { return s.now.Mono < s.leaseHeldUntil }
+func (c *termContext) holdsLease() bool { return c.now.Mono < c.leaseHeldUntil }
 
 // placementInterval is the least time between two placement rounds, since each visits
 // every machine.
@@ -92,9 +92,9 @@
 // scaleByCPUShare stretches an interval that was measured with tuning.ReferenceCPUShare of a
 // core for a process that has less. It would spend all of its time on rounds while hundreds
 // of jobs wait, and fall behind with heartbeats, so that machines stay idle beside them.
-func (s *Scheduler) scaleByCPUShare(interval time.Duration) time.Duration {
-	if s.isCPULimited() {
-		return time.Duration(float64(interval) * tuning.ReferenceCPUShare / s.settings.CPUShare)
+func (c *termContext) scaleByCPUShare(interval time.Duration) time.Duration {
+	if c.isCPULimited() {
+		return time.Duration(float64(interval) * tuning.ReferenceCPUShare / c.settings.CPUShare)
 	}
 	return interval
 }
--- a/internal/scheduler/zone_partition.go
+++ b/internal/scheduler/zone_partition.go
@@ -77,20 +77,20 @@
 }
 
 // zonePartitionLimit is how long a partitioned zone keeps its machines in any case.
-func (s *Scheduler) zonePartitionLimit() time.Duration {
-	return time.Duration(float64(s.settings.WorkerLease) * tuning.ZonePartitionLeases)
+func (c *termContext) zonePartitionLimit() time.Duration {
+	return time.Duration(float64(c.settings.WorkerLease) * tuning.ZonePartitionLeases)
 }
 
 // zoneReleaseDelay is how long a zone may miss its heartbeats before machines are released
 // whose tasks can move. A controller inside may keep the workers' leases alive, but not for
 // longer than the bound on cancellations allows. Shortly before that, tasks had better
 // start elsewhere than end there with nobody to place them again.
-func (s *Scheduler) zoneReleaseDelay() time.Duration {
-	delay := s.zonePartitionLimit()
-	if s.settings.CancellationBound > 0 {
-		delay = min(delay, s.settings.CancellationBound-tuning.KeepaliveMargin-s.settings.HeartbeatInterval)
+func (c *termContext) zoneReleaseDelay() time.Duration {
+	delay := c.zonePartitionLimit()
+	if c.settings.CancellationBound > 0 {
+		delay = min(delay, c.settings.CancellationBound-tuning.KeepaliveMargin-c.settings.HeartbeatInterval)
 	}
-	return max(delay, s.settings.WorkerLease-tuning.EarlyReleaseMargin)
+	return max(delay, c.settings.WorkerLease-tuning.EarlyReleaseMargin)
 }
 
 // canMoveElsewhere reports whether most of what runs on a machine could start in another
