--- /dev/null
+++ b/internal/scheduler/preemption_test.go
@@ -0,0 +1,142 @@
+package scheduler
+
+import (
+	"cmp"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/yarrowgap/yarrowgap/wire"
+)
+
+// Ranks between production and idle.
+const urgentRank, normalRank = 1, 2
+
+// Each attempt is preempted before the next.
+func TestPreemptionOrder(t *testing.T) {
+	const now = time.Hour
+	late := func(j *job) { j.plan = deadlinePlan{deadlines: []float64{60}, feasible: 1} }
+	tight := func(j *job) {
+		j.plan = deadlinePlan{deadlines: []float64{60}}
+		j.createdAt, j.spec.EstimatedRunS = now, 55
+	}
+	victim := func(number uint64, rank int, placedAt time.Duration, change func(*job)) *attempt {
+		j := &job{rank: rank}
+		if change != nil {
+			change(j)
+		}
+		return &attempt{job: j, number: number, placedAt: placedAt}
+	}
+	ordered := []*attempt{
+		victim(1, idleRank, 0, nil),
+		victim(2, normalRank, 0, late),
+		victim(4, normalRank, 2*time.Second, nil), // placed last
+		victim(5, normalRank, time.Second, nil),
+		victim(3, normalRank, time.Second, nil),
+		victim(6, normalRank, 2*time.Second, tight),
+		victim(7, urgentRank, 0, nil),
+		victim(8, idleRank, 0, func(j *job) { j.standing.starved = true }),
+	}
+	search := &preemptionSearch{round: &placementRound{now: now}}
+	for i, a := range ordered {
+		for k, b := range ordered {
+			if got, want := search.compareVictims(a, b), cmp.Compare(i, k); got != want {
+				t.Errorf("attempt %d against %d: %d, want %d", a.number, b.number, got, want)
+			}
+		}
+	}
+}
+
+// Work makes way for what has a higher priority, and, beyond its team's guarantee, for what
+// is within that of another team.
+func TestMayPreempt(t *testing.T) {
+	guaranteed := jobStanding{withinGuarantee: true}
+	for _, tc := range []struct {
+		name        string
+		job, victim job
+		start       startState
+		stop        stopRequest
+		want        bool
+	}{
+		{name: "lower priority", job: job{rank: urgentRank}, victim: job{rank: normalRank}, want: true},
+		{name: "same priority and team", job: job{rank: normalRank, standing: guaranteed}, victim: job{rank: normalRank}},
+		{name: "higher priority", job: job{rank: normalRank}, victim: job{rank: urgentRank}},
+		{
+			name: "beyond another team's guarantee", want: true,
+			job: job{rank: normalRank, standing: guaranteed}, victim: job{rank: urgentRank, spec: wire.Job{Team: "blue", CPUs: 2}},
+		},
+		{
+			name: "within another team's guarantee",
+			job:  job{rank: normalRank, standing: guaranteed}, victim: job{rank: urgentRank, spec: wire.Job{Team: "blue", CPUs: 2}, standing: guaranteed},
+		},
+		{
+			name: "what another team needs for its guarantee",
+			job:  job{rank: normalRank, standing: guaranteed}, victim: job{rank: urgentRank, spec: wire.Job{Team: "blue", CPUs: 3}},
+		},
+		{
+			name: "both beyond their guarantees",
+			job:  job{rank: normalRank}, victim: job{rank: urgentRank, spec: wire.Job{Team: "blue", CPUs: 2}},
+		},
+		{
+			name: "production",
+			job:  job{rank: normalRank, standing: guaranteed}, victim: job{rank: productionRank, spec: wire.Job{Team: "blue", CPUs: 2}},
+		},
+		{name: "starved job, for urgent work", job: job{rank: urgentRank}, victim: job{rank: idleRank, standing: jobStanding{starved: true}}},
+		{name: "starved job, for production", job: job{rank: productionRank}, victim: job{rank: idleRank, standing: jobStanding{starved: true}}, want: true},
+		{name: "start under way", job: job{rank: urgentRank}, victim: job{rank: normalRank}, start: startState{sent: true}},
+		{name: "acknowledged start", job: job{rank: urgentRank}, victim: job{rank: normalRank}, start: startState{sent: true, acknowledged: true}, want: true},
+		{name: "being stopped", job: job{rank: urgentRank}, victim: job{rank: normalRank}, stop: stopRequest{requested: true}},
+	} {
+		h := newHarness(t, false, nil, nil)
+		h.scheduler.settings.Teams["blue"] = TeamQuota{CPUs: 8, CPUsMax: 16}
+		h.scheduler.teamUsage("blue").CPUs = 10
+		a := &attempt{job: &tc.victim, start: tc.start, stop: tc.stop}
+		if got := h.scheduler.mayPreempt(&tc.job, a); got != tc.want {
+			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
+		}
+	}
+}
+
+// Idle work makes way at once; other work for jobs within their guarantee, after a while.
+func TestPreemptionScope(t *testing.T) {
+	within := jobStanding{withinGuarantee: true}
+	const now = time.Hour
+	for _, tc := range []struct {
+		name            string
+		job             job
+		idlePreemptable bool
+		want            preemptionScope
+	}{
+		{"production", job{rank: productionRank, createdAt: now}, false, preemptLower},
+		{"within its guarantee, just submitted", job{rank: normalRank, createdAt: now, standing: within}, true, preemptIdle},
+		{"within its guarantee, for a while", job{rank: normalRank, standing: within}, false, preemptLower},
+		{"beyond its guarantee", job{rank: normalRank}, true, preemptIdle},
+		{"beyond its guarantee, without idle work", job{rank: normalRank}, false, preemptNothing},
+		{"idle", job{rank: idleRank}, true, preemptNothing},
+	} {
+		h := newHarness(t, false, nil, nil)
+		h.scheduler.settings.GuaranteedStartWithin = 10 * time.Second
+		round := &placementRound{scheduler: h.scheduler, now: now, idlePreemptable: tc.idlePreemptable}
+		if got := round.preemptionScope(&tc.job); got != tc.want {
+			t.Errorf("%s: %d, want %d", tc.name, got, tc.want)
+		}
+	}
+}
+
+// An option has no more victims than one task needs, those first that lose least.
+func TestCheapestOptionStopsNoMoreThanNeeded(t *testing.T) {
+	m := &machine{name: "n-1", images: []cachedImage{{"img", 1}}, machineSpec: &wire.MachineType{CPUs: 8, MemoryGB: 8}, used: resources{cpus: 8}}
+	var victims []*attempt
+	for i, rank := range []int{normalRank, idleRank, normalRank, idleRank} {
+		victims = append(victims, &attempt{machine: m, number: uint64(i), job: &job{rank: rank, spec: wire.Job{CPUs: 2}}})
+	}
+	search := &preemptionSearch{round: &placementRound{}, job: &job{spec: wire.Job{CPUs: 3, Image: "img"}}}
+	option, ok := search.cheapestOption(&pendingCapacity{m, m.used}, slices.Clone(victims))
+	if want := []*attempt{victims[3], victims[1]}; !ok || !slices.Equal(option.victims, want) {
+		t.Errorf("%v, %d victims", ok, len(option.victims))
+	}
+	search.job.spec.CPUs = 9
+	if _, ok := search.cheapestOption(&pendingCapacity{m, m.used}, slices.Clone(victims)); ok {
+		t.Error("a task that is larger than the machine fits")
+	}
+}
--- /dev/null
+++ b/internal/scheduler/queue_test.go
@@ -0,0 +1,66 @@
+package scheduler
+
+import (
+	"cmp"
+	"slices"
+	"testing"
+	"time"
+)
+
+// Each job goes before the next: what comes first in compareQueueOrder decides.
+func TestQueueOrder(t *testing.T) {
+	queued := func(id string, rank int, change func(*job)) *job {
+		j := &job{id: id, rank: rank, standing: jobStanding{withinGuarantee: true}, plan: deadlinePlan{slackS: 60}}
+		if change != nil {
+			change(j)
+		}
+		return j
+	}
+	ordered := []*job{
+		queued("production, late and beyond its guarantee", productionRank, func(j *job) {
+			j.plan.feasible, j.standing.withinGuarantee = 1, false
+		}),
+		queued("starved", normalRank, func(j *job) { j.standing.prioritized, j.plan.feasible = true, 1 }),
+		queued("aged", normalRank, func(j *job) { j.standing.aged, j.plan.feasible = true, 1 }),
+		queued("urgent", urgentRank, nil),
+		queued("less time", normalRank, func(j *job) { j.plan.slackS = 10 }),
+		queued("older", normalRank, func(j *job) { j.createdAt = -time.Second }),
+		queued("usual, a", normalRank, nil),
+		queued("usual, b", normalRank, nil),
+		queued("beyond its guarantee", urgentRank, func(j *job) { j.standing.withinGuarantee = false }),
+		queued("late", urgentRank, func(j *job) { j.plan.feasible = 1 }),
+		queued("late and beyond its guarantee", urgentRank, func(j *job) {
+			j.plan.feasible, j.standing.withinGuarantee = 1, false
+		}),
+	}
+	for i, a := range ordered {
+		for k, b := range ordered {
+			if got, want := compareQueueOrder(a, b), cmp.Compare(i, k); got != want {
+				t.Errorf("%q against %q: %d, want %d", a.id, b.id, got, want)
+			}
+		}
+	}
+}
+
+// The guarantee of a team covers its oldest jobs, as far as it goes.
+func TestGuaranteeCoversTheOldestJobs(t *testing.T) {
+	h := newHarness(t, false, nil, nil)
+	s := h.scheduler
+	s.settings.Teams["red"] = TeamQuota{CPUs: 8, CPUsMax: 100}
+	for i, id := range []string{"run-000003", "run-000001", "run-000002"} {
+		j := &job{id: id}
+		j.spec.Team, j.spec.CPUs, j.spec.Tasks, j.spec.CreatedAtMilli = "red", 1, 4, int64(i)
+		s.cluster.jobs[id] = j
+	}
+	s.updateGuarantees()
+	var within []string
+	for id, j := range s.cluster.jobs {
+		if j.standing.withinGuarantee {
+			within = append(within, id)
+		}
+	}
+	slices.Sort(within)
+	if want := []string{"run-000001", "run-000003"}; !slices.Equal(within, want) {
+		t.Errorf("within the guarantee: %v, want %v", within, want)
+	}
+}
--- /dev/null
+++ b/internal/scheduler/quota_test.go
@@ -0,0 +1,61 @@
+package scheduler
+
+import (
+	"testing"
+
+	"github.com/yarrowgap/yarrowgap/wire"
+)
+
+// What a job reserves replaces what it had reserved; only production jobs reserve any.
+func TestQuotaReservations(t *testing.T) {
+	production := &job{rank: productionRank, spec: wire.Job{Team: "red", CPUs: 2, GPUs: 1}}
+	other := &job{rank: productionRank, spec: wire.Job{Team: "red", CPUs: 4}}
+	idle := &job{rank: idleRank, spec: wire.Job{Team: "red", CPUs: 8}}
+	reservations := newQuotaReservations()
+	for _, step := range []struct {
+		job   *job
+		tasks int
+		want  TeamQuota
+	}{
+		{production, 3, TeamQuota{CPUs: 6, GPUs: 3}},
+		{other, 1, TeamQuota{CPUs: 10, GPUs: 3}},
+		{idle, 5, TeamQuota{CPUs: 10, GPUs: 3}},
+		{production, 1, TeamQuota{CPUs: 6, GPUs: 1}},
+		{production, 0, TeamQuota{CPUs: 4}},
+	} {
+		reservations.set(step.job, step.tasks)
+		if got := reservations.byTeam["red"]; got != step.want {
+			t.Errorf("after %d tasks: %+v reserved, want %+v", step.tasks, got, step.want)
+		}
+	}
+}
+
+// The headroom is what the limit leaves beside usage and reservations, in whole tasks.
+func TestQuotaHeadroom(t *testing.T) {
+	for _, tc := range []struct {
+		name            string
+		spec            wire.Job
+		usage, reserved TeamQuota
+		want            int
+	}{
+		{"all of the limit", wire.Job{CPUs: 3}, TeamQuota{}, TeamQuota{}, 5},
+		{"beside usage", wire.Job{CPUs: 3}, TeamQuota{CPUs: 5}, TeamQuota{}, 3},
+		{"beside reservations", wire.Job{CPUs: 3}, TeamQuota{CPUs: 5}, TeamQuota{CPUs: 5}, 2},
+		{"over the limit", wire.Job{CPUs: 3}, TeamQuota{CPUs: 20}, TeamQuota{}, 0},
+		{"GPUs bind", wire.Job{CPUs: 1, GPUs: 1}, TeamQuota{}, TeamQuota{GPUs: 1}, 3},
+		{"tasks that take nothing", wire.Job{}, TeamQuota{}, TeamQuota{}, wire.MaxTasks},
+	} {
+		h := newHarness(t, false, nil, nil)
+		h.scheduler.settings.Teams["red"] = TeamQuota{CPUsMax: 16, GPUsMax: 4}
+		usage := h.scheduler.teamUsage("red")
+		usage.CPUs, usage.GPUs = tc.usage.CPUs, tc.usage.GPUs
+		tc.spec.Team = "red"
+		if got := h.scheduler.quotaHeadroom(&job{spec: tc.spec}, tc.reserved); got != tc.want {
+			t.Errorf("%s: %d, want %d", tc.name, got, tc.want)
+		}
+	}
+	h := newHarness(t, false, nil, nil)
+	if got := h.scheduler.quotaHeadroom(&job{spec: wire.Job{Team: "unknown", CPUs: 1}}, TeamQuota{}); got != 0 {
+		t.Errorf("a team without quota settings: %d", got)
+	}
+}
