--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -87,11 +87,10 @@
 		{name: "acknowledged start", job: job{rank: urgentRank}, victim: job{rank: normalRank}, start: startState{sent: true, acknowledged: true}, want: true},
 		{name: "being stopped", job: job{rank: urgentRank}, victim: job{rank: normalRank}, stop: stopRequest{requested: true}},
 	} {
-		h := newHarness(t, false, nil, nil)
-		h.scheduler.settings.Teams["blue"] = TeamQuota{CPUs: 8, CPUsMax: 16}
-		h.scheduler.teamUsage("blue").CPUs = 10
+		s := newEmptyScheduler(Now{}, Settings{Teams: map[string]TeamQuota{"blue": {CPUs: 8, CPUsMax: 16}}}, 1)
+		s.teamUsage("blue").CPUs = 10
 		a := &attempt{job: &tc.victim, start: tc.start, stop: tc.stop}
-		if got := h.scheduler.mayPreempt(&tc.job, a); got != tc.want {
+		if got := s.mayPreempt(&tc.job, a); got != tc.want {
 			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
 		}
 	}
@@ -114,9 +113,8 @@
 		{"beyond its guarantee, without idle work", job{rank: normalRank}, false, preemptNothing},
 		{"idle", job{rank: idleRank}, true, preemptNothing},
 	} {
-		h := newHarness(t, false, nil, nil)
-		h.scheduler.settings.GuaranteedStartWithin = 10 * time.Second
-		round := &placementRound{scheduler: h.scheduler, now: now, idlePreemptable: tc.idlePreemptable}
+		s := newEmptyScheduler(Now{}, Settings{GuaranteedStartWithin: 10 * time.Second}, 1)
+		round := &placementRound{scheduler: s, now: now, idlePreemptable: tc.idlePreemptable}
 		if got := round.preemptionScope(&tc.job); got != tc.want {
 			t.Errorf("%s: %d, want %d", tc.name, got, tc.want)
 		}
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -44,9 +44,7 @@
 
 // The guarantee of a team covers its oldest jobs, as far as it goes.
 func TestGuaranteeCoversTheOldestJobs(t *testing.T) {
-	h := newHarness(t, false, nil, nil)
-	s := h.scheduler
-	s.settings.Teams["red"] = TeamQuota{CPUs: 8, CPUsMax: 100}
+	s := newEmptyScheduler(Now{}, Settings{Teams: map[string]TeamQuota{"red": {CPUs: 8, CPUsMax: 100}}}, 1)
 	for i, id := range []string{"run-000003", "run-000001", "run-000002"} {
 		j := &job{id: id}
 		j.spec.Team, j.spec.CPUs, j.spec.Tasks, j.spec.CreatedAtMilli = "red", 1, 4, int64(i)
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -45,17 +45,15 @@
 		{"GPUs bind", wire.Job{CPUs: 1, GPUs: 1}, TeamQuota{}, TeamQuota{GPUs: 1}, 3},
 		{"tasks that take nothing", wire.Job{}, TeamQuota{}, TeamQuota{}, wire.MaxTasks},
 	} {
-		h := newHarness(t, false, nil, nil)
-		h.scheduler.settings.Teams["red"] = TeamQuota{CPUsMax: 16, GPUsMax: 4}
-		usage := h.scheduler.teamUsage("red")
+		s := newEmptyScheduler(Now{}, Settings{Teams: map[string]TeamQuota{"red": {CPUsMax: 16, GPUsMax: 4}}}, 1)
+		usage := s.teamUsage("red")
 		usage.CPUs, usage.GPUs = tc.usage.CPUs, tc.usage.GPUs
 		tc.spec.Team = "red"
-		if got := h.scheduler.quotaHeadroom(&job{spec: tc.spec}, tc.reserved); got != tc.want {
+		if got := s.quotaHeadroom(&job{spec: tc.spec}, tc.reserved); got != tc.want {
 			t.Errorf("%s: %d, want %d", tc.name, got, tc.want)
 		}
 	}
-	h := newHarness(t, false, nil, nil)
-	if got := h.scheduler.quotaHeadroom(&job{spec: wire.Job{Team: "unknown", CPUs: 1}}, TeamQuota{}); got != 0 {
+	if got := newEmptyScheduler(Now{}, Settings{}, 1).quotaHeadroom(&job{spec: wire.Job{Team: "unknown", CPUs: 1}}, TeamQuota{}); got != 0 {
 		t.Errorf("a team without quota settings: %d", got)
 	}
 }
