--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -82,7 +82,7 @@
 	if m.reservedForOther(p.job, p.now) {
 		return false
 	}
-	if !m.hasCapacityFor(p.job) || !p.job.allowsMachine(m.machineType, m.zone, m.spot) || !p.spread.allowsZone(p.job, m.zone) {
+	if !m.hasCapacityFor(p.job) || !p.job.allows(m.offer()) || !p.spread.allowsZone(p.job, m.zone) {
 		return false
 	}
 	if !p.job.service && !m.hasImage(p.job.spec.Image) && m.fetchesOtherImage(p.job.spec.Image) && p.waitsForFetchSlot() {
@@ -154,12 +154,15 @@
 	return len(fetching) > 0
 }
 
-// allowsMachine reports whether the job may use a machine of this description.
-func (j *job) allowsMachine(machineType, zone string, spot bool) bool {
-	if spot && !j.spec.Spot || j.spec.Zone != "" && j.spec.Zone != zone {
+// offer gives the offer of the cloud that the machine is of.
+func (m *machine) offer() offer { return offer{m.machineType, m.zone, m.spot} }
+
+// allows reports whether the job may use machines of the offer.
+func (j *job) allows(o offer) bool {
+	if o.spot && !j.spec.Spot || j.spec.Zone != "" && j.spec.Zone != o.zone {
 		return false
 	}
-	return j.spec.MachineTypes == nil || slices.Contains(j.spec.MachineTypes, machineType)
+	return j.spec.MachineTypes == nil || slices.Contains(j.spec.MachineTypes, o.machineType)
 }
 
 // taskSpread counts where a job's attempts are, as far as their placement depends on it.
--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -28,10 +28,6 @@
 	return resources{r.cpus + other.cpus, r.gpus + other.gpus, r.memoryGB + other.memoryGB}
 }
 
-func (r resources) minus(other resources) resources {
-	return resources{r.cpus - other.cpus, r.gpus - other.gpus, r.memoryGB - other.memoryGB}
-}
-
 // within reports whether no resource exceeds that of the total.
 func (r resources) within(total resources) bool {
 	return r.cpus <= total.cpus+epsilon && r.gpus <= total.gpus+epsilon && r.memoryGB <= total.memoryGB+epsilon
@@ -80,7 +76,7 @@
 // canHost reports whether tasks of the job may be placed on the machine, apart from its free
 // capacity and from limits on zones.
 func (s *Scheduler) canHost(m *machine, j *job) bool {
-	return s.schedulable(m) && !m.summarize().hasUnknownTask && j.allowsMachine(m.machineType, m.zone, m.spot)
+	return s.schedulable(m) && !m.summarize().hasUnknownTask && j.allows(m.offer())
 }
 
 // machinesWithCapacity gives the machines that may have capacity for one of the jobs' tasks:
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -141,7 +141,7 @@
 	free := totalResources(m.machineSpec)
 	for _, a := range m.tasks {
 		if a.job != nil && (a.job.service || a.job.rank < j.rank) {
-			free = free.minus(a.job.taskResources())
+			free.removeTask(&a.job.spec)
 		}
 	}
 	slots := tasksThatFit(free, resources{cpus: j.spec.CPUs, memoryGB: j.spec.MemoryGB})
@@ -184,7 +184,7 @@
 	free := totalResources(m.machineSpec)
 	for _, a := range m.tasks {
 		if a.job.isProduction() || a.job == j {
-			free = free.minus(a.job.taskResources())
+			free.removeTask(&a.job.spec)
 		}
 	}
 	return int(max(0, min(tasksThatFit(free, j.taskResources()), float64(n))))
--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -61,7 +61,7 @@
 	if m.cloud.failed || m.cloud.interruptionAt > 0 || m.connectivity.unreachableSince > 0 {
 		return false
 	}
-	return service.allowsMachine(m.machineType, m.zone, m.spot)
+	return service.allows(m.offer())
 }
 
 // tasksBesideEqualPriority is how many tasks of the service fit beside those of its own
--- a/internal/scheduler/offer.go
+++ b/internal/scheduler/offer.go
@@ -72,7 +72,7 @@
 
 // allowsOffer reports whether a task of the job could run on a machine of the offer.
 func (j *job) allowsOffer(o offer, machineSpec *wire.MachineType, attemptsByZone map[string]int) bool {
-	return machineSpec.Fits(&j.spec) && j.allowsMachine(o.machineType, o.zone, o.spot) && j.allowsZone(attemptsByZone, o.zone)
+	return machineSpec.Fits(&j.spec) && j.allows(o) && j.allowsZone(attemptsByZone, o.zone)
 }
 
 // tasksPerMachine is how many tasks of the job fit on one empty machine of the type.
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -30,7 +30,7 @@
 		}
 		for _, a := range other.sortedAttempts() {
 			if a.stop.requested {
-				shortfall = shortfall.minus(other.taskResources()) // freed soon
+				shortfall.removeTask(&other.spec) // freed soon
 			} else if other.rank > j.rank && !a.startUnderWay() {
 				victims = append(victims, a)
 			}
@@ -41,7 +41,7 @@
 		if shortfall.cpus <= epsilon && shortfall.gpus <= epsilon {
 			return
 		}
-		shortfall = shortfall.minus(a.job.taskResources())
+		shortfall.removeTask(&a.job.spec)
 		r.preempt(a, j, preemptedForQuota)
 	}
 }
@@ -51,7 +51,7 @@
 func (r *placementRound) compareTeamVictims(j *job, a, b *attempt) int {
 	startsAtOnce := func(a *attempt) bool {
 		m := a.machine
-		return r.scheduler.schedulable(m) && j.allowsMachine(m.machineType, m.zone, m.spot) && m.hasImage(j.spec.Image)
+		return r.scheduler.schedulable(m) && j.allows(m.offer()) && m.hasImage(j.spec.Image)
 	}
 	if c := compareTrueFirst(startsAtOnce(a), startsAtOnce(b)); c != 0 {
 		return c
@@ -79,7 +79,7 @@
 	s.logDebug("task preempted", "task", wire.TaskName(victim.ref.jobID, victim.ref.index), "attempt", victim.number,
 		"machine", victim.machine.name, "for_job", j.id, "reason", string(cause))
 	saveCheckpoint := victim.job.spec.CheckpointIntervalS > 0 && !j.isProduction()
-	s.stopAttempt(victim, saveCheckpoint, "preempted for "+j.id)
+	s.stopAttempt(victim, saveCheckpoint, string(StopPreempted))
 }
 
 // startUnderWay reports whether a start was sent that the worker has not acknowledged yet,
@@ -211,10 +211,6 @@
 	used    resources
 }
 
-func (c *pendingCapacity) remove(a *attempt) { c.used = c.used.minus(a.job.taskResources()) }
-
-func (c *pendingCapacity) add(j *job) { c.used = c.used.plus(j.taskResources()) }
-
 func (c *pendingCapacity) fits(j *job) bool {
 	return c.used.plus(j.taskResources()).within(totalResources(c.machine.machineSpec))
 }
@@ -233,7 +229,7 @@
 		pending, victims := p.inspect(m)
 		for p.found < p.wanted && pending.fits(p.job) && p.spread.allowsZone(p.job, m.zone) {
 			p.claim(m)
-			pending.add(p.job)
+			pending.used.addTask(&p.job.spec)
 		}
 		if len(victims) == 0 {
 			continue
@@ -267,7 +263,7 @@
 	var victims []*attempt
 	for _, a := range m.tasks {
 		if a.stop.requested && a.job != nil {
-			pending.remove(a)
+			pending.used.removeTask(&a.job.spec)
 		} else if p.round.scheduler.mayPreempt(p.job, a) && (p.scope != preemptIdle || a.job.rank == idleRank) {
 			victims = append(victims, a)
 		}
@@ -294,7 +290,7 @@
 	option := preemptionOption{machine: pending.machine, cost: p.fetchCost(pending.machine)}
 	count := 0
 	for count < len(victims) && !pending.fits(p.job) {
-		pending.remove(victims[count])
+		pending.used.removeTask(&victims[count].job.spec)
 		option.cost += p.stopCost(victims[count])
 		count++
 	}
--- a/internal/scheduler/reconciliation.go
+++ b/internal/scheduler/reconciliation.go
@@ -109,7 +109,7 @@
 
 // mayAdoptOn reports whether the job allows the machine beside its other tasks.
 func (j *job) mayAdoptOn(m *machine) bool {
-	return j.allowsMachine(m.machineType, m.zone, m.spot) && j.allowsZone(j.attemptsByZone(), m.zone)
+	return j.allows(m.offer()) && j.allowsZone(j.attemptsByZone(), m.zone)
 }
 
 // classifyRecorded takes the first observation of an attempt that a record names.
--- a/internal/scheduler/zone_partition.go
+++ b/internal/scheduler/zone_partition.go
@@ -143,7 +143,7 @@
 	allowed := map[string]bool{}
 	for _, machineSpec := range s.cluster.machineTypes {
 		for _, zone := range machineSpec.Zones {
-			allowed[zone] = j.allowsMachine(machineSpec.Name, zone, false)
+			allowed[zone] = j.allows(offer{machineType: machineSpec.Name, zone: zone})
 		}
 	}
 	return allowed
