--- a/internal/scheduler/assignments_test.go
+++ b/internal/scheduler/assignments_test.go
@@ -17,7 +17,7 @@
 // The assignments of a placement round on many machines take one change; what is left of
 // batches is written again before they are deleted, and nothing is left in the end.
 func TestAssignmentBatchesAreCompactedAndDeleted(t *testing.T) {
-	h := newHarness(t, false, nil, nil)
+	h := newHarness(t)
 	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 8, CPUsMax: 1000}
 	var names []string
 	for i := range 20 {
--- a/internal/scheduler/autoscaler.go
+++ b/internal/scheduler/autoscaler.go
@@ -26,6 +26,12 @@
 	releaseRetryAt    time.Duration // no release before then
 }
 
+// pendingRequest is a provisioning request without an answer.
+type pendingRequest struct {
+	offer offer
+	count int
+}
+
 // available reports whether the offer may be asked for. While a request for it is pending
 // it may not: the answer tells whether the cloud has more, so that a second request would
 // be a guess, and bursts of them run into the cloud's rate limit.
@@ -45,10 +51,10 @@
 // addRequest notes a request that is about to be sent and gives its name. The term sets
 // the name apart from those of other leaders, the number from others of this one: the
 // cloud takes a request with a known name for a repetition and provisions nothing.
-func (a *autoscalerState) addRequest(term uint64, o offer, count int, now time.Duration) (name string) {
+func (a *autoscalerState) addRequest(term uint64, o offer, count int) (name string) {
 	a.nextRequestNumber++
 	name = fmt.Sprintf("yg-%d-%d", term, a.nextRequestNumber)
-	a.pending[name] = &pendingRequest{offer: o, count: count, sentAt: now}
+	a.pending[name] = &pendingRequest{offer: o, count: count}
 	return name
 }
 
--- a/internal/scheduler/deadline_test.go
+++ b/internal/scheduler/deadline_test.go
@@ -25,7 +25,7 @@
 		{Objective{WithinS: 300}, nil, []float64{300}},
 		{Objective{DeadlineMultiples: []float64{1}, WithinS: 60}, &owner, []float64{60, 100}},
 	} {
-		h := newHarness(t, false, nil, nil)
+		h := newHarness(t)
 		h.scheduler.settings.Objectives = map[string]Objective{"c": tc.objective}
 		h.submit(wire.Job{ID: "run-000001", Class: "c", Tasks: 1, CPUs: 1, DeadlineS: tc.ownerDeadline})
 		if got := h.scheduler.cluster.jobs["run-000001"].plan.deadlines; !slices.Equal(got, tc.want) {
@@ -37,7 +37,7 @@
 // With one more job than can be on time, the largest misses its deadline, and not the small
 // ones.
 func TestDeadlinePlanKeepsMostJobsOnTime(t *testing.T) {
-	h := newHarness(t, false, nil, nil)
+	h := newHarness(t)
 	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 8, CPUsMax: 1000}
 	h.bringUp("n-1") // 8 CPUs
 	deadline := 25.0
--- a/internal/scheduler/fencing_test.go
+++ b/internal/scheduler/fencing_test.go
@@ -20,13 +20,13 @@
 	most := float64(maxCounter)
 	for _, used := range []float64{0, most * tuning.MaxFencingCounterUse, most*tuning.MaxFencingCounterUse + 1, most} {
 		want := used > most*tuning.MaxFencingCounterUse
-		h := newHarness(t, false, nil, nil)
+		h := newHarness(t)
 		h.bringUp("n-1")
 		h.scheduler.dispatcher.lastAttemptNumber = uint64(used)
 		if got := resigns(h); got != want {
 			t.Errorf("%v attempts: resigned %v", used, got)
 		}
-		h = newHarness(t, false, nil, nil)
+		h = newHarness(t)
 		h.bringUp("n-1")
 		h.scheduler.cluster.machines["n-1"].fencing.counter = uint64(used)
 		if got := resigns(h); got != want {
@@ -34,7 +34,7 @@
 		}
 	}
 
-	h := newHarness(t, false, nil, nil)
+	h := newHarness(t)
 	h.bringUp("n-1")
 	h.scheduler.dispatcher.lastAttemptNumber = maxCounter - 2
 	h.submit(wire.Job{ID: "run-000001", Tasks: 5, CPUs: 1})
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -34,22 +34,36 @@
 // harnessTerm is the term of a new harness.
 const harnessTerm = 50
 
-// newHarness begins a term with live jobs and stored assignments.
-func newHarness(t *testing.T, thrifty bool, live map[string]*LiveJob, machines []wire.KeyValue) *harness {
+// harnessConfig is what a term of a harness begins with.
+type harnessConfig struct {
+	live         map[string]*LiveJob
+	records      []wire.KeyValue // stored assignments
+	minimizeCost bool
+	change       func(*Settings) // changes the settings before the term begins; nil: it does not
+}
+
+// newHarness begins a term without jobs or records.
+func newHarness(t *testing.T) *harness {
 	t.Helper()
-	return newHarnessWith(t, thrifty, live, machines, func(*Settings) {})
+	return newHarnessWith(t, harnessConfig{})
 }
 
-// newHarnessWith changes the settings before the term begins.
-func newHarnessWith(t *testing.T, thrifty bool, live map[string]*LiveJob, machines []wire.KeyValue, change func(*Settings)) *harness {
+// newHarnessWith begins a term.
+func newHarnessWith(t *testing.T, config harnessConfig) *harness {
 	t.Helper()
 	h := &harness{t: t, now: time.Hour, revision: 100, items: map[string]wire.KeyValue{}, sequences: map[string]uint64{}}
+	quota := TeamQuota{CPUs: 8, CPUsMax: 16}
+	settings := Settings{
+		Teams:             map[string]TeamQuota{"red": quota, "blue": quota},
+		HeartbeatInterval: time.Second, WorkerLease: 12 * time.Second, GuaranteedStartWithin: 2 * time.Second,
+		MaxTransactionOps: 12, MaxValueBytes: 4096, WriteRate: 1000,
+		MinimizeCost: config.minimizeCost, Policy: policy.Defaults(policy.CostSensitivity(config.minimizeCost)),
+	}
+	if config.change != nil {
+		config.change(&settings)
+	}
 	types := []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchGBPerS: 1, Price: 1, SpotPrice: 0.5, BootS: 10, Zones: []string{"a", "b"}}}
-	settings := Settings{Teams: map[string]TeamQuota{"red": {CPUs: 8, CPUsMax: 16}, "blue": {CPUs: 8, CPUsMax: 16}},
-		HeartbeatInterval: time.Second, WorkerLease: 12 * time.Second, MaxTransactionOps: 12, MaxValueBytes: 4096, WriteRate: 1000, MinimizeCost: thrifty,
-		GuaranteedStartWithin: 2 * time.Second, Policy: policy.Defaults(policy.CostSensitivity(thrifty))}
-	change(&settings)
-	h.startTerm(settings, harnessTerm, live, machines, types)
+	h.startTerm(settings, harnessTerm, config.live, config.records, types)
 	return h
 }
 
--- a/internal/scheduler/heartbeat_test.go
+++ b/internal/scheduler/heartbeat_test.go
@@ -15,7 +15,7 @@
 // sums of the cluster's state right, and end neither the process nor leadership.
 func TestContradictoryHeartbeatsKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		h := newHarness(t, false, nil, nil)
+		h := newHarness(t)
 		h.bringUp("n-1", "n-2")
 		for i := range 4 {
 			h.submit(wire.Job{ID: fmt.Sprintf("run-%06d", i), Tasks: 1 + i, CPUs: float64(1 + i)})
@@ -56,7 +56,7 @@
 // Nothing is started before a record has it, and nothing at all while the key-value store
 // takes no writes.
 func TestNoDispatchBeforeAssignmentIsRecorded(t *testing.T) {
-	h := newHarness(t, false, nil, nil)
+	h := newHarness(t)
 	h.bringUp("n-1")
 	h.refuseCommits = true
 	h.submit(wire.Job{ID: "run-000001", Tasks: 2, CPUs: 1})
@@ -75,7 +75,7 @@
 // intervals, until the deadline for it; then it is stopped under a higher fencing token, and
 // placed again only when a heartbeat under that token proves it absent.
 func TestUnacknowledgedDispatchIsRetriedThenFenced(t *testing.T) {
-	h := newHarness(t, false, nil, nil)
+	h := newHarness(t)
 	h.bringUp("n-1")
 	due := 30.0
 	h.submit(wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1, DeadlineS: &due})
@@ -137,7 +137,7 @@
 
 // A heartbeat that overtakes the reply which carried a start proves nothing.
 func TestOvertakenReplyDoesNotProveAbsence(t *testing.T) {
-	h := newHarness(t, false, nil, nil)
+	h := newHarness(t)
 	h.bringUp("n-1")
 	h.submit(wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1})
 	a := h.scheduler.cluster.jobs["run-000001"].active[0][0]
@@ -155,7 +155,7 @@
 // The worker is told to forget a done task only when that is durable, and always under a
 // higher token than the start had.
 func TestForgetOnlyAfterDurableCompletion(t *testing.T) {
-	h := newHarness(t, false, nil, nil)
+	h := newHarness(t)
 	h.bringUp("n-1")
 	h.submit(wire.Job{ID: "run-000001", Tasks: 2, CPUs: 1})
 	s := h.startCommands()
@@ -190,7 +190,7 @@
 // A new attempt is not sent to a machine that still lists an ended one of the same task: a
 // late duplicate of the earlier start could run beside it elsewhere.
 func TestNoDispatchBesideEndedAttempt(t *testing.T) {
-	h := newHarness(t, false, nil, nil)
+	h := newHarness(t)
 	h.bringUp("n-1")
 	h.submit(wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1})
 	s := h.startCommands()
@@ -214,7 +214,7 @@
 // A job that fails wherever it runs is retried at growing intervals and puts no machine in
 // quarantine; a machine on which unrelated jobs fail goes there.
 func TestFailingJobBacksOffAndFaultyMachineIsQuarantined(t *testing.T) {
-	h := newHarness(t, false, nil, nil)
+	h := newHarness(t)
 	h.bringUp("n-1")
 	h.submit(wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1})
 	tries := 0
@@ -254,7 +254,7 @@
 // placed there counts until it is proven absent, and the machine is released. Else every
 // start that goes there would wait until its deadline.
 func TestUnreachableMachineGetsNoWorkAndIsReleased(t *testing.T) {
-	h := newHarness(t, false, nil, nil)
+	h := newHarness(t)
 	h.bringUp("n-1")
 	h.now += 2 * h.scheduler.settings.WorkerLease
 	h.heartbeat("n-1")
@@ -308,7 +308,7 @@
 // A machine that does not answer a start gets no more until it shows that commands reach it,
 // though a heartbeat has just arrived.
 func TestNoNewWorkAfterUnansweredDispatch(t *testing.T) {
-	h := newHarness(t, false, nil, nil)
+	h := newHarness(t)
 	h.bringUp("n-1")
 	h.submit(wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1})
 	staleToken := h.fencingToken("n-1")
@@ -327,7 +327,7 @@
 // A worker's incarnation that ends although its heartbeats were answered shows that the
 // replies are lost; its answer to a direct call shows that it is reached.
 func TestLeaseExpiryDespiteRepliesMarksMachineUnreachable(t *testing.T) {
-	h := newHarness(t, false, nil, nil)
+	h := newHarness(t)
 	h.bringUp("n-1")
 	h.advance(2*h.scheduler.settings.WorkerLease, "n-1")
 	h.calls = nil
@@ -353,7 +353,7 @@
 // Duplicates of heartbeats that come late prove nothing, change nothing, do not show that the
 // machine is alive, get no starts, and bring no released machine back.
 func TestDuplicateLateHeartbeatsAreIgnored(t *testing.T) {
-	h := newHarness(t, false, nil, nil)
+	h := newHarness(t)
 	h.bringUp("n-1", "n-2")
 	early := h.newHeartbeat("n-1", h.fencingToken("n-1")) // before anything was placed
 	h.submit(wire.Job{ID: "run-000001", Tasks: 1, CPUs: 8})
@@ -380,7 +380,7 @@
 	}
 	// To a new leader it is the first from that machine, which may be there; but nothing
 	// is placed on it, and it is released when nothing follows.
-	e := newHarness(t, false, nil, nil)
+	e := newHarness(t)
 	for i, token := range []uint64{0, (harnessTerm - 1) << tuning.FencingBits} {
 		first := *early
 		first.FencingToken = token
@@ -403,7 +403,7 @@
 // On a machine whose interruption is announced, what may complete in time runs on; what may
 // not is moved if there is capacity elsewhere; shortly before the end everything is stopped.
 func TestSpotInterruptionDrainsMachine(t *testing.T) {
-	h := newHarness(t, false, nil, nil)
+	h := newHarness(t)
 	h.bringUp("n-1")
 	h.submit(wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1, EstimatedRunS: 5})
 	h.submit(wire.Job{ID: "run-000002", Tasks: 1, CPUs: 1, EstimatedRunS: 500})
--- a/internal/scheduler/machine_faults_test.go
+++ b/internal/scheduler/machine_faults_test.go
@@ -26,7 +26,7 @@
 			task := wire.TaskName(j.ID, i)
 			on[name] = map[string]wire.TaskStatus{task: {Task: task, Attempt: 9, State: wire.TaskRunning}}
 		}
-		h := newHarness(t, false, live, storedRecords)
+		h := newHarnessWith(t, harnessConfig{live: live, records: storedRecords})
 		lost := rng.IntN(3) // first status probes of n-1 that get no answer
 		spell := func(t time.Duration) {
 			for end := h.now + t; h.now < end; {
@@ -117,8 +117,8 @@
 				"run-000003": {Record: &records.Job{Job: job("run-000003", 2), Done: done.EncodeChunk(0)}, ModRevision: 5},
 				"run-000004": {Record: &records.Job{Job: job("run-000004", 1)}, ModRevision: 5},
 			}
-			h := newHarness(t, false, live, []wire.KeyValue{machineRecordItem(t, "n-1", records.LegacyMachine{Type: "box", Zone: "a", Address: "n-1:1",
-				Tasks: map[string][]records.AssignedTask{"run-000002": {{Index: 1, Attempt: 8}}, "run-000004": {{Index: 0, Attempt: 9}}}})})
+			h := newHarnessWith(t, harnessConfig{live: live, records: []wire.KeyValue{machineRecordItem(t, "n-1", records.LegacyMachine{Type: "box", Zone: "a", Address: "n-1:1",
+				Tasks: map[string][]records.AssignedTask{"run-000002": {{Index: 1, Attempt: 8}}, "run-000004": {{Index: 0, Attempt: 9}}}})}})
 			h.calls = nil // n-1 sends no heartbeat, so the cancelled job stays live
 			stops := 0
 			count := func(cmds []wire.Command) {
@@ -158,7 +158,7 @@
 		})
 	}
 	// Without tasks it is used, and released when it is idle.
-	h := newHarness(t, true, nil, nil)
+	h := newHarnessWith(t, harnessConfig{minimizeCost: true})
 	h.heartbeat("n-1")
 	h.heartbeat("n-2")
 	h.advance(h.scheduler.settings.Policy.IdleTimeout+10*time.Second, "n-1", "n-2")
@@ -169,7 +169,7 @@
 
 // The reply of another machine, which has the address now, says nothing of the one called.
 func TestReplyFromReusedAddressIsIgnored(t *testing.T) {
-	h := newHarness(t, false, nil, nil)
+	h := newHarness(t)
 	h.bringUp("n-1")
 	h.submit(wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1})
 	h.answerAll(CallExecuted)
@@ -196,7 +196,7 @@
 func TestHigherFencingTokenEndsLeadership(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 13))
 	for range 20 {
-		h := newHarness(t, false, nil, nil)
+		h := newHarness(t)
 		h.bringUp("n-1")
 		ahead := uint64(1 + rng.IntN(tuning.MaxTermRevisionGap))
 		absurd := uint64(tuning.MaxTermRevisionGap + 1 + rng.IntN(1<<20))
@@ -226,7 +226,7 @@
 // A start that is still in flight is stopped: from then on commands bear a higher fencing
 // token, so that a worker which has seen the stop refuses the start, however late it comes.
 func TestDelayedStartIsFencedAfterStop(t *testing.T) {
-	h := newHarness(t, false, nil, nil)
+	h := newHarness(t)
 	h.bringUp("n-1")
 	h.submit(wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1})
 	if len(h.startCommands()) != 1 {
--- a/internal/scheduler/offer.go
+++ b/internal/scheduler/offer.go
@@ -9,6 +9,12 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
+// offer is a kind of machine that the cloud may provision.
+type offer struct {
+	machineType, zone string
+	spot              bool
+}
+
 // Weights of an offer's cost.
 const (
 	// maxTasksPerMachine bounds how far the size of a machine counts.
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -18,7 +18,7 @@
 func TestLargestJobsFinishUnderOverload(t *testing.T) {
 	for seed := range uint64(3) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		h := newHarness(t, false, nil, nil)
+		h := newHarness(t)
 		h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 8, CPUsMax: 1000}
 		workers := newFakeWorkers(h, func(string, string) (time.Duration, string) {
 			return time.Duration(4+rng.IntN(9)) * time.Second, wire.CauseDone
@@ -48,7 +48,7 @@
 // Idle work of a guest team is established within four minutes in a cluster that work within
 // other teams' guarantees keeps full. Starts that are preempted within seconds don't count.
 func TestIdleGuestJobIsEstablishedUnderLoad(t *testing.T) {
-	h := newHarness(t, false, nil, nil)
+	h := newHarness(t)
 	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, CPUsMax: 1000}
 	h.scheduler.settings.Teams["guest"] = TeamQuota{CPUsMax: math.Inf(1)}
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -76,7 +76,7 @@
 // A service whose replicas failed on three machines over time, and run on others, does not
 // count as invalid: its missing replicas are placed at once.
 func TestServiceSurvivesFaultyMachines(t *testing.T) {
-	h := newHarness(t, false, nil, nil)
+	h := newHarness(t)
 	faulty := map[string]bool{}
 	workers := newFakeWorkers(h, func(_, m string) (time.Duration, string) {
 		if faulty[m] {
@@ -112,7 +112,7 @@
 // The first tasks that a starved job gets ahead of others are no upper bound: with capacity
 // for the whole job, all of it runs at once.
 func TestStarvedJobIsNotCappedWhereCapacityIsFree(t *testing.T) {
-	h := newHarness(t, false, nil, nil)
+	h := newHarness(t)
 	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, CPUsMax: 1000}
 	workers := newFakeWorkers(h, func(string, string) (time.Duration, string) {
 		return tuning.ArrayStarvationBound + 10*time.Second, wire.CauseDone
@@ -132,7 +132,7 @@
 // at a time, does not count against machines and does not delay others. A faulty machine is
 // quarantined, since several jobs fail there that succeed elsewhere.
 func TestInvalidJobsAreThrottledAndFaultyMachinesQuarantined(t *testing.T) {
-	h := newHarness(t, false, nil, nil)
+	h := newHarness(t)
 	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, CPUsMax: 1000}
 	faulty := false
 	workers := newFakeWorkers(h, func(task, m string) (time.Duration, string) {
@@ -192,7 +192,7 @@
 // Under its team's limit, a production service preempts lower work of its own team, and no
 // other work takes that quota meanwhile.
 func TestProductionPreemptsWithinItsTeamLimit(t *testing.T) {
-	h := newHarness(t, false, nil, nil)
+	h := newHarness(t)
 	h.bringUp("n-1", "n-2", "n-3")
 	h.submit(wire.Job{ID: "run-000001", Tasks: 30, CPUs: 1})
 	h.answerAll(CallExecuted)
@@ -215,7 +215,7 @@
 
 // A gang is placed as a whole or not at all, and stopped as a whole when one member fails.
 func TestGangIsPlacedAndStoppedAsAWhole(t *testing.T) {
-	h := newHarness(t, false, nil, nil)
+	h := newHarness(t)
 	h.bringUp("n-1")
 	h.submit(wire.Job{ID: "run-000001", Tasks: 3, CPUs: 4, Shape: wire.ShapeGang})
 	if len(h.startCommands()) != 0 || h.scheduler.cluster.jobs["run-000001"].activeCount != 0 {
--- a/internal/scheduler/placement_wait_test.go
+++ b/internal/scheduler/placement_wait_test.go
@@ -19,7 +19,7 @@
 func TestAgedJobShareIsNoUpperBound(t *testing.T) {
 	for seed := range uint64(3) {
 		rng := rand.New(rand.NewPCG(seed, 21))
-		h := newHarness(t, false, nil, nil)
+		h := newHarness(t)
 		h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 8, CPUsMax: 1000}
 		workers := newFakeWorkers(h, func(string, string) (time.Duration, string) {
 			return time.Duration(50+rng.IntN(20)) * time.Second, wire.CauseDone
@@ -40,7 +40,7 @@
 func TestPreemptedCapacityIsUsed(t *testing.T) {
 	for seed := range uint64(5) {
 		rng := rand.New(rand.NewPCG(seed, 22))
-		h := newHarness(t, false, nil, nil)
+		h := newHarness(t)
 		h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, CPUsMax: 1000}
 		workers := newFakeWorkers(h, func(string, string) (time.Duration, string) { return time.Hour, wire.CauseDone })
 		workers.checkpointTime = time.Duration(1+rng.IntN(4)) * time.Second
@@ -65,7 +65,7 @@
 // deadline is, on which the dispatch budget depends.
 func TestLostStartIsRetriedInTime(t *testing.T) {
 	for _, deadline := range []float64{60, 900, 4000, 100_000} {
-		h := newHarness(t, false, nil, nil)
+		h := newHarness(t)
 		h.bringUp("n-1")
 		h.submit(wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1, DeadlineS: &deadline})
 		lost := 0
@@ -93,7 +93,7 @@
 // A production job whose zone has no machine reserves no quota, and its team's other work
 // goes on.
 func TestUnplaceableProductionReservesNoQuota(t *testing.T) {
-	h := newHarness(t, false, nil, nil)
+	h := newHarness(t)
 	workers := newFakeWorkers(h, func(string, string) (time.Duration, string) { return 20 * time.Second, wire.CauseDone })
 	h.submit(wire.Job{ID: "run-000001", Tasks: 14, CPUs: 1, Shape: wire.ShapeService, Priority: wire.PriorityProduction, Zone: "b"})
 	h.submit(wire.Job{ID: "run-000002", Tasks: 8, CPUs: 4, EstimatedRunS: 20})
@@ -120,7 +120,7 @@
 func TestWaitForOtherImageFetchesIsBounded(t *testing.T) {
 	for seed := range uint64(3) {
 		rng := rand.New(rand.NewPCG(seed, 23))
-		h := newHarness(t, false, nil, nil)
+		h := newHarness(t)
 		h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, CPUsMax: 1000}
 		workers := newFakeWorkers(h, func(string, string) (time.Duration, string) { return time.Hour, wire.CauseDone })
 		workers.imageFetchTime = func() time.Duration { return time.Duration(60+rng.IntN(40)) * time.Second }
@@ -140,7 +140,7 @@
 
 // A gang that does not fit on all machines together reserves none of them.
 func TestGangThatCannotFitReservesNothing(t *testing.T) {
-	h := newHarness(t, false, nil, nil)
+	h := newHarness(t)
 	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, CPUsMax: 1000}
 	workers := newFakeWorkers(h, func(string, string) (time.Duration, string) { return 20 * time.Second, wire.CauseDone })
 	h.submit(wire.Job{ID: "run-000001", Tasks: 4, CPUs: 8, Shape: wire.ShapeGang, EstimatedRunS: 20})
@@ -159,7 +159,7 @@
 // A gang that has to be in one zone goes to the zone with capacity for all of it.
 func TestGangIsPlacedInTheZoneThatFitsIt(t *testing.T) {
 	for _, zone := range []string{"a", "b"} {
-		h := newHarness(t, false, nil, nil)
+		h := newHarness(t)
 		h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, CPUsMax: 1000}
 		names := []string{"n-1", "n-6", "n-7"} // those after n-5 are in zone b
 		if zone == "a" {
--- a/internal/scheduler/reconciliation_test.go
+++ b/internal/scheduler/reconciliation_test.go
@@ -75,7 +75,7 @@
 // not start it again on another machine before the one that ran it has sent a heartbeat.
 // The assignment is dropped once the task is durably done.
 func TestCompletedTaskKeepsAssignmentUntilSaved(t *testing.T) {
-	h := newHarness(t, false, nil, nil)
+	h := newHarness(t)
 	h.bringUp("n-1")
 	h.submit(wire.Job{ID: restartedJobID, Tasks: 2, CPUs: 8})
 	first := h.startCommands()[0]
@@ -89,7 +89,7 @@
 	if n := h.recordedAttempts(); n != 2 {
 		t.Fatalf("%d attempts are recorded before the task is durably done, not 2", n)
 	}
-	next := newHarness(t, false, nil, nil)
+	next := newHarness(t)
 	next.startTerm(h.scheduler.settings, harnessTerm+10, live, slices.Collect(maps.Values(h.items)), []wire.MachineType{*h.scheduler.cluster.machineTypes["box"]})
 	next.bringUp("n-3")
 	next.advance(2*time.Second, "n-3")
@@ -141,7 +141,7 @@
 			if tc.change != nil {
 				tc.change(live[restartedJobID].Record)
 			}
-			h := newHarnessWith(t, false, live, tc.records, coldRestart)
+			h := newHarnessWith(t, harnessConfig{live: live, records: tc.records, change: coldRestart})
 			h.calls = nil
 			reply := h.heartbeat("n-1", taskReport(attempt, wire.TaskRunning))
 			if stopped := slices.Contains(h.stopsSentTo("n-1", reply), attempt); stopped != tc.stopped {
@@ -170,7 +170,11 @@
 
 // Of two workers that list the same recorded task, the first keeps it.
 func TestFirstOfTwoReportedAttemptsIsKept(t *testing.T) {
-	h := newHarnessWith(t, false, liveJobs(wire.Job{ID: restartedJobID, Tasks: 1, CPUs: 1}), []wire.KeyValue{assignmentRecord(t, "n-1", 5), assignmentRecord(t, "n-2", 6)}, coldRestart)
+	h := newHarnessWith(t, harnessConfig{
+		live:    liveJobs(wire.Job{ID: restartedJobID, Tasks: 1, CPUs: 1}),
+		records: []wire.KeyValue{assignmentRecord(t, "n-1", 5), assignmentRecord(t, "n-2", 6)},
+		change:  coldRestart,
+	})
 	h.calls = nil
 	first := h.stopsSentTo("n-2", h.heartbeat("n-2", taskReport(6, wire.TaskRunning)))
 	second := h.stopsSentTo("n-1", h.heartbeat("n-1", taskReport(5, wire.TaskRunning)))
@@ -185,7 +189,7 @@
 // An attempt of a job that has ended is stopped, and takes capacity of the machine no
 // longer than it takes to stop.
 func TestAttemptOfEndedJobIsStopped(t *testing.T) {
-	h := newHarnessWith(t, false, nil, []wire.KeyValue{assignmentRecord(t, "n-1", 5)}, coldRestart)
+	h := newHarnessWith(t, harnessConfig{records: []wire.KeyValue{assignmentRecord(t, "n-1", 5)}, change: coldRestart})
 	if stops := h.stopsSentTo("n-1", wire.HeartbeatReply{}); !slices.Equal(stops, []uint64{5}) {
 		t.Fatalf("stops: %v", stops)
 	}
@@ -209,7 +213,7 @@
 		if recorded {
 			storedRecords = append(storedRecords, machineRecordItem(t, "n-2", records.LegacyMachine{Type: "box", Zone: "a", Address: "n-2:1"}))
 		}
-		h := newHarnessWith(t, false, nil, storedRecords, func(s *Settings) { coldRestart(s); s.Policy.ReconcileRestarts, s.Policy.HeadroomShare = enabled, 0 })
+		h := newHarnessWith(t, harnessConfig{records: storedRecords, change: func(s *Settings) { coldRestart(s); s.Policy.ReconcileRestarts, s.Policy.HeadroomShare = enabled, 0 }})
 		h.answerAll(CallLost)
 		h.scheduler.MachinesListed(h.clock(), []wire.ListedMachine{{Name: "n-2", Address: "n-2:1", Type: "box", Zone: "a", State: wire.MachineRunning, AgeS: 900}})
 		h.bringUp("n-1")
@@ -239,8 +243,11 @@
 // restarted job's task, has yet to send a heartbeat.
 func restartWithLateMachine(t *testing.T, reconcileRestarts bool) *harness {
 	t.Helper()
-	h := newHarnessWith(t, false, liveJobs(wire.Job{ID: restartedJobID, Tasks: 1, CPUs: 1}), []wire.KeyValue{assignmentRecord(t, "n-1", 5)},
-		func(s *Settings) { coldRestart(s); s.Policy.ReconcileRestarts = reconcileRestarts })
+	h := newHarnessWith(t, harnessConfig{
+		live:    liveJobs(wire.Job{ID: restartedJobID, Tasks: 1, CPUs: 1}),
+		records: []wire.KeyValue{assignmentRecord(t, "n-1", 5)},
+		change:  func(s *Settings) { coldRestart(s); s.Policy.ReconcileRestarts = reconcileRestarts },
+	})
 	h.answerAll(CallLost) // the status probe of n-1
 	h.bringUp("n-2")
 	return h
@@ -329,7 +336,11 @@
 // After a task without a record was listed, others of jobs from before the term wait for
 // the unconfirmed machines; jobs that were submitted since do not.
 func TestUnrecordedTaskHoldsRecoveredWork(t *testing.T) {
-	h := newHarnessWith(t, false, liveJobs(wire.Job{ID: restartedJobID, Tasks: 3, CPUs: 1}), []wire.KeyValue{machineRecordItem(t, "n-4", records.LegacyMachine{Type: "box", Zone: "a", Address: "n-4:1"})}, coldRestart)
+	h := newHarnessWith(t, harnessConfig{
+		live:    liveJobs(wire.Job{ID: restartedJobID, Tasks: 3, CPUs: 1}),
+		records: []wire.KeyValue{machineRecordItem(t, "n-4", records.LegacyMachine{Type: "box", Zone: "a", Address: "n-4:1"})},
+		change:  coldRestart,
+	})
 	h.calls = nil
 	h.heartbeat("n-1", taskReport(7, wire.TaskRunning))
 	h.answerStatusProbes([]string{"n-1"})
@@ -363,11 +374,11 @@
 				list = append(list, wire.ListedMachine{Name: name, Address: name + ":1", Type: "box", Zone: "a", State: wire.MachineRunning, AgeS: 900})
 			}
 		}
-		h := newHarnessWith(t, false, liveJobs(wire.Job{ID: restartedJobID, Tasks: machines, CPUs: 8}), storedRecords, func(s *Settings) {
+		h := newHarnessWith(t, harnessConfig{live: liveJobs(wire.Job{ID: restartedJobID, Tasks: machines, CPUs: 8}), records: storedRecords, change: func(s *Settings) {
 			coldRestart(s)
 			s.Policy.ReconcileRestarts, s.CloudRate, s.WorkerLease = enabled, rate, time.Minute
 			s.Teams["red"] = TeamQuota{CPUs: 8 * machines, CPUsMax: 8 * machines}
-		})
+		}})
 		h.calls = nil
 		for range 2 * tuning.MissingListThreshold {
 			h.scheduler.MachinesListed(h.clock(), list)
@@ -397,7 +408,7 @@
 // Time in which no machine was up has no missed heartbeats: the first machine that the
 // cloud lists, after a restart without records, does not make the leader resign.
 func TestNoIsolationBeforeFirstMachine(t *testing.T) {
-	h := newHarness(t, false, nil, nil)
+	h := newHarness(t)
 	h.advance(30 * time.Second)
 	list := []wire.ListedMachine{{Name: "n-1", Address: "n-1:1", Type: "box", Zone: "a", State: wire.MachineRunning, AgeS: 900}}
 	h.scheduler.MachinesListed(h.clock(), list)
--- a/internal/scheduler/scalein.go
+++ b/internal/scheduler/scalein.go
@@ -122,7 +122,7 @@
 	if missingZones[m.zone] {
 		return s.zoneReleaseReason(m, heartbeatAge)
 	}
-	// After a partition, the machines of a zone are heard again one by one.
+	// After a partition, heartbeats of a zone's machines come back one by one.
 	heartbeatAge = min(heartbeatAge, now-s.monitor.zoneMissingAt[m.zone])
 	//mutation:reconciliation-holds-release
 	if m.calls.unansweredSinceHeartbeat >= tuning.UnansweredProbeThreshold && !s.reconciler.HoldsRelease(now, m.name) && heartbeatAge > s.heartbeatOverdueAfter()+tuning.CommandTimeout*tuning.UnansweredProbeThreshold && len(m.tasks) > 0 {
--- a/internal/scheduler/scalein_test.go
+++ b/internal/scheduler/scalein_test.go
@@ -14,7 +14,7 @@
 // Idle machines that came up before the term have no record. A new leader, who learns of
 // them from the cloud's list, must not take them for machines that never came up.
 func TestIdleMachinesSurviveFailover(t *testing.T) {
-	h := newHarness(t, false, nil, nil)
+	h := newHarness(t)
 	h.scheduler.MachinesListed(h.clock(), []wire.ListedMachine{{Name: "n-1", Address: "n-1:1", Type: "box", Zone: "a", State: wire.MachineRunning, AgeS: 900}})
 	h.advance(2 * time.Second)
 	if len(h.releases) != 0 {
@@ -30,7 +30,7 @@
 // The tasks of an unresponsive machine are placed again only after the cloud's answer to its
 // release; a refused release changes nothing.
 func TestTasksOfUnresponsiveMachineRestartAfterItsRelease(t *testing.T) {
-	h := newHarness(t, false, nil, nil)
+	h := newHarness(t)
 	machines := []string{"n-1", "n-2", "n-6"}
 	h.bringUp(machines...)
 	h.submit(wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1, Shape: wire.ShapeService, Priority: wire.PriorityProduction})
@@ -78,7 +78,7 @@
 // answers the probes stays, and so does one whose probes are still in flight, however often
 // it left others unanswered before its last heartbeat.
 func TestMachineWithUnansweredProbesIsReleasedEarly(t *testing.T) {
-	h := newHarness(t, false, nil, nil)
+	h := newHarness(t)
 	machines := []string{"n-1", "n-2", "n-3", "n-4", "n-5", "n-6"}
 	h.bringUp(machines...)
 	h.submit(wire.Job{ID: "run-000001", Tasks: 3, CPUs: 5})
@@ -123,7 +123,7 @@
 func TestReleasingMachineStillStopsCancelledTasks(t *testing.T) {
 	for _, cancelledBefore := range []bool{true, false} {
 		t.Run(fmt.Sprintf("cancelled_before=%v", cancelledBefore), func(t *testing.T) {
-			h := newHarness(t, false, nil, nil)
+			h := newHarness(t)
 			h.bringUp("n-1")
 			h.submit(wire.Job{ID: "run-000001", Tasks: 3, CPUs: 1})
 			h.answerAll(CallExecuted)
@@ -163,7 +163,7 @@
 func TestEveryLeaseRenewalStopsCancelledTasks(t *testing.T) {
 	for _, recovered := range []bool{false, true} {
 		t.Run(fmt.Sprintf("recovered=%v", recovered), func(t *testing.T) {
-			h := newHarness(t, false, nil, nil)
+			h := newHarness(t)
 			h.bringUp("n-1")
 			job := wire.Job{ID: "run-000001", Tasks: 3, CPUs: 1, Team: "red", Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Image: "img"}
 			h.submit(job)
@@ -172,7 +172,7 @@
 
 			if recovered {
 				cancelled := records.Job{Job: job, Cancelled: true}
-				h = newHarness(t, false, map[string]*LiveJob{job.ID: {Record: &cancelled, ModRevision: 90}}, storedBatches(h.items))
+				h = newHarnessWith(t, harnessConfig{live: map[string]*LiveJob{job.ID: {Record: &cancelled, ModRevision: 90}}, records: storedBatches(h.items)})
 				h.sequences["n-1"] = 100
 			} else {
 				h.scheduler.Cancelled(h.clock(), []string{job.ID})
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -191,7 +191,7 @@
 
 // sendProvisionRequest asks the cloud for machines.
 func (s *Scheduler) sendProvisionRequest(o offer, count int) {
-	name := s.autoscaler.addRequest(s.term, o, count, s.now.Mono)
+	name := s.autoscaler.addRequest(s.term, o, count)
 	s.reconciler.CountOperation(s.now.Mono, reconcile.Operation{Kind: reconcile.ProvisionOperation})
 	s.logInfo("machines requested", "request", name, "type", o.machineType, "zone", o.zone, "spot", o.spot, "count", count)
 	s.effects.Provision = append(s.effects.Provision, ProvisionRequest{wire.ProvisionRequest{RequestID: name, Type: o.machineType, Zone: o.zone, Spot: o.spot, Count: count}})
--- a/internal/scheduler/scaleout_test.go
+++ b/internal/scheduler/scaleout_test.go
@@ -22,7 +22,7 @@
 		{1000, tuning.MinCapacityBackoff},
 	} {
 		t.Run(fmt.Sprintf("rate=%v", tc.rate), func(t *testing.T) {
-			h := newHarness(t, false, nil, nil)
+			h := newHarness(t)
 			h.scheduler.autoscaler.listed, h.scheduler.settings.CloudRate = true, tc.rate
 			h.submit(wire.Job{ID: "run-000001", Tasks: 1, CPUs: 8})
 			if len(h.provisionRequests) == 0 {
@@ -48,7 +48,7 @@
 // works with them. If the lease turns out to hold, as after an outage, the machines did not
 // miss them: they get the time that they would have had, and are released only then.
 func TestNoScalingAfterLeaseExpiry(t *testing.T) {
-	h := newHarness(t, false, nil, nil)
+	h := newHarness(t)
 	h.scheduler.autoscaler.listed = true
 	h.bringUp("n-000001", "n-000002")
 	h.advance(tuning.TickInterval, "n-000001", "n-000002")
@@ -81,7 +81,7 @@
 	const requested = 6 // machines, for six tasks that fill one each
 	for _, tc := range []struct{ up, replaced int }{{5, 1}, {4, 2}, {3, 3}, {2, 0}, {0, 0}} {
 		t.Run(fmt.Sprintf("up=%d", tc.up), func(t *testing.T) {
-			h := newHarness(t, false, nil, nil)
+			h := newHarness(t)
 			h.scheduler.autoscaler.listed = true
 			h.scheduler.settings.Policy.HeadroomShare = 0
 			h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 48, CPUsMax: 48}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -56,17 +56,6 @@
 	reconciler    *reconcile.Reconciler
 }
 
-type offer struct {
-	machineType, zone string
-	spot              bool
-}
-
-type pendingRequest struct {
-	offer  offer
-	count  int
-	sentAt time.Duration
-}
-
 // New starts a term with what the key-value store has: the live jobs by the replica,
 // their further done bits (items under records.BitmapPrefix) and the assignments (items
 // under records.BatchPrefix and records.LegacyMachinePrefix).
--- a/internal/scheduler/simulation_cloud_test.go
+++ b/internal/scheduler/simulation_cloud_test.go
@@ -158,7 +158,7 @@
 		return names
 	}
 	var names []string
-	free := sim.size.maxPerKind - sim.liveMachines(request.Zone, request.Spot)
+	free := sim.size.maxPerKind - sim.machinesOfSameKind(request)
 	for range min(request.Count, free) {
 		for _, machineType := range sim.machineTypes {
 			if machineType.Name == request.Type {
@@ -172,12 +172,13 @@
 	return names
 }
 
-// liveMachines counts the machines of a kind in a zone. As at a cloud, idle machines of one
-// zone take no capacity in another: else a job that needs both would wait for ever.
-func (sim *simulation) liveMachines(zone string, spot bool) int {
+// machinesOfSameKind counts the live machines in the request's zone, spot or ordinary ones as
+// it has them. As at a cloud, idle machines of one zone take no capacity in another: else a
+// job that needs both would wait for ever.
+func (sim *simulation) machinesOfSameKind(request wire.ProvisionRequest) int {
 	live := 0
 	for name, worker := range sim.workers {
-		if sim.lifecycles[name].removedAt == 0 && !worker.Terminated && worker.Zone == zone && worker.Spot == spot {
+		if sim.lifecycles[name].removedAt == 0 && !worker.Terminated && worker.Zone == request.Zone && worker.Spot == request.Spot {
 			live++
 		}
 	}
--- a/internal/scheduler/statusprobe_test.go
+++ b/internal/scheduler/statusprobe_test.go
@@ -13,7 +13,7 @@
 // probed less and less often.
 func TestStatusProbesAreBounded(t *testing.T) {
 	const machines = 3 * tuning.MinConcurrentStatusProbes
-	h := newHarness(t, false, nil, nil)
+	h := newHarness(t)
 	listed := func(from, to int) (list []wire.ListedMachine) {
 		for i := from; i < to; i++ {
 			list = append(list, wire.ListedMachine{Name: machineNumber(i), Type: "box", Zone: "a", Address: fmt.Sprintf("m%d:1", i), State: wire.MachineRunning})
--- a/internal/scheduler/tick_test.go
+++ b/internal/scheduler/tick_test.go
@@ -25,7 +25,7 @@
 		{"paused_process", 400, time.Minute, never, never + time.Minute},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			h := newHarness(t, false, nil, nil)
+			h := newHarness(t)
 			h.scheduler.settings.HeartbeatInterval, h.scheduler.settings.WorkerLease = 10*time.Second, 2*time.Minute
 			for i := range tc.machines {
 				h.bringUp(machineNumber(i))
--- a/internal/scheduler/zone_partition_test.go
+++ b/internal/scheduler/zone_partition_test.go
@@ -25,7 +25,7 @@
 		{name: "seen_in_the_term", seenBefore: 10 * time.Second, heartbeatSeen: true, least: 21 * time.Second, most: 2 * time.Minute},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			h := newHarness(t, false, nil, nil)
+			h := newHarness(t)
 			h.scheduler.settings.CancellationBound = 24 * time.Second
 			h.bringUp("n-1", "n-2", "n-6", "n-7")
 			h.submit(wire.Job{ID: "run-000001", Tasks: 4, CPUs: 1, Shape: wire.ShapeService, Priority: wire.PriorityProduction, SpreadZones: tc.spread})
@@ -53,10 +53,10 @@
 	}
 }
 
-// When a zone is back, its machines are heard one by one: those that are a little later are
-// not released meanwhile.
+// When a zone is back, heartbeats of its machines come one by one: those that are a little
+// later are not released meanwhile.
 func TestMachinesOfRecoveredZoneAreNotReleased(t *testing.T) {
-	h := newHarness(t, false, nil, nil)
+	h := newHarness(t)
 	h.bringUp("n-1", "n-2", "n-6", "n-7", "n-8")
 	h.submit(wire.Job{ID: "run-000001", Tasks: 2, CPUs: 8})
 	h.submit(wire.Job{ID: "run-000002", Tasks: 2, CPUs: 8, Team: "blue"})
@@ -92,7 +92,7 @@
 // A zone whose machines all miss their heartbeats but for a new one is partitioned, not
 // dead: its machines are not released with what runs there.
 func TestPartitionedZoneWithNewMachineIsKept(t *testing.T) {
-	h := newHarness(t, false, nil, nil)
+	h := newHarness(t)
 	h.bringUp("n-1", "n-2", "n-6", "n-7", "n-8") // from n-6 on in zone b
 	lease := h.scheduler.settings.WorkerLease
 
