--- a/internal/scheduler/assignments_test.go
+++ b/internal/scheduler/assignments_test.go
@@ -39,7 +39,7 @@
 	h.answerAll(CallExecuted)
 	// A machine of the batch is released: a new leader would wait for it.
 	var gone string
-	for _, m := range h.scheduler.sortedMachines() {
+	for _, m := range h.scheduler.cluster.sortedMachines() {
 		if len(m.tasks) > 0 {
 			gone = m.name
 		}
--- a/internal/scheduler/attempt_outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -9,8 +9,12 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// causeLost is that of an attempt which its worker no longer lists.
-const causeLost = "lost"
+// Causes of failed attempts beside those that workers report.
+const (
+	causeLost            = "lost"         // the worker no longer lists it
+	causeMachineReleased = "machine gone" // its machine was released
+	causeAckTimeout      = "ack timeout"  // no worker acknowledged its start in time
+)
 
 // Failure is a failed attempt, kept for operators to ask about.
 type Failure struct {
@@ -59,7 +63,7 @@
 // handleFailedAttempt decides what follows a detached attempt that did not complete.
 func (s *Scheduler) handleFailedAttempt(a *attempt, cause string) {
 	if cause != wire.CauseStopped {
-		s.listFailure(a, cause)
+		s.cluster.addFailure(Failure{a.ref.String(), a.number, a.machine.name, cause, s.now.Wall})
 		s.logFailedAttempt(a, cause)
 	}
 	j := a.job
@@ -84,15 +88,6 @@
 	}
 }
 
-// listFailure keeps a failed attempt for operators.
-func (s *Scheduler) listFailure(a *attempt, cause string) {
-	failures := append(s.cluster.failures, Failure{a.ref.String(), a.number, a.machine.name, cause, s.now.Wall})
-	if len(failures) > tuning.MaxListedFailures {
-		failures = slices.Clone(failures[len(failures)-tuning.MaxListedFailures/2:])
-	}
-	s.cluster.failures = failures
-}
-
 func (s *Scheduler) logFailedAttempt(a *attempt, cause string) {
 	log := s.logInfo
 	if cause == wire.CauseNoCapacity {
@@ -131,7 +126,7 @@
 // are acquitted.
 func (s *Scheduler) attributeFailure(m *machine, j *job) {
 	if j.likelyInvalid(s.now.Mono) {
-		s.acquitMachines(j)
+		s.cluster.acquitMachines(j)
 		return
 	}
 	m.quarantine.failedJobs[j.id] = true
@@ -144,32 +139,9 @@
 	m.quarantine.until = s.now.Mono + tuning.QuarantineDuration
 }
 
-// acquitMachines no longer holds an invalid job's failures against machines.
-func (s *Scheduler) acquitMachines(j *job) {
-	for name := range j.retry.failedMachines {
-		m := s.cluster.machines[name]
-		if m == nil || !m.quarantine.failedJobs[j.id] {
-			continue
-		}
-		delete(m.quarantine.failedJobs, j.id)
-		if len(m.quarantine.failedJobs) < tuning.QuarantineJobThreshold {
-			m.quarantine.until = 0
-		}
-	}
-}
-
-// maxBackoffDoublings bounds the shift in backoff: the maximum is reached long before.
-const maxBackoffDoublings = 19
-
-// backoff counts one more failure in a row, and keeps the job from placement for a time
-// that doubles with each.
+// backoff keeps a job that has failed once more from placement for a while.
 func (s *Scheduler) backoff(j *job) {
-	j.retry.failures++
-	delay := s.settings.Policy.MaxErrorBackoff
-	if doublings := j.retry.failures - 1; doublings < maxBackoffDoublings {
-		delay = min(delay, s.settings.Policy.ErrorBackoff<<doublings)
-	}
-	j.retry.at = s.now.Mono + delay
+	j.retry.countFailure(s.now.Mono, s.settings.Policy)
 	s.placement.backingOff[j] = true
 }
 
@@ -205,7 +177,7 @@
 	j.progress.add(index)
 	s.logDebug("task done", "task", wire.TaskName(j.id, index))
 	s.counters.Finished++
-	s.persister.markDirty(j, s.now.Mono)
+	s.persister.markDirty(j)
 	s.placement.due = true
 	for _, a := range slices.Clone(j.active[index]) {
 		s.stopNow(a, StopTaskDone)
--- a/internal/scheduler/cluster.go
+++ b/internal/scheduler/cluster.go
@@ -3,8 +3,8 @@
 import (
 	"cmp"
 	"slices"
-	"time"
 
+	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
@@ -98,8 +98,8 @@
 
 // detach takes back what attach has counted. An ended job is forgotten with its last
 // attempt.
-func (c *clusterState) detach(a *attempt, now time.Duration) {
-	c.detachFromMachine(a, now)
+func (c *clusterState) detach(a *attempt) {
+	c.detachFromMachine(a)
 	j := a.job
 	if j == nil {
 		return
@@ -113,12 +113,12 @@
 	}
 }
 
-func (c *clusterState) detachFromMachine(a *attempt, now time.Duration) {
+func (c *clusterState) detachFromMachine(a *attempt) {
 	m := a.machine
 	delete(m.tasks, a.ref)
 	m.taskSummary = nil
 	if len(m.tasks) == 0 {
-		m.idleSince = now
+		m.idleSince = c.now.Mono
 		m.used = resources{} // without the rounding errors of sums
 		return
 	}
@@ -126,3 +126,25 @@
 		m.used.removeTask(&a.job.spec)
 	}
 }
+
+// addFailure lists a failed attempt. Of too many, the older half is dropped.
+func (c *clusterState) addFailure(failure Failure) {
+	c.failures = append(c.failures, failure)
+	if len(c.failures) > tuning.MaxListedFailures {
+		c.failures = slices.Clone(c.failures[len(c.failures)-tuning.MaxListedFailures/2:])
+	}
+}
+
+// acquitMachines no longer holds an invalid job's failures against machines.
+func (c *clusterState) acquitMachines(j *job) {
+	for name := range j.retry.failedMachines {
+		m := c.machines[name]
+		if m == nil || !m.quarantine.failedJobs[j.id] {
+			continue
+		}
+		delete(m.quarantine.failedJobs, j.id)
+		if len(m.quarantine.failedJobs) < tuning.QuarantineJobThreshold {
+			m.quarantine.until = 0
+		}
+	}
+}
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"github.com/yarrowgap/yarrowgap/internal/policy"
 	"github.com/yarrowgap/yarrowgap/internal/records"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
@@ -62,6 +63,20 @@
 	at               time.Duration // no placement before then
 }
 
+// maxBackoffDoublings bounds the shift in countFailure: the maximum is reached long before.
+const maxBackoffDoublings = 19
+
+// countFailure counts one more failure in a row. The time until the next placement
+// doubles with each.
+func (r *retryState) countFailure(now time.Duration, settings policy.Settings) {
+	delay := settings.MaxErrorBackoff
+	if r.failures < maxBackoffDoublings {
+		delay = min(delay, settings.ErrorBackoff<<r.failures)
+	}
+	r.failures++
+	r.at = now + delay
+}
+
 // waitState says since when and why tasks of a job wait.
 type waitState struct {
 	since time.Duration // since when a task waits; 0: none does
@@ -165,7 +180,7 @@
 // markDirtyIfComplete has a job's last write made once it is over.
 func (s *Scheduler) markDirtyIfComplete(j *job) {
 	if j.readyToArchive() {
-		s.persister.markDirty(j, s.now.Mono)
+		s.persister.markDirty(j)
 	}
 }
 
--- a/internal/scheduler/jobwrite.go
+++ b/internal/scheduler/jobwrite.go
@@ -28,9 +28,9 @@
 }
 
 // markDirty notes that there is something of the job to write.
-func (p *persistState) markDirty(j *job, now time.Duration) {
+func (p *persistState) markDirty(j *job) {
 	if j.write.dirtyAt == 0 {
-		j.write.dirtyAt = now
+		j.write.dirtyAt = p.now.Mono
 		p.dirtyJobs[j] = true
 	}
 }
@@ -200,6 +200,6 @@
 	s.dropSavedAssignments(j)
 	s.persister.markClean(j)
 	if j.progress.unsaved() || j.readyToArchive() {
-		s.persister.markDirty(j, s.now.Mono)
+		s.persister.markDirty(j)
 	}
 }
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -130,9 +130,6 @@
 	return m
 }
 
-// sortedMachines gives the machines by name. The slice is not to be changed.
-func (s *Scheduler) sortedMachines() []*machine { return s.cluster.sortedMachines() }
-
 // queueUnexpectedStop has a command sent with what is next sent to the machine.
 func (m *machine) queueUnexpectedStop(command wire.Command) {
 	m.unexpectedStops = append(m.unexpectedStops, command)
--- a/internal/scheduler/machinescan.go
+++ b/internal/scheduler/machinescan.go
@@ -11,7 +11,7 @@
 // scanMachines visits every machine, beginning with those for which the last scan had no
 // status probe left.
 func (s *Scheduler) scanMachines() {
-	list := s.sortedMachines()
+	list := s.cluster.sortedMachines()
 	first, _ := slices.BinarySearchFunc(list, s.dispatcher.probes.nextMachine, func(m *machine, name string) int { return strings.Compare(m.name, name) })
 	s.dispatcher.probes.nextMachine = ""
 	for i := range list {
@@ -74,6 +74,6 @@
 	a.retry.abandoned = true
 	s.counters.DispatchGiveUps++
 	s.logInfo("dispatch abandoned: start never acknowledged", "task", task, "attempt", a.number, "machine", a.machine.name, "retries", a.retry.count)
-	s.cluster.failures = append(s.cluster.failures, Failure{task, a.number, a.machine.name, "ack timeout", s.now.Wall})
+	s.cluster.addFailure(Failure{task, a.number, a.machine.name, causeAckTimeout, s.now.Wall})
 	s.stopNow(a, StopNeverAcknowledged)
 }
--- a/internal/scheduler/reasons.go
+++ b/internal/scheduler/reasons.go
@@ -30,8 +30,8 @@
 	ResignNoHeartbeats       ResignReason = "no worker reaches this controller"
 	ResignHigherFencingToken ResignReason = "a worker has seen a higher fencing token"
 	ResignLeaderKeyLost      ResignReason = "another leader holds the key"
-	ResignBitmapConflict     ResignReason = "a job's bitmap was changed by another writer"
-	ResignCountersExhausted  ResignReason = "fencing counters nearly used up"
+	ResignBitmapConflict     ResignReason = "a job's done bitmap was changed by another leader"
+	ResignCountersExhausted  ResignReason = "this term's fencing counters or attempt numbers are nearly used up"
 )
 
 // ReleaseReason says why a machine is released.
@@ -39,15 +39,15 @@
 
 // Reasons for releases.
 const (
-	ReleaseBootFailed        ReleaseReason = "failed while booting"
-	ReleaseNeverUp           ReleaseReason = "never came up"
-	ReleaseFailed            ReleaseReason = "failed"
-	ReleaseProbesUnanswered  ReleaseReason = "missed heartbeats and unanswered status probes"
-	ReleaseNotListed         ReleaseReason = "missed heartbeats and no longer listed"
-	ReleaseUnreachable       ReleaseReason = "unreachable"
-	ReleaseLeaseExpired      ReleaseReason = "no heartbeat for its lease"
-	ReleaseQuarantined       ReleaseReason = "quarantined: unrelated jobs fail on it"
-	ReleaseZoneMissing       ReleaseReason = "its zone has missed heartbeats for too long"
-	ReleaseZoneTasksPlacable ReleaseReason = "its zone misses heartbeats and its tasks fit elsewhere"
-	ReleaseIdle              ReleaseReason = "idle"
+	ReleaseBootFailed       ReleaseReason = "failed while booting"
+	ReleaseNeverUp          ReleaseReason = "never came up"
+	ReleaseFailed           ReleaseReason = "failed"
+	ReleaseProbesUnanswered ReleaseReason = "missed heartbeats and unanswered status probes"
+	ReleaseNotListed        ReleaseReason = "missed heartbeats and no longer listed"
+	ReleaseUnreachable      ReleaseReason = "unreachable"
+	ReleaseLeaseExpired     ReleaseReason = "no heartbeat for its lease"
+	ReleaseQuarantined      ReleaseReason = "quarantined: unrelated jobs fail on it"
+	ReleaseZoneMissing      ReleaseReason = "its zone has missed heartbeats for too long"
+	ReleaseZoneTasksMovable ReleaseReason = "its zone misses heartbeats and its tasks fit elsewhere"
+	ReleaseIdle             ReleaseReason = "idle"
 )
--- a/internal/scheduler/scalein.go
+++ b/internal/scheduler/scalein.go
@@ -27,7 +27,7 @@
 	missingZones := s.zonesMissingHeartbeats()
 	var headroom *fleetHeadroom // counted only if a machine is idle
 	var names []string
-	for _, m := range s.sortedMachines() {
+	for _, m := range s.cluster.sortedMachines() {
 		if len(names) == tuning.MaxReleaseBatch {
 			break
 		}
@@ -72,7 +72,7 @@
 // for once more.
 func (s *Scheduler) releasesToRetry(limit int) []string {
 	var names []string
-	for _, m := range s.sortedMachines() {
+	for _, m := range s.cluster.sortedMachines() {
 		if m.phase == machineReleasing && m.release.retryDue && len(names) < limit {
 			m.release.retryDue = false
 			names = append(names, m.name)
@@ -226,7 +226,7 @@
 	for _, a := range m.sortedAttempts() {
 		s.classifyRecorded(a, reconcile.Absent)
 		s.detach(a)
-		s.handleFailedAttempt(a, "machine gone")
+		s.handleFailedAttempt(a, causeMachineReleased)
 	}
 	s.reconciler.MachineReleased(s.now.Mono, m.name)
 	for batch := range m.batches {
--- a/internal/scheduler/unconfirmed_capacity.go
+++ b/internal/scheduler/unconfirmed_capacity.go
@@ -12,16 +12,21 @@
 		return
 	}
 	for _, m := range s.cluster.sortedMachines() {
-		if m.confirmed || m.phase == machineReleasing || m.machineSpec == nil || m.cloud.failed || m.cloud.interruptionAt > 0 {
-			continue
+		if s.mayHaveUnconfirmedCapacity(m) {
+			visit(m, capacitySlot{m.machineType, m.zone, m.spot, m.machineSpec, m.machineSpec.CPUs - m.used.cpus, m.machineSpec.GPUs - m.used.gpus, m.machineSpec.MemoryGB - m.used.memoryGB})
 		}
-		if !s.reconciler.MayHaveCapacity(m.name, m.calls.unanswered) {
-			continue
-		}
-		visit(m, capacitySlot{m.machineType, m.zone, m.spot, m.machineSpec, m.machineSpec.CPUs - m.used.cpus, m.machineSpec.GPUs - m.used.gpus, m.machineSpec.MemoryGB - m.used.memoryGB})
 	}
 }
 
+// mayHaveUnconfirmedCapacity reports whether a heartbeat of the machine may yet show that
+// it has free capacity.
+func (s *Scheduler) mayHaveUnconfirmedCapacity(m *machine) bool {
+	if m.confirmed || m.phase == machineReleasing || m.machineSpec == nil || m.cloud.failed || m.cloud.interruptionAt > 0 {
+		return false
+	}
+	return s.reconciler.MayHaveCapacity(m.name, m.calls.unanswered)
+}
+
 // unconfirmedCapacity sums up the free capacity of machines that are up and not confirmed
 // yet, by offer: nothing is provisioned for what fits there. Machines that have less than
 // the least amounts are left out. A slot for each machine would be more exact, and would
--- a/internal/scheduler/zone_partition.go
+++ b/internal/scheduler/zone_partition.go
@@ -71,7 +71,7 @@
 	case heartbeatAge > s.zonePartitionLimit():
 		return ReleaseZoneMissing
 	case heartbeatAge > s.zoneReleaseDelay() && s.canMoveElsewhere(m):
-		return ReleaseZoneTasksPlacable
+		return ReleaseZoneTasksMovable
 	}
 	return ""
 }
