--- a/internal/scheduler/wait_reason.go
+++ b/internal/scheduler/wait_reason.go
@@ -5,13 +5,13 @@
 
 // Reasons for tasks to wait.
 const (
-	NotWaiting WaitReason = iota
-	WaitForRecords
-	WaitForHeartbeats
-	WaitFailedEverywhere
-	WaitForGangStop
-	WaitForQuota
-	WaitForCapacity
+	NotWaiting           WaitReason = iota
+	WaitForRecords                  // an unreadable assignment record may name its tasks
+	WaitForHeartbeats               // unconfirmed machines may run its tasks without a record
+	WaitFailedEverywhere            // it is likely invalid, and its one task at a time is taken
+	WaitForGangStop                 // members of the gang are being stopped
+	WaitForQuota                    // its team is at its limit
+	WaitForCapacity                 // no machine has free capacity for it
 )
 
 // String is the text that users and operators see; empty if nothing waits.
