--- a/internal/scheduler/assignmentrestore.go
+++ b/internal/scheduler/assignmentrestore.go
@@ -15,8 +15,7 @@
 // started by a command of an earlier leader, so it stays until its worker sends a heartbeat
 // under this term's fencing token.
 func (s *Scheduler) restoreAssignments(item wire.KeyValue) {
-	b := &assignmentBatch{key: item.Key, neededBy: map[*attempt]bool{}, createdAt: s.now.Mono}
-	s.persister.batches[b.key] = b
+	b := s.persister.newBatch(item.Key)
 	var err error
 	if name, legacy := strings.CutPrefix(item.Key, records.LegacyMachinePrefix); legacy {
 		err = s.restoreLegacyMachine(b, name, item.Value)
@@ -24,7 +23,7 @@
 		err = s.restoreBatch(b, item.Value)
 	}
 	if err != nil {
-		s.noteUnreadableRecord(b, err)
+		s.persister.noteUnreadableRecord(b, err)
 		return
 	}
 	b.attemptCount = len(b.neededBy)
@@ -135,25 +134,32 @@
 
 // noteUnreadableRecord deals with a record that cannot be decoded: any task that no other
 // record names may have been started by it. See resolveUnreadableRecords.
-func (s *Scheduler) noteUnreadableRecord(b *assignmentBatch, err error) {
-	delete(s.persister.batches, b.key)
-	s.persister.unreadableRecords = append(s.persister.unreadableRecords, b.key)
-	s.logInfo("assignment record unreadable", "key", b.key, "err", err.Error())
+func (p *persister) noteUnreadableRecord(b *assignmentBatch, err error) {
+	delete(p.batches, b.key)
+	p.unreadableRecords = append(p.unreadableRecords, b.key)
+	p.logInfo("assignment record unreadable", "key", b.key, "err", err.Error())
 }
 
 // mayBeInUnreadableRecord reports whether a record that cannot be decoded may concern the
 // job. Until that is settled, none of it is placed, and its end is not written if it is
 // cancelled: a later leader would not know whose quota its attempts count against, and
 // nothing of a job whose attempts nobody has seen is known to be gone.
-func (p *persistState) mayBeInUnreadableRecord(j *job) bool {
-	return len(p.unreadableRecords) > 0 && j.recovered
+func (p *persister) mayBeInUnreadableRecord(j *job) bool {
+	return p.hasUnreadableRecords() && j.recovered
+}
+
+func (p *persister) hasUnreadableRecords() bool { return len(p.unreadableRecords) > 0 }
+
+func (p *persister) deleteUnreadableRecords() {
+	p.deleteLater(p.unreadableRecords...)
+	p.unreadableRecords = nil
 }
 
 // resolveUnreadableRecords ends the wait for what unreadable records may have held: when the
 // cloud's list is of this term, and every machine that it has has sent a heartbeat under this
 // term's token.
 func (s *Scheduler) resolveUnreadableRecords() {
-	if len(s.persister.unreadableRecords) == 0 || s.autoscaler.listedAt-s.startedAt <= 3*s.settings.CloudListLag {
+	if !s.persister.hasUnreadableRecords() || s.autoscaler.listedAt-s.startedAt <= 3*s.settings.CloudListLag {
 		return
 	}
 	for _, m := range s.cluster.machines {
@@ -161,7 +167,6 @@
 			return
 		}
 	}
-	s.persister.deleteLater(s.persister.unreadableRecords...)
-	s.persister.unreadableRecords = nil
+	s.persister.deleteUnreadableRecords()
 	s.placement.due = true
 }
--- a/internal/scheduler/assignments.go
+++ b/internal/scheduler/assignments.go
@@ -25,8 +25,15 @@
 	machines             []*machine
 }
 
+// newBatch keeps track of a batch that is stored under the key, or is to be.
+func (p *persister) newBatch(key string) *assignmentBatch {
+	b := &assignmentBatch{key: key, neededBy: map[*attempt]bool{}, createdAt: p.now.Mono}
+	p.batches[key] = b
+	return b
+}
+
 // queueAssignment has an attempt written with the next batch.
-func (p *persistState) queueAssignment(a *attempt) {
+func (p *persister) queueAssignment(a *attempt) {
 	if !a.assignment.queued {
 		a.assignment.queued = true
 		p.unrecorded = append(p.unrecorded, a)
@@ -34,7 +41,7 @@
 }
 
 // queueUnrecorded has those attempts of a batch written that no batch has for certain.
-func (p *persistState) queueUnrecorded(b *assignmentBatch) {
+func (p *persister) queueUnrecorded(b *assignmentBatch) {
 	for a := range b.neededBy {
 		if !a.assignment.durable {
 			p.queueAssignment(a)
@@ -43,12 +50,12 @@
 }
 
 // removeFromBatch takes note that an attempt does not need a batch any more.
-func (p *persistState) removeFromBatch(b *assignmentBatch, a *attempt) {
+func (p *persister) removeFromBatch(b *assignmentBatch, a *attempt) {
 	delete(b.neededBy, a)
 	p.deleteIfUnneeded(b)
 }
 
-func (p *persistState) deleteIfUnneeded(b *assignmentBatch) {
+func (p *persister) deleteIfUnneeded(b *assignmentBatch) {
 	if len(b.neededBy) > 0 || b.writeInFlight || p.batches[b.key] != b {
 		return
 	}
@@ -57,7 +64,7 @@
 }
 
 // forgetBatch drops a batch from memory.
-func (p *persistState) forgetBatch(b *assignmentBatch) {
+func (p *persister) forgetBatch(b *assignmentBatch) {
 	delete(p.batches, b.key)
 	for _, m := range b.machines {
 		delete(m.batches, b)
@@ -66,26 +73,25 @@
 
 // addAssignmentBatches writes attempts that wait for their record, those of the highest
 // priority first. Batches are spaced in time, so that what is placed meanwhile shares one.
-func (s *Scheduler) addAssignmentBatches(t *transaction) {
-	p := &s.persister
-	if len(p.unrecorded) == 0 || s.now.Mono < p.nextBatchAt || !t.canAdd(1) {
+func (p *persister) addAssignmentBatches(t *transaction) {
+	if len(p.unrecorded) == 0 || p.now.Mono < p.nextBatchAt || !t.canAdd(1) {
 		return
 	}
 	queue := p.currentUnrecorded()
 	slices.SortFunc(queue, compareForRecord)
 	for len(queue) > 0 && t.canAdd(1) {
-		written := s.addBatch(t, queue)
+		written := p.addBatch(t, queue)
 		if written == 0 {
 			break // never: one attempt always fits
 		}
 		queue = queue[written:]
 	}
 	p.unrecorded = slices.Clone(queue)
-	p.nextBatchAt = s.now.Mono + time.Duration(float64(time.Second)/(s.settings.WriteRate*tuning.BatchWriteShare))
+	p.nextBatchAt = p.now.Mono + time.Duration(float64(time.Second)/(p.settings.WriteRate*tuning.BatchWriteShare))
 }
 
 // currentUnrecorded drops the attempts from the queue that are gone, and gives the others.
-func (p *persistState) currentUnrecorded() []*attempt {
+func (p *persister) currentUnrecorded() []*attempt {
 	queue := p.unrecorded[:0]
 	for _, a := range p.unrecorded {
 		if a.machine.tasks[a.ref] == a {
@@ -125,8 +131,8 @@
 }
 
 // addBatch writes one batch with the first attempts of the queue, and gives their number.
-func (s *Scheduler) addBatch(t *transaction, queue []*attempt) int {
-	encoder := newBatchEncoder(min(int(float64(s.settings.MaxValueBytes)*(1-tuning.ValueSizeMargin)), tuning.MaxBatchBytes))
+func (p *persister) addBatch(t *transaction, queue []*attempt) int {
+	encoder := newBatchEncoder(min(int(float64(p.settings.MaxValueBytes)*(1-tuning.ValueSizeMargin)), tuning.MaxBatchBytes))
 	written := 0
 	for written < len(queue) && encoder.add(queue[written]) {
 		queue[written].assignment.queued = false
@@ -135,11 +141,9 @@
 	if written == 0 {
 		return 0
 	}
-	s.nextEffectID++
-	b := &assignmentBatch{
-		key: records.BatchKey(s.term, s.nextEffectID), neededBy: map[*attempt]bool{}, attemptCount: written,
-		createdAt: s.now.Mono, writeInFlight: true,
-	}
+	p.nextEffectID++
+	b := p.newBatch(records.BatchKey(p.term, p.nextEffectID))
+	b.attemptCount, b.writeInFlight = written, true
 	for _, a := range queue[:written] {
 		b.neededBy[a] = true
 	}
@@ -147,7 +151,6 @@
 		b.machines = append(b.machines, m)
 		m.batches[b] = true
 	}
-	s.persister.batches[b.key] = b
 	t.expect(b.key, 0)
 	t.set(b.key, encoder.finish(), encoder.size)
 	t.contents.batches = append(t.contents.batches, b)
@@ -155,7 +158,7 @@
 }
 
 // batchWritten takes the outcome of a batch's write.
-func (s *Scheduler) batchWritten(b *assignmentBatch, outcome commitOutcome) {
+func (p *persister) batchWritten(b *assignmentBatch, outcome commitOutcome, dispatcher *dispatchState) {
 	b.writeInFlight = false
 	for a := range b.neededBy {
 		if a.machine.tasks[a.ref] != a && !a.awaitsDurableCompletion() {
@@ -164,32 +167,33 @@
 	}
 	switch {
 	case outcome.result == CommitDone:
-		s.batchStored(b)
+		p.batchStored(b, dispatcher)
 	case outcome.result == CommitUnknown || outcome.conflicting[b.key]:
-		s.persister.batchInDoubt(b)
+		p.batchInDoubt(b)
 	default:
-		s.persister.batchNotStored(b)
+		p.batchNotStored(b)
 	}
 }
 
-// batchStored makes the attempts of a batch durable, and lets go of their earlier batches.
-func (s *Scheduler) batchStored(b *assignmentBatch) {
+// batchStored makes the attempts of a batch durable, lets go of their earlier batches, and
+// has their starts sent.
+func (p *persister) batchStored(b *assignmentBatch, dispatcher *dispatchState) {
 	for a := range b.neededBy {
 		for _, earlier := range a.assignment.batches {
-			s.persister.removeFromBatch(earlier, a)
+			p.removeFromBatch(earlier, a)
 		}
 		a.assignment.batches = []*assignmentBatch{b}
 		if !a.assignment.durable {
 			a.assignment.durable = true
-			s.dispatcher.markDue(a.machine)
+			dispatcher.markDue(a.machine)
 		}
 	}
-	s.persister.deleteIfUnneeded(b)
+	p.deleteIfUnneeded(b)
 }
 
 // batchInDoubt keeps track of a batch that may be stored, or may be yet. What it holds is
 // written again under another key, and then this one is deleted.
-func (p *persistState) batchInDoubt(b *assignmentBatch) {
+func (p *persister) batchInDoubt(b *assignmentBatch) {
 	for a := range b.neededBy {
 		a.assignment.batches = append(a.assignment.batches, b)
 	}
@@ -199,7 +203,7 @@
 }
 
 // batchNotStored drops a batch that was not written, and has its attempts written anew.
-func (p *persistState) batchNotStored(b *assignmentBatch) {
+func (p *persister) batchNotStored(b *assignmentBatch) {
 	p.queueUnrecorded(b)
 	clear(b.neededBy)
 	p.forgetBatch(b)
@@ -207,13 +211,12 @@
 
 // compactBatches has what is left of old batches written again, about a value at a time, so
 // that neither the store nor what a new leader reads grows with attempts that have ended.
-func (s *Scheduler) compactBatches() {
-	p := &s.persister
-	if len(p.unrecorded) > 0 || p.writeBudget.tokens < s.settings.WriteRate*tuning.StoreWriteRateShare/2 {
+func (p *persister) compactBatches() {
+	if len(p.unrecorded) > 0 || p.writeBudget.tokens < p.settings.WriteRate*tuning.StoreWriteRateShare/2 {
 		return
 	}
 	queued := 0
-	for _, b := range p.batchesToCompact(s.now.Mono) {
+	for _, b := range p.batchesToCompact() {
 		if queued > 0 && queued+len(b.neededBy) > tuning.MaxCompactedAttempts {
 			return
 		}
@@ -229,10 +232,10 @@
 // batchesToCompact gives the batches that are worth it, those of the fewest attempts first:
 // those that name released machines, and, if there are many batches, those of which at most
 // a quarter is needed.
-func (p *persistState) batchesToCompact(now time.Duration) []*assignmentBatch {
+func (p *persister) batchesToCompact() []*assignmentBatch {
 	var batches []*assignmentBatch
 	for _, b := range p.batches {
-		if b.writeInFlight || now-b.createdAt < tuning.BatchRewriteAge {
+		if b.writeInFlight || p.now.Mono-b.createdAt < tuning.BatchRewriteAge {
 			continue
 		}
 		if b.namesReleasedMachine || len(p.batches) > tuning.BatchCompactionThreshold && len(b.neededBy)*4 <= b.attemptCount {
@@ -244,3 +247,22 @@
 	})
 	return batches
 }
+
+// logDelayedStarts says so if starts wait long for their assignment to be recorded.
+func (p *persister) logDelayedStarts() {
+	oldest := p.now.Mono
+	for _, a := range p.unrecorded {
+		if !a.start.sent {
+			oldest = min(oldest, a.placedAt)
+		}
+	}
+	delay := p.now.Mono - oldest
+	if delay <= tuning.LateRecordAfter {
+		return
+	}
+	cause := "write rate"
+	if p.now.Mono < p.blockedUntil+tuning.StoreRetryDelay {
+		cause = "key-value store refuses writes"
+	}
+	p.logInfo("starts wait for their assignment records", "cause", cause, "starts", len(p.unrecorded), "longest_s", delay.Seconds(), "changes_per_s", p.settings.WriteRate)
+}
--- a/internal/scheduler/attempt_outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -28,7 +28,7 @@
 	if status.Cause == wire.CauseDone {
 		s.classifyRecorded(a, reconcile.Completed)
 		//mutation:keep-attempt-until-saved
-		s.keepAssignmentUntilSaved(a)
+		a.keepAssignmentUntilSaved()
 	} else {
 		s.classifyRecorded(a, reconcile.Ended)
 	}
@@ -66,7 +66,7 @@
 	if j == nil {
 		return
 	}
-	s.markDirtyIfComplete(j)
+	s.persister.markDirtyIfComplete(j)
 	if j.cancelled {
 		return
 	}
@@ -205,12 +205,12 @@
 	j.progress.add(index)
 	s.logDebug("task done", "task", wire.TaskName(j.id, index))
 	s.counters.Finished++
-	s.persister.markDirty(j, s.now.Mono)
+	s.persister.markDirty(j)
 	s.placement.due = true
 	for _, a := range slices.Clone(j.active[index]) {
 		s.stopNow(a, StopTaskDone)
 	}
-	s.markDirtyIfComplete(j)
+	s.persister.markDirtyIfComplete(j)
 }
 
 // drainMachine stops tasks that had better start again elsewhere before the cloud takes
--- a/internal/scheduler/cancellations.go
+++ b/internal/scheduler/cancellations.go
@@ -71,5 +71,5 @@
 	for _, a := range j.sortedAttempts() {
 		s.stopNow(a, StopJobCancelled)
 	}
-	s.markDirtyIfComplete(j)
+	s.persister.markDirtyIfComplete(j)
 }
--- a/internal/scheduler/completed_assignments.go
+++ b/internal/scheduler/completed_assignments.go
@@ -5,7 +5,7 @@
 // start it again before the machine that ran it has sent a heartbeat.
 
 // keepAssignmentUntilSaved keeps a completed attempt in its batches.
-func (s *Scheduler) keepAssignmentUntilSaved(a *attempt) {
+func (a *attempt) keepAssignmentUntilSaved() {
 	j, index := a.job, a.ref.index
 	if j == nil || j.service || j.archived || len(a.assignment.batches) == 0 || index >= j.spec.Tasks || j.progress.saved.Has(index) {
 		return
@@ -26,19 +26,19 @@
 
 // dropSavedAssignments removes the kept attempts of tasks that are durably done, or whose
 // job has ended.
-func (s *Scheduler) dropSavedAssignments(j *job) {
+func (p *persister) dropSavedAssignments(j *job) {
 	for index, a := range j.unsavedAttempts {
 		if j.archived || j.progress.saved.Has(index) {
 			delete(j.unsavedAttempts, index)
-			s.removeFromBatches(a)
+			p.removeFromBatches(a)
 		}
 	}
 }
 
 // removeFromBatches takes an attempt out of all its batches.
-func (s *Scheduler) removeFromBatches(a *attempt) {
+func (p *persister) removeFromBatches(a *attempt) {
 	for _, batch := range a.assignment.batches {
-		s.persister.removeFromBatch(batch, a)
+		p.removeFromBatch(batch, a)
 	}
 	a.assignment.batches = nil
 }
--- a/internal/scheduler/jobwrite.go
+++ b/internal/scheduler/jobwrite.go
@@ -28,25 +28,32 @@
 }
 
 // markDirty notes that there is something of the job to write.
-func (p *persistState) markDirty(j *job, now time.Duration) {
+func (p *persister) markDirty(j *job) {
 	if j.write.dirtyAt == 0 {
-		j.write.dirtyAt = now
+		j.write.dirtyAt = p.now.Mono
 		p.dirtyJobs[j] = true
 	}
 }
 
+// markDirtyIfComplete has a job's last write made once it is over.
+func (p *persister) markDirtyIfComplete(j *job) {
+	if j.readyToArchive() {
+		p.markDirty(j)
+	}
+}
+
 // markClean notes that there is nothing of the job to write.
-func (p *persistState) markClean(j *job) {
+func (p *persister) markClean(j *job) {
 	j.write.dirtyAt = 0
 	delete(p.dirtyJobs, j)
 }
 
 // jobsDueForWrite gives the jobs that have had something to write for that long, the longest
 // first.
-func (p *persistState) jobsDueForWrite(now, minAge time.Duration) []*job {
+func (p *persister) jobsDueForWrite(minAge time.Duration) []*job {
 	var due []*job
 	for j := range p.dirtyJobs {
-		if j.write.dirtyAt > 0 && !j.write.inFlight && !j.archived && now >= j.write.blockedUntil && now-j.write.dirtyAt >= minAge {
+		if j.write.dirtyAt > 0 && !j.write.inFlight && !j.archived && p.now.Mono >= j.write.blockedUntil && p.now.Mono-j.write.dirtyAt >= minAge {
 			due = append(due, j)
 		}
 	}
@@ -73,10 +80,10 @@
 }
 
 // addEndedJobs writes the ends of jobs.
-func (s *Scheduler) addEndedJobs(t *transaction) {
-	for _, j := range s.persister.jobsDueForWrite(s.now.Mono, 0) {
+func (p *persister) addEndedJobs(t *transaction) {
+	for _, j := range p.jobsDueForWrite(0) {
 		//mutation:end-waits-for-unreadable-records
-		if !j.readyToArchive() || j.cancelled && s.persister.mayBeInUnreadableRecord(j) {
+		if !j.readyToArchive() || j.cancelled && p.mayBeInUnreadableRecord(j) {
 			continue
 		}
 		if !t.canAdd(2) {
@@ -94,22 +101,22 @@
 
 // progressFlushDelay is how long done tasks wait for their write: longer where many jobs
 // have some, since each job's write is one of its own.
-func (s *Scheduler) progressFlushDelay() time.Duration {
-	seconds := float64(len(s.persister.dirtyJobs)) / (s.settings.WriteRate * tuning.ProgressWriteShare)
+func (p *persister) progressFlushDelay() time.Duration {
+	seconds := float64(len(p.dirtyJobs)) / (p.settings.WriteRate * tuning.ProgressWriteShare)
 	return max(tuning.DoneFlushDelay, time.Duration(seconds*float64(time.Second)))
 }
 
 // addJobProgress writes the done tasks of unfinished jobs.
-func (s *Scheduler) addJobProgress(t *transaction) {
-	for _, j := range s.persister.jobsDueForWrite(s.now.Mono, s.progressFlushDelay()) {
+func (p *persister) addJobProgress(t *transaction) {
+	for _, j := range p.jobsDueForWrite(p.progressFlushDelay()) {
 		if j.readyToArchive() {
 			continue
 		}
-		if t.budgetLeft() < s.settings.WriteRate*tuning.StartWriteReserve {
+		if t.budgetLeft() < p.settings.WriteRate*tuning.StartWriteReserve {
 			return // starts, and jobs that end, come first
 		}
 		if !j.progress.unsaved() {
-			s.persister.markClean(j)
+			p.markClean(j)
 			continue
 		}
 		write := t.addProgressOf(j)
@@ -149,43 +156,42 @@
 	return write
 }
 
-// jobWritten takes the outcome of a job's write.
-func (s *Scheduler) jobWritten(write jobWrite, outcome commitOutcome) {
+// jobWritten takes the outcome of a job's write. A job whose end is stored is to be archived.
+func (p *persister) jobWritten(write jobWrite, outcome commitOutcome) {
 	write.job.write.inFlight = false
 	switch {
 	case outcome.result != CommitDone:
-		s.jobWriteFailed(write, outcome)
+		p.jobWriteFailed(write, outcome)
 	case write.ended:
-		s.jobEndWritten(write.job)
+		p.jobEndWritten(write.job)
 	default:
-		s.jobProgressWritten(write, outcome.revision)
+		p.jobProgressWritten(write, outcome.revision)
 	}
 }
 
 // jobWriteFailed puts the write off. After a conflict, or when the outcome is unknown, the
 // watch brings the job's record as it is. No watch brings further chunks of the bitmap, which
 // only the leader writes: a conflict there ends the term, and the next one reads them.
-func (s *Scheduler) jobWriteFailed(write jobWrite, outcome commitOutcome) {
+func (p *persister) jobWriteFailed(write jobWrite, outcome commitOutcome) {
 	j := write.job
-	j.write.blockedUntil = s.now.Mono + tuning.StoreRetryDelay
+	j.write.blockedUntil = p.now.Mono + tuning.StoreRetryDelay
 	for _, chunk := range write.chunks {
 		if outcome.conflicting[records.BitmapKey(j.id, chunk)] {
-			s.effects.Resign = ResignBitmapConflict
+			p.effects.Resign = ResignBitmapConflict
 		}
 	}
 }
 
-func (s *Scheduler) jobEndWritten(j *job) {
+func (p *persister) jobEndWritten(j *job) {
 	for _, chunk := range slices.Sorted(maps.Keys(j.write.chunkRevisions)) {
-		s.persister.deleteLater(records.BitmapKey(j.id, chunk))
+		p.deleteLater(records.BitmapKey(j.id, chunk))
 	}
-	s.logInfo("job ended", "job", j.id, "state", j.endState(), "after_s", (s.now.Mono - j.createdAt).Seconds())
+	p.logInfo("job ended", "job", j.id, "state", j.endState(), "after_s", (p.now.Mono - j.createdAt).Seconds())
 	j.progress.markAllSaved()
-	s.persister.markClean(j)
-	s.archiveJob(j)
+	p.markClean(j)
 }
 
-func (s *Scheduler) jobProgressWritten(write jobWrite, revision uint64) {
+func (p *persister) jobProgressWritten(write jobWrite, revision uint64) {
 	j := write.job
 	chunks := write.chunks
 	for _, chunk := range chunks {
@@ -197,9 +203,9 @@
 	}
 	j.progress.markSaved(write.doneBits, chunks)
 	//mutation:release-saved-attempt
-	s.dropSavedAssignments(j)
-	s.persister.markClean(j)
+	p.dropSavedAssignments(j)
+	p.markClean(j)
 	if j.progress.unsaved() || j.readyToArchive() {
-		s.persister.markDirty(j, s.now.Mono)
+		p.markDirty(j)
 	}
 }
--- a/internal/scheduler/load_log.go
+++ b/internal/scheduler/load_log.go
@@ -3,13 +3,11 @@
 import (
 	"maps"
 	"slices"
-
-	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
 // logLoad logs how full the cluster is and what tasks wait for.
 func (s *Scheduler) logLoad() {
-	s.logDelayedStarts()
+	s.persister.logDelayedStarts()
 	for _, name := range slices.Sorted(maps.Keys(s.cluster.usage)) {
 		if usage := s.cluster.usage[name]; usage.CPUs > 0 {
 			s.logDebug("team usage", "team", name, "cpus_used", usage.CPUs, "cpus_limit", s.settings.Teams[name].CPUsMax)
@@ -26,22 +24,3 @@
 		"waiting_for_capacity", waiting[WaitForCapacity], "waiting_for_quota", waiting[WaitForQuota], "waiting_otherwise", waiting[NotWaiting],
 		"cancellation_lag_s", (s.now.Mono - s.EnforcedCancellationWatermark(s.now.Mono)).Seconds())
 }
-
-// logDelayedStarts says so if starts wait long for their assignment to be recorded.
-func (s *Scheduler) logDelayedStarts() {
-	oldest := s.now.Mono
-	for _, a := range s.persister.unrecorded {
-		if !a.start.sent {
-			oldest = min(oldest, a.placedAt)
-		}
-	}
-	delay := s.now.Mono - oldest
-	if delay <= tuning.LateRecordAfter {
-		return
-	}
-	cause := "write rate"
-	if s.now.Mono < s.persister.blockedUntil+tuning.StoreRetryDelay {
-		cause = "key-value store refuses writes"
-	}
-	s.logInfo("starts wait for their assignment records", "cause", cause, "starts", len(s.persister.unrecorded), "longest_s", delay.Seconds(), "changes_per_s", s.settings.WriteRate)
-}
--- a/internal/scheduler/persist.go
+++ b/internal/scheduler/persist.go
@@ -11,10 +11,10 @@
 // They never share a key.
 const maxTransactionsInFlight = 4
 
-// persistState has what has to be written and what is being written: assignment batches, the
+// persister owns what has to be written and what is being written: assignment batches, the
 // progress and the ends of jobs, and deletions, within the write budget. A batch or a job has
-// at most one write in flight.
-type persistState struct {
+// at most one write in flight, and a batch is deleted only when no attempt needs it.
+type persister struct {
 	*termContext
 
 	inFlight          map[uint64]*transactionContents
@@ -28,8 +28,8 @@
 	blockedUntil      time.Duration               // no writes until then: the key-value store refused one
 }
 
-func newPersistState(context *termContext) persistState {
-	return persistState{
+func newPersister(context *termContext) persister {
+	return persister{
 		termContext: context,
 		inFlight:    map[uint64]*transactionContents{},
 		batches:     map[string]*assignmentBatch{},
@@ -39,46 +39,46 @@
 }
 
 // deleteLater has keys deleted that nothing needs any more.
-func (p *persistState) deleteLater(keys ...string) { p.obsoleteKeys = append(p.obsoleteKeys, keys...) }
+func (p *persister) deleteLater(keys ...string) { p.obsoleteKeys = append(p.obsoleteKeys, keys...) }
 
 // flush writes what is due, the most urgent first: attempts that may not start before they
 // are recorded, jobs that have ended, then what can wait.
-func (s *Scheduler) flush() {
-	s.refillWriteBudget()
-	for len(s.persister.inFlight) < maxTransactionsInFlight && s.now.Mono >= s.persister.blockedUntil {
-		t := s.newTransaction()
+func (p *persister) flush() {
+	p.refillWriteBudget()
+	for len(p.inFlight) < maxTransactionsInFlight && p.now.Mono >= p.blockedUntil {
+		t := p.newTransaction()
 		// Batches come first. They are spaced in time, and one change records dozens of
 		// attempts where a job's end takes two: many small jobs that end would hold back
 		// all starts.
-		s.addAssignmentBatches(t)
-		s.addEndedJobs(t)
-		s.addJobProgress(t)
-		s.addDeletions(t)
+		p.addAssignmentBatches(t)
+		p.addEndedJobs(t)
+		p.addJobProgress(t)
+		p.addDeletions(t)
 		if t.opCount() == 0 {
 			return
 		}
-		s.commit(t)
+		p.commit(t)
 	}
 }
 
-func (s *Scheduler) refillWriteBudget() {
-	rate := s.settings.WriteRate * tuning.StoreWriteRateShare
-	s.persister.writeBudget.refill(s.now.Mono, rate, max(rate, float64(s.settings.MaxTransactionOps)))
+func (p *persister) refillWriteBudget() {
+	rate := p.settings.WriteRate * tuning.StoreWriteRateShare
+	p.writeBudget.refill(p.now.Mono, rate, max(rate, float64(p.settings.MaxTransactionOps)))
 }
 
-func (s *Scheduler) commit(t *transaction) {
-	s.persister.writeBudget.spend(float64(t.opCount()))
-	s.nextEffectID++
-	s.persister.inFlight[s.nextEffectID] = &t.contents
-	s.effects.Commits = append(s.effects.Commits, Commit{ID: s.nextEffectID, Txn: t.request})
+func (p *persister) commit(t *transaction) {
+	p.writeBudget.spend(float64(t.opCount()))
+	p.nextEffectID++
+	p.inFlight[p.nextEffectID] = &t.contents
+	p.effects.Commits = append(p.effects.Commits, Commit{ID: p.nextEffectID, Txn: t.request})
 }
 
 // addDeletions deletes batches that nothing needs any more, and the bitmap chunks of ended
 // jobs.
-func (s *Scheduler) addDeletions(t *transaction) {
-	for len(s.persister.obsoleteKeys) > 0 && t.canAdd(1) {
-		key := s.persister.obsoleteKeys[0]
-		s.persister.obsoleteKeys = s.persister.obsoleteKeys[1:]
+func (p *persister) addDeletions(t *transaction) {
+	for len(p.obsoleteKeys) > 0 && t.canAdd(1) {
+		key := p.obsoleteKeys[0]
+		p.obsoleteKeys = p.obsoleteKeys[1:]
 		t.delete(key)
 		t.contents.deletedKeys = append(t.contents.deletedKeys, key)
 	}
@@ -102,35 +102,55 @@
 	conflicting map[string]bool // keys whose revision was not the expected one
 }
 
-// CommitDone takes the outcome of a transaction.
-func (s *Scheduler) CommitDone(now Now, id uint64, result CommitResult, revision uint64, failedKeys []string) {
-	s.now = now
-	contents := s.persister.inFlight[id]
-	if contents == nil {
-		return
-	}
-	delete(s.persister.inFlight, id)
+func newCommitOutcome(result CommitResult, revision uint64, failedKeys []string) commitOutcome {
 	outcome := commitOutcome{result: result, revision: revision, conflicting: map[string]bool{}}
 	if result == CommitConflict {
 		for _, key := range failedKeys {
 			outcome.conflicting[key] = true
 		}
 	}
+	return outcome
+}
+
+// CommitDone takes the outcome of a transaction.
+func (s *Scheduler) CommitDone(now Now, id uint64, result CommitResult, revision uint64, failedKeys []string) {
+	s.now = now
+	contents := s.persister.endCommit(id)
+	if contents == nil {
+		return
+	}
+	outcome := newCommitOutcome(result, revision, failedKeys)
 	if outcome.conflicting[records.LeaderKey] {
 		s.effects.Resign = ResignLeaderKeyLost
 		return
 	}
-	if result == CommitRefused || result == CommitUnknown {
-		s.persister.blockedUntil = now.Mono + tuning.StoreRetryDelay
-	}
-	if result != CommitDone {
-		s.persister.deleteLater(contents.deletedKeys...)
-	}
+	s.persister.noteOutcome(contents, outcome)
 	for _, write := range contents.jobWrites {
-		s.jobWritten(write, outcome)
+		s.persister.jobWritten(write, outcome)
+		if write.ended && outcome.result == CommitDone {
+			s.archiveJob(write.job)
+		}
 	}
 	for _, b := range contents.batches {
-		s.batchWritten(b, outcome)
+		s.persister.batchWritten(b, outcome, &s.dispatcher)
+	}
+	s.persister.flush()
+}
+
+// endCommit takes a transaction out of those in flight; nil if it is not one of them.
+func (p *persister) endCommit(id uint64) *transactionContents {
+	contents := p.inFlight[id]
+	delete(p.inFlight, id)
+	return contents
+}
+
+// noteOutcome puts off further writes if the key-value store does not take them, and queues
+// deletions again that may not have been executed.
+func (p *persister) noteOutcome(contents *transactionContents, outcome commitOutcome) {
+	if outcome.result == CommitRefused || outcome.result == CommitUnknown {
+		p.blockedUntil = p.now.Mono + tuning.StoreRetryDelay
+	}
+	if outcome.result != CommitDone {
+		p.deleteLater(contents.deletedKeys...)
 	}
-	s.flush()
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -43,7 +43,7 @@
 	placement     placementState
 	autoscaler    autoscalerState
 	dispatcher    dispatchState
-	persister     persistState
+	persister     persister
 	cancellations cancellationState
 	monitor       monitorState
 	reconciler    *reconcile.Reconciler
@@ -64,7 +64,7 @@
 	//mutation:stop-obsolete-attempts
 	s.stopObsoleteAttempts()
 	for _, id := range slices.Sorted(maps.Keys(s.cluster.jobs)) {
-		s.markDirtyIfComplete(s.cluster.jobs[id])
+		s.persister.markDirtyIfComplete(s.cluster.jobs[id])
 	}
 	s.logInfo("scheduler started", "term", term, "jobs", len(s.cluster.jobs), "machines", len(s.cluster.machines), "cold", settings.ColdRestart)
 	s.probeRestoredMachines()
@@ -84,7 +84,7 @@
 		placement:     placementState{termContext: context, due: true, lastRoundAt: now.Mono - time.Second, backingOff: map[*job]bool{}},
 		autoscaler:    autoscalerState{termContext: context, pending: map[string]*pendingRequest{}, unavailableUntil: map[offer]time.Duration{}},
 		dispatcher:    newDispatchState(context),
-		persister:     newPersistState(context),
+		persister:     newPersister(context),
 		cancellations: cancellationState{termContext: context, pending: map[string]time.Duration{}},
 		monitor: monitorState{
 			termContext:     context,
--- a/internal/scheduler/tick.go
+++ b/internal/scheduler/tick.go
@@ -34,7 +34,7 @@
 	}
 	s.reconciler.Advance(now.Mono)
 	s.resolveUnreadableRecords()
-	s.compactBatches()
+	s.persister.compactBatches()
 	if now.Mono-s.placement.lastRoundAt >= maxPlacementInterval {
 		s.placement.due = true
 	}
@@ -51,7 +51,7 @@
 		s.placement.rounds++
 		s.scaleOut(s.placePending())
 	}
-	s.flush()
+	s.persister.flush()
 	s.sendToMachinesDue()
 }
 
--- a/internal/scheduler/transaction.go
+++ b/internal/scheduler/transaction.go
@@ -24,10 +24,10 @@
 	deletedKeys []string
 }
 
-func (s *Scheduler) newTransaction() *transaction {
-	t := &transaction{maxOps: s.settings.MaxTransactionOps, budget: s.persister.writeBudget.tokens}
+func (p *persister) newTransaction() *transaction {
+	t := &transaction{maxOps: p.settings.MaxTransactionOps, budget: p.writeBudget.tokens}
 	//mutation:transaction-needs-leadership
-	t.expect(records.LeaderKey, s.term)
+	t.expect(records.LeaderKey, p.term)
 	return t
 }
 
