--- a/internal/scheduler/absence_proof_test.go
+++ b/internal/scheduler/absence_proof_test.go
@@ -17,7 +17,7 @@
 		term := uint64(harnessTerm)
 		fence := 1 + rng.Uint64N(20)
 		session, tick := 1+rng.Uint64N(5), 10+rng.Uint64N(90)
-		l := &Scheduler{termContext: &termContext{term: term}}
+		d := newDispatcher(&termContext{term: term}, nil)
 		// A start of this term that is sent and not listed, and the heartbeat that proves it absent.
 		start := func() *attempt {
 			return &attempt{start: startState{sent: true, incarnation: session, requiredFence: fence, replySequence: tick}}
@@ -56,7 +56,7 @@
 		} {
 			a, r := start(), report()
 			c.change(a, r)
-			if got := l.provenAbsent(a, r, c.via); got != c.absent {
+			if got := d.provenAbsent(a, r, c.via); got != c.absent {
 				t.Fatalf("%s: proven absent: %v\n%+v\n%+v", c.name, got, a, r)
 			}
 		}
--- a/internal/scheduler/assignments.go
+++ b/internal/scheduler/assignments.go
@@ -158,7 +158,7 @@
 }
 
 // batchWritten takes the outcome of a batch's write.
-func (p *persister) batchWritten(b *assignmentBatch, outcome commitOutcome, dispatcher *dispatchState) {
+func (p *persister) batchWritten(b *assignmentBatch, outcome commitOutcome, dispatcher *dispatcher) {
 	b.writeInFlight = false
 	for a := range b.neededBy {
 		if a.machine.tasks[a.ref] != a && !a.awaitsDurableCompletion() {
@@ -177,7 +177,7 @@
 
 // batchStored makes the attempts of a batch durable, lets go of their earlier batches, and
 // has their starts sent.
-func (p *persister) batchStored(b *assignmentBatch, dispatcher *dispatchState) {
+func (p *persister) batchStored(b *assignmentBatch, dispatcher *dispatcher) {
 	for a := range b.neededBy {
 		for _, earlier := range a.assignment.batches {
 			p.removeFromBatch(earlier, a)
--- a/internal/scheduler/attempt_outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -191,7 +191,7 @@
 		// The start was not executed. It is the one kind of command that is sent again.
 		a.start.replySequence = 0
 		if a.retry.nextAt <= s.now.Mono {
-			s.sendDue(a.machine)
+			s.dispatcher.sendDue(a.machine)
 		}
 	}
 }
--- a/internal/scheduler/autoscaler.go
+++ b/internal/scheduler/autoscaler.go
@@ -134,7 +134,7 @@
 	if m.phase == machineBooting && listed.State == wire.MachineRunning && now-m.knownAt > s.settings.HeartbeatInterval {
 		// It came up before this term, or its first heartbeat went to another controller.
 		s.markUp(m)
-		s.probeStatus(m)
+		s.dispatcher.probeStatus(m, len(s.cluster.machines))
 	}
 	if listed.State == wire.MachineFailed && !m.cloud.failed {
 		m.cloud.failed = true
--- a/internal/scheduler/directcall.go
+++ b/internal/scheduler/directcall.go
@@ -15,19 +15,19 @@
 }
 
 // sendCommands makes a direct call to a machine, with commands or as a status probe.
-func (s *Scheduler) sendCommands(m *machine, commands []wire.Command, starts []*attempt) {
-	s.nextEffectID++
-	s.dispatcher.calls[s.nextEffectID] = &commandCall{machine: m, fencingCounter: m.fencing.counter, starts: starts, statusProbe: len(commands) == 0}
+func (d *dispatcher) sendCommands(m *machine, commands []wire.Command, starts []*attempt) {
+	d.nextEffectID++
+	d.calls[d.nextEffectID] = &commandCall{machine: m, fencingCounter: m.fencing.counter, starts: starts, statusProbe: len(commands) == 0}
 	m.calls.inFlight = true
-	s.effects.DirectCalls = append(s.effects.DirectCalls, DirectCall{
-		ID: s.nextEffectID, Machine: m.name, Addr: m.address,
+	d.effects.DirectCalls = append(d.effects.DirectCalls, DirectCall{
+		ID: d.nextEffectID, Machine: m.name, Addr: m.address,
 		//mutation:direct-call-incarnation
-		Body: wire.DirectCommands{FencingToken: s.fencingToken(m), Incarnation: max(1, m.heartbeats.incarnation), Commands: commands},
+		Body: wire.DirectCommands{FencingToken: d.fencingToken(m), Incarnation: max(1, m.heartbeats.incarnation), Commands: commands},
 	})
 }
 
 // endCall takes a call out of those in flight; nil if it is not one of them.
-func (d *dispatchState) endCall(id uint64) *commandCall {
+func (d *dispatcher) endCall(id uint64) *commandCall {
 	call := d.calls[id]
 	if call == nil {
 		return nil
@@ -61,7 +61,7 @@
 		return
 	}
 	m := call.machine
-	if heartbeat != nil && s.supersededBy(heartbeat) {
+	if heartbeat != nil && s.dispatcher.supersededBy(heartbeat) {
 		result, heartbeat = CallLost, nil
 	}
 	//mutation:direct-reply-of-another-machine
@@ -71,15 +71,15 @@
 	m.calls.countResult(result)
 	switch result {
 	case CallLost:
-		s.handleLostCall(call)
+		s.dispatcher.handleLostCall(call)
 	case CallRefused:
-		s.handleRefusedCall(call, heartbeat.FencingToken)
+		s.dispatcher.handleRefusedCall(call, heartbeat.FencingToken)
 	}
 	if heartbeat != nil && m.phase == machineUp {
 		s.handleDirectReply(m, heartbeat)
 	}
 	if m.calls.again && result != CallLost {
-		s.sendAgain(m)
+		s.dispatcher.sendAgain(m, len(s.cluster.machines))
 	}
 	m.calls.again = false
 }
@@ -96,29 +96,29 @@
 
 // handleLostCall deals with a call whose commands may have been executed, or may be yet:
 // its starts stay possible until a heartbeat under a higher token shows otherwise.
-func (s *Scheduler) handleLostCall(call *commandCall) {
+func (d *dispatcher) handleLostCall(call *commandCall) {
 	m := call.machine
 	if len(call.starts) > 0 && m.fencing.counter == call.fencingCounter {
 		m.fencing.raise()
 	}
 	for _, a := range call.starts {
 		a.start.requiredFence = m.fencing.counter
-		s.logDebug("start call unanswered", "task", a.ref.String(), "attempt", a.number, "machine", m.name)
+		d.logDebug("start call unanswered", "task", a.ref.String(), "attempt", a.number, "machine", m.name)
 	}
 	m.resendStops()
 }
 
 // handleRefusedCall deals with a call whose commands were not executed, for the worker has
 // seen a higher token or has another incarnation: all of it is due again.
-func (s *Scheduler) handleRefusedCall(call *commandCall, seenToken uint64) {
+func (d *dispatcher) handleRefusedCall(call *commandCall, seenToken uint64) {
 	m := call.machine
 	for _, a := range call.starts {
 		if !a.start.acknowledged {
-			a.retry.undo(s.now.Mono)
+			a.retry.undo(d.now.Mono)
 		}
 	}
 	m.resendStops()
-	if seenToken > s.fencingToken(m) {
+	if seenToken > d.fencingToken(m) {
 		m.fencing.counter = counterOf(seenToken)
 	}
 	m.calls.again = true
@@ -149,11 +149,11 @@
 }
 
 // sendAgain sends what has fallen due while a call to the machine was in flight.
-func (s *Scheduler) sendAgain(m *machine) {
+func (d *dispatcher) sendAgain(m *machine, fleetSize int) {
 	m.calls.again = false
-	s.sendDue(m)
+	d.sendDue(m)
 	if !m.confirmed {
 		m.calls.probedAt = 0
-		s.probeStatus(m)
+		d.probeStatus(m, fleetSize)
 	}
 }
--- a/internal/scheduler/dispatch.go
+++ b/internal/scheduler/dispatch.go
@@ -11,21 +11,25 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// dispatchState has the direct calls that are in flight and the machines that commands are
-// due for. A machine has at most one call in flight; what falls due meanwhile is sent when
-// the call is done.
-type dispatchState struct {
+// dispatcher owns the way of commands to the workers: the direct calls that are in flight,
+// the machines that commands are due for, the status probes, and the numbers of attempts,
+// none of which is ever used twice. A machine has at most one call in flight; what falls due
+// meanwhile is sent when the call is done. No start is sent before its assignment is
+// durable, nor before the worker has forgotten earlier attempts of its task.
+type dispatcher struct {
 	*termContext
 
+	reconciler        *reconcile.Reconciler // counts what is sent
 	calls             map[uint64]*commandCall
 	probes            statusProbes
 	machinesDue       map[string]bool // by name; commands for them are sent at the end of the input
 	lastAttemptNumber uint64          // in this term
 }
 
-func newDispatchState(context *termContext) dispatchState {
-	return dispatchState{
+func newDispatcher(context *termContext, reconciler *reconcile.Reconciler) dispatcher {
+	return dispatcher{
 		termContext: context,
+		reconciler:  reconciler,
 		calls:       map[uint64]*commandCall{},
 		machinesDue: map[string]bool{},
 		probes:      statusProbes{rate: tokenBucket{tokens: tuning.MinConcurrentStatusProbes, refilledAt: context.now.Mono}},
@@ -34,11 +38,14 @@
 
 // markDue has what is due for a machine sent at the end of the input, so that all of it
 // shares one call.
-func (d *dispatchState) markDue(m *machine) { d.machinesDue[m.name] = true }
+func (d *dispatcher) markDue(m *machine) { d.machinesDue[m.name] = true }
+
+// isDue reports whether commands for the machine are sent at the end of the input.
+func (d *dispatcher) isDue(m *machine) bool { return d.machinesDue[m.name] }
 
 // takeDue yields the names of the machines that commands are due for, in order. Each stays
 // marked until its turn, so that no status probe goes to it before its commands.
-func (d *dispatchState) takeDue() iter.Seq[string] {
+func (d *dispatcher) takeDue() iter.Seq[string] {
 	return func(yield func(string) bool) {
 		for _, name := range slices.Sorted(maps.Keys(d.machinesDue)) {
 			delete(d.machinesDue, name)
@@ -61,19 +68,19 @@
 )
 
 // heartbeatCommands gathers the commands for the reply to a heartbeat.
-func (s *Scheduler) heartbeatCommands(m *machine, heartbeat *wire.Heartbeat) []wire.Command {
+func (d *dispatcher) heartbeatCommands(m *machine, heartbeat *wire.Heartbeat, jobs map[string]*job) []wire.Command {
 	//mutation:stops-before-confirmation
-	commands := s.dueStops(m, workerInitiated)
-	if TermOf(heartbeat.FencingToken) != s.term && len(m.tasks) > 0 && !m.confirmed {
+	commands := d.dueStops(m, workerInitiated)
+	if TermOf(heartbeat.FencingToken) != d.term && len(m.tasks) > 0 && !m.confirmed {
 		return commands
 	}
 	commands = append(commands, m.takeUnexpectedStops()...)
-	for _, a := range s.dueStarts(m) {
+	for _, a := range d.dueStarts(m) {
 		a.start.replySequence = heartbeat.Sequence
-		s.markDispatched(a)
+		d.markDispatched(a)
 		commands = append(commands, startCommand(a))
 	}
-	forgets := s.dueForgets(m)
+	forgets := d.dueForgets(m, jobs)
 	//mutation:forget-raises-fencing-token
 	if len(forgets) > 0 && m.fencing.usedDirectly {
 		m.fenceBeforeForget(heartbeat.Sequence)
@@ -95,7 +102,7 @@
 
 // sendDue sends a machine what is due for it by a direct call. While another call to it is
 // in flight, this is done when that one has ended.
-func (s *Scheduler) sendDue(m *machine) {
+func (d *dispatcher) sendDue(m *machine) {
 	if m.phase != machineUp || m.address == "" {
 		return
 	}
@@ -103,11 +110,11 @@
 		m.calls.again = true
 		return
 	}
-	commands := s.dueStops(m, leaderInitiated)
+	commands := d.dueStops(m, leaderInitiated)
 	commands = append(commands, m.takeUnexpectedStops()...)
-	starts := s.dueStarts(m)
+	starts := d.dueStarts(m)
 	for _, a := range starts {
-		s.markDispatched(a)
+		d.markDispatched(a)
 		a.start.callInFlight = true
 		commands = append(commands, startCommand(a))
 	}
@@ -117,14 +124,14 @@
 	if len(starts) > 0 {
 		m.fencing.usedDirectly = true
 	}
-	s.sendCommands(m, commands, starts)
+	d.sendCommands(m, commands, starts)
 }
 
 // dueStops gathers the stops that are due and notes that they are sent.
-func (s *Scheduler) dueStops(m *machine, via exchange) []wire.Command {
+func (d *dispatcher) dueStops(m *machine, via exchange) []wire.Command {
 	var due []*attempt
 	for _, a := range m.tasks {
-		if a.stopIsDue(s.now.Mono, via) {
+		if a.stopIsDue(d.now.Mono, via) {
 			due = append(due, a)
 		}
 	}
@@ -133,9 +140,9 @@
 	for _, a := range due {
 		if !a.stop.sent {
 			a.stop.sent = true
-			s.countOperation(reconcile.StopOperation, a)
+			d.countOperation(reconcile.StopOperation, a)
 		}
-		a.stop.sentAt = s.now.Mono
+		a.stop.sentAt = d.now.Mono
 		commands = append(commands, stopCommand(a.ref, a.number, a.stopGraceS()))
 	}
 	return commands
@@ -168,13 +175,13 @@
 }
 
 // dueStarts gathers the attempts whose start has to be sent now, for the first time or again.
-func (s *Scheduler) dueStarts(m *machine) []*attempt {
+func (d *dispatcher) dueStarts(m *machine) []*attempt {
 	if !m.confirmed || m.phase != machineUp {
 		return nil
 	}
 	var due []*attempt
 	for _, a := range m.tasks {
-		if a.startIsDue(s.now.Mono) {
+		if a.startIsDue(d.now.Mono) {
 			due = append(due, a)
 		}
 	}
@@ -202,14 +209,14 @@
 }
 
 // dueForgets gathers the ended attempts that the worker need not list any longer.
-func (s *Scheduler) dueForgets(m *machine) []wire.Command {
+func (d *dispatcher) dueForgets(m *machine, jobs map[string]*job) []wire.Command {
 	var commands []wire.Command
 	for ref, ended := range m.exited {
-		if !s.mayForget(m, ref, ended) {
+		if !m.mayForget(ref, ended, jobs[ref.jobID]) {
 			continue
 		}
 		task := ref.String()
-		s.reconciler.CountOperation(s.now.Mono, reconcile.Operation{Kind: reconcile.ForgetOperation, Machine: m.name, Task: task, Number: ended.attempt})
+		d.reconciler.CountOperation(d.now.Mono, reconcile.Operation{Kind: reconcile.ForgetOperation, Machine: m.name, Task: task, Number: ended.attempt})
 		commands = append(commands, wire.Command{Verb: wire.VerbForget, Task: task, Attempt: ended.attempt})
 	}
 	sortCommands(commands)
@@ -217,12 +224,12 @@
 }
 
 // mayForget reports whether nothing depends any longer on the worker's list of an ended
-// attempt. Of a completed task it is the only evidence until that is durable.
-func (s *Scheduler) mayForget(m *machine, ref taskRef, ended taskExit) bool {
+// attempt. Of a completed task it is the only evidence until that is durable. The job is nil
+// if it is not live.
+func (m *machine) mayForget(ref taskRef, ended taskExit, j *job) bool {
 	if a := m.tasks[ref]; a != nil && a.number == ended.attempt {
 		return false
 	}
-	j := s.cluster.jobs[ref.jobID]
 	if !ended.done || j == nil || ref.index >= j.spec.Tasks || j.service || j.cancelled {
 		return true
 	}
@@ -237,3 +244,11 @@
 func stopCommand(ref taskRef, number uint64, graceS float64) wire.Command {
 	return wire.Command{Verb: wire.VerbStop, Task: ref.String(), Attempt: number, GracePeriodS: &graceS}
 }
+
+// countOperation counts the first operation of its kind on an attempt.
+func (d *dispatcher) countOperation(kind reconcile.OperationKind, a *attempt) {
+	if d.reconciler.Phase() == reconcile.Settled {
+		return
+	}
+	d.reconciler.CountOperation(d.now.Mono, reconcile.Operation{Kind: kind, Machine: a.machine.name, Task: a.ref.String(), Number: a.number})
+}
--- a/internal/scheduler/dispatch_test.go
+++ b/internal/scheduler/dispatch_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestMachinesDueAreTakenOnceAndInOrder(t *testing.T) {
-	d := newDispatchState(&termContext{})
+	d := newDispatcher(&termContext{}, nil)
 	for _, name := range []string{"n-2", "n-1", "n-2"} {
 		d.markDue(&machine{name: name})
 	}
@@ -19,7 +19,7 @@
 }
 
 func TestEndedCallFreesItsMachineAndItsStarts(t *testing.T) {
-	d := newDispatchState(&termContext{})
+	d := newDispatcher(&termContext{}, nil)
 	m := &machine{calls: callStatus{inFlight: true}}
 	a := &attempt{machine: m, start: startState{callInFlight: true}}
 	d.calls[1] = &commandCall{machine: m, starts: []*attempt{a}}
--- a/internal/scheduler/fencing.go
+++ b/internal/scheduler/fencing.go
@@ -2,6 +2,7 @@
 
 import (
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
+	"github.com/yarrowgap/yarrowgap/wire"
 )
 
 // maxCounter is the highest value of the counters in the low bits of fencing tokens and of
@@ -33,27 +34,46 @@
 
 // newAttempt makes an attempt under a number that was never used. Numbers begin with the
 // term, so it is above those of all earlier terms.
-func (s *Scheduler) newAttempt(j *job, index int, m *machine) *attempt {
-	s.dispatcher.lastAttemptNumber++
+func (d *dispatcher) newAttempt(j *job, index int, m *machine) *attempt {
+	d.lastAttemptNumber++
 	return &attempt{
-		ref: taskRef{j.id, index}, job: j, machine: m, placedAt: s.now.Mono,
-		number: newFencingToken(s.term, s.dispatcher.lastAttemptNumber),
+		ref: taskRef{j.id, index}, job: j, machine: m, placedAt: d.now.Mono,
+		number: newFencingToken(d.term, d.lastAttemptNumber),
 	}
 }
 
 // attemptNumbersLeft is how many more attempts this term can number.
-func (s *Scheduler) attemptNumbersLeft() int {
-	return maxCounter - int(min(s.dispatcher.lastAttemptNumber, maxCounter))
+func (d *dispatcher) attemptNumbersLeft() int {
+	return maxCounter - int(min(d.lastAttemptNumber, maxCounter))
 }
 
 // watchCounterLimits resigns before this term's counters are used up. The next term has all
 // of them again, and an election takes a fraction of a second.
-func (s *Scheduler) watchCounterLimits() {
-	highest := s.dispatcher.lastAttemptNumber
-	for _, m := range s.cluster.machines {
+func (d *dispatcher) watchCounterLimits(machines map[string]*machine) {
+	highest := d.lastAttemptNumber
+	for _, m := range machines {
 		highest = max(highest, m.fencing.counter)
 	}
 	if float64(highest) > maxCounter*tuning.MaxFencingCounterUse {
-		s.effects.Resign = ResignCountersExhausted
+		d.effects.Resign = ResignCountersExhausted
 	}
 }
+
+// supersededBy reports whether a worker has seen a fencing token of a later term. Leadership
+// ends then, if there can be such a term: terms are revisions of the key-value store, and one
+// that is far ahead of all that were seen there is the mistake of a worker, which must not
+// depose one leader after the other.
+func (d *dispatcher) supersededBy(heartbeat *wire.Heartbeat) bool {
+	term := TermOf(heartbeat.FencingToken)
+	switch {
+	case term <= d.term:
+		return false
+	//mutation:ignore-absurd-fencing-token
+	case term > d.term+tuning.MaxTermRevisionGap:
+		d.logInfo("heartbeat with an impossible fencing token", "machine", heartbeat.Machine, "fencing_token", heartbeat.FencingToken, "term", d.term)
+	default:
+		//mutation:resign-on-higher-fencing-token
+		d.effects.Resign = ResignHigherFencingToken
+	}
+	return true
+}
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -39,7 +39,7 @@
 
 // placeGangIn assigns all n waiting members in the zone, or none.
 func (r *placementRound) placeGangIn(zone string, j *job, n int) bool {
-	if r.scheduler.attemptNumbersLeft() < n {
+	if r.scheduler.dispatcher.attemptNumbersLeft() < n {
 		return false
 	}
 	picker := r.newMachinePicker(j)
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
@@ -11,7 +10,7 @@
 // may not answer any longer.
 func (s *Scheduler) Heartbeat(now Now, heartbeat *wire.Heartbeat) (reply wire.HeartbeatReply, ok bool) {
 	s.now = now
-	if s.supersededBy(heartbeat) {
+	if s.dispatcher.supersededBy(heartbeat) {
 		return reply, false
 	}
 	//mutation:heartbeat-of-released-machine
@@ -32,7 +31,7 @@
 	}
 	if !m.confirmed || heartbeat.FencingToken < s.fencingToken(m) && m.awaitsAcknowledgement() {
 		// Its next heartbeat, under the present token, comes sooner if it is probed.
-		s.probeStatus(m)
+		s.dispatcher.probeStatus(m, len(s.cluster.machines))
 	}
 	return wire.HeartbeatReply{FencingToken: s.fencingToken(m), Commands: commands}, true
 }
@@ -40,13 +39,13 @@
 // handleNewHeartbeat takes a heartbeat that is newer than all before, and gives the commands
 // for its reply.
 func (s *Scheduler) handleNewHeartbeat(m *machine, heartbeat *wire.Heartbeat) []wire.Command {
-	s.watchReplyDelivery(m, heartbeat)
+	s.dispatcher.watchReplyDelivery(m, heartbeat)
 	m.connectivity.heartbeatAnsweredAt = s.now.Mono
 	s.markHeartbeatReceived(m)
 	m.calls.unansweredSinceHeartbeat = 0
 	delete(s.monitor.zoneHeartbeatAt, m.zone) // what followers received of the zone matters no more
 	s.applyHeartbeat(m, heartbeat, workerInitiated)
-	return s.heartbeatCommands(m, heartbeat)
+	return s.dispatcher.heartbeatCommands(m, heartbeat, s.cluster.jobs)
 }
 
 // replyWhileReleasing answers a machine whose release the cloud has yet to answer. Its tasks
@@ -60,7 +59,7 @@
 		// A renewed lease has to bring stops with it: where releases go unanswered for
 		// long, cancelled tasks would run on here past their bound.
 		//mutation:stops-while-releasing
-		reply.Commands = s.dueStops(m, workerInitiated)
+		reply.Commands = s.dispatcher.dueStops(m, workerInitiated)
 	}
 	return reply
 }
@@ -76,59 +75,6 @@
 	m.connectivity.lastHeartbeatAt = s.now.Mono
 }
 
-// supersededBy reports whether a worker has seen a fencing token of a later term. Leadership
-// ends then, if there can be such a term: terms are revisions of the key-value store, and one
-// that is far ahead of all that were seen there is the mistake of a worker, which must not
-// depose one leader after the other.
-func (s *Scheduler) supersededBy(heartbeat *wire.Heartbeat) bool {
-	term := TermOf(heartbeat.FencingToken)
-	switch {
-	case term <= s.term:
-		return false
-	//mutation:ignore-absurd-fencing-token
-	case term > s.term+tuning.MaxTermRevisionGap:
-		s.logInfo("heartbeat with an impossible fencing token", "machine", heartbeat.Machine, "fencing_token", heartbeat.FencingToken, "term", s.term)
-	default:
-		//mutation:resign-on-higher-fencing-token
-		s.effects.Resign = ResignHigherFencingToken
-	}
-	return true
-}
-
-// unreachableReason says what shows that nothing which this leader sends reaches a machine
-// whose heartbeats arrive.
-type unreachableReason string
-
-const (
-	startNotAcknowledged      unreachableReason = "start not acknowledged"
-	leaseExpiredThoughRenewed unreachableReason = "lease expired although heartbeats were answered"
-)
-
-// watchReplyDelivery watches whether replies reach the worker. A new incarnation although the
-// one before was answered within its lease shows that they do not. Such a machine gets no new
-// work, and is released unless a token that it has seen since, or its answer to a direct
-// call, shows that it is reached.
-func (s *Scheduler) watchReplyDelivery(m *machine, heartbeat *wire.Heartbeat) {
-	lease, answeredAt := s.settings.WorkerLease, m.connectivity.heartbeatAnsweredAt
-	newIncarnation := m.heartbeats.incarnation > 0 && heartbeat.Incarnation > m.heartbeats.incarnation
-	answeredWithinLease := answeredAt > 0 && s.now.Mono-answeredAt < lease*3/4
-	ledForLease := s.now.Mono-s.startedAt > lease
-	switch {
-	case newIncarnation && answeredWithinLease && ledForLease:
-		//mutation:lost-incarnation-marks-unreachable
-		s.markUnreachable(m, leaseExpiredThoughRenewed)
-	case TermOf(heartbeat.FencingToken) == s.term && heartbeat.FencingToken > m.fencing.seenToken:
-		m.connectivity.unreachableSince = 0 // it has seen a token that is new since its last heartbeat
-	}
-}
-
-func (s *Scheduler) markUnreachable(m *machine, reason unreachableReason) {
-	if m.connectivity.unreachableSince == 0 {
-		m.connectivity.unreachableSince = s.now.Mono
-		s.logInfo("machine unreachable", "machine", m.name, "reason", reason, "tasks", len(m.tasks))
-	}
-}
-
 // awaitsAcknowledgement reports whether the machine has yet to list an attempt whose start
 // was sent.
 func (m *machine) awaitsAcknowledgement() bool {
--- a/internal/scheduler/heartbeat_test.go
+++ b/internal/scheduler/heartbeat_test.go
@@ -144,10 +144,10 @@
 	a.start.callInFlight, a.start.acknowledged, a.start.replySequence, a.start.incarnation = false, false, h.sequences["n-1"]+1, 1
 	direct := h.newHeartbeat("n-1", h.fencingToken("n-1"))
 	direct.Sequence = a.start.replySequence + 1
-	if h.scheduler.provenAbsent(a, direct, leaderInitiated) {
+	if h.scheduler.dispatcher.provenAbsent(a, direct, leaderInitiated) {
 		t.Error("the reply to a direct call counts as proof against a start in a heartbeat's reply")
 	}
-	if !h.scheduler.provenAbsent(a, direct, workerInitiated) {
+	if !h.scheduler.dispatcher.provenAbsent(a, direct, workerInitiated) {
 		t.Error("the next heartbeat does not count as proof")
 	}
 }
--- a/internal/scheduler/machine_faults_test.go
+++ b/internal/scheduler/machine_faults_test.go
@@ -210,7 +210,7 @@
 			tick := m.heartbeats.sequence
 			if c.direct {
 				m.calls.probedAt = 0
-				h.scheduler.probeStatus(m)
+				h.scheduler.dispatcher.probeStatus(m, len(h.scheduler.cluster.machines))
 				call := h.scheduler.TakeEffects().DirectCalls[0]
 				h.scheduler.CallDone(h.clock(), call.ID, CallRefused, r)
 			} else if _, ok := h.scheduler.Heartbeat(h.clock(), r); ok {
--- a/internal/scheduler/machinescan.go
+++ b/internal/scheduler/machinescan.go
@@ -12,8 +12,7 @@
 // status probe left.
 func (s *Scheduler) scanMachines() {
 	list := s.sortedMachines()
-	first, _ := slices.BinarySearchFunc(list, s.dispatcher.probes.nextMachine, func(m *machine, name string) int { return strings.Compare(m.name, name) })
-	s.dispatcher.probes.nextMachine = ""
+	first, _ := slices.BinarySearchFunc(list, s.dispatcher.probes.takeNextMachine(), func(m *machine, name string) int { return strings.Compare(m.name, name) })
 	for i := range list {
 		//mutation:status-probe-rotation
 		s.scanMachine(list[(first+i)%len(list)])
@@ -34,8 +33,8 @@
 	for _, a := range m.tasks {
 		unacknowledged = unacknowledged || a.start.sent && !a.start.acknowledged
 		switch {
-		case !s.dispatchRetryDue(a):
-		case s.now.Mono >= s.dispatchDeadline(a):
+		case !s.dispatcher.dispatchRetryDue(a):
+		case s.now.Mono >= s.dispatcher.dispatchDeadline(a):
 			expired = append(expired, a)
 			continue
 		default:
@@ -50,23 +49,15 @@
 		s.abandonDispatch(a)
 	}
 	if due {
-		s.sendDue(m)
+		s.dispatcher.sendDue(m)
 	}
 	heartbeatAge := s.now.Mono - m.connectivity.lastHeartbeatAt
 	//mutation:status-probe-when-overdue
 	if heartbeatAge > s.heartbeatOverdueAfter() || !m.confirmed || m.connectivity.unreachableSince > 0 || unacknowledged && m.fencing.seenToken < s.fencingToken(m) {
-		s.probeStatus(m)
+		s.dispatcher.probeStatus(m, len(s.cluster.machines))
 	}
 }
 
-// dispatchRetryDue reports whether a start was not acknowledged and is to be sent again now.
-func (s *Scheduler) dispatchRetryDue(a *attempt) bool {
-	if !a.start.sent || a.start.acknowledged || a.start.callInFlight || a.stop.requested {
-		return false
-	}
-	return a.start.firstSentAt > 0 && a.retry.nextAt <= s.now.Mono
-}
-
 // abandonDispatch gives up an attempt whose start was not acknowledged in time: what may
 // have become of it is stopped, and the task is placed again on proof that it is gone.
 func (s *Scheduler) abandonDispatch(a *attempt) {
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -252,7 +252,7 @@
 	for placed := range n {
 		m := picker.best()
 		//mutation:counter-check-in-round
-		if m == nil || r.scheduler.attemptNumbersLeft() == 0 || r.waitsForWarmMachine(j, m, picker) {
+		if m == nil || r.scheduler.dispatcher.attemptNumbersLeft() == 0 || r.waitsForWarmMachine(j, m, picker) {
 			return placed
 		}
 		index, ok := j.takeFreeIndex()
@@ -274,7 +274,7 @@
 // assign makes a new attempt of a task on the machine. No start is sent before the
 // assignment is recorded, for which it has to be queued.
 func (r *placementRound) assign(j *job, index int, m *machine) *attempt {
-	a := r.scheduler.newAttempt(j, index, m)
+	a := r.scheduler.dispatcher.newAttempt(j, index, m)
 	r.scheduler.cluster.attach(a)
 	return a
 }
--- a/internal/scheduler/reconciliation.go
+++ b/internal/scheduler/reconciliation.go
@@ -45,14 +45,6 @@
 	}
 }
 
-// countOperation counts the first operation of its kind on an attempt.
-func (s *Scheduler) countOperation(kind reconcile.OperationKind, a *attempt) {
-	if s.reconciler.Phase() == reconcile.Settled {
-		return
-	}
-	s.reconciler.CountOperation(s.now.Mono, reconcile.Operation{Kind: kind, Machine: a.machine.name, Task: a.ref.String(), Number: a.number})
-}
-
 // evidenceFor gathers what is known of an attempt from before the term.
 func (s *Scheduler) evidenceFor(a *attempt, observation reconcile.Observation) reconcile.Evidence {
 	e := reconcile.Evidence{Observation: observation, Recorded: a.reconciliation.class == reconcile.MissingUnproven}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -42,7 +42,7 @@
 	cluster       clusterState
 	placement     placementState
 	autoscaler    autoscalerState
-	dispatcher    dispatchState
+	dispatcher    dispatcher
 	persister     persister
 	cancellations cancellationState
 	monitor       monitorState
@@ -74,6 +74,7 @@
 // newEmptyScheduler makes a scheduler that knows of nothing yet.
 func newEmptyScheduler(now Now, settings Settings, term uint64) *Scheduler {
 	context := &termContext{settings: settings, term: term, now: now, startedAt: now.Mono}
+	reconciler := reconcile.New(now.Mono, settings.reconcileConfig())
 	return &Scheduler{
 		termContext: context,
 		cluster: clusterState{
@@ -83,7 +84,7 @@
 		},
 		placement:     placementState{termContext: context, due: true, lastRoundAt: now.Mono - time.Second, backingOff: map[*job]bool{}},
 		autoscaler:    autoscalerState{termContext: context, pending: map[string]*pendingRequest{}, unavailableUntil: map[offer]time.Duration{}},
-		dispatcher:    newDispatchState(context),
+		dispatcher:    newDispatcher(context, reconciler),
 		persister:     newPersister(context),
 		cancellations: cancellationState{termContext: context, pending: map[string]time.Duration{}},
 		monitor: monitorState{
@@ -91,7 +92,7 @@
 			lastHeartbeatAt: now.Mono, tickedAt: now.Mono,
 			zoneHeartbeatAt: map[string]time.Duration{}, zoneMissingAt: map[string]time.Duration{},
 		},
-		reconciler: reconcile.New(now.Mono, settings.reconcileConfig()),
+		reconciler: reconciler,
 	}
 }
 
@@ -108,9 +109,9 @@
 // probeRestoredMachines asks all machines for a heartbeat under this term's token.
 func (s *Scheduler) probeRestoredMachines() {
 	for _, m := range s.cluster.sortedMachines() {
-		if s.dispatcher.machinesDue[m.name] {
-			s.sendDue(m) // its reply is such a heartbeat
+		if s.dispatcher.isDue(m) {
+			s.dispatcher.sendDue(m) // its reply is such a heartbeat
 		}
-		s.probeStatus(m)
+		s.dispatcher.probeStatus(m, len(s.cluster.machines))
 	}
 }
--- a/internal/scheduler/statusprobe.go
+++ b/internal/scheduler/statusprobe.go
@@ -26,37 +26,44 @@
 	}
 }
 
+// takeNextMachine gives the name with which the next scan begins.
+func (p *statusProbes) takeNextMachine() string {
+	next := p.nextMachine
+	p.nextMachine = ""
+	return next
+}
+
 // probeStatus asks a machine for a heartbeat under this term's fencing token, by a call
 // without commands. If no probe may be sent now, the next scan begins with this machine.
-func (s *Scheduler) probeStatus(m *machine) {
-	if m.phase != machineUp || m.address == "" || m.calls.inFlight || s.dispatcher.machinesDue[m.name] {
+func (d *dispatcher) probeStatus(m *machine, fleetSize int) {
+	if m.phase != machineUp || m.address == "" || m.calls.inFlight || d.isDue(m) {
 		return // what is due for the machine will bring a heartbeat too
 	}
-	if s.probedLately(m) || s.heartbeatExpectedSoon(m) {
+	if d.probedLately(m) || d.heartbeatExpectedSoon(m) {
 		return
 	}
-	probes := &s.dispatcher.probes
-	if probes.inFlight >= s.statusProbeLimit(m) || !s.takeProbeBudget() {
+	probes := &d.probes
+	if probes.inFlight >= d.statusProbeLimit(m, fleetSize) || !d.takeProbeBudget() {
 		probes.putOff(m)
 		return
 	}
-	m.calls.probedAt = s.now.Mono
+	m.calls.probedAt = d.now.Mono
 	probes.inFlight++
-	s.sendCommands(m, []wire.Command{}, nil)
+	d.sendCommands(m, []wire.Command{}, nil)
 }
 
 // probedLately reports whether it is too early for another probe of the machine.
-func (s *Scheduler) probedLately(m *machine) bool {
+func (d *dispatcher) probedLately(m *machine) bool {
 	interval := tuning.MinStatusProbeInterval << min(m.calls.unanswered, maxProbeBackoffDoublings)
-	return m.calls.probedAt > 0 && s.now.Mono-m.calls.probedAt < interval
+	return m.calls.probedAt > 0 && d.now.Mono-m.calls.probedAt < interval
 }
 
 // statusProbeLimit is how many probes may be in flight when this machine is probed. Machines
 // that did not answer the last call get at most half of the limit: each occupies a place
 // until its call times out, and in a partitioned zone there are hundreds of them, while
-// others would answer at once.
-func (s *Scheduler) statusProbeLimit(m *machine) int {
-	limit := max(tuning.MinConcurrentStatusProbes, min(len(s.cluster.machines)/tuning.MachinesPerStatusProbe, tuning.MaxConcurrentStatusProbes))
+// others would answer at once. The limit grows with the fleet, the number of all machines.
+func (d *dispatcher) statusProbeLimit(m *machine, fleetSize int) int {
+	limit := max(tuning.MinConcurrentStatusProbes, min(fleetSize/tuning.MachinesPerStatusProbe, tuning.MaxConcurrentStatusProbes))
 	if m.calls.unanswered > 0 {
 		limit /= 2
 	}
@@ -64,13 +71,13 @@
 }
 
 // takeProbeBudget takes one probe from what a small share of a core leaves for them.
-func (s *Scheduler) takeProbeBudget() bool {
+func (d *dispatcher) takeProbeBudget() bool {
 	//mutation:status-probe-budget
-	if !s.isCPULimited() {
+	if !d.isCPULimited() {
 		return true
 	}
-	rate := &s.dispatcher.probes.rate
-	rate.refill(s.now.Mono, tuning.MaxStatusProbeRate*s.settings.CPUShare, tuning.MinConcurrentStatusProbes)
+	rate := &d.probes.rate
+	rate.refill(d.now.Mono, tuning.MaxStatusProbeRate*d.settings.CPUShare, tuning.MinConcurrentStatusProbes)
 	return rate.take(1)
 }
 
@@ -83,8 +90,8 @@
 // heartbeatExpectedSoon reports whether the machine's next heartbeat will come before a
 // probe would help: its last one has just been answered, with a fencing token that is new
 // to it.
-func (s *Scheduler) heartbeatExpectedSoon(m *machine) bool {
+func (d *dispatcher) heartbeatExpectedSoon(m *machine) bool {
 	answeredAt := m.connectivity.heartbeatAnsweredAt
 	//mutation:no-status-probe-before-heartbeat
-	return s.isCPULimited() && answeredAt > 0 && m.fencing.seenToken < s.fencingToken(m) && s.now.Mono-answeredAt < tuning.StatusProbeHoldOff
+	return d.isCPULimited() && answeredAt > 0 && m.fencing.seenToken < d.fencingToken(m) && d.now.Mono-answeredAt < tuning.StatusProbeHoldOff
 }
--- a/internal/scheduler/statusprobe_test.go
+++ b/internal/scheduler/statusprobe_test.go
@@ -112,7 +112,7 @@
 	}
 	f.now += tuning.StatusProbeHoldOff
 	f.scheduler.Settle(f.clock())
-	f.scheduler.probeStatus(m)
+	f.scheduler.dispatcher.probeStatus(m, len(f.scheduler.cluster.machines))
 	if !m.calls.inFlight || f.directCalls != callsBefore {
 		t.Error("not probed though its heartbeat did not come")
 	}
--- a/internal/scheduler/tick.go
+++ b/internal/scheduler/tick.go
@@ -22,7 +22,7 @@
 		s.monitor.scannedAt = now.Mono
 		s.scanMachines()
 		//mutation:counter-check
-		s.watchCounterLimits()
+		s.dispatcher.watchCounterLimits(s.cluster.machines)
 	}
 	s.resignIfIsolated()
 	if scan {
@@ -59,7 +59,7 @@
 func (s *Scheduler) sendToMachinesDue() {
 	for name := range s.dispatcher.takeDue() {
 		if m := s.cluster.machines[name]; m != nil {
-			s.sendDue(m)
+			s.dispatcher.sendDue(m)
 		}
 	}
 }
