--- a/internal/scheduler/assignmentrestore.go
+++ b/internal/scheduler/assignmentrestore.go
@@ -93,8 +93,7 @@
 			m.images = append(m.images, cachedImage{name: name})
 		}
 	}
-	b.machines = append(b.machines, m)
-	m.batches[b] = true
+	b.addMachine(m)
 	return m
 }
 
--- a/internal/scheduler/assignments.go
+++ b/internal/scheduler/assignments.go
@@ -32,6 +32,12 @@
 	return b
 }
 
+// addMachine notes that the batch names a machine.
+func (b *assignmentBatch) addMachine(m *machine) {
+	b.machines = append(b.machines, m)
+	m.batches[b] = true
+}
+
 // queueAssignment has an attempt written with the next batch.
 func (p *persister) queueAssignment(a *attempt) {
 	if !a.assignment.queued {
@@ -148,8 +154,7 @@
 		b.neededBy[a] = true
 	}
 	for m := range encoder.machineIndex {
-		b.machines = append(b.machines, m)
-		m.batches[b] = true
+		b.addMachine(m)
 	}
 	t.expect(b.key, 0)
 	t.set(b.key, encoder.finish(), encoder.size)
--- a/internal/scheduler/dispatch_test.go
+++ b/internal/scheduler/dispatch_test.go
@@ -3,6 +3,9 @@
 import (
 	"slices"
 	"testing"
+	"time"
+
+	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
 func TestMachinesDueAreTakenOnceAndInOrder(t *testing.T) {
@@ -36,3 +39,88 @@
 		t.Error("a call ends twice")
 	}
 }
+
+func TestStartIsSentOnlyWhenItMayBe(t *testing.T) {
+	ref := taskRef{"run-000001", 0}
+	for _, c := range []struct {
+		name   string
+		change func(a *attempt)
+		want   bool
+	}{
+		{"recorded and never sent", func(*attempt) {}, true},
+		{"not recorded", func(a *attempt) { a.assignment.durable = false }, false},
+		{"to be stopped", func(a *attempt) { a.stop.requested = true }, false},
+		{"acknowledged", func(a *attempt) { a.start.acknowledged = true }, false},
+		{"in a call that is in flight", func(a *attempt) { a.start.callInFlight = true }, false},
+		{"its retry is not due", func(a *attempt) { a.retry.nextAt = 2 * time.Minute }, false},
+		{"its retry is due", func(a *attempt) { a.start.sent, a.start.firstSentAt = true, 1 }, true},
+		{"sent by an earlier leader", func(a *attempt) { a.start.sent = true }, false},
+		{"its job is not live", func(a *attempt) { a.job = nil }, false},
+		{"its job is cancelled", func(a *attempt) { a.job.cancelled = true }, false},
+		{"an earlier attempt is not forgotten", func(a *attempt) { a.machine.exited[ref] = taskExit{attempt: 4} }, false},
+		{"its machine is not confirmed", func(a *attempt) { a.machine.confirmed = false }, false},
+		{"its machine is not up", func(a *attempt) { a.machine.phase = machineBooting }, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			d := newDispatcher(&termContext{now: Now{Mono: time.Minute}}, nil)
+			m := &machine{phase: machineUp, confirmed: true, tasks: map[taskRef]*attempt{}, exited: map[taskRef]taskExit{}}
+			a := &attempt{ref: ref, number: 5, job: &job{}, machine: m, assignment: assignmentState{durable: true}}
+			m.tasks[ref] = a
+			c.change(a)
+			if got := len(d.dueStarts(m)) == 1; got != c.want {
+				t.Errorf("due: %v", got)
+			}
+		})
+	}
+}
+
+func TestStatusProbeLimitGrowsWithFleet(t *testing.T) {
+	const least, most = tuning.MinConcurrentStatusProbes, tuning.MaxConcurrentStatusProbes
+	for _, c := range []struct {
+		fleetSize, unanswered, want int
+	}{
+		{1, 0, least},
+		{(least + 3) * tuning.MachinesPerStatusProbe, 0, least + 3},
+		{2 * most * tuning.MachinesPerStatusProbe, 0, most},
+		{1, 1, least / 2},
+		{2 * most * tuning.MachinesPerStatusProbe, 2, most / 2},
+	} {
+		d := newDispatcher(&termContext{}, nil)
+		if got := d.statusProbeLimit(&machine{calls: callStatus{unanswered: c.unanswered}}, c.fleetSize); got != c.want {
+			t.Errorf("%d machines, %d calls unanswered: %d, want %d", c.fleetSize, c.unanswered, got, c.want)
+		}
+	}
+}
+
+func TestCallOutcomeDecidesWhatIsSentAgain(t *testing.T) {
+	newCall := func() (dispatcher, *commandCall, *attempt) {
+		d := newDispatcher(&termContext{term: 7, now: Now{Mono: time.Minute}}, nil)
+		m := &machine{tasks: map[taskRef]*attempt{}, fencing: fencingState{counter: 3}}
+		a := &attempt{machine: m, start: startState{sent: true}, retry: dispatchRetry{count: 1, nextAt: time.Hour}, stop: stopRequest{sentAt: time.Second}}
+		m.tasks[a.ref] = a
+		return d, &commandCall{machine: m, fencingCounter: 3, starts: []*attempt{a}}, a
+	}
+
+	d, call, a := newCall()
+	d.handleLostCall(call)
+	if a.machine.fencing.counter != 4 || a.start.requiredFence != 4 || a.retry.nextAt != time.Hour {
+		t.Errorf("a lost call: token's counter %d, required %d, retry at %v", a.machine.fencing.counter, a.start.requiredFence, a.retry.nextAt)
+	}
+	if a.stop.sentAt != 0 {
+		t.Error("a lost call's stops are not sent again")
+	}
+	call.fencingCounter = 2 // the token was raised since
+	if d.handleLostCall(call); a.machine.fencing.counter != 4 {
+		t.Errorf("raised to %d though a higher token is out already", a.machine.fencing.counter)
+	}
+
+	d, call, a = newCall()
+	d.handleRefusedCall(call, newFencingToken(7, 9))
+	if a.machine.fencing.counter != 9 || a.retry.count != 0 || a.retry.nextAt != time.Minute || a.stop.sentAt != 0 || !a.machine.calls.again {
+		t.Errorf("a refused call: %+v, %+v, %+v", a.machine.fencing, a.retry, a.machine.calls)
+	}
+	d.handleRefusedCall(call, newFencingToken(7, 2))
+	if a.machine.fencing.counter != 9 {
+		t.Errorf("lowered to %d", a.machine.fencing.counter)
+	}
+}
