--- a/internal/scheduler/attempt_outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -32,7 +32,7 @@
 	if status.Cause == wire.CauseDone {
 		s.classifyRecorded(a, reconcile.Completed)
 		//mutation:keep-attempt-until-saved
-		s.keepAssignmentUntilSaved(a)
+		a.keepAssignmentUntilSaved()
 	} else {
 		s.classifyRecorded(a, reconcile.Ended)
 	}
@@ -70,7 +70,7 @@
 	if j == nil {
 		return
 	}
-	s.markDirtyIfComplete(j)
+	s.persister.markDirtyIfComplete(j)
 	if j.cancelled {
 		return
 	}
@@ -163,7 +163,7 @@
 		// The start was not executed. It is the one kind of command that is sent again.
 		a.start.replySequence = 0
 		if a.retry.nextAt <= s.now.Mono {
-			s.sendDue(a.machine)
+			s.dispatcher.sendDue(a.machine)
 		}
 	}
 }
@@ -182,7 +182,7 @@
 	for _, a := range slices.Clone(j.active[index]) {
 		s.stopNow(a, StopTaskDone)
 	}
-	s.markDirtyIfComplete(j)
+	s.persister.markDirtyIfComplete(j)
 }
 
 // drainMachine stops tasks that had better start again elsewhere before the cloud takes
