--- a/internal/scheduler/tick.go
+++ b/internal/scheduler/tick.go
@@ -13,31 +13,25 @@
 // Tick does what falls due as time passes.
 func (s *Scheduler) Tick(now Now) {
 	s.now = now
-	if paused := s.monitor.pausedFor(now.Mono); paused > 0 {
-		s.monitor.resumedAt = now.Mono
-		s.logInfo("process paused", "paused_s", paused.Seconds())
-	}
-	scan := now.Mono-s.monitor.scannedAt >= s.scanInterval()
+	s.monitor.notePause()
+	scan := s.monitor.beginScan(len(s.cluster.machines))
 	if scan {
-		s.monitor.scannedAt = now.Mono
 		s.scanMachines()
 		//mutation:counter-check
 		s.dispatcher.watchCounterLimits(s.cluster.machines)
 	}
-	s.resignIfIsolated()
+	s.monitor.resignIfIsolated(s.cluster.upMachineCount())
 	if scan {
 		s.scaleIn()
 	}
-	if now.Mono-s.monitor.loadLoggedAt >= tuning.LoadLogInterval {
-		s.monitor.loadLoggedAt = now.Mono
-		s.logLoad()
+	if s.monitor.beginLoadLog() {
+		s.persister.logDelayedStarts()
+		s.cluster.logLoad(now.Mono - s.EnforcedCancellationWatermark(now.Mono))
 	}
 	s.reconciler.Advance(now.Mono)
 	s.resolveUnreadableRecords()
 	s.persister.compactBatches()
-	if now.Mono-s.placement.lastRoundAt >= maxPlacementInterval {
-		s.placement.due = true
-	}
+	s.placement.requireRound()
 	s.Settle(now)
 }
 
@@ -45,11 +39,9 @@
 // scales out, writes records and sends commands. It follows every input.
 func (s *Scheduler) Settle(now Now) {
 	s.now = now
-	s.wakeBackedOffJobs()
-	if s.placement.due && now.Mono-s.placement.lastRoundAt >= s.placementInterval() {
-		s.placement.lastRoundAt = now.Mono
-		s.placement.rounds++
-		s.scaleOut(s.placePending())
+	s.placement.wakeBackedOffJobs()
+	if s.placement.beginRound(len(s.cluster.machines)) {
+		s.autoscaler.scaleOut(&s.cluster, s.reconciler, s.placePending())
 	}
 	s.persister.flush()
 	s.sendToMachinesDue()
@@ -78,15 +70,26 @@
 // successor.
 func (c *termContext) holdsLease() bool { return c.now.Mono < c.leaseHeldUntil }
 
-// placementInterval is the least time between two placement rounds, since each visits
-// every machine.
-func (s *Scheduler) placementInterval() time.Duration {
-	return tuning.MinPlacementInterval + s.scaleByCPUShare(time.Duration(len(s.cluster.machines))*tuning.PlacementIntervalPerMachine)
+// requireRound makes a placement round due if the last one was long ago.
+func (p *placementState) requireRound() {
+	if p.now.Mono-p.lastRoundAt >= maxPlacementInterval {
+		p.due = true
+	}
+}
+
+// beginRound reports whether a placement round is due, and notes that it begins.
+func (p *placementState) beginRound(machines int) bool {
+	if !p.due || p.now.Mono-p.lastRoundAt < p.interval(machines) {
+		return false
+	}
+	p.lastRoundAt = p.now.Mono
+	p.rounds++
+	return true
 }
 
-// scanInterval is the least time between two ticks that scan every machine.
-func (s *Scheduler) scanInterval() time.Duration {
-	return s.scaleByCPUShare(time.Duration(len(s.cluster.machines)) * tuning.ScanIntervalPerMachine)
+// interval is the least time between two placement rounds, since each visits every machine.
+func (p *placementState) interval(machines int) time.Duration {
+	return tuning.MinPlacementInterval + p.scaleByCPUShare(time.Duration(machines)*tuning.PlacementIntervalPerMachine)
 }
 
 // scaleByCPUShare stretches an interval that was measured with tuning.ReferenceCPUShare of a
@@ -101,12 +104,12 @@
 
 // wakeBackedOffJobs makes a placement round due for jobs whose backoff after a failed
 // attempt is over.
-func (s *Scheduler) wakeBackedOffJobs() {
-	for j := range s.placement.backingOff {
-		if s.now.Mono >= j.retry.at {
-			delete(s.placement.backingOff, j)
+func (p *placementState) wakeBackedOffJobs() {
+	for j := range p.backingOff {
+		if p.now.Mono >= j.retry.at {
+			delete(p.backingOff, j)
 			j.retry.at = 0
-			s.placement.due = true
+			p.due = true
 		}
 	}
 }
