--- a/internal/scheduler/tasklist.go
+++ b/internal/scheduler/tasklist.go
@@ -53,7 +53,7 @@
 		a = m.tasks[ref]
 	}
 	if a != nil {
-		s.updateTaskState(a, status.State)
+		s.updateTaskState(a, status)
 	}
 }
 
@@ -89,15 +89,15 @@
 }
 
 // updateTaskState takes the state of an attempt that is on the machine.
-func (s *Scheduler) updateTaskState(a *attempt, state string) {
+func (s *Scheduler) updateTaskState(a *attempt, status *wire.TaskStatus) {
 	s.acknowledgeStart(a)
 	s.confirmActive(a)
-	if a.state == state {
+	if a.state == status.State {
 		return
 	}
-	a.setState(state)
-	s.logDebug("task state changed", "task", a.ref.String(), "attempt", a.number, "machine", a.machine.name, "state", state)
-	if a.job != nil && state == wire.TaskRunning {
+	a.setState(status.State)
+	s.logDebug("task state changed", "task", status.Task, "machine", a.machine.name, "state", status.State)
+	if a.job != nil && status.State == wire.TaskRunning {
 		a.runningAt = s.now.Mono
 		a.machine.addImage(a.job.spec.Image, a.job.spec.ImageGB)
 		s.counters.Started++
