--- a/internal/scheduler/assignments.go
+++ b/internal/scheduler/assignments.go
@@ -38,6 +38,13 @@
 	m.batches[b] = true
 }
 
+// noteMachineReleased has the batches compacted that name a machine which was released.
+func (p *persister) noteMachineReleased(m *machine) {
+	for b := range m.batches {
+		b.namesReleasedMachine = true
+	}
+}
+
 // queueAssignment has an attempt written with the next batch.
 func (p *persister) queueAssignment(a *attempt) {
 	if !a.assignment.queued {
--- a/internal/scheduler/scalein.go
+++ b/internal/scheduler/scalein.go
@@ -236,9 +236,7 @@
 		s.handleFailedAttempt(a, causeMachineReleased)
 	}
 	s.reconciler.MachineReleased(s.now.Mono, m.name)
-	for batch := range m.batches {
-		batch.namesReleasedMachine = true
-	}
+	s.persister.noteMachineReleased(m)
 	delete(s.cluster.machines, m.name)
 	s.cluster.machinesByName = nil
 	s.placement.due = true
