--- a/internal/scheduler/assignmentrestore.go
+++ b/internal/scheduler/assignmentrestore.go
@@ -82,7 +82,7 @@
 func (s *Scheduler) restoreMachine(b *assignmentBatch, recorded recordedMachine) *machine {
 	m := s.cluster.machines[recorded.name]
 	if m == nil {
-		m = s.addMachine(recorded.name, recorded.machineType, recorded.zone, recorded.spot, recorded.address)
+		m = s.cluster.addMachine(recorded.name, recorded.machineType, recorded.zone, recorded.spot, recorded.address)
 		m.phase, m.upAt = machineUp, s.now.Mono
 		// It sent heartbeats in an earlier term, so the cloud lists it, but for the lag
 		// of the list; a few more lists make up for that.
--- a/internal/scheduler/assignments_test.go
+++ b/internal/scheduler/assignments_test.go
@@ -39,7 +39,7 @@
 	h.answerAll(CallExecuted)
 	// A machine of the batch is released: a new leader would wait for it.
 	var gone string
-	for _, m := range h.scheduler.sortedMachines() {
+	for _, m := range h.scheduler.cluster.sortedMachines() {
 		if len(m.tasks) > 0 {
 			gone = m.name
 		}
@@ -98,7 +98,7 @@
 		limit := rapid.IntRange(1500, 20000).Draw(t, "limit")
 		var machines []*machine
 		for i := range rapid.IntRange(1, 40).Draw(t, "machines") {
-			m := l.addMachine(fmt.Sprintf("n-%06d", i), rapid.SampledFrom([]string{"small", "large"}).Draw(t, "type"), "zone", i%2 == 0, "10.1.0.232:9000")
+			m := l.cluster.addMachine(fmt.Sprintf("n-%06d", i), rapid.SampledFrom([]string{"small", "large"}).Draw(t, "type"), "zone", i%2 == 0, "10.1.0.232:9000")
 			for k := range rapid.IntRange(0, 8).Draw(t, "images") {
 				m.addImage(fmt.Sprintf("img-%0*d", 1+k*20, k), 1)
 			}
--- a/internal/scheduler/attempt.go
+++ b/internal/scheduler/attempt.go
@@ -101,7 +101,7 @@
 	if !a.attached() {
 		return
 	}
-	s.cluster.detach(a, s.now.Mono)
+	s.cluster.detach(a)
 	s.countStopProven(a)
 	if !a.awaitsDurableCompletion() {
 		s.removeFromBatches(a)
--- a/internal/scheduler/attempt_outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -59,8 +59,8 @@
 // handleFailedAttempt decides what follows a detached attempt that did not complete.
 func (s *Scheduler) handleFailedAttempt(a *attempt, cause string) {
 	if cause != wire.CauseStopped {
-		s.listFailure(a, cause)
-		s.logFailedAttempt(a, cause)
+		s.cluster.listFailure(a, cause)
+		s.cluster.logFailedAttempt(a, cause)
 	}
 	j := a.job
 	if j == nil {
@@ -85,18 +85,18 @@
 }
 
 // listFailure keeps a failed attempt for operators.
-func (s *Scheduler) listFailure(a *attempt, cause string) {
-	failures := append(s.cluster.failures, Failure{a.ref.String(), a.number, a.machine.name, cause, s.now.Wall})
+func (c *clusterState) listFailure(a *attempt, cause string) {
+	failures := append(c.failures, Failure{a.ref.String(), a.number, a.machine.name, cause, c.now.Wall})
 	if len(failures) > tuning.MaxListedFailures {
 		failures = slices.Clone(failures[len(failures)-tuning.MaxListedFailures/2:])
 	}
-	s.cluster.failures = failures
+	c.failures = failures
 }
 
-func (s *Scheduler) logFailedAttempt(a *attempt, cause string) {
-	log := s.logInfo
+func (c *clusterState) logFailedAttempt(a *attempt, cause string) {
+	log := c.logInfo
 	if cause == wire.CauseNoCapacity {
-		log = s.logDebug // it is placed again at once
+		log = c.logDebug // it is placed again at once
 	}
 	log("attempt ended", "task", a.ref.String(), "attempt", a.number, "machine", a.machine.name, "cause", cause)
 }
@@ -122,32 +122,32 @@
 	}
 	j.retry.failedMachines[a.machine.name] = true
 	s.backoff(j)
-	s.attributeFailure(a.machine, j)
+	s.cluster.attributeFailure(a.machine, j)
 }
 
 // attributeFailure tells faulty machines from jobs that are invalid, by which of them
 // fail where: a machine on which several jobs fail is quarantined, and a job that fails
 // wherever it runs says nothing about machines. Those that it was held against before
 // are acquitted.
-func (s *Scheduler) attributeFailure(m *machine, j *job) {
-	if j.likelyInvalid(s.now.Mono) {
-		s.acquitMachines(j)
+func (c *clusterState) attributeFailure(m *machine, j *job) {
+	if j.likelyInvalid(c.now.Mono) {
+		c.acquitMachines(j)
 		return
 	}
 	m.quarantine.failedJobs[j.id] = true
 	if len(m.quarantine.failedJobs) < tuning.QuarantineJobThreshold {
 		return
 	}
-	if m.quarantine.until < s.now.Mono {
-		s.logInfo("machine quarantined", "machine", m.name, "failed_jobs", len(m.quarantine.failedJobs))
+	if m.quarantine.until < c.now.Mono {
+		c.logInfo("machine quarantined", "machine", m.name, "failed_jobs", len(m.quarantine.failedJobs))
 	}
-	m.quarantine.until = s.now.Mono + tuning.QuarantineDuration
+	m.quarantine.until = c.now.Mono + tuning.QuarantineDuration
 }
 
 // acquitMachines no longer holds an invalid job's failures against machines.
-func (s *Scheduler) acquitMachines(j *job) {
+func (c *clusterState) acquitMachines(j *job) {
 	for name := range j.retry.failedMachines {
-		m := s.cluster.machines[name]
+		m := c.machines[name]
 		if m == nil || !m.quarantine.failedJobs[j.id] {
 			continue
 		}
@@ -228,7 +228,7 @@
 		switch {
 		case a.job.canCheckpointWithin(left):
 			s.stopAfterCheckpoint(a, StopSpotInterruption)
-		case !s.mayRunUntilInterruption(a, left):
+		case !s.cluster.mayRunUntilInterruption(a, left):
 			s.stopNow(a, StopSpotInterruption)
 		}
 	}
@@ -242,20 +242,20 @@
 
 // mayRunUntilInterruption reports whether nothing is gained by a stop before the cloud
 // takes the attempt's machine.
-func (s *Scheduler) mayRunUntilInterruption(a *attempt, left time.Duration) bool {
+func (c *clusterState) mayRunUntilInterruption(a *attempt, left time.Duration) bool {
 	j := a.job
 	if a.state != wire.TaskRunning || j.service || left.Seconds() <= tuning.MinDrainTimeS {
 		return false
 	}
-	remainingS := j.taskDuration() - (s.now.Mono - a.runningAt).Seconds()
-	return remainingS <= left.Seconds() || !s.fitsSomewhereCached(j)
+	remainingS := j.taskDuration() - (c.now.Mono - a.runningAt).Seconds()
+	return remainingS <= left.Seconds() || !c.fitsSomewhereCached(j)
 }
 
 // fitsSomewhereCached remembers what fitsSomewhere says for a moment: many tasks ask at
 // once.
-func (s *Scheduler) fitsSomewhereCached(j *job) bool {
-	if j.headroom.checkedAt == 0 || s.now.Mono-j.headroom.checkedAt > tuning.FreeCapacityMemory {
-		j.headroom.checkedAt, j.headroom.available = s.now.Mono, s.fitsSomewhere(j)
+func (c *clusterState) fitsSomewhereCached(j *job) bool {
+	if j.headroom.checkedAt == 0 || c.now.Mono-j.headroom.checkedAt > tuning.FreeCapacityMemory {
+		j.headroom.checkedAt, j.headroom.available = c.now.Mono, c.fitsSomewhere(j)
 	}
 	return j.headroom.available
 }
--- a/internal/scheduler/autoscaler.go
+++ b/internal/scheduler/autoscaler.go
@@ -145,7 +145,7 @@
 // adoptListed adds a machine that this leader did not know of. One that was running before
 // the term began may have tasks that reconciliation has to wait for.
 func (s *Scheduler) adoptListed(listed *wire.ListedMachine) *machine {
-	m := s.addMachine(listed.Name, listed.Type, listed.Zone, listed.Spot, listed.Address)
+	m := s.cluster.addMachine(listed.Name, listed.Type, listed.Zone, listed.Spot, listed.Address)
 	m.cloud.provisionedAt = s.now.Mono - time.Duration(listed.AgeS*float64(time.Second))
 	s.logInfo("machine adopted from cloud list", "machine", m.name, "type", m.machineType, "zone", m.zone, "spot", m.spot, "state", listed.State)
 	s.placement.due = true
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -97,7 +97,7 @@
 			f.submit(wire.Job{ID: fmt.Sprintf("run-3%05d", i), Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: 30, CPUs: 16, MemoryGB: 3, EstimatedRunS: 40, DeadlineS: &deadline, Spot: true})
 		}
 		for i := range len(f.machineNames) / 2 {
-			f.scheduler.addMachine(fmt.Sprintf("n-9%05d", i), "box", []string{"a", "b"}[i%2], true, "").cloud.provisionedInTerm = true
+			f.scheduler.cluster.addMachine(fmt.Sprintf("n-9%05d", i), "box", []string{"a", "b"}[i%2], true, "").cloud.provisionedInTerm = true
 		}
 		b.ResetTimer()
 		for range b.N {
--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -51,8 +51,8 @@
 
 // newMachinePicker chooses among the machines. It notes since when the job waits only
 // because all of them fetch other images.
-func (s *Scheduler) newMachinePicker(j *job, machines []*machine) *machinePicker {
-	p := &machinePicker{now: s.now.Mono, costs: s.newCostModel(), job: j, spread: j.taskSpread()}
+func (c *clusterState) newMachinePicker(j *job, machines []*machine) *machinePicker {
+	p := &machinePicker{now: c.now.Mono, costs: c.newCostModel(), job: j, spread: j.taskSpread()}
 	for _, m := range machines {
 		if p.admits(m) {
 			p.candidates = append(p.candidates, candidate{m, p.cost(m)})
@@ -63,7 +63,7 @@
 	case !p.fetchSlotBusy:
 		j.waiting.fetchSlotSince = 0
 	case j.waiting.fetchSlotSince == 0:
-		j.waiting.fetchSlotSince = s.now.Mono
+		j.waiting.fetchSlotSince = c.now.Mono
 	}
 	heap.Init(&p.candidates)
 	return p
@@ -130,8 +130,8 @@
 }
 
 // fitsSomewhere reports whether some machine could take one more task of the job.
-func (s *Scheduler) fitsSomewhere(j *job) bool {
-	return s.newMachinePicker(j, s.machinesWithCapacity([]*job{j})).best() != nil
+func (c *clusterState) fitsSomewhere(j *job) bool {
+	return c.newMachinePicker(j, c.machinesWithCapacity([]*job{j})).best() != nil
 }
 
 // reserve keeps the machine's free capacity for a job for a while: other jobs below
--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -62,27 +62,27 @@
 // schedulable reports whether tasks may be placed on the machine at all. One that left a
 // start unanswered has to show by its fencing token or by an answer that it receives
 // messages again, or else tasks placed there would wait together with that start.
-func (s *Scheduler) schedulable(m *machine) bool {
-	if m.calls.unanswered > 0 && m.fencing.seenToken < s.fencingToken(m) {
+func (c *clusterState) schedulable(m *machine) bool {
+	if m.calls.unanswered > 0 && m.fencing.seenToken < c.fencingToken(m) {
 		return false
 	}
 	if m.phase != machineUp || !m.confirmed || m.machineSpec == nil || m.cloud.failed || m.cloud.interruptionAt != 0 {
 		return false
 	}
-	return m.connectivity.unreachableSince == 0 && m.quarantine.startsPausedUntil <= s.now.Mono &&
-		s.now.Mono-m.connectivity.lastHeartbeatAt < s.missedHeartbeatsAfter()
+	return m.connectivity.unreachableSince == 0 && m.quarantine.startsPausedUntil <= c.now.Mono &&
+		c.now.Mono-m.connectivity.lastHeartbeatAt < c.missedHeartbeatsAfter()
 }
 
 // canHost reports whether tasks of the job may be placed on the machine, apart from its free
 // capacity and from limits on zones.
-func (s *Scheduler) canHost(m *machine, j *job) bool {
-	return s.schedulable(m) && !m.summarize().hasUnknownTask && j.allows(m.offer())
+func (c *clusterState) canHost(m *machine, j *job) bool {
+	return c.schedulable(m) && !m.summarize().hasUnknownTask && j.allows(m.offer())
 }
 
 // machinesWithCapacity gives the machines that may have capacity for one of the jobs' tasks:
 // for the smallest amounts that any of these takes. A full cluster then costs one scan of
 // the machines for each round, and not one for each job.
-func (s *Scheduler) machinesWithCapacity(jobs []*job) []*machine {
+func (c *clusterState) machinesWithCapacity(jobs []*job) []*machine {
 	if len(jobs) == 0 {
 		return nil
 	}
@@ -91,8 +91,8 @@
 		smallest.cpus, smallest.memoryGB = min(smallest.cpus, j.spec.CPUs), min(smallest.memoryGB, j.spec.MemoryGB)
 	}
 	var machines []*machine
-	for _, m := range s.cluster.sortedMachines() {
-		if m.machineSpec != nil && m.hasAtLeast(smallest) && s.schedulable(m) && !m.summarize().hasUnknownTask {
+	for _, m := range c.sortedMachines() {
+		if m.machineSpec != nil && m.hasAtLeast(smallest) && c.schedulable(m) && !m.summarize().hasUnknownTask {
 			machines = append(machines, m)
 		}
 	}
--- a/internal/scheduler/cluster.go
+++ b/internal/scheduler/cluster.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"slices"
-	"time"
 
 	"github.com/yarrowgap/yarrowgap/wire"
 )
@@ -52,11 +51,19 @@
 	r.memoryGB -= spec.MemoryGB
 }
 
-// addMachine enters a new machine.
-func (c *clusterState) addMachine(m *machine) {
-	m.machineSpec = c.machineTypes[m.machineType]
-	c.machines[m.name] = m
+// addMachine adds a machine that this term did not know of.
+func (c *clusterState) addMachine(name, machineType, zone string, spot bool, address string) *machine {
+	m := &machine{
+		name: name, machineType: machineType, zone: zone, spot: spot, address: address,
+		machineSpec: c.machineTypes[machineType],
+		knownAt:     c.now.Mono, idleSince: c.now.Mono,
+		cloud: cloudStatus{provisionedAt: c.now.Mono}, connectivity: connectivity{lastHeartbeatAt: c.now.Mono},
+		quarantine: quarantineState{failedJobs: map[string]bool{}},
+		tasks:      map[taskRef]*attempt{}, exited: map[taskRef]taskExit{}, batches: map[*assignmentBatch]bool{},
+	}
+	c.machines[name] = m
 	c.machinesByName = nil
+	return m
 }
 
 // sortedMachines gives the machines by name. The slice is not to be changed.
@@ -98,8 +105,8 @@
 
 // detach takes back what attach has counted. An ended job is forgotten with its last
 // attempt.
-func (c *clusterState) detach(a *attempt, now time.Duration) {
-	c.detachFromMachine(a, now)
+func (c *clusterState) detach(a *attempt) {
+	c.detachFromMachine(a)
 	j := a.job
 	if j == nil {
 		return
@@ -113,12 +120,12 @@
 	}
 }
 
-func (c *clusterState) detachFromMachine(a *attempt, now time.Duration) {
+func (c *clusterState) detachFromMachine(a *attempt) {
 	m := a.machine
 	delete(m.tasks, a.ref)
 	m.taskSummary = nil
 	if len(m.tasks) == 0 {
-		m.idleSince = now
+		m.idleSince = c.now.Mono
 		m.used = resources{} // without the rounding errors of sums
 		return
 	}
--- a/internal/scheduler/deadline.go
+++ b/internal/scheduler/deadline.go
@@ -111,13 +111,13 @@
 }
 
 // planDeadlines finds out for each job the first deadline that it can still meet.
-func (s *Scheduler) planDeadlines() {
-	planner := deadlinePlanner{now: s.now.Mono, teams: s.settings.Teams, serviceCPUs: map[string]float64{}}
-	planner.addJobs(s.cluster.jobs)
+func (c *clusterState) planDeadlines() {
+	planner := deadlinePlanner{now: c.now.Mono, teams: c.settings.Teams, serviceCPUs: map[string]float64{}}
+	planner.addJobs(c.jobs)
 	if len(planner.jobs) == 0 {
 		return
 	}
-	planner.totalCPUs = max(s.arrayCapacity(planner.largestJob()), 1)
+	planner.totalCPUs = max(c.arrayCapacity(planner.largestJob()), 1)
 	for tier := range planner.tiers {
 		planner.planTier(tier)
 	}
@@ -229,10 +229,10 @@
 // arrayCapacity is how many CPUs array jobs with tasks like those of j can use: on machines
 // that are up or booting, beside what services leave there. A machine with a service on it
 // may have no capacity for a large task.
-func (s *Scheduler) arrayCapacity(j *job) float64 {
+func (c *clusterState) arrayCapacity(j *job) float64 {
 	sum := 0.0
-	for _, m := range s.cluster.machines {
-		if !s.countsForPlanning(m) {
+	for _, m := range c.machines {
+		if !c.countsForPlanning(m) {
 			continue
 		}
 		free := totalResources(m.machineSpec)
@@ -250,9 +250,9 @@
 }
 
 // countsForPlanning reports whether the machine has capacity now or soon.
-func (s *Scheduler) countsForPlanning(m *machine) bool {
+func (c *clusterState) countsForPlanning(m *machine) bool {
 	if m.machineSpec == nil || m.cloud.failed || m.cloud.interruptionAt > 0 || m.phase == machineReleasing {
 		return false
 	}
-	return m.phase != machineUp || s.now.Mono-m.connectivity.lastHeartbeatAt <= s.missedHeartbeatsAfter()
+	return m.phase != machineUp || c.now.Mono-m.connectivity.lastHeartbeatAt <= c.missedHeartbeatsAfter()
 }
--- a/internal/scheduler/deadline_test.go
+++ b/internal/scheduler/deadline_test.go
@@ -44,7 +44,7 @@
 	for i, tasks := range []int{4, 16, 4, 4} {
 		h.submit(wire.Job{ID: fmt.Sprintf("run-%06d", i), Tasks: tasks, CPUs: 1, EstimatedRunS: 10, DeadlineS: &deadline})
 	}
-	h.scheduler.planDeadlines()
+	h.scheduler.cluster.planDeadlines()
 	for id, want := range map[string]int{"run-000000": 0, "run-000001": 1, "run-000002": 0, "run-000003": 0} {
 		if got := h.scheduler.cluster.jobs[id].plan.feasible; got != want {
 			t.Errorf("%s misses %d deadlines, want %d", id, got, want)
@@ -55,7 +55,7 @@
 	for _, j := range h.scheduler.cluster.jobs {
 		j.plan.deadlines = h.scheduler.settings.Objectives[j.spec.Class].deadlinesOf(&j.spec)
 	}
-	h.scheduler.planDeadlines()
+	h.scheduler.cluster.planDeadlines()
 	if j := h.scheduler.cluster.jobs["run-000001"]; j.plan.feasible != 1 || j.missesAllDeadlines() {
 		t.Errorf("misses %d of its deadlines %v", j.plan.feasible, j.plan.deadlines)
 	}
--- a/internal/scheduler/fleet_harness_test.go
+++ b/internal/scheduler/fleet_harness_test.go
@@ -155,7 +155,7 @@
 // refreshHeartbeats makes the last heartbeat of every machine one of just now.
 func (f *fleetHarness) refreshHeartbeats() {
 	f.scheduler.monitor.lastHeartbeatAt = f.now
-	for _, m := range f.scheduler.sortedMachines() {
+	for _, m := range f.scheduler.cluster.sortedMachines() {
 		m.connectivity.lastHeartbeatAt = f.now
 	}
 }
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -99,7 +99,7 @@
 	var machines []*machine
 	capacity := zoneCapacity{}
 	for _, m := range r.scheduler.cluster.sortedMachines() {
-		if !r.scheduler.canHost(m, j) {
+		if !r.scheduler.cluster.canHost(m, j) {
 			continue
 		}
 		if slots := m.gangSlots(j); slots > 0 {
@@ -160,7 +160,7 @@
 	attemptsByZone := j.attemptsByZone()
 	capacity := zoneCapacity{}
 	for _, m := range r.scheduler.cluster.sortedMachines() {
-		if !r.scheduler.canHost(m, j) || !j.allowsZone(attemptsByZone, m.zone) {
+		if !r.scheduler.cluster.canHost(m, j) || !j.allowsZone(attemptsByZone, m.zone) {
 			continue
 		}
 		slots := m.productionSlots(j, n)
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -145,7 +145,7 @@
 func (s *Scheduler) findOrAdoptMachine(heartbeat *wire.Heartbeat) *machine {
 	m := s.cluster.machines[heartbeat.Machine]
 	if m == nil {
-		m = s.addMachine(heartbeat.Machine, heartbeat.Type, heartbeat.Zone, heartbeat.Spot, heartbeat.Address)
+		m = s.cluster.addMachine(heartbeat.Machine, heartbeat.Type, heartbeat.Zone, heartbeat.Spot, heartbeat.Address)
 		s.logInfo("machine adopted from its heartbeat", "machine", m.name, "type", m.machineType, "zone", m.zone, "spot", m.spot)
 	}
 	if m.phase == machineBooting {
--- a/internal/scheduler/heartbeat_test.go
+++ b/internal/scheduler/heartbeat_test.go
@@ -334,7 +334,7 @@
 	r := h.newHeartbeat("n-1", h.fencingToken("n-1"))
 	r.Incarnation = 2
 	h.scheduler.Heartbeat(h.clock(), r)
-	if m := h.scheduler.cluster.machines["n-1"]; m.connectivity.unreachableSince == 0 || h.scheduler.schedulable(m) {
+	if m := h.scheduler.cluster.machines["n-1"]; m.connectivity.unreachableSince == 0 || h.scheduler.cluster.schedulable(m) {
 		t.Fatal("usable though replies to it are lost")
 	}
 	h.scheduler.Tick(h.clock())
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -103,7 +103,7 @@
 }
 
 // addJob adds a live job that this term did not know of.
-func (s *Scheduler) addJob(live *LiveJob) *job {
+func (c *clusterState) addJob(live *LiveJob) *job {
 	record := live.Record
 	j := &job{
 		id: record.Job.ID, spec: record.Job, modRevision: live.ModRevision,
@@ -115,20 +115,20 @@
 		retry: retryState{failedMachines: map[string]bool{}},
 	}
 	// Its age is known by the time of day; the clock of the process is a steady one.
-	j.createdAt = s.now.Mono - time.Duration(max(0, s.now.Wall-record.Job.CreatedAtMilli))*time.Millisecond
-	j.plan.deadlines = s.settings.Objectives[j.spec.Class].deadlinesOf(&j.spec)
-	s.mergeDoneBits(j, 0, record.Done)
-	s.cluster.jobs[j.id] = j
+	j.createdAt = c.now.Mono - time.Duration(max(0, c.now.Wall-record.Job.CreatedAtMilli))*time.Millisecond
+	j.plan.deadlines = c.settings.Objectives[j.spec.Class].deadlinesOf(&j.spec)
+	c.mergeDoneBits(j, 0, record.Done)
+	c.jobs[j.id] = j
 	return j
 }
 
 // mergeDoneBits takes a chunk of done bits from a stored record.
-func (s *Scheduler) mergeDoneBits(j *job, chunk int, encoded string) {
+func (c *clusterState) mergeDoneBits(j *job, chunk int, encoded string) {
 	if encoded == "" {
 		return
 	}
 	if err := j.progress.mergeSaved(chunk, encoded); err != nil {
-		s.logInfo("invalid done bitmap in a job record", "job", j.id, "err", err.Error())
+		c.logInfo("invalid done bitmap in a job record", "job", j.id, "err", err.Error())
 	}
 }
 
@@ -145,7 +145,7 @@
 		return
 	}
 	j.write.chunkRevisions[chunk] = item.ModRevision
-	s.mergeDoneBits(j, chunk, record.Done)
+	s.cluster.mergeDoneBits(j, chunk, record.Done)
 }
 
 // archiveJob takes note that a job has ended: its live record is gone. Attempts that
--- a/internal/scheduler/job_changes.go
+++ b/internal/scheduler/job_changes.go
@@ -27,7 +27,7 @@
 // addChangedJob adds a job that was submitted in this term, or whose record is seen for
 // the first time.
 func (s *Scheduler) addChangedJob(live *LiveJob) {
-	j := s.addJob(live)
+	j := s.cluster.addJob(live)
 	// The watch's answer may be older than a peer's list of cancellations, which comes
 	// once: a job that the watch has as new may have been cancelled since.
 	_, cancelled := s.cancellations.pending[j.id]
@@ -41,7 +41,7 @@
 // updateJob takes a later record of a job.
 func (s *Scheduler) updateJob(j *job, live *LiveJob) {
 	j.modRevision = live.ModRevision
-	s.mergeDoneBits(j, 0, live.Record.Done)
+	s.cluster.mergeDoneBits(j, 0, live.Record.Done)
 	s.dropSavedAssignments(j)
 	if live.Record.Cancelled && !j.cancelled {
 		s.cancelJob(j)
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -117,22 +117,6 @@
 	unreachableSince time.Duration
 }
 
-// addMachine adds a machine that this term did not know of.
-func (s *Scheduler) addMachine(name, machineType, zone string, spot bool, address string) *machine {
-	m := &machine{
-		name: name, machineType: machineType, zone: zone, spot: spot, address: address,
-		knownAt: s.now.Mono, idleSince: s.now.Mono,
-		cloud: cloudStatus{provisionedAt: s.now.Mono}, connectivity: connectivity{lastHeartbeatAt: s.now.Mono},
-		quarantine: quarantineState{failedJobs: map[string]bool{}},
-		tasks:      map[taskRef]*attempt{}, exited: map[taskRef]taskExit{}, batches: map[*assignmentBatch]bool{},
-	}
-	s.cluster.addMachine(m)
-	return m
-}
-
-// sortedMachines gives the machines by name. The slice is not to be changed.
-func (s *Scheduler) sortedMachines() []*machine { return s.cluster.sortedMachines() }
-
 // queueUnexpectedStop has a command sent with what is next sent to the machine.
 func (m *machine) queueUnexpectedStop(command wire.Command) {
 	m.unexpectedStops = append(m.unexpectedStops, command)
--- a/internal/scheduler/machinescan.go
+++ b/internal/scheduler/machinescan.go
@@ -11,7 +11,7 @@
 // scanMachines visits every machine, beginning with those for which the last scan had no
 // status probe left.
 func (s *Scheduler) scanMachines() {
-	list := s.sortedMachines()
+	list := s.cluster.sortedMachines()
 	first, _ := slices.BinarySearchFunc(list, s.dispatcher.probes.nextMachine, func(m *machine, name string) int { return strings.Compare(m.name, name) })
 	s.dispatcher.probes.nextMachine = ""
 	for i := range list {
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -80,7 +80,7 @@
 func (s *Scheduler) placePending() []unplacedTasks {
 	s.placement.due = false
 	_, totalCPUs := s.cpuUsage()
-	queue := s.schedulingQueue(totalCPUs)
+	queue := s.cluster.schedulingQueue(totalCPUs)
 	round := s.newPlacementRound(queue, totalCPUs)
 	for _, j := range queue {
 		round.visit(j, mainPass)
@@ -94,7 +94,7 @@
 // newPlacementRound prepares a round over the queue.
 func (s *Scheduler) newPlacementRound(queue []*job, totalCPUs float64) *placementRound {
 	r := &placementRound{
-		scheduler: s, now: s.now.Mono, totalCPUs: totalCPUs, machines: s.machinesWithCapacity(queue),
+		scheduler: s, now: s.now.Mono, totalCPUs: totalCPUs, machines: s.cluster.machinesWithCapacity(queue),
 		agedShareCPUs: totalCPUs * tuning.AgedShare,
 		quota:         newQuotaReservations(), claimedCPUs: map[*machine]float64{},
 	}
@@ -166,7 +166,7 @@
 func (r *placementRound) newDemand(j *job, pass placementPass) jobDemand {
 	d := jobDemand{job: j, pass: pass, waiting: r.placeableTasks(j)}
 	r.quota.set(j, 0) // what it reserved for itself is its own to use
-	d.quotaHeadroom = r.scheduler.quotaHeadroom(j, r.quota.byTeam[j.spec.Team])
+	d.quotaHeadroom = r.scheduler.cluster.quotaHeadroom(j, r.quota.byTeam[j.spec.Team])
 	d.hostable = d.waiting
 	if j.isProduction() || j.spec.Gang() {
 		d.hostable = r.hostableTasks(j, d.waiting)
@@ -268,7 +268,7 @@
 }
 
 func (r *placementRound) newMachinePicker(j *job) *machinePicker {
-	return r.scheduler.newMachinePicker(j, r.machines)
+	return r.scheduler.cluster.newMachinePicker(j, r.machines)
 }
 
 // assign makes a new attempt of a task on the machine. No start is sent before the
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -22,7 +22,7 @@
 	if !s.settings.Policy.Preempt || !j.isProduction() || s.reconciler.HoldsTeamLimits() {
 		return
 	}
-	shortfall := s.quotaShortfall(j, n)
+	shortfall := s.cluster.quotaShortfall(j, n)
 	var victims []*attempt
 	for _, other := range s.cluster.jobs {
 		if other.spec.Team != j.spec.Team || other == j {
@@ -51,7 +51,7 @@
 func (r *placementRound) compareTeamVictims(j *job, a, b *attempt) int {
 	startsAtOnce := func(a *attempt) bool {
 		m := a.machine
-		return r.scheduler.schedulable(m) && j.allows(m.offer()) && m.hasImage(j.spec.Image)
+		return r.scheduler.cluster.schedulable(m) && j.allows(m.offer()) && m.hasImage(j.spec.Image)
 	}
 	if c := compareTrueFirst(startsAtOnce(a), startsAtOnce(b)); c != 0 {
 		return c
@@ -92,7 +92,7 @@
 // mayPreempt reports whether the rules allow preempting the attempt for the job: work of
 // lower priority, and, for a job within its team's guarantee, what another team has beyond
 // its own.
-func (s *Scheduler) mayPreempt(j *job, a *attempt) bool {
+func (c *clusterState) mayPreempt(j *job, a *attempt) bool {
 	victim := a.job
 	if victim == nil || victim == j || a.stop.requested || a.startUnderWay() {
 		return false
@@ -106,13 +106,13 @@
 	if !j.standing.withinGuarantee || victim.standing.withinGuarantee || victim.spec.Team == j.spec.Team || victim.isProduction() {
 		return false
 	}
-	return s.exceedsGuarantee(victim)
+	return c.exceedsGuarantee(victim)
 }
 
 // exceedsGuarantee reports whether the job's team keeps its guarantee without one of the
 // job's tasks.
-func (s *Scheduler) exceedsGuarantee(j *job) bool {
-	guarantee, usage := s.settings.Teams[j.spec.Team], s.cluster.usageOf(j.spec.Team)
+func (c *clusterState) exceedsGuarantee(j *job) bool {
+	guarantee, usage := c.settings.Teams[j.spec.Team], c.usageOf(j.spec.Team)
 	return usage.CPUs-j.spec.CPUs >= guarantee.CPUs-epsilon ||
 		j.spec.GPUs > 0 && usage.GPUs-j.spec.GPUs >= guarantee.GPUs-epsilon
 }
@@ -252,7 +252,7 @@
 	if !math.IsInf(p.maxCost, 1) && (!m.hasImage(p.job.spec.Image) || p.costs.cost(p.job, m, p.spread) >= p.maxCost) {
 		return false
 	}
-	return p.round.scheduler.canHost(m, p.job) && p.spread.allowsZone(p.job, m.zone) && m.quarantine.until <= p.round.now
+	return p.round.scheduler.cluster.canHost(m, p.job) && p.spread.allowsZone(p.job, m.zone) && m.quarantine.until <= p.round.now
 }
 
 // inspect gives the machine's capacity once the stops under way have ended, and the
@@ -267,7 +267,7 @@
 	for _, a := range m.tasks {
 		if a.stop.requested && a.job != nil {
 			pending.used.removeTask(&a.job.spec)
-		} else if p.round.scheduler.mayPreempt(p.job, a) && (p.scope != preemptIdle || a.job.rank == idleRank) {
+		} else if p.round.scheduler.cluster.mayPreempt(p.job, a) && (p.scope != preemptIdle || a.job.rank == idleRank) {
 			victims = append(victims, a)
 		}
 	}
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -90,7 +90,7 @@
 		s := newEmptyScheduler(Now{}, Settings{Teams: map[string]TeamQuota{"blue": {CPUs: 8, CPUsMax: 16}}}, 1)
 		s.cluster.usageOf("blue").CPUs = 10
 		a := &attempt{job: &tc.victim, start: tc.start, stop: tc.stop}
-		if got := s.mayPreempt(&tc.job, a); got != tc.want {
+		if got := s.cluster.mayPreempt(&tc.job, a); got != tc.want {
 			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
 		}
 	}
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -26,24 +26,24 @@
 // schedulingQueue gives the jobs with tasks to place in the order in which a placement
 // round takes them, see compareQueueOrder. It brings their standing and their deadline
 // plan up to date first.
-func (s *Scheduler) schedulingQueue(totalCPUs float64) []*job {
+func (c *clusterState) schedulingQueue(totalCPUs float64) []*job {
 	var waiting []*job
-	for _, j := range s.cluster.jobs {
+	for _, j := range c.jobs {
 		if j.pendingTasks() == 0 {
 			j.waiting.since = 0
 		}
 		if !j.isOpen() {
 			continue
 		}
-		j.updateStarvation(s.now.Mono, totalCPUs)
-		if j.pendingTasks() > 0 && s.now.Mono >= j.retry.at {
+		j.updateStarvation(c.now.Mono, totalCPUs)
+		if j.pendingTasks() > 0 && c.now.Mono >= j.retry.at {
 			waiting = append(waiting, j)
 		}
 	}
-	s.updateGuarantees()
-	s.planDeadlines()
+	c.updateGuarantees()
+	c.planDeadlines()
 	for _, j := range waiting {
-		j.updateUrgency(s.now.Mono)
+		j.updateUrgency(c.now.Mono)
 	}
 	slices.SortFunc(waiting, compareQueueOrder)
 	return waiting
@@ -107,9 +107,9 @@
 
 // updateGuarantees finds out which jobs are within their team's guarantee: it covers the
 // team's oldest jobs, each with all tasks that are not done.
-func (s *Scheduler) updateGuarantees() {
+func (c *clusterState) updateGuarantees() {
 	jobsByTeam := map[string][]*job{}
-	for _, j := range s.cluster.jobs {
+	for _, j := range c.jobs {
 		if j.isOpen() {
 			jobsByTeam[j.spec.Team] = append(jobsByTeam[j.spec.Team], j)
 		}
@@ -118,7 +118,7 @@
 		slices.SortFunc(jobs, func(a, b *job) int {
 			return cmp.Or(cmp.Compare(a.spec.CreatedAtMilli, b.spec.CreatedAtMilli), strings.Compare(a.id, b.id))
 		})
-		guarantee := s.settings.Teams[team]
+		guarantee := c.settings.Teams[team]
 		cpus, gpus := 0.0, 0.0
 		for _, j := range jobs {
 			unfinished := float64(j.spec.Tasks - j.progress.doneCount)
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -50,7 +50,7 @@
 		j.spec.Team, j.spec.CPUs, j.spec.Tasks, j.spec.CreatedAtMilli = "red", 1, 4, int64(i)
 		s.cluster.jobs[id] = j
 	}
-	s.updateGuarantees()
+	s.cluster.updateGuarantees()
 	var within []string
 	for id, j := range s.cluster.jobs {
 		if j.standing.withinGuarantee {
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -33,12 +33,12 @@
 // quotaHeadroom is how many more tasks of the job its team's limit allows, beside what is
 // reserved. All attempts that may be on a machine count against the limit: also those that
 // save a checkpoint, and those whose start is not known to have failed.
-func (s *Scheduler) quotaHeadroom(j *job, reserved TeamQuota) int {
-	limit, ok := s.settings.Teams[j.spec.Team]
+func (c *clusterState) quotaHeadroom(j *job, reserved TeamQuota) int {
+	limit, ok := c.settings.Teams[j.spec.Team]
 	if !ok {
 		return 0
 	}
-	usage := s.cluster.usageOf(j.spec.Team)
+	usage := c.usageOf(j.spec.Team)
 	count := math.Inf(1)
 	if j.spec.CPUs > 0 {
 		count = min(count, math.Floor((limit.CPUsMax-usage.CPUs-reserved.CPUs+epsilon)/j.spec.CPUs))
@@ -50,8 +50,8 @@
 }
 
 // quotaShortfall is what so many tasks of the job would take beyond its team's limit.
-func (s *Scheduler) quotaShortfall(j *job, tasks int) resources {
-	limit, usage := s.settings.Teams[j.spec.Team], s.cluster.usageOf(j.spec.Team)
+func (c *clusterState) quotaShortfall(j *job, tasks int) resources {
+	limit, usage := c.settings.Teams[j.spec.Team], c.usageOf(j.spec.Team)
 	return resources{
 		cpus: usage.CPUs + float64(tasks)*j.spec.CPUs - limit.CPUsMax,
 		gpus: usage.GPUs + float64(tasks)*j.spec.GPUs - limit.GPUsMax,
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -49,11 +49,11 @@
 		usage := s.cluster.usageOf("red")
 		usage.CPUs, usage.GPUs = tc.usage.CPUs, tc.usage.GPUs
 		tc.spec.Team = "red"
-		if got := s.quotaHeadroom(&job{spec: tc.spec}, tc.reserved); got != tc.want {
+		if got := s.cluster.quotaHeadroom(&job{spec: tc.spec}, tc.reserved); got != tc.want {
 			t.Errorf("%s: %d, want %d", tc.name, got, tc.want)
 		}
 	}
-	if got := newEmptyScheduler(Now{}, Settings{}, 1).quotaHeadroom(&job{spec: wire.Job{Team: "unknown", CPUs: 1}}, TeamQuota{}); got != 0 {
+	if got := newEmptyScheduler(Now{}, Settings{}, 1).cluster.quotaHeadroom(&job{spec: wire.Job{Team: "unknown", CPUs: 1}}, TeamQuota{}); got != 0 {
 		t.Errorf("a team without quota settings: %d", got)
 	}
 }
--- a/internal/scheduler/reconciliation.go
+++ b/internal/scheduler/reconciliation.go
@@ -70,7 +70,7 @@
 		//mutation:unrecorded-attempt-placement
 		e.MachineAllowed = j.mayAdoptOn(a.machine)
 		//mutation:unrecorded-attempt-over-limit
-		e.OverQuota = s.quotaHeadroom(j, TeamQuota{}) < 1
+		e.OverQuota = s.cluster.quotaHeadroom(j, TeamQuota{}) < 1
 	}
 	return e
 }
--- a/internal/scheduler/scalein.go
+++ b/internal/scheduler/scalein.go
@@ -27,7 +27,7 @@
 	missingZones := s.zonesMissingHeartbeats()
 	var headroom *fleetHeadroom // counted only if a machine is idle
 	var names []string
-	for _, m := range s.sortedMachines() {
+	for _, m := range s.cluster.sortedMachines() {
 		if len(names) == tuning.MaxReleaseBatch {
 			break
 		}
@@ -72,7 +72,7 @@
 // for once more.
 func (s *Scheduler) releasesToRetry(limit int) []string {
 	var names []string
-	for _, m := range s.sortedMachines() {
+	for _, m := range s.cluster.sortedMachines() {
 		if m.phase == machineReleasing && m.release.retryDue && len(names) < limit {
 			m.release.retryDue = false
 			names = append(names, m.name)
--- a/internal/scheduler/scalein_test.go
+++ b/internal/scheduler/scalein_test.go
@@ -83,7 +83,7 @@
 	h.bringUp(machines...)
 	h.submit(wire.Job{ID: "run-000001", Tasks: 3, CPUs: 5})
 	var busy []string
-	for _, m := range h.scheduler.sortedMachines() {
+	for _, m := range h.scheduler.cluster.sortedMachines() {
 		if len(m.tasks) > 0 {
 			busy = append(busy, m.name)
 		}
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -48,7 +48,7 @@
 func (s *Scheduler) newScaleOutPlan(unplaced []unplacedTasks) *scaleOutPlan {
 	plan := &scaleOutPlan{scheduler: s, machinesByZone: map[string]int{}, requests: map[offer]int{}}
 	delayed := s.delayedBoots()
-	for _, m := range s.sortedMachines() {
+	for _, m := range s.cluster.sortedMachines() {
 		if m.phase != machineReleasing {
 			plan.machinesByZone[m.zone]++
 			plan.machineCount++
@@ -273,7 +273,7 @@
 		}
 		m := s.cluster.machines[name]
 		if m == nil {
-			m = s.addMachine(name, o.machineType, o.zone, o.spot, "")
+			m = s.cluster.addMachine(name, o.machineType, o.zone, o.spot, "")
 		}
 		m.cloud.provisionedInTerm = true
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -98,7 +98,7 @@
 // restoreJobs adds the jobs that were live before the term.
 func (s *Scheduler) restoreJobs(replica *Replica, doneBits []wire.KeyValue) {
 	for _, live := range replica.Live {
-		s.addJob(live).recovered = true
+		s.cluster.addJob(live).recovered = true
 	}
 	for _, item := range doneBits {
 		s.restoreDoneBits(item)
--- a/internal/scheduler/zone_partition.go
+++ b/internal/scheduler/zone_partition.go
@@ -114,7 +114,7 @@
 	if services > 0 {
 		return 2*movable >= float64(services)
 	}
-	return other != nil && s.fitsSomewhereCached(other)
+	return other != nil && s.cluster.fitsSomewhereCached(other)
 }
 
 // movableShare is the share of a job's tasks in a zone that its spread allows in the others.
