--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -64,7 +64,7 @@
 		return false
 	}
 	for _, a := range members {
-		r.scheduler.persister.queueAssignment(a)
+		r.persister.queueAssignment(a)
 	}
 	return true
 }
@@ -98,8 +98,8 @@
 func (r *placementRound) reserveForGang(j *job, n int) {
 	var machines []*machine
 	capacity := zoneCapacity{}
-	for _, m := range r.scheduler.cluster.sortedMachines() {
-		if !r.scheduler.cluster.canHost(m, j) {
+	for _, m := range r.cluster.sortedMachines() {
+		if !r.cluster.canHost(m, j) {
 			continue
 		}
 		if slots := m.gangSlots(j); slots > 0 {
@@ -131,7 +131,7 @@
 		}
 		reserved[m.zone] += slots
 		n -= slots
-		m.reserve(j, r.now)
+		m.reserve(j, r.now.Mono)
 	}
 }
 
@@ -154,13 +154,13 @@
 // machines that may be on their way, and all n count.
 func (r *placementRound) hostableTasks(j *job, n int) int {
 	//mutation:reservation-wait-bound
-	if r.now-j.waiting.since < tuning.ReservationTTL {
+	if r.now.Mono-j.waiting.since < tuning.ReservationTTL {
 		return n
 	}
 	attemptsByZone := j.attemptsByZone()
 	capacity := zoneCapacity{}
-	for _, m := range r.scheduler.cluster.sortedMachines() {
-		if !r.scheduler.cluster.canHost(m, j) || !j.allowsZone(attemptsByZone, m.zone) {
+	for _, m := range r.cluster.sortedMachines() {
+		if !r.cluster.canHost(m, j) || !j.allowsZone(attemptsByZone, m.zone) {
 			continue
 		}
 		slots := m.productionSlots(j, n)
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/yarrowgap/yarrowgap/internal/reconcile"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
@@ -32,8 +33,12 @@
 // capacity and quota, and a preempted attempt that was never sent frees both. It changes
 // the cluster only through assign, undoAssignments, preempt and machine.reserve.
 type placementRound struct {
-	scheduler *Scheduler
-	now       time.Duration
+	*termContext
+	cluster    *clusterState
+	persister  *persistState
+	reconciler *reconcile.Reconciler
+	scheduler  *Scheduler // numbers attempts, and sees to what follows from their end
+
 	totalCPUs float64    // of the cluster
 	machines  []*machine // with capacity for the smallest task that waits
 
@@ -94,7 +99,8 @@
 // newPlacementRound prepares a round over the queue.
 func (s *Scheduler) newPlacementRound(queue []*job, totalCPUs float64) *placementRound {
 	r := &placementRound{
-		scheduler: s, now: s.now.Mono, totalCPUs: totalCPUs, machines: s.cluster.machinesWithCapacity(queue),
+		termContext: s.termContext, cluster: &s.cluster, persister: &s.persister, reconciler: s.reconciler, scheduler: s,
+		totalCPUs: totalCPUs, machines: s.cluster.machinesWithCapacity(queue),
 		agedShareCPUs: totalCPUs * tuning.AgedShare,
 		quota:         newQuotaReservations(), claimedCPUs: map[*machine]float64{},
 	}
@@ -117,7 +123,7 @@
 		return
 	}
 	if j.waiting.since == 0 {
-		j.waiting.since = r.now
+		j.waiting.since = r.now.Mono
 	}
 	if reason := r.heldBack(j); reason != NotWaiting {
 		j.waiting.reason = reason
@@ -138,11 +144,11 @@
 
 // heldBack is why nothing of the job may be placed, whatever machines and quota there are.
 func (r *placementRound) heldBack(j *job) WaitReason {
-	if r.scheduler.persister.mayBeInUnreadableRecord(j) {
+	if r.persister.mayBeInUnreadableRecord(j) {
 		return WaitForRecords
 	}
 	//mutation:reconciliation-holds-recovered-work
-	if j.recovered && r.scheduler.reconciler.HoldsRecoveredWork() {
+	if j.recovered && r.reconciler.HoldsRecoveredWork() {
 		return WaitForHeartbeats
 	}
 	if r.placeableTasks(j) <= 0 {
@@ -155,7 +161,7 @@
 // submitted with a mistake is tried with one task at a time.
 func (r *placementRound) placeableTasks(j *job) int {
 	waiting := j.pendingTasks()
-	if !j.spec.Gang() && j.likelyInvalid(r.now) {
+	if !j.spec.Gang() && j.likelyInvalid(r.now.Mono) {
 		return min(waiting, 1-j.activeCount)
 	}
 	return waiting
@@ -166,7 +172,7 @@
 func (r *placementRound) newDemand(j *job, pass placementPass) jobDemand {
 	d := jobDemand{job: j, pass: pass, waiting: r.placeableTasks(j)}
 	r.quota.set(j, 0) // what it reserved for itself is its own to use
-	d.quotaHeadroom = r.scheduler.cluster.quotaHeadroom(j, r.quota.byTeam[j.spec.Team])
+	d.quotaHeadroom = r.cluster.quotaHeadroom(j, r.quota.byTeam[j.spec.Team])
 	d.hostable = d.waiting
 	if j.isProduction() || j.spec.Gang() {
 		d.hostable = r.hostableTasks(j, d.waiting)
@@ -260,22 +266,22 @@
 			return placed
 		}
 		a := r.assign(j, index, m)
-		r.scheduler.persister.queueAssignment(a)
+		r.persister.queueAssignment(a)
 		picker.recordAssignment(m)
-		r.scheduler.logDebug("task placed", "task", wire.TaskName(j.id, index), "attempt", a.number, "machine", m.name, "has_image", m.hasImage(j.spec.Image))
+		r.logDebug("task placed", "task", wire.TaskName(j.id, index), "attempt", a.number, "machine", m.name, "has_image", m.hasImage(j.spec.Image))
 	}
 	return n
 }
 
 func (r *placementRound) newMachinePicker(j *job) *machinePicker {
-	return r.scheduler.cluster.newMachinePicker(j, r.machines)
+	return r.cluster.newMachinePicker(j, r.machines)
 }
 
 // assign makes a new attempt of a task on the machine. No start is sent before the
 // assignment is recorded, for which it has to be queued.
 func (r *placementRound) assign(j *job, index int, m *machine) *attempt {
 	a := r.scheduler.newAttempt(j, index, m)
-	r.scheduler.cluster.attach(a)
+	r.cluster.attach(a)
 	return a
 }
 
@@ -286,7 +292,7 @@
 	if !j.service || !j.isProduction() || m.hasImage(j.spec.Image) || m.fetchSeconds(j) < tuning.MinFetchForPreemptionS {
 		return false
 	}
-	if r.now-j.waiting.since > tuning.MaxWarmCapacityWait {
+	if r.now.Mono-j.waiting.since > tuning.MaxWarmCapacityWait {
 		return false
 	}
 	// Only where the task would then really go, or capacity would be freed in vain in round
@@ -301,6 +307,6 @@
 		return
 	}
 	j.placedOnce = true
-	r.scheduler.logInfo("job placed", "job", j.id, "tasks", placed, "active", j.activeCount, "waiting", j.pendingTasks(),
-		"after_s", (r.now - j.createdAt).Seconds())
+	r.logInfo("job placed", "job", j.id, "tasks", placed, "active", j.activeCount, "waiting", j.pendingTasks(),
+		"after_s", (r.now.Mono - j.createdAt).Seconds())
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -18,13 +18,12 @@
 // preemptWithinTeam preempts lower work of the production job's own team until the team's
 // limit allows n tasks of the job.
 func (r *placementRound) preemptWithinTeam(j *job, n int) {
-	s := r.scheduler
-	if !s.settings.Policy.Preempt || !j.isProduction() || s.reconciler.HoldsTeamLimits() {
+	if !r.settings.Policy.Preempt || !j.isProduction() || r.reconciler.HoldsTeamLimits() {
 		return
 	}
-	shortfall := s.cluster.quotaShortfall(j, n)
+	shortfall := r.cluster.quotaShortfall(j, n)
 	var victims []*attempt
-	for _, other := range s.cluster.jobs {
+	for _, other := range r.cluster.jobs {
 		if other.spec.Team != j.spec.Team || other == j {
 			continue
 		}
@@ -51,7 +50,7 @@
 func (r *placementRound) compareTeamVictims(j *job, a, b *attempt) int {
 	startsAtOnce := func(a *attempt) bool {
 		m := a.machine
-		return r.scheduler.cluster.schedulable(m) && j.allows(m.offer()) && m.hasImage(j.spec.Image)
+		return r.cluster.schedulable(m) && j.allows(m.offer()) && m.hasImage(j.spec.Image)
 	}
 	if c := compareTrueFirst(startsAtOnce(a), startsAtOnce(b)); c != 0 {
 		return c
@@ -74,14 +73,13 @@
 // preempt stops an attempt to make way for the job. Except for production, which does not
 // wait for that, the attempt may save a checkpoint first.
 func (r *placementRound) preempt(victim *attempt, j *job, cause preemptionCause) {
-	s := r.scheduler
-	s.counters.Preempted++
-	s.logDebug("task preempted", "task", wire.TaskName(victim.ref.jobID, victim.ref.index), "attempt", victim.number,
+	r.counters.Preempted++
+	r.logDebug("task preempted", "task", wire.TaskName(victim.ref.jobID, victim.ref.index), "attempt", victim.number,
 		"machine", victim.machine.name, "for_job", j.id, "reason", string(cause))
 	if victim.job.spec.CheckpointIntervalS > 0 && !j.isProduction() {
-		s.stopAfterCheckpoint(victim, StopPreempted)
+		r.scheduler.stopAfterCheckpoint(victim, StopPreempted)
 	} else {
-		s.stopNow(victim, StopPreempted)
+		r.scheduler.stopNow(victim, StopPreempted)
 	}
 }
 
@@ -142,7 +140,7 @@
 // that have the image and cost less.
 func (r *placementRound) searchPreemptions(j *job, n int, maxCost float64) int {
 	//mutation:preemption-counts-unconfirmed-capacity
-	if !r.scheduler.settings.Policy.Preempt || r.scheduler.mayFitUnconfirmed(r, j) {
+	if !r.settings.Policy.Preempt || r.scheduler.mayFitUnconfirmed(r, j) {
 		return 0
 	}
 	scope := r.preemptionScope(j)
@@ -151,7 +149,7 @@
 	}
 	search := &preemptionSearch{
 		round: r, job: j, wanted: n, scope: scope, maxCost: maxCost,
-		costs: r.scheduler.newCostModel(), spread: j.taskSpread(),
+		costs: r.newCostModel(), spread: j.taskSpread(),
 	}
 	options := search.collectOptions()
 	if search.found < n {
@@ -164,7 +162,7 @@
 // jobs beyond their team's guarantee. Other work does so only for jobs within it, and after
 // a while: capacity may become free by itself, and what is preempted loses its progress.
 func (r *placementRound) preemptionScope(j *job) preemptionScope {
-	if j.isProduction() || j.standing.withinGuarantee && r.now-j.createdAt >= r.scheduler.settings.GuaranteedStartWithin/2 {
+	if j.isProduction() || j.standing.withinGuarantee && r.now.Mono-j.createdAt >= r.settings.GuaranteedStartWithin/2 {
 		return preemptLower
 	}
 	if j.rank >= idleRank || !r.idlePreemptable {
@@ -179,12 +177,12 @@
 	if j.isProduction() {
 		return true
 	}
-	lately := j.waiting.preemptionTriedAt > 0 && r.now-j.waiting.preemptionTriedAt < tuning.MinPreemptionInterval
+	lately := j.waiting.preemptionTriedAt > 0 && r.now.Mono-j.waiting.preemptionTriedAt < tuning.MinPreemptionInterval
 	if lately || r.preemptionSearches >= tuning.PreemptionJobsPerRound {
 		return false
 	}
 	r.preemptionSearches++
-	j.waiting.preemptionTriedAt = r.now
+	j.waiting.preemptionTriedAt = r.now.Mono
 	return true
 }
 
@@ -222,7 +220,7 @@
 // collects where preemption would free more, until there is enough.
 func (p *preemptionSearch) collectOptions() []preemptionOption {
 	var options []preemptionOption
-	for _, m := range p.round.scheduler.cluster.sortedMachines() {
+	for _, m := range p.round.cluster.sortedMachines() {
 		if p.found == p.wanted {
 			return nil
 		}
@@ -252,7 +250,7 @@
 	if !math.IsInf(p.maxCost, 1) && (!m.hasImage(p.job.spec.Image) || p.costs.cost(p.job, m, p.spread) >= p.maxCost) {
 		return false
 	}
-	return p.round.scheduler.cluster.canHost(m, p.job) && p.spread.allowsZone(p.job, m.zone) && m.quarantine.until <= p.round.now
+	return p.round.cluster.canHost(m, p.job) && p.spread.allowsZone(p.job, m.zone) && m.quarantine.until <= p.round.now.Mono
 }
 
 // inspect gives the machine's capacity once the stops under way have ended, and the
@@ -267,7 +265,7 @@
 	for _, a := range m.tasks {
 		if a.stop.requested && a.job != nil {
 			pending.used.removeTask(&a.job.spec)
-		} else if p.round.scheduler.cluster.mayPreempt(p.job, a) && (p.scope != preemptIdle || a.job.rank == idleRank) {
+		} else if p.round.cluster.mayPreempt(p.job, a) && (p.scope != preemptIdle || a.job.rank == idleRank) {
 			victims = append(victims, a)
 		}
 	}
@@ -280,8 +278,8 @@
 	// A reservation for another job stays. If two jobs took it from each other, each would
 	// find the machine reserved for the other once the capacity is free.
 	//mutation:reservation-is-kept
-	if m.reservation.jobID == p.job.id || m.reservation.until <= p.round.now || p.job.isProduction() {
-		m.reserve(p.job, p.round.now)
+	if m.reservation.jobID == p.job.id || m.reservation.until <= p.round.now.Mono || p.job.isProduction() {
+		m.reserve(p.job, p.round.now.Mono)
 	}
 	p.spread.add(m)
 	p.found++
@@ -323,7 +321,7 @@
 	if c := cmp.Or(cmp.Compare(b.job.rank, a.job.rank), cmp.Compare(b.job.plan.feasible, a.job.plan.feasible)); c != 0 {
 		return c
 	}
-	if c := compareTrueFirst(b.job.hasTightDeadline(p.round.now), a.job.hasTightDeadline(p.round.now)); c != 0 {
+	if c := compareTrueFirst(b.job.hasTightDeadline(p.round.now.Mono), a.job.hasTightDeadline(p.round.now.Mono)); c != 0 {
 		return c
 	}
 	return cmp.Or(cmp.Compare(b.placedAt, a.placedAt), cmp.Compare(b.number, a.number))
@@ -331,11 +329,11 @@
 
 // stopCost is what is lost with the attempt, in CPU seconds.
 func (p *preemptionSearch) stopCost(a *attempt) float64 {
-	lost := (p.round.now - a.placedAt).Seconds() * max(1, a.job.spec.CPUs)
+	lost := (p.round.now.Mono - a.placedAt).Seconds() * max(1, a.job.spec.CPUs)
 	switch {
 	case a.job.missesAllDeadlines():
 		return lost / 2
-	case a.job.hasTightDeadline(p.round.now):
+	case a.job.hasTightDeadline(p.round.now.Mono):
 		return lost + tuning.DeadlineMissCost
 	}
 	return lost
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -37,7 +37,7 @@
 		victim(7, urgentRank, 0, nil),
 		victim(8, idleRank, 0, func(j *job) { j.standing.starved = true }),
 	}
-	search := &preemptionSearch{round: &placementRound{now: now}}
+	search := &preemptionSearch{round: &placementRound{termContext: &termContext{now: Now{Mono: now}}}}
 	for i, a := range ordered {
 		for k, b := range ordered {
 			if got, want := search.compareVictims(a, b), cmp.Compare(i, k); got != want {
@@ -113,8 +113,8 @@
 		{"beyond its guarantee, without idle work", job{rank: normalRank}, false, preemptNothing},
 		{"idle", job{rank: idleRank}, true, preemptNothing},
 	} {
-		s := newEmptyScheduler(Now{}, Settings{GuaranteedStartWithin: 10 * time.Second}, 1)
-		round := &placementRound{scheduler: s, now: now, idlePreemptable: tc.idlePreemptable}
+		context := &termContext{now: Now{Mono: now}, settings: Settings{GuaranteedStartWithin: 10 * time.Second}}
+		round := &placementRound{termContext: context, idlePreemptable: tc.idlePreemptable}
 		if got := round.preemptionScope(&tc.job); got != tc.want {
 			t.Errorf("%s: %d, want %d", tc.name, got, tc.want)
 		}
@@ -128,7 +128,7 @@
 	for i, rank := range []int{normalRank, idleRank, normalRank, idleRank} {
 		victims = append(victims, &attempt{machine: m, number: uint64(i), job: &job{rank: rank, spec: wire.Job{CPUs: 2}}})
 	}
-	search := &preemptionSearch{round: &placementRound{}, job: &job{spec: wire.Job{CPUs: 3, Image: "img"}}}
+	search := &preemptionSearch{round: &placementRound{termContext: &termContext{}}, job: &job{spec: wire.Job{CPUs: 3, Image: "img"}}}
 	option, ok := search.cheapestOption(&pendingCapacity{m, m.used}, slices.Clone(victims))
 	if want := []*attempt{victims[3], victims[1]}; !ok || !slices.Equal(option.victims, want) {
 		t.Errorf("%v, %d victims", ok, len(option.victims))
