--- a/internal/scheduler/attempt.go
+++ b/internal/scheduler/attempt.go
@@ -102,7 +102,7 @@
 		return
 	}
 	s.cluster.detach(a)
-	s.countStopProven(a)
+	s.reconciler.countStopProven(a)
 	if !a.awaitsDurableCompletion() {
 		s.removeFromBatches(a)
 	}
--- a/internal/scheduler/attempt_outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -24,13 +24,13 @@
 // handleExit takes the end of an attached attempt, as its worker lists it.
 func (s *Scheduler) handleExit(a *attempt, status *wire.TaskStatus) {
 	a.start.acknowledged = true
-	s.reportDeferredVerdict(a)
+	s.reconciler.reportDeferredVerdict(a)
 	if status.Cause == wire.CauseDone {
-		s.classifyRecorded(a, reconcile.Completed)
+		s.observeRecorded(a, reconcile.Completed)
 		//mutation:keep-attempt-until-saved
 		s.keepAssignmentUntilSaved(a)
 	} else {
-		s.classifyRecorded(a, reconcile.Ended)
+		s.observeRecorded(a, reconcile.Ended)
 	}
 	if a.job != nil && (a.state != "" || status.Cause == wire.CauseDone) {
 		a.machine.addImage(a.job.spec.Image, a.job.spec.ImageGB) // it was fetched
@@ -175,7 +175,7 @@
 
 // handleAbsence takes an attached attempt that is proven not to be on its machine.
 func (s *Scheduler) handleAbsence(a *attempt) {
-	s.classifyRecorded(a, reconcile.Absent)
+	s.observeRecorded(a, reconcile.Absent)
 	switch {
 	case a.start.acknowledged:
 		// The worker's lease has expired, or the machine has lost the task otherwise.
--- a/internal/scheduler/dispatch.go
+++ b/internal/scheduler/dispatch.go
@@ -133,7 +133,7 @@
 	for _, a := range due {
 		if !a.stop.sent {
 			a.stop.sent = true
-			s.countOperation(reconcile.StopOperation, a)
+			s.reconciler.countAttemptOperation(reconcile.StopOperation, a)
 		}
 		a.stop.sentAt = s.now.Mono
 		commands = append(commands, stopCommand(a.ref, a.number, a.stopGraceS()))
--- a/internal/scheduler/dispatchretry.go
+++ b/internal/scheduler/dispatchretry.go
@@ -16,7 +16,7 @@
 func (s *Scheduler) markDispatched(a *attempt) {
 	if a.start.firstSentAt == 0 {
 		a.start.firstSentAt = s.now.Mono
-		s.countOperation(reconcile.StartOperation, a)
+		s.reconciler.countAttemptOperation(reconcile.StartOperation, a)
 	} else {
 		s.noteDispatchRetry(a)
 	}
--- a/internal/scheduler/effects.go
+++ b/internal/scheduler/effects.go
@@ -47,7 +47,7 @@
 
 // TakeEffects returns the effects gathered since the last call.
 func (s *Scheduler) TakeEffects() Effects {
-	s.takeReconciliationEvents()
+	s.reconciler.flushEvents()
 	effects := s.effects
 	s.effects = Effects{}
 	return effects
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"github.com/yarrowgap/yarrowgap/internal/reconcile"
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
@@ -36,7 +35,7 @@
 	*termContext
 	cluster    *clusterState
 	persister  *persistState
-	reconciler *reconcile.Reconciler
+	reconciler *termReconciler
 	scheduler  *Scheduler // numbers attempts, and sees to what follows from their end
 
 	totalCPUs float64    // of the cluster
@@ -99,7 +98,7 @@
 // newPlacementRound prepares a round over the queue.
 func (s *Scheduler) newPlacementRound(queue []*job, totalCPUs float64) *placementRound {
 	r := &placementRound{
-		termContext: s.termContext, cluster: &s.cluster, persister: &s.persister, reconciler: s.reconciler, scheduler: s,
+		termContext: s.termContext, cluster: &s.cluster, persister: &s.persister, reconciler: &s.reconciler, scheduler: s,
 		totalCPUs: totalCPUs, machines: s.cluster.machinesWithCapacity(queue),
 		agedShareCPUs: totalCPUs * tuning.AgedShare,
 		quota:         newQuotaReservations(), claimedCPUs: map[*machine]float64{},
--- a/internal/scheduler/reconciliation.go
+++ b/internal/scheduler/reconciliation.go
@@ -6,6 +6,18 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
+// termReconciler is the reconciler with what ties it to this term's attempts: it gathers the
+// evidence on them, reports the differences, and counts what is done about them.
+//
+// Once an attempt is restored from the records, it alone changes attempt.reconciliation. An
+// attempt is reported once, and each stop that a difference asked for is awaited until the
+// attempt is gone.
+type termReconciler struct {
+	*termContext
+	*reconcile.Reconciler
+	cluster *clusterState // read only
+}
+
 // reconcileConfig is what the term's reconciliation depends on.
 func (s Settings) reconcileConfig() reconcile.Config {
 	return reconcile.Config{
@@ -29,32 +41,32 @@
 	return s.reconciler.Differences(class, skip, limit)
 }
 
-// takeReconciliationEvents moves the reconciler's events into the effects.
-func (s *Scheduler) takeReconciliationEvents() {
-	events := s.reconciler.TakeEvents()
+// flushEvents moves the reconciler's events into the effects.
+func (r *termReconciler) flushEvents() {
+	events := r.TakeEvents()
 	if len(events) == 0 {
 		return
 	}
-	s.effects.Reconciliation = append(s.effects.Reconciliation, events...)
+	r.effects.Reconciliation = append(r.effects.Reconciliation, events...)
 	for _, event := range events {
 		if event.Kind == reconcile.PhaseEntered {
-			status := s.reconciler.Status(event.At)
-			s.logInfo("reconciliation phase entered", "phase", event.Phase, "after_s", status.AgeS, "machines", status.Machines,
+			status := r.Status(event.At)
+			r.logInfo("reconciliation phase entered", "phase", event.Phase, "after_s", status.AgeS, "machines", status.Machines,
 				"unconfirmed", status.Unconfirmed, "unproven", status.Unproven, "differences", status.Differences)
 		}
 	}
 }
 
-// countOperation counts the first operation of its kind on an attempt.
-func (s *Scheduler) countOperation(kind reconcile.OperationKind, a *attempt) {
-	if s.reconciler.Phase() == reconcile.Settled {
+// countAttemptOperation counts the first operation of its kind on an attempt.
+func (r *termReconciler) countAttemptOperation(kind reconcile.OperationKind, a *attempt) {
+	if r.Phase() == reconcile.Settled {
 		return
 	}
-	s.reconciler.CountOperation(s.now.Mono, reconcile.Operation{Kind: kind, Machine: a.machine.name, Task: a.ref.String(), Number: a.number})
+	r.CountOperation(r.now.Mono, reconcile.Operation{Kind: kind, Machine: a.machine.name, Task: a.ref.String(), Number: a.number})
 }
 
 // evidenceFor gathers what is known of an attempt from before the term.
-func (s *Scheduler) evidenceFor(a *attempt, observation reconcile.Observation) reconcile.Evidence {
+func (r *termReconciler) evidenceFor(a *attempt, observation reconcile.Observation) reconcile.Evidence {
 	e := reconcile.Evidence{Observation: observation, Recorded: a.reconciliation.class == reconcile.MissingUnproven}
 	j := a.job
 	if j == nil {
@@ -70,7 +82,7 @@
 		//mutation:unrecorded-attempt-placement
 		e.MachineAllowed = j.mayAdoptOn(a.machine)
 		//mutation:unrecorded-attempt-over-limit
-		e.OverQuota = s.cluster.quotaHeadroom(j, TeamQuota{}) < 1
+		e.OverQuota = r.cluster.quotaHeadroom(j, TeamQuota{}) < 1
 	}
 	return e
 }
@@ -112,26 +124,33 @@
 	return j.allows(m.offer()) && j.allowsZone(j.attemptsByZone(), m.zone)
 }
 
-// classifyRecorded takes the first observation of an attempt that a record names.
-func (s *Scheduler) classifyRecorded(a *attempt, observation reconcile.Observation) {
+// observeRecorded takes the first observation of an attempt that a record names, and stops
+// the attempt if it must not go on.
+func (s *Scheduler) observeRecorded(a *attempt, observation reconcile.Observation) {
+	if verdict := s.reconciler.classifyRecorded(a, observation); verdict.Action == reconcile.Stop {
+		s.stopNow(a, stopReasonOf(verdict.Class))
+	}
+}
+
+// classifyRecorded takes the first observation of an attempt that a record names, and gives
+// the difference that it shows; reconcile.None if there is none.
+func (r *termReconciler) classifyRecorded(a *attempt, observation reconcile.Observation) reconcile.Verdict {
 	if a.reconciliation.class != reconcile.MissingUnproven {
-		return
+		return reconcile.Verdict{}
 	}
-	verdict := reconcile.Classify(s.evidenceFor(a, observation))
+	verdict := reconcile.Classify(r.evidenceFor(a, observation))
 	if verdict.Class == reconcile.MissingUnproven {
-		return
+		return reconcile.Verdict{}
 	}
 	if verdict.Class == reconcile.Confirmed {
 		a.reconciliation.class = reconcile.Confirmed
-		s.reconciler.ConfirmAttempt(s.now.Mono, a.machine.name)
-		return
+		r.ConfirmAttempt(r.now.Mono, a.machine.name)
+		return reconcile.Verdict{}
 	}
 	difference := newDifference(a.machine, a.ref, a.number, verdict)
 	difference.Recorded = true
-	s.reportDifference(a, difference)
-	if verdict.Action == reconcile.Stop {
-		s.stopNow(a, stopReasonOf(verdict.Class))
-	}
+	r.reportDifference(a, difference)
+	return verdict
 }
 
 // confirmActive takes an attempt that a heartbeat lists as active. It is proof to the
@@ -141,26 +160,26 @@
 	if !a.machine.heartbeats.underTerm {
 		return
 	}
-	s.classifyRecorded(a, reconcile.Active)
-	s.reportDeferredVerdict(a)
+	s.observeRecorded(a, reconcile.Active)
+	s.reconciler.reportDeferredVerdict(a)
 }
 
 // deferVerdict keeps the verdict on an unexpected attempt until it is confirmed or ends.
-func (s *Scheduler) deferVerdict(a *attempt, verdict reconcile.Verdict) {
+func (r *termReconciler) deferVerdict(a *attempt, verdict reconcile.Verdict) {
 	a.reconciliation.deferredVerdict = verdict
-	if s.fromEarlierTerm(a.number) {
-		s.reconciler.ExpectOperations(newDifference(a.machine, a.ref, a.number, verdict))
+	if r.fromEarlierTerm(a.number) {
+		r.ExpectOperations(newDifference(a.machine, a.ref, a.number, verdict))
 	}
 }
 
 // reportDeferredVerdict reports an unexpected attempt that is confirmed or has ended.
-func (s *Scheduler) reportDeferredVerdict(a *attempt) {
+func (r *termReconciler) reportDeferredVerdict(a *attempt) {
 	verdict := a.reconciliation.deferredVerdict
 	if verdict.Class == reconcile.None {
 		return
 	}
 	a.reconciliation.deferredVerdict = reconcile.Verdict{}
-	s.reportDifference(a, newDifference(a.machine, a.ref, a.number, verdict))
+	r.reportDifference(a, newDifference(a.machine, a.ref, a.number, verdict))
 }
 
 // stopObsoleteAttempts stops what is over by the records alone: attempts whose job has
@@ -170,7 +189,7 @@
 	sortAttempts(s.cluster.obsoleteAttempts)
 	for _, a := range s.cluster.obsoleteAttempts {
 		if a.attached() {
-			s.classifyRecorded(a, reconcile.Unreported)
+			s.observeRecorded(a, reconcile.Unreported)
 		}
 	}
 	s.cluster.obsoleteAttempts = nil
@@ -178,16 +197,16 @@
 
 // reportDifference hands a difference to the reconciler if its attempt, a, is from before
 // the term.
-func (s *Scheduler) reportDifference(a *attempt, difference reconcile.Difference) {
-	if !s.fromEarlierTerm(a.number) {
+func (r *termReconciler) reportDifference(a *attempt, difference reconcile.Difference) {
+	if !r.fromEarlierTerm(a.number) {
 		return
 	}
 	a.reconciliation.class = difference.Class
 	if difference.Action == reconcile.Stop {
 		a.reconciliation.awaitsStop = true
-		s.reconciler.AwaitStop()
+		r.AwaitStop()
 	}
-	s.reconciler.AddDifference(s.now.Mono, difference)
+	r.AddDifference(r.now.Mono, difference)
 }
 
 func newDifference(m *machine, ref taskRef, number uint64, verdict reconcile.Verdict) reconcile.Difference {
@@ -203,35 +222,35 @@
 }
 
 // countStopProven takes note that an attempt is gone, if a difference asked for its stop.
-func (s *Scheduler) countStopProven(a *attempt) {
+func (r *termReconciler) countStopProven(a *attempt) {
 	if a.reconciliation.awaitsStop {
 		a.reconciliation.awaitsStop = false
-		s.reconciler.StopProven(s.now.Mono)
+		r.StopProven(r.now.Mono)
 	}
 }
 
 // classifyUnknownExit takes the end of an attempt that is not attached, as a worker lists
 // it. One that is neither recorded nor needed is no difference: its worker only has to
 // forget it.
-func (s *Scheduler) classifyUnknownExit(m *machine, ref taskRef, status *wire.TaskStatus) {
-	if status.Cause != wire.CauseDone || !s.fromEarlierTerm(status.Attempt) {
+func (r *termReconciler) classifyUnknownExit(m *machine, ref taskRef, status *wire.TaskStatus) {
+	if status.Cause != wire.CauseDone || !r.fromEarlierTerm(status.Attempt) {
 		return
 	}
 	a := &attempt{ref: ref, machine: m, number: status.Attempt, start: startState{acknowledged: true}}
-	if j := s.cluster.jobs[ref.jobID]; j != nil && ref.index < j.spec.Tasks && !j.service {
+	if j := r.cluster.jobs[ref.jobID]; j != nil && ref.index < j.spec.Tasks && !j.service {
 		a.job = j
 	}
-	verdict := reconcile.Classify(s.evidenceFor(a, reconcile.Completed))
+	verdict := reconcile.Classify(r.evidenceFor(a, reconcile.Completed))
 	if verdict.Action == reconcile.RecordDone {
-		s.reconciler.AddDifference(s.now.Mono, newDifference(m, ref, status.Attempt, verdict))
+		r.AddDifference(r.now.Mono, newDifference(m, ref, status.Attempt, verdict))
 	}
 }
 
 // reportSuperseded takes an attempt that runs where another attempt of its task is to
 // start.
-func (s *Scheduler) reportSuperseded(m *machine, ref taskRef, status *wire.TaskStatus) {
-	if s.fromEarlierTerm(status.Attempt) {
+func (r *termReconciler) reportSuperseded(m *machine, ref taskRef, status *wire.TaskStatus) {
+	if r.fromEarlierTerm(status.Attempt) {
 		verdict := reconcile.Verdict{Class: reconcile.Superseded, Action: reconcile.Stop}
-		s.reconciler.AddDifference(s.now.Mono, newDifference(m, ref, status.Attempt, verdict))
+		r.AddDifference(r.now.Mono, newDifference(m, ref, status.Attempt, verdict))
 	}
 }
--- a/internal/scheduler/scalein.go
+++ b/internal/scheduler/scalein.go
@@ -224,7 +224,7 @@
 // removeMachine ends a machine that is proven gone, and all its attempts with it.
 func (s *Scheduler) removeMachine(m *machine) {
 	for _, a := range m.sortedAttempts() {
-		s.classifyRecorded(a, reconcile.Absent)
+		s.observeRecorded(a, reconcile.Absent)
 		s.detach(a)
 		s.handleFailedAttempt(a, "machine gone")
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -46,7 +46,7 @@
 	persister     persistState
 	cancellations cancellationState
 	monitor       monitorState
-	reconciler    *reconcile.Reconciler
+	reconciler    termReconciler
 }
 
 // New starts a term with what the key-value store has: the live jobs by the replica,
@@ -74,7 +74,7 @@
 // newEmptyScheduler makes a scheduler that knows of nothing yet.
 func newEmptyScheduler(now Now, settings Settings, term uint64) *Scheduler {
 	context := &termContext{settings: settings, term: term, now: now, startedAt: now.Mono}
-	return &Scheduler{
+	s := &Scheduler{
 		termContext: context,
 		cluster: clusterState{
 			termContext: context,
@@ -91,8 +91,9 @@
 			lastHeartbeatAt: now.Mono, tickedAt: now.Mono,
 			zoneHeartbeatAt: map[string]time.Duration{}, zoneMissingAt: map[string]time.Duration{},
 		},
-		reconciler: reconcile.New(now.Mono, settings.reconcileConfig()),
 	}
+	s.reconciler = termReconciler{context, reconcile.New(now.Mono, settings.reconcileConfig()), &s.cluster}
+	return s
 }
 
 // restoreJobs adds the jobs that were live before the term.
--- a/internal/scheduler/tasklist.go
+++ b/internal/scheduler/tasklist.go
@@ -32,7 +32,7 @@
 		s.handleExit(a, status)
 		return true
 	}
-	s.classifyUnknownExit(m, ref, status)
+	s.reconciler.classifyUnknownExit(m, ref, status)
 	if j := s.cluster.jobs[ref.jobID]; j != nil && status.Cause == wire.CauseDone && ref.index < j.spec.Tasks {
 		s.markTaskDone(j, ref.index)
 	}
@@ -65,7 +65,7 @@
 		if tracked.start.sent && !tracked.start.acknowledged {
 			// The worker refuses the start while the other attempt is there. The
 			// tracked one stays so, and the other has to go.
-			s.reportSuperseded(m, ref, status)
+			s.reconciler.reportSuperseded(m, ref, status)
 			m.queueUnexpectedStop(stopCommand(ref, status.Attempt, 0))
 			return
 		}
@@ -75,8 +75,8 @@
 	if j := s.cluster.jobs[ref.jobID]; j != nil && ref.index < j.spec.Tasks {
 		a.job = j
 	}
-	verdict := reconcile.Classify(s.evidenceFor(a, reconcile.Active))
-	s.deferVerdict(a, verdict)
+	verdict := reconcile.Classify(s.reconciler.evidenceFor(a, reconcile.Active))
+	s.reconciler.deferVerdict(a, verdict)
 	s.cluster.attach(a)
 	//mutation:record-unexpected-attempt
 	s.persister.queueAssignment(a)
