--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -57,7 +57,7 @@
 	if sched == nil {
 		t.Fatal("not recovered")
 	}
-	if s := sched.Job(c.now(), id); s == nil || s.State != wire.JobCancelled {
+	if s := sched.View().Job(c.now(), id); s == nil || s.State != wire.JobCancelled {
 		t.Errorf("loaded as %+v, after its cancellation was confirmed", s)
 	}
 }
@@ -107,7 +107,7 @@
 		t.Fatal("not recovered")
 	}
 	for i := range jobs {
-		if sched.Job(c.now(), fmt.Sprintf("run-%06d", i)) == nil {
+		if sched.View().Job(c.now(), fmt.Sprintf("run-%06d", i)) == nil {
 			t.Errorf("job %d is not known", i)
 		}
 	}
--- a/internal/controller/pings.go
+++ b/internal/controller/pings.go
@@ -102,7 +102,7 @@
 	}
 	if c.leadership.leading() {
 		c.cancellations.raiseEnforced(c.enforcedWatermark())
-		pong.Running = c.leadership.scheduler.RunningTasks()
+		pong.Running = c.leadership.scheduler.View().RunningTasks()
 	}
 	if age := time.Since(c.cancellations.enforcedUntil); age < maxEnforcedAge {
 		pong.EnforcedAgoMilli = age.Milliseconds() + 1
--- a/internal/controller/queries.go
+++ b/internal/controller/queries.go
@@ -166,7 +166,7 @@
 		view.Done = done.Count()
 	}
 	if c.leadership.leading() {
-		view.Running = c.leadership.scheduler.RunningTasksOf(id)
+		view.Running = c.leadership.scheduler.View().RunningTasksOf(id)
 	} else if leader := c.membership.leaderPeer(); leader != nil {
 		view.Running = leader.runningTasks[id]
 	}
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -35,19 +35,19 @@
 }
 
 // queryScheduler reads the scheduler's state; ok is false where this controller does not lead.
-func queryScheduler[T any](c *Controller, read func(*scheduler.Scheduler, scheduler.Now) T) (view T, ok bool) {
+func queryScheduler[T any](c *Controller, read func(scheduler.View, scheduler.Now) T) (answer T, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.leadership.leading() {
-		return view, false
+		return answer, false
 	}
-	return read(c.leadership.scheduler, c.now()), true
+	return read(c.leadership.scheduler.View(), c.now()), true
 }
 
 // MachinesView lists machines.
 func (c *Controller) MachinesView(from string, most int) ([]scheduler.MachineView, bool) {
-	return queryScheduler(c, func(sched *scheduler.Scheduler, now scheduler.Now) []scheduler.MachineView {
-		return sched.Machines(now, from, most)
+	return queryScheduler(c, func(view scheduler.View, now scheduler.Now) []scheduler.MachineView {
+		return view.Machines(now, from, most)
 	})
 }
 
@@ -55,7 +55,7 @@
 // stored state. found is false for a job that nobody submitted; an error says that this
 // cannot be told here and now.
 func (c *Controller) JobView(ctx context.Context, id string) (detail *scheduler.JobDetail, found bool, err error) {
-	detail, _ = queryScheduler(c, func(sched *scheduler.Scheduler, now scheduler.Now) *scheduler.JobDetail { return sched.Job(now, id) })
+	detail, _ = queryScheduler(c, func(view scheduler.View, now scheduler.Now) *scheduler.JobDetail { return view.Job(now, id) })
 	if detail != nil {
 		return detail, true, nil
 	}
@@ -70,15 +70,15 @@
 
 // WaitingView lists waiting jobs, with the reason.
 func (c *Controller) WaitingView(from string, most int) ([]scheduler.JobDetail, bool) {
-	return queryScheduler(c, func(sched *scheduler.Scheduler, now scheduler.Now) []scheduler.JobDetail {
-		return sched.Waiting(now, from, most)
+	return queryScheduler(c, func(view scheduler.View, now scheduler.Now) []scheduler.JobDetail {
+		return view.Waiting(now, from, most)
 	})
 }
 
 // FailuresView lists failed attempts of this term, the newest first.
 func (c *Controller) FailuresView(skip, most int) ([]scheduler.Failure, bool) {
-	return queryScheduler(c, func(sched *scheduler.Scheduler, _ scheduler.Now) []scheduler.Failure {
-		return sched.Failures(skip, most)
+	return queryScheduler(c, func(view scheduler.View, _ scheduler.Now) []scheduler.Failure {
+		return view.Failures(skip, most)
 	})
 }
 
@@ -92,7 +92,7 @@
 	defer c.mu.Unlock()
 	switch loading := !c.leadership.loadingSince.IsZero(); {
 	case c.leadership.leading():
-		return c.leadership.scheduler.ReconciliationStatus(c.now()), true, nil
+		return c.leadership.scheduler.View().ReconciliationStatus(c.now()), true, nil
 	case loading:
 		return reconcile.Status{
 			Phase:   reconcile.Loading.String(),
@@ -107,8 +107,8 @@
 
 // DifferencesView lists what the reconciliation of the current term found.
 func (c *Controller) DifferencesView(class reconcile.Class, skip, most int) ([]reconcile.DifferenceView, bool) {
-	return queryScheduler(c, func(sched *scheduler.Scheduler, _ scheduler.Now) []reconcile.DifferenceView {
-		return sched.ReconciliationDifferences(class, skip, most)
+	return queryScheduler(c, func(view scheduler.View, _ scheduler.Now) []reconcile.DifferenceView {
+		return view.ReconciliationDifferences(class, skip, most)
 	})
 }
 
--- a/internal/restartsim/restart.go
+++ b/internal/restartsim/restart.go
@@ -137,7 +137,7 @@
 
 // settledAfter is when the reconciliation was settled, or 0.
 func (r *restartRun) settledAfter() time.Duration {
-	for _, entered := range r.scheduler.ReconciliationStatus(r.schedulerNow()).History {
+	for _, entered := range r.scheduler.View().ReconciliationStatus(r.schedulerNow()).History {
 		if entered.Phase == reconcile.Settled.String() {
 			return time.Duration(entered.AfterS * float64(time.Second))
 		}
--- a/internal/scheduler/fault_injection_test.go
+++ b/internal/scheduler/fault_injection_test.go
@@ -158,7 +158,7 @@
 		if c.scheduler == nil {
 			continue
 		}
-		for _, m := range c.scheduler.Machines(sim.schedulerNow(), "", 500) {
+		for _, m := range c.scheduler.View().Machines(sim.schedulerNow(), "", 500) {
 			known[m.Name] = true
 		}
 	}
--- a/internal/scheduler/heartbeat_test.go
+++ b/internal/scheduler/heartbeat_test.go
@@ -207,7 +207,7 @@
 	h.heartbeat("n-1")
 	h.advance(time.Second, "n-1")
 	if again := h.startCommands(); len(again) != 1 || again[0].Attempt == s[0].Attempt {
-		t.Fatalf("not sent after the old one was forgotten: %v\n%+v\n%+v", again, h.scheduler.Job(h.clock(), "run-000001"), h.scheduler.Machines(h.clock(), "", 9))
+		t.Fatalf("not sent after the old one was forgotten: %v\n%+v\n%+v", again, h.scheduler.View().Job(h.clock(), "run-000001"), h.scheduler.View().Machines(h.clock(), "", 9))
 	}
 }
 
@@ -245,7 +245,7 @@
 	if h.scheduler.cluster.machines["n-1"].quarantine.until <= h.now {
 		t.Error("two unrelated failing jobs did not put it in quarantine")
 	}
-	if f := h.scheduler.Failures(0, 1); len(f) != 1 || f[0].Task != "run-000002/0" || f[0].Cause != wire.CauseError {
+	if f := h.scheduler.View().Failures(0, 1); len(f) != 1 || f[0].Task != "run-000002/0" || f[0].Cause != wire.CauseError {
 		t.Errorf("failures: %+v", f)
 	}
 }
--- a/internal/scheduler/leadership_change_test.go
+++ b/internal/scheduler/leadership_change_test.go
@@ -60,7 +60,7 @@
 	h.heartbeat("n-1")
 	h.advance(time.Second, "n-1", "n-2")
 	if s := h.startCommands(); len(s) != 1 {
-		t.Fatalf("not placed once it is proven absent: %v\n%+v\n%+v", s, h.scheduler.Job(h.clock(), j.ID), h.scheduler.Machines(h.clock(), "", 9))
+		t.Fatalf("not placed once it is proven absent: %v\n%+v\n%+v", s, h.scheduler.View().Job(h.clock(), j.ID), h.scheduler.View().Machines(h.clock(), "", 9))
 	}
 }
 
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -105,7 +105,7 @@
 		workers.step()
 	}
 	if n := h.scheduler.cluster.jobs["run-000001"].runningCount; n != 6 {
-		t.Errorf("%d of 6 replicas run: %+v", n, h.scheduler.Job(h.clock(), "run-000001"))
+		t.Errorf("%d of 6 replicas run: %+v", n, h.scheduler.View().Job(h.clock(), "run-000001"))
 	}
 }
 
--- a/internal/scheduler/reconciliation.go
+++ b/internal/scheduler/reconciliation.go
@@ -30,17 +30,6 @@
 // ControllerSurvived takes note that a controller was up when the last leader ended.
 func (s *Scheduler) ControllerSurvived() { s.reconciler.ControllerSurvived() }
 
-// ReconciliationStatus describes the term's reconciliation.
-func (s *Scheduler) ReconciliationStatus(now Now) reconcile.Status {
-	return s.reconciler.Status(now.Mono)
-}
-
-// ReconciliationDifferences lists the differences that reconciliation has found, of a
-// class or of all for reconcile.None.
-func (s *Scheduler) ReconciliationDifferences(class reconcile.Class, skip, limit int) []reconcile.DifferenceView {
-	return s.reconciler.Differences(class, skip, limit)
-}
-
 // flushEvents moves the reconciler's events into the effects.
 func (r *termReconciler) flushEvents() {
 	events := r.TakeEvents()
--- a/internal/scheduler/reconciliation_test.go
+++ b/internal/scheduler/reconciliation_test.go
@@ -63,7 +63,7 @@
 
 func (h *harness) differenceClasses() map[string]int {
 	return maps.Collect(func(yield func(string, int) bool) {
-		for class, n := range h.scheduler.ReconciliationStatus(h.clock()).Classes {
+		for class, n := range h.scheduler.View().ReconciliationStatus(h.clock()).Classes {
 			if n > 0 && !yield(class, n) {
 				return
 			}
@@ -446,7 +446,7 @@
 	within("questions after the election", f.statusProbes, machines)
 	within("direct calls after the election", f.directCalls, machines)
 	within("changes after the election", f.writes, machines/100)
-	status := f.scheduler.ReconciliationStatus(f.clock())
+	status := f.scheduler.View().ReconciliationStatus(f.clock())
 	if status.Classes[reconcile.Confirmed.String()] != tasks || status.Unconfirmed != 0 {
 		t.Errorf("recovered: %+v", status)
 	}
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -66,7 +66,7 @@
 func (sim *simulation) describeJob(id string) string {
 	for _, c := range sim.controllers {
 		if c.scheduler != nil {
-			return fmt.Sprintf("%+v\nwaiting: %+v\nmachines: %+v", c.scheduler.Job(sim.schedulerNow(), id), c.scheduler.Waiting(sim.schedulerNow(), "", 10), c.scheduler.Machines(sim.schedulerNow(), "", 50))
+			return fmt.Sprintf("%+v\nwaiting: %+v\nmachines: %+v", c.scheduler.View().Job(sim.schedulerNow(), id), c.scheduler.View().Waiting(sim.schedulerNow(), "", 10), c.scheduler.View().Machines(sim.schedulerNow(), "", 50))
 		}
 	}
 	return "no leader"
--- a/internal/scheduler/views.go
+++ b/internal/scheduler/views.go
@@ -3,8 +3,8 @@
 import (
 	"maps"
 	"slices"
-	"time"
 
+	"github.com/yarrowgap/yarrowgap/internal/reconcile"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
@@ -29,10 +29,19 @@
 // PlacementRounds is how many placement rounds there were in this term.
 func (s *Scheduler) PlacementRounds() uint64 { return s.placement.rounds }
 
+// View reads what operators and peers ask of a scheduler, and changes nothing.
+type View struct {
+	cluster    *clusterState
+	reconciler *reconcile.Reconciler
+}
+
+// View gives a view of the present state. It is valid until the next input.
+func (s *Scheduler) View() View { return View{&s.cluster, s.reconciler.Reconciler} }
+
 // RunningTasks is the number of running tasks by job.
-func (s *Scheduler) RunningTasks() map[string]int {
+func (v View) RunningTasks() map[string]int {
 	running := map[string]int{}
-	for id, j := range s.cluster.jobs {
+	for id, j := range v.cluster.jobs {
 		if j.runningCount > 0 {
 			running[id] = j.runningCount
 		}
@@ -41,24 +50,13 @@
 }
 
 // RunningTasksOf is the number of a job's running tasks.
-func (s *Scheduler) RunningTasksOf(id string) int {
-	if j := s.cluster.jobs[id]; j != nil {
+func (v View) RunningTasksOf(id string) int {
+	if j := v.cluster.jobs[id]; j != nil {
 		return j.runningCount
 	}
 	return 0
 }
 
-// LongestHeartbeatAge is the longest time since a heartbeat of a machine that is up.
-func (s *Scheduler) LongestHeartbeatAge(now Now) time.Duration {
-	var longest time.Duration
-	for _, m := range s.cluster.machines {
-		if m.phase == machineUp {
-			longest = max(longest, now.Mono-m.connectivity.lastHeartbeatAt)
-		}
-	}
-	return longest
-}
-
 // MachineView is a machine as operators see it.
 type MachineView struct {
 	Name          string  `cbor:"name" json:"name"`
@@ -74,9 +72,9 @@
 }
 
 // Machines lists machines by name, those after from, up to the limit.
-func (s *Scheduler) Machines(now Now, from string, limit int) []MachineView {
+func (v View) Machines(now Now, from string, limit int) []MachineView {
 	var views []MachineView
-	for _, m := range s.cluster.sortedMachines() {
+	for _, m := range v.cluster.sortedMachines() {
 		if m.name <= from {
 			continue
 		}
@@ -154,8 +152,8 @@
 const maxAttemptsShown = 200
 
 // Job describes a live job, or returns nil.
-func (s *Scheduler) Job(now Now, id string) *JobDetail {
-	j := s.cluster.jobs[id]
+func (v View) Job(now Now, id string) *JobDetail {
+	j := v.cluster.jobs[id]
 	if j == nil {
 		return nil
 	}
@@ -171,10 +169,10 @@
 
 // Waiting lists live jobs with tasks that wait, by id, those after from, up to the limit.
 // Attempts are not listed.
-func (s *Scheduler) Waiting(now Now, from string, limit int) []JobDetail {
+func (v View) Waiting(now Now, from string, limit int) []JobDetail {
 	details := []JobDetail{}
-	for _, id := range slices.Sorted(maps.Keys(s.cluster.jobs)) {
-		j := s.cluster.jobs[id]
+	for _, id := range slices.Sorted(maps.Keys(v.cluster.jobs)) {
+		j := v.cluster.jobs[id]
 		if id <= from || j.pendingTasks() <= 0 {
 			continue
 		}
@@ -213,10 +211,21 @@
 }
 
 // Failures lists failed attempts, the newest first, up to the limit after those to skip.
-func (s *Scheduler) Failures(skip, limit int) []Failure {
+func (v View) Failures(skip, limit int) []Failure {
 	listed := []Failure{}
-	for i := len(s.cluster.failures) - 1 - skip; i >= 0 && len(listed) < limit; i-- {
-		listed = append(listed, s.cluster.failures[i])
+	for i := len(v.cluster.failures) - 1 - skip; i >= 0 && len(listed) < limit; i-- {
+		listed = append(listed, v.cluster.failures[i])
 	}
 	return listed
 }
+
+// ReconciliationStatus describes the term's reconciliation.
+func (v View) ReconciliationStatus(now Now) reconcile.Status {
+	return v.reconciler.Status(now.Mono)
+}
+
+// ReconciliationDifferences lists the differences that reconciliation has found, of a
+// class or of all for reconcile.None.
+func (v View) ReconciliationDifferences(class reconcile.Class, skip, limit int) []reconcile.DifferenceView {
+	return v.reconciler.Differences(class, skip, limit)
+}
