--- a/internal/scheduler/attempt.go
+++ b/internal/scheduler/attempt.go
@@ -104,7 +104,7 @@
 	s.cluster.detach(a)
 	s.reconciler.countStopProven(a)
 	if !a.awaitsDurableCompletion() {
-		s.removeFromBatches(a)
+		s.persister.removeFromBatches(a)
 	}
 	s.placement.due = true
 }
--- a/internal/scheduler/attempt_outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -28,7 +28,7 @@
 	if status.Cause == wire.CauseDone {
 		s.observeRecorded(a, reconcile.Completed)
 		//mutation:keep-attempt-until-saved
-		s.keepAssignmentUntilSaved(a)
+		a.keepAssignmentUntilSaved()
 	} else {
 		s.observeRecorded(a, reconcile.Ended)
 	}
@@ -66,7 +66,7 @@
 	if j == nil {
 		return
 	}
-	s.markDirtyIfComplete(j)
+	s.persister.markDirtyIfComplete(j)
 	if j.cancelled {
 		return
 	}
@@ -78,7 +78,7 @@
 	case wire.CauseError:
 		s.handleTaskError(a)
 	case wire.CauseUnknown:
-		s.backoff(j)
+		s.placement.backOff(j)
 	case wire.CauseNoCapacity, wire.CauseDuplicate:
 		a.machine.quarantine.startsPausedUntil = s.now.Mono + tuning.RefusedStartBackoff
 	}
@@ -121,7 +121,7 @@
 		}
 	}
 	j.retry.failedMachines[a.machine.name] = true
-	s.backoff(j)
+	s.placement.backOff(j)
 	s.cluster.attributeFailure(a.machine, j)
 }
 
@@ -158,21 +158,6 @@
 	}
 }
 
-// maxBackoffDoublings bounds the shift in backoff: the maximum is reached long before.
-const maxBackoffDoublings = 19
-
-// backoff counts one more failure in a row, and keeps the job from placement for a time
-// that doubles with each.
-func (s *Scheduler) backoff(j *job) {
-	j.retry.failures++
-	delay := s.settings.Policy.MaxErrorBackoff
-	if doublings := j.retry.failures - 1; doublings < maxBackoffDoublings {
-		delay = min(delay, s.settings.Policy.ErrorBackoff<<doublings)
-	}
-	j.retry.at = s.now.Mono + delay
-	s.placement.backingOff[j] = true
-}
-
 // handleAbsence takes an attached attempt that is proven not to be on its machine.
 func (s *Scheduler) handleAbsence(a *attempt) {
 	s.observeRecorded(a, reconcile.Absent)
@@ -210,7 +195,7 @@
 	for _, a := range slices.Clone(j.active[index]) {
 		s.stopNow(a, StopTaskDone)
 	}
-	s.markDirtyIfComplete(j)
+	s.persister.markDirtyIfComplete(j)
 }
 
 // drainMachine stops tasks that had better start again elsewhere before the cloud takes
--- a/internal/scheduler/cancellations.go
+++ b/internal/scheduler/cancellations.go
@@ -4,7 +4,9 @@
 	"time"
 )
 
-// cancellationState says which cancellations this leader knows of.
+// cancellationState says which cancellations this leader knows of. The watermark only
+// advances, and a job is pending only until the watch has shown its cancellation or end, or
+// a read that was sent later has arrived.
 type cancellationState struct {
 	*termContext
 
@@ -71,5 +73,5 @@
 	for _, a := range j.sortedAttempts() {
 		s.stopNow(a, StopJobCancelled)
 	}
-	s.markDirtyIfComplete(j)
+	s.persister.markDirtyIfComplete(j)
 }
--- a/internal/scheduler/cluster.go
+++ b/internal/scheduler/cluster.go
@@ -7,10 +7,15 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// clusterState has the machines, the live jobs and the attempts that may be on machines,
-// with the sums over them. Only attach and detach, setState of attempts and the methods
-// of jobProgress count up or down, and keep this invariant: the resources in use on a
-// machine and by a team, and a job's active tasks, are the sums over attached attempts.
+// clusterState owns the machines, the live jobs and the attempts that may be on machines,
+// with the sums over them, and answers what follows from these alone: which machines have
+// capacity, what quotas allow, in which order jobs wait, which deadlines can be met, and
+// which of machines and jobs are at fault for failures.
+//
+// Only attach and detach, setState of attempts and the methods of jobProgress count up or
+// down, and keep this invariant: the resources in use on a machine and by a team, and a
+// job's active and running tasks, are the sums over attached attempts. An attempt stays
+// attached until it is proven to be gone.
 type clusterState struct {
 	*termContext
 
--- a/internal/scheduler/completed_assignments.go
+++ b/internal/scheduler/completed_assignments.go
@@ -4,8 +4,8 @@
 // Without a record of either, the next leader would take the task for one that waits, and
 // start it again before the machine that ran it has sent a heartbeat.
 
-// keepAssignmentUntilSaved keeps a completed attempt in its batches.
-func (s *Scheduler) keepAssignmentUntilSaved(a *attempt) {
+// keepAssignmentUntilSaved keeps an attempt that has completed in its batches.
+func (a *attempt) keepAssignmentUntilSaved() {
 	j, index := a.job, a.ref.index
 	if j == nil || j.service || j.archived || len(a.assignment.batches) == 0 || index >= j.spec.Tasks || j.progress.saved.Has(index) {
 		return
@@ -26,19 +26,19 @@
 
 // dropSavedAssignments removes the kept attempts of tasks that are durably done, or whose
 // job has ended.
-func (s *Scheduler) dropSavedAssignments(j *job) {
+func (p *persistState) dropSavedAssignments(j *job) {
 	for index, a := range j.unsavedAttempts {
 		if j.archived || j.progress.saved.Has(index) {
 			delete(j.unsavedAttempts, index)
-			s.removeFromBatches(a)
+			p.removeFromBatches(a)
 		}
 	}
 }
 
 // removeFromBatches takes an attempt out of all its batches.
-func (s *Scheduler) removeFromBatches(a *attempt) {
+func (p *persistState) removeFromBatches(a *attempt) {
 	for _, batch := range a.assignment.batches {
-		s.persister.removeFromBatch(batch, a)
+		p.removeFromBatch(batch, a)
 	}
 	a.assignment.batches = nil
 }
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -153,7 +153,7 @@
 // they are proven to be gone.
 func (s *Scheduler) archiveJob(j *job) {
 	j.archived = true
-	s.dropSavedAssignments(j)
+	s.persister.dropSavedAssignments(j)
 	for _, a := range j.sortedAttempts() {
 		s.stopNow(a, StopJobEnded)
 	}
@@ -163,9 +163,9 @@
 }
 
 // markDirtyIfComplete has a job's last write made once it is over.
-func (s *Scheduler) markDirtyIfComplete(j *job) {
+func (p *persistState) markDirtyIfComplete(j *job) {
 	if j.readyToArchive() {
-		s.persister.markDirty(j, s.now.Mono)
+		p.markDirty(j, p.now.Mono)
 	}
 }
 
--- a/internal/scheduler/job_changes.go
+++ b/internal/scheduler/job_changes.go
@@ -33,7 +33,7 @@
 	_, cancelled := s.cancellations.pending[j.id]
 	//mutation:pending-cancellations
 	j.cancelled = j.cancelled || cancelled
-	s.markDirtyIfComplete(j)
+	s.persister.markDirtyIfComplete(j)
 	s.placement.due = true
 	s.logDebug("job added", "job", j.id, "class", j.spec.Class, "tasks", j.spec.Tasks, "team", j.spec.Team, "estimate_s", j.spec.EstimatedRunS, "due_s", j.plan.deadlines)
 }
@@ -42,7 +42,7 @@
 func (s *Scheduler) updateJob(j *job, live *LiveJob) {
 	j.modRevision = live.ModRevision
 	s.cluster.mergeDoneBits(j, 0, live.Record.Done)
-	s.dropSavedAssignments(j)
+	s.persister.dropSavedAssignments(j)
 	if live.Record.Cancelled && !j.cancelled {
 		s.cancelJob(j)
 	}
--- a/internal/scheduler/jobwrite.go
+++ b/internal/scheduler/jobwrite.go
@@ -197,7 +197,7 @@
 	}
 	j.progress.markSaved(write.doneBits, chunks)
 	//mutation:release-saved-attempt
-	s.dropSavedAssignments(j)
+	s.persister.dropSavedAssignments(j)
 	s.persister.markClean(j)
 	if j.progress.unsaved() || j.readyToArchive() {
 		s.persister.markDirty(j, s.now.Mono)
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -7,7 +7,8 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// placementState says when the next placement round is due.
+// placementState says when the next placement round is due. A job that failed is in
+// backingOff for as long as its retry time keeps it from placement.
 type placementState struct {
 	*termContext
 
@@ -17,6 +18,21 @@
 	backingOff  map[*job]bool // jobs that wait out a delay after failed attempts
 }
 
+// maxBackoffDoublings bounds the shift in backOff: the maximum is reached long before.
+const maxBackoffDoublings = 19
+
+// backOff counts one more failure in a row, and keeps the job from placement for a time
+// that doubles with each.
+func (p *placementState) backOff(j *job) {
+	j.retry.failures++
+	delay := p.settings.Policy.MaxErrorBackoff
+	if doublings := j.retry.failures - 1; doublings < maxBackoffDoublings {
+		delay = min(delay, p.settings.Policy.ErrorBackoff<<doublings)
+	}
+	j.retry.at = p.now.Mono + delay
+	p.backingOff[j] = true
+}
+
 // unplacedTasks is how many tasks of a job found no machine in a round.
 type unplacedTasks struct {
 	job   *job
