--- a/internal/scheduler/autoscaler.go
+++ b/internal/scheduler/autoscaler.go
@@ -156,8 +156,8 @@
 }
 
 // bootTime is how long machines of the type usually take to come up.
-func (s *Scheduler) bootTime(machineType string) time.Duration {
-	if machineSpec := s.cluster.machineTypes[machineType]; machineSpec != nil {
+func (c *clusterState) bootTime(machineType string) time.Duration {
+	if machineSpec := c.machineTypes[machineType]; machineSpec != nil {
 		return time.Duration(machineSpec.BootS * float64(time.Second))
 	}
 	return tuning.MinBootTimeout
--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -18,17 +18,18 @@
 	fittingOn           map[*machine]int // the same by machine
 }
 
-func (s *Scheduler) newFleetHeadroom() *fleetHeadroom {
+// newFleetHeadroom counts the headroom as it is now.
+func (c *clusterState) newFleetHeadroom() *fleetHeadroom {
 	headroom := &fleetHeadroom{
-		headroomShare:  s.settings.Policy.HeadroomShare,
-		largestService: s.largestService(),
+		headroomShare:  c.settings.Policy.HeadroomShare,
+		largestService: c.largestService(),
 		fittingByZone:  map[string]int{}, fittingOn: map[*machine]int{},
 	}
-	headroom.usedCPUs, headroom.totalCPUs = s.cpuUsage()
+	headroom.usedCPUs, headroom.totalCPUs = c.cpuUsage()
 	if headroom.largestService == nil {
 		return headroom
 	}
-	for _, m := range s.cluster.machines {
+	for _, m := range c.machines {
 		if m.mayHostNext(headroom.largestService) {
 			fitting := m.tasksBesideEqualPriority(headroom.largestService)
 			headroom.fittingOn[m] = fitting
@@ -39,10 +40,10 @@
 }
 
 // largestService is the live service with the most CPUs in all, or nil.
-func (s *Scheduler) largestService() *job {
+func (c *clusterState) largestService() *job {
 	size := func(j *job) float64 { return float64(j.spec.Tasks) * j.spec.CPUs }
 	var largest *job
-	for _, j := range s.cluster.jobs {
+	for _, j := range c.jobs {
 		if !j.service || j.cancelled || j.archived {
 			continue
 		}
@@ -116,8 +117,8 @@
 }
 
 // cpuUsage sums the CPUs in use and those of all machines that are there to stay.
-func (s *Scheduler) cpuUsage() (used, total float64) {
-	for _, m := range s.cluster.machines {
+func (c *clusterState) cpuUsage() (used, total float64) {
+	for _, m := range c.machines {
 		if m.machineSpec == nil || m.phase == machineReleasing || m.cloud.failed || m.cloud.interruptionAt > 0 {
 			continue
 		}
--- a/internal/scheduler/load_log.go
+++ b/internal/scheduler/load_log.go
@@ -21,7 +21,7 @@
 			waiting[j.waiting.reason] += tasks
 		}
 	}
-	used, total := s.cpuUsage()
+	used, total := s.cluster.cpuUsage()
 	s.logDebug("cluster load", "cpus_used", used, "cpus_total", total, "machines", len(s.cluster.machines), "jobs", len(s.cluster.jobs),
 		"waiting_for_capacity", waiting[WaitForCapacity], "waiting_for_quota", waiting[WaitForQuota], "waiting_otherwise", waiting[NotWaiting],
 		"cancellation_lag_s", (s.now.Mono - s.EnforcedCancellationWatermark(s.now.Mono)).Seconds())
--- a/internal/scheduler/monitor.go
+++ b/internal/scheduler/monitor.go
@@ -48,7 +48,7 @@
 // between two heartbeats.
 func (s *Scheduler) resignIfIsolated() {
 	s.monitor.countIsolation(s.now.Mono)
-	machines := s.upMachineCount()
+	machines := s.cluster.upMachineCount()
 	if machines == 0 {
 		// Else the first machine that the cloud lists, after a restart without records,
 		// would find this process isolated for long.
@@ -63,9 +63,9 @@
 }
 
 // upMachineCount counts the machines that are up.
-func (s *Scheduler) upMachineCount() int {
+func (c *clusterState) upMachineCount() int {
 	count := 0
-	for _, m := range s.cluster.machines {
+	for _, m := range c.machines {
 		if m.phase == machineUp {
 			count++
 		}
--- a/internal/scheduler/offer.go
+++ b/internal/scheduler/offer.go
@@ -53,7 +53,7 @@
 		attemptsByZone = job.attemptsByZone()
 	}
 	best, bestCost := offer{}, math.Inf(1)
-	for _, machineSpec := range s.sortedMachineTypes() {
+	for _, machineSpec := range s.cluster.sortedMachineTypes() {
 		capacity := machineSpec.CPUs
 		if job != nil {
 			capacity = tasksPerMachine(machineSpec, job)
@@ -112,9 +112,9 @@
 }
 
 // sortedMachineTypes gives the cloud's machine types by name.
-func (s *Scheduler) sortedMachineTypes() []*wire.MachineType {
-	types := make([]*wire.MachineType, 0, len(s.cluster.machineTypes))
-	for _, machineSpec := range s.cluster.machineTypes {
+func (c *clusterState) sortedMachineTypes() []*wire.MachineType {
+	types := make([]*wire.MachineType, 0, len(c.machineTypes))
+	for _, machineSpec := range c.machineTypes {
 		types = append(types, machineSpec)
 	}
 	slices.SortFunc(types, func(a, b *wire.MachineType) int { return strings.Compare(a.Name, b.Name) })
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -79,7 +79,7 @@
 // placePending assigns waiting tasks to machines, and gives those that found none.
 func (s *Scheduler) placePending() []unplacedTasks {
 	s.placement.due = false
-	_, totalCPUs := s.cpuUsage()
+	_, totalCPUs := s.cluster.cpuUsage()
 	queue := s.schedulingQueue(totalCPUs)
 	round := s.newPlacementRound(queue, totalCPUs)
 	for _, j := range queue {
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -142,7 +142,7 @@
 // that have the image and cost less.
 func (r *placementRound) searchPreemptions(j *job, n int, maxCost float64) int {
 	//mutation:preemption-counts-unconfirmed-capacity
-	if !r.scheduler.settings.Policy.Preempt || r.scheduler.mayFitUnconfirmed(r, j) {
+	if !r.scheduler.settings.Policy.Preempt || r.mayFitUnconfirmed(j) {
 		return 0
 	}
 	scope := r.preemptionScope(j)
--- a/internal/scheduler/reconciliation_test.go
+++ b/internal/scheduler/reconciliation_test.go
@@ -415,7 +415,7 @@
 	h.advance(2 * h.scheduler.settings.HeartbeatInterval)
 	h.scheduler.MachinesListed(h.clock(), list)
 	h.advance(time.Second) // the harness fails if the leader resigns
-	if h.scheduler.upMachineCount() != 1 {
+	if h.scheduler.cluster.upMachineCount() != 1 {
 		t.Error("the machine is not up: the test shows nothing")
 	}
 }
--- a/internal/scheduler/scalein.go
+++ b/internal/scheduler/scalein.go
@@ -34,7 +34,7 @@
 		reason := s.releaseReason(m, missingZones)
 		if reason == "" && s.idleLongEnough(m) {
 			if headroom == nil {
-				headroom = s.newFleetHeadroom()
+				headroom = s.cluster.newFleetHeadroom()
 			}
 			if headroom.removeIfDispensable(m) {
 				reason = ReleaseIdle
@@ -100,7 +100,7 @@
 		return ReleaseBootFailed
 	}
 	now := s.now.Mono
-	bootTimeout := max(tuning.MinBootTimeout, s.bootTime(m.machineType)*time.Duration(100*s.settings.Policy.BootTimeoutFactor)/100)
+	bootTimeout := max(tuning.MinBootTimeout, s.cluster.bootTime(m.machineType)*time.Duration(100*s.settings.Policy.BootTimeoutFactor)/100)
 	// The grace is for machines that came up before the term or during a pause of this
 	// process: their heartbeats arrive within seconds.
 	if now-m.cloud.provisionedAt > bootTimeout && now-max(m.knownAt, s.monitor.resumedAt) > tuning.FirstHeartbeatGrace {
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -47,7 +47,7 @@
 // newScaleOutPlan counts the machines and the capacity that is on its way.
 func (s *Scheduler) newScaleOutPlan(unplaced []unplacedTasks) *scaleOutPlan {
 	plan := &scaleOutPlan{scheduler: s, machinesByZone: map[string]int{}, requests: map[offer]int{}}
-	delayed := s.delayedBoots()
+	delayed := s.cluster.delayedBoots()
 	for _, m := range s.sortedMachines() {
 		if m.phase != machineReleasing {
 			plan.machinesByZone[m.zone]++
@@ -58,7 +58,7 @@
 		}
 	}
 	//mutation:provisioning-counts-unconfirmed-capacity
-	plan.incoming = append(plan.incoming, s.unconfirmedCapacity(minimumOf(unplaced))...)
+	plan.incoming = append(plan.incoming, s.cluster.unconfirmedCapacity(s.reconciler, minimumOf(unplaced))...)
 	for _, request := range s.autoscaler.pendingRequests() {
 		plan.addPending(request)
 	}
@@ -133,7 +133,7 @@
 
 // coverNextService requests a machine if the next service would find no capacity.
 func (p *scaleOutPlan) coverNextService() {
-	headroom := p.scheduler.newFleetHeadroom()
+	headroom := p.scheduler.cluster.newFleetHeadroom()
 	if headroom.fitsNextService() {
 		return
 	}
@@ -152,7 +152,7 @@
 	if headroomShare <= 0 {
 		return
 	}
-	used, total := p.scheduler.cpuUsage()
+	used, total := p.scheduler.cluster.cpuUsage()
 	total += p.pendingCPUs()
 	for total < used*(1+headroomShare) {
 		slot := p.requestMachine(nil)
@@ -201,11 +201,11 @@
 // at once, and released when their boot has timed out. If more are delayed than came up of
 // those provisioned in the same time, boots are slow everywhere: further machines would be
 // as late and scaling out would not end, so that none counts as delayed then.
-func (s *Scheduler) delayedBoots() map[*machine]bool {
+func (c *clusterState) delayedBoots() map[*machine]bool {
 	delayed, finished := map[*machine]bool{}, 0
-	for _, m := range s.cluster.machines {
-		usual := s.bootTime(m.machineType)
-		age := s.now.Mono - m.cloud.provisionedAt
+	for _, m := range c.machines {
+		usual := c.bootTime(m.machineType)
+		age := c.now.Mono - m.cloud.provisionedAt
 		switch {
 		case age < usual*tuning.LateBootPercent/100 || age > 4*usual:
 		case m.phase == machineBooting && !m.cloud.failed:
--- a/internal/scheduler/unconfirmed_capacity.go
+++ b/internal/scheduler/unconfirmed_capacity.go
@@ -3,19 +3,21 @@
 import (
 	"maps"
 	"slices"
+
+	"github.com/yarrowgap/yarrowgap/internal/reconcile"
 )
 
 // eachUnconfirmedMachine visits the machines that may turn out to have free capacity once
 // they are confirmed, with what is free there by the records.
-func (s *Scheduler) eachUnconfirmedMachine(visit func(m *machine, free capacitySlot)) {
-	if !s.reconciler.AwaitsCapacity() {
+func (c *clusterState) eachUnconfirmedMachine(reconciler *reconcile.Reconciler, visit func(m *machine, free capacitySlot)) {
+	if !reconciler.AwaitsCapacity() {
 		return
 	}
-	for _, m := range s.cluster.sortedMachines() {
+	for _, m := range c.sortedMachines() {
 		if m.confirmed || m.phase == machineReleasing || m.machineSpec == nil || m.cloud.failed || m.cloud.interruptionAt > 0 {
 			continue
 		}
-		if !s.reconciler.MayHaveCapacity(m.name, m.calls.unanswered) {
+		if !reconciler.MayHaveCapacity(m.name, m.calls.unanswered) {
 			continue
 		}
 		visit(m, capacitySlot{m.machineType, m.zone, m.spot, m.machineSpec, m.machineSpec.CPUs - m.used.cpus, m.machineSpec.GPUs - m.used.gpus, m.machineSpec.MemoryGB - m.used.memoryGB})
@@ -26,9 +28,9 @@
 // yet, by offer: nothing is provisioned for what fits there. Machines that have less than
 // the least amounts are left out. A slot for each machine would be more exact, and would
 // cost a new leader of thousands of machines much of a small CPU share.
-func (s *Scheduler) unconfirmedCapacity(least resourceMinimum) []*capacitySlot {
+func (c *clusterState) unconfirmedCapacity(reconciler *reconcile.Reconciler, least resourceMinimum) []*capacitySlot {
 	sums := map[offer]*capacitySlot{}
-	s.eachUnconfirmedMachine(func(m *machine, free capacitySlot) {
+	c.eachUnconfirmedMachine(reconciler, func(m *machine, free capacitySlot) {
 		if m.phase != machineUp || !free.hasAtLeast(least) {
 			return
 		}
@@ -48,12 +50,13 @@
 
 // mayFitUnconfirmed reports whether a task of the job may fit on a machine that is not
 // confirmed yet, so that nothing is preempted for it meanwhile.
-func (s *Scheduler) mayFitUnconfirmed(r *placementRound, j *job) bool {
-	if !s.reconciler.AwaitsCapacity() {
+func (r *placementRound) mayFitUnconfirmed(j *job) bool {
+	reconciler := r.scheduler.reconciler
+	if !reconciler.AwaitsCapacity() {
 		return false
 	}
 	if r.unconfirmedCapacity == nil {
-		r.unconfirmedCapacity = s.largestUnconfirmedCapacity()
+		r.unconfirmedCapacity = r.scheduler.cluster.largestUnconfirmedCapacity(reconciler)
 	}
 	for _, slot := range r.unconfirmedCapacity {
 		capacity := *slot
@@ -66,9 +69,9 @@
 
 // largestUnconfirmedCapacity gives the largest free amount of each resource on a machine
 // that is not confirmed yet, by offer.
-func (s *Scheduler) largestUnconfirmedCapacity() map[offer]*capacitySlot {
+func (c *clusterState) largestUnconfirmedCapacity(reconciler *reconcile.Reconciler) map[offer]*capacitySlot {
 	largest := map[offer]*capacitySlot{}
-	s.eachUnconfirmedMachine(func(m *machine, free capacitySlot) {
+	c.eachUnconfirmedMachine(reconciler, func(m *machine, free capacitySlot) {
 		key := offer{m.machineType, m.zone, m.spot}
 		known := largest[key]
 		if known == nil {
--- a/internal/scheduler/zone_partition.go
+++ b/internal/scheduler/zone_partition.go
@@ -106,7 +106,7 @@
 		case j == nil:
 		case j.service:
 			services++
-			movable += s.movableShare(j, m.zone)
+			movable += s.cluster.movableShare(j, m.zone)
 		case other == nil || j.id < other.id:
 			other = j
 		}
@@ -118,7 +118,7 @@
 }
 
 // movableShare is the share of a job's tasks in a zone that its spread allows in the others.
-func (s *Scheduler) movableShare(j *job, zone string) float64 {
+func (c *clusterState) movableShare(j *job, zone string) float64 {
 	if j.spec.Zone != "" || j.spec.SameZone {
 		return 0
 	}
@@ -129,7 +129,7 @@
 		}
 	}
 	allowed := 0
-	for other, allows := range s.zonesAllowed(j) {
+	for other, allows := range c.zonesAllowed(j) {
 		if allows && other != zone {
 			allowed += max(0, j.spec.MaxTasksPerZone()-activeByZone[other])
 		}
@@ -139,9 +139,9 @@
 
 // zonesAllowed tells for each zone of the cloud whether the job may use ordinary machines
 // there. Where a zone's machine types differ in that, the type visited last decides.
-func (s *Scheduler) zonesAllowed(j *job) map[string]bool {
+func (c *clusterState) zonesAllowed(j *job) map[string]bool {
 	allowed := map[string]bool{}
-	for _, machineSpec := range s.cluster.machineTypes {
+	for _, machineSpec := range c.machineTypes {
 		for _, zone := range machineSpec.Zones {
 			allowed[zone] = j.allows(offer{machineType: machineSpec.Name, zone: zone})
 		}
