--- a/internal/scheduler/monitor.go
+++ b/internal/scheduler/monitor.go
@@ -6,9 +6,13 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// monitorState follows the heartbeats of the fleet and of zones as a whole, and pauses of
-// this process: what a pause delays counts as missed by nobody.
-type monitorState struct {
+// heartbeatMonitor owns when heartbeats of the fleet and of zones as a whole came and
+// stopped to come, how long this leader has been isolated, when this process was paused,
+// and when ticks last scanned all machines.
+//
+// What a pause delays counts as missed by nobody: see age. The time without any heartbeat
+// counts from tick to tick, so that the first heartbeat ends it.
+type heartbeatMonitor struct {
 	*termContext
 
 	lastHeartbeatAt time.Duration            // of any machine
@@ -21,24 +25,50 @@
 	loadLoggedAt    time.Duration
 }
 
-// pausedFor is how long the process was paused before the tick at the given time; 0 if it
-// was not. A tick that is merely late is no pause.
-func (m *monitorState) pausedFor(now time.Duration) time.Duration {
-	if gap := now - m.tickedAt; gap > tuning.ProcessPauseThreshold {
-		return gap
+// notePause notes that the process was paused since the last tick, if it was. A tick that
+// is merely late is no pause.
+func (h *heartbeatMonitor) notePause() {
+	if gap := h.now.Mono - h.tickedAt; gap > tuning.ProcessPauseThreshold {
+		h.resumedAt = h.now.Mono
+		h.logInfo("process paused", "paused_s", gap.Seconds())
 	}
-	return 0
+}
+
+// age is how long ago a machine was last seen, less what went by before the process
+// resumed after a pause: heartbeats that did not come meanwhile have yet to be read, or
+// went to another controller.
+func (h *heartbeatMonitor) age(seenAt time.Duration) time.Duration {
+	return h.now.Mono - max(seenAt, h.resumedAt)
+}
+
+// beginScan reports whether a scan of all machines is due, and notes that it begins.
+func (h *heartbeatMonitor) beginScan(machines int) bool {
+	interval := h.scaleByCPUShare(time.Duration(machines) * tuning.ScanIntervalPerMachine)
+	if h.now.Mono-h.scannedAt < interval {
+		return false
+	}
+	h.scannedAt = h.now.Mono
+	return true
+}
+
+// beginLoadLog reports whether the load is to be logged, and notes that it is.
+func (h *heartbeatMonitor) beginLoadLog() bool {
+	if h.now.Mono-h.loadLoggedAt < tuning.LoadLogInterval {
+		return false
+	}
+	h.loadLoggedAt = h.now.Mono
+	return true
 }
 
 // countIsolation adds the time since the last tick, unless a heartbeat has come since. Of a
 // pause it counts little: what came meanwhile has yet to be read.
-func (m *monitorState) countIsolation(now time.Duration) {
-	if m.lastHeartbeatAt > m.tickedAt {
-		m.isolatedFor = 0
+func (h *heartbeatMonitor) countIsolation() {
+	if h.lastHeartbeatAt > h.tickedAt {
+		h.isolatedFor = 0
 	} else {
-		m.isolatedFor += min(now-m.tickedAt, 2*tuning.TickInterval)
+		h.isolatedFor += min(h.now.Mono-h.tickedAt, 2*tuning.TickInterval)
 	}
-	m.tickedAt = now
+	h.tickedAt = h.now.Mono
 }
 
 // resignIfIsolated gives up leadership when no worker reaches this process any more.
@@ -46,19 +76,18 @@
 // for several long heartbeat intervals would cost the workers their leases, since the other
 // controllers forward their heartbeats here all the while. A few machines may just be
 // between two heartbeats.
-func (s *Scheduler) resignIfIsolated() {
-	s.monitor.countIsolation(s.now.Mono)
-	machines := s.cluster.upMachineCount()
-	if machines == 0 {
+func (h *heartbeatMonitor) resignIfIsolated(upMachines int) {
+	h.countIsolation()
+	if upMachines == 0 {
 		// Else the first machine that the cloud lists, after a restart without records,
 		// would find this process isolated for long.
 		//mutation:isolation-clock-reset
-		s.monitor.isolatedFor = 0
+		h.isolatedFor = 0
 		return
 	}
-	limit := s.settings.HeartbeatInterval * tuning.ResignMissedHeartbeats * tuning.ResignReferenceMachines / time.Duration(max(machines, tuning.ResignReferenceMachines))
-	if s.monitor.isolatedFor > max(limit, tuning.MinResignSilence) {
-		s.effects.Resign = ResignNoHeartbeats
+	limit := h.settings.HeartbeatInterval * tuning.ResignMissedHeartbeats * tuning.ResignReferenceMachines / time.Duration(max(upMachines, tuning.ResignReferenceMachines))
+	if h.isolatedFor > max(limit, tuning.MinResignSilence) {
+		h.effects.Resign = ResignNoHeartbeats
 	}
 }
 
--- a/internal/scheduler/scalein.go
+++ b/internal/scheduler/scalein.go
@@ -24,7 +24,7 @@
 // releaseUnneeded starts the release of machines for which there is a reason and gives
 // their names.
 func (s *Scheduler) releaseUnneeded() []string {
-	missingZones := s.zonesMissingHeartbeats()
+	missingZones := s.monitor.zonesMissingHeartbeats(s.cluster.sortedMachines())
 	var headroom *fleetHeadroom // counted only if a machine is idle
 	var names []string
 	for _, m := range s.sortedMachines() {
@@ -103,7 +103,7 @@
 	bootTimeout := max(tuning.MinBootTimeout, s.cluster.bootTime(m.machineType)*time.Duration(100*s.settings.Policy.BootTimeoutFactor)/100)
 	// The grace is for machines that came up before the term or during a pause of this
 	// process: their heartbeats arrive within seconds.
-	if now-m.cloud.provisionedAt > bootTimeout && now-max(m.knownAt, s.monitor.resumedAt) > tuning.FirstHeartbeatGrace {
+	if now-m.cloud.provisionedAt > bootTimeout && s.monitor.age(m.knownAt) > tuning.FirstHeartbeatGrace {
 		//mutation:release-machine-that-never-came-up
 		return ReleaseNeverUp
 	}
@@ -113,17 +113,13 @@
 // upReleaseReason is why a machine that has come up has to be released.
 func (s *Scheduler) upReleaseReason(m *machine, missingZones map[string]bool) ReleaseReason {
 	now := s.now.Mono
-	// Heartbeats that did not come while this process was paused were not missed: they
-	// have yet to be read, or went to another controller.
-	heartbeatAge := now - max(m.connectivity.lastHeartbeatAt, s.monitor.resumedAt)
-	if m.cloud.failed && heartbeatAge > s.settings.HeartbeatInterval*2 {
+	if m.cloud.failed && s.monitor.age(m.connectivity.lastHeartbeatAt) > s.settings.HeartbeatInterval*2 {
 		return ReleaseFailed
 	}
 	if missingZones[m.zone] {
-		return s.zoneReleaseReason(m, heartbeatAge)
+		return s.zoneReleaseReason(m)
 	}
-	// After a partition, heartbeats of a zone's machines come back one by one.
-	heartbeatAge = min(heartbeatAge, now-s.monitor.zoneMissingAt[m.zone])
+	heartbeatAge := s.monitor.ownHeartbeatAge(m)
 	//mutation:reconciliation-holds-release
 	if m.calls.unansweredSinceHeartbeat >= tuning.UnansweredProbeThreshold && !s.reconciler.HoldsRelease(now, m.name) && heartbeatAge > s.heartbeatOverdueAfter()+tuning.CommandTimeout*tuning.UnansweredProbeThreshold && len(m.tasks) > 0 {
 		// Until its lease ends, its tasks could start nowhere else; the answer to the
@@ -135,7 +131,7 @@
 		// answer to the release is proof.
 		return ReleaseNotListed
 	}
-	if m.connectivity.unreachableSince > 0 && now-max(m.connectivity.unreachableSince, s.monitor.resumedAt) > s.settings.WorkerLease {
+	if m.connectivity.unreachableSince > 0 && s.monitor.age(m.connectivity.unreachableSince) > s.settings.WorkerLease {
 		return ReleaseUnreachable
 	}
 	if heartbeatAge > s.settings.WorkerLease-tuning.EarlyReleaseMargin {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -45,7 +45,7 @@
 	dispatcher    dispatchState
 	persister     persistState
 	cancellations cancellationState
-	monitor       monitorState
+	monitor       heartbeatMonitor
 	reconciler    *reconcile.Reconciler
 }
 
@@ -86,7 +86,7 @@
 		dispatcher:    newDispatchState(context),
 		persister:     newPersistState(context),
 		cancellations: cancellationState{termContext: context, pending: map[string]time.Duration{}},
-		monitor: monitorState{
+		monitor: heartbeatMonitor{
 			termContext:     context,
 			lastHeartbeatAt: now.Mono, tickedAt: now.Mono,
 			zoneHeartbeatAt: map[string]time.Duration{}, zoneMissingAt: map[string]time.Duration{},
--- a/internal/scheduler/tick.go
+++ b/internal/scheduler/tick.go
@@ -13,23 +13,18 @@
 // Tick does what falls due as time passes.
 func (s *Scheduler) Tick(now Now) {
 	s.now = now
-	if paused := s.monitor.pausedFor(now.Mono); paused > 0 {
-		s.monitor.resumedAt = now.Mono
-		s.logInfo("process paused", "paused_s", paused.Seconds())
-	}
-	scan := now.Mono-s.monitor.scannedAt >= s.scanInterval()
+	s.monitor.notePause()
+	scan := s.monitor.beginScan(len(s.cluster.machines))
 	if scan {
-		s.monitor.scannedAt = now.Mono
 		s.scanMachines()
 		//mutation:counter-check
 		s.watchCounterLimits()
 	}
-	s.resignIfIsolated()
+	s.monitor.resignIfIsolated(s.cluster.upMachineCount())
 	if scan {
 		s.scaleIn()
 	}
-	if now.Mono-s.monitor.loadLoggedAt >= tuning.LoadLogInterval {
-		s.monitor.loadLoggedAt = now.Mono
+	if s.monitor.beginLoadLog() {
 		s.logLoad()
 	}
 	s.reconciler.Advance(now.Mono)
@@ -84,11 +79,6 @@
 	return tuning.MinPlacementInterval + s.scaleByCPUShare(time.Duration(len(s.cluster.machines))*tuning.PlacementIntervalPerMachine)
 }
 
-// scanInterval is the least time between two ticks that scan every machine.
-func (s *Scheduler) scanInterval() time.Duration {
-	return s.scaleByCPUShare(time.Duration(len(s.cluster.machines)) * tuning.ScanIntervalPerMachine)
-}
-
 // scaleByCPUShare stretches an interval that was measured with tuning.ReferenceCPUShare of a
 // core for a process that has less. It would spend all of its time on rounds while hundreds
 // of jobs wait, and fall behind with heartbeats, so that machines stay idle beside them.
--- a/internal/scheduler/zone_partition.go
+++ b/internal/scheduler/zone_partition.go
@@ -23,11 +23,11 @@
 // alive. Not all have to miss them: the cloud's list still brings up machines there that
 // were booting. Of machines that send heartbeats, few had their last one a whole interval
 // ago, so this tells long before any of them would be released by itself.
-func (s *Scheduler) zonesMissingHeartbeats() map[string]bool {
+func (h *heartbeatMonitor) zonesMissingHeartbeats(machines []*machine) map[string]bool {
 	zones := map[string]*zoneCounts{}
-	for _, m := range s.cluster.machines {
+	for _, m := range machines {
 		if m.phase == machineUp {
-			s.countInZone(zones, m)
+			h.countInZone(zones, m)
 		}
 	}
 	missing := map[string]bool{}
@@ -38,59 +38,72 @@
 		}
 		missing[zone] = true
 		if float64(counts.overdue) >= threshold { // not just between two heartbeats
-			s.monitor.zoneMissingAt[zone] = s.now.Mono
+			h.zoneMissingAt[zone] = h.now.Mono
 		}
 	}
 	return missing
 }
 
-func (s *Scheduler) countInZone(zones map[string]*zoneCounts, m *machine) {
+func (h *heartbeatMonitor) countInZone(zones map[string]*zoneCounts, m *machine) {
 	counts := zones[m.zone]
 	if counts == nil {
 		counts = &zoneCounts{}
 		zones[m.zone] = counts
 	}
 	counts.machines++
-	heartbeatAge := s.now.Mono - m.connectivity.lastHeartbeatAt
-	if heartbeatAge > s.settings.HeartbeatInterval {
+	heartbeatAge := h.now.Mono - m.connectivity.lastHeartbeatAt
+	if heartbeatAge > h.settings.HeartbeatInterval {
 		counts.missed++
 	}
-	if heartbeatAge > s.heartbeatOverdueAfter() {
+	if heartbeatAge > h.heartbeatOverdueAfter() {
 		counts.overdue++
 	}
 }
 
 // zoneReleaseReason is why a machine of a zone that misses its heartbeats has to be
 // released; empty if it has not.
-func (s *Scheduler) zoneReleaseReason(m *machine, heartbeatAge time.Duration) ReleaseReason {
-	if at, ok := s.monitor.zoneHeartbeatAt[m.zone]; ok {
-		// The zone was last seen before this term.
-		heartbeatAge = max(heartbeatAge, s.now.Mono-at)
-	}
+func (s *Scheduler) zoneReleaseReason(m *machine) ReleaseReason {
+	heartbeatAge := s.monitor.zoneHeartbeatAge(m)
 	switch {
-	case heartbeatAge > s.zonePartitionLimit():
+	case heartbeatAge > s.monitor.zonePartitionLimit():
 		return ReleaseZoneMissing
-	case heartbeatAge > s.zoneReleaseDelay() && s.canMoveElsewhere(m):
+	case heartbeatAge > s.monitor.zoneReleaseDelay() && s.canMoveElsewhere(m):
 		return ReleaseZoneTasksPlacable
 	}
 	return ""
 }
 
+// zoneHeartbeatAge is the age of a machine's last heartbeat, or of the last one from its
+// zone that followers had before this term if that is longer ago.
+func (h *heartbeatMonitor) zoneHeartbeatAge(m *machine) time.Duration {
+	age := h.age(m.connectivity.lastHeartbeatAt)
+	if at, ok := h.zoneHeartbeatAt[m.zone]; ok {
+		age = max(age, h.now.Mono-at)
+	}
+	return age
+}
+
+// ownHeartbeatAge is how long a machine has missed heartbeats by itself. After a partition,
+// heartbeats of a zone's machines come back one by one: what the zone missed does not count.
+func (h *heartbeatMonitor) ownHeartbeatAge(m *machine) time.Duration {
+	return min(h.age(m.connectivity.lastHeartbeatAt), h.now.Mono-h.zoneMissingAt[m.zone])
+}
+
 // zonePartitionLimit is how long a partitioned zone keeps its machines in any case.
-func (c *termContext) zonePartitionLimit() time.Duration {
-	return time.Duration(float64(c.settings.WorkerLease) * tuning.ZonePartitionLeases)
+func (h *heartbeatMonitor) zonePartitionLimit() time.Duration {
+	return time.Duration(float64(h.settings.WorkerLease) * tuning.ZonePartitionLeases)
 }
 
 // zoneReleaseDelay is how long a zone may miss its heartbeats before machines are released
 // whose tasks can move. A controller inside may keep the workers' leases alive, but not for
 // longer than the bound on cancellations allows. Shortly before that, tasks had better
 // start elsewhere than end there with nobody to place them again.
-func (c *termContext) zoneReleaseDelay() time.Duration {
-	delay := c.zonePartitionLimit()
-	if c.settings.CancellationBound > 0 {
-		delay = min(delay, c.settings.CancellationBound-tuning.KeepaliveMargin-c.settings.HeartbeatInterval)
+func (h *heartbeatMonitor) zoneReleaseDelay() time.Duration {
+	delay := h.zonePartitionLimit()
+	if h.settings.CancellationBound > 0 {
+		delay = min(delay, h.settings.CancellationBound-tuning.KeepaliveMargin-h.settings.HeartbeatInterval)
 	}
-	return max(delay, c.settings.WorkerLease-tuning.EarlyReleaseMargin)
+	return max(delay, h.settings.WorkerLease-tuning.EarlyReleaseMargin)
 }
 
 // canMoveElsewhere reports whether most of what runs on a machine could start in another
