--- a/internal/scheduler/autoscaler.go
+++ b/internal/scheduler/autoscaler.go
@@ -6,17 +6,16 @@
 	"slices"
 	"time"
 
-	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// autoscalerState has the provisioning requests that are pending, the offers that the
-// cloud had too few machines of, and what it has listed.
+// autoscaler owns the provisioning requests that are pending, the offers that the cloud had
+// too few machines of, and when it last listed its machines or failed to release one.
 //
 // A request is pending from when it is sent until its answer, or the news that there is
 // none, has come. An offer has at most one pending request, and none is sent for it
 // before its backoff is over: see available. Request names are never used twice.
-type autoscalerState struct {
+type autoscaler struct {
 	*termContext
 
 	pending           map[string]*pendingRequest // by name
@@ -37,11 +36,11 @@
 // available reports whether the offer may be asked for. While a request for it is pending
 // it may not: the answer tells whether the cloud has more, so that a second request would
 // be a guess, and bursts of them run into the cloud's rate limit.
-func (a *autoscalerState) available(o offer, now time.Duration) bool {
-	return now >= a.unavailableUntil[o] && !a.isPending(o)
+func (a *autoscaler) available(o offer) bool {
+	return a.now.Mono >= a.unavailableUntil[o] && !a.isPending(o)
 }
 
-func (a *autoscalerState) isPending(o offer) bool {
+func (a *autoscaler) isPending(o offer) bool {
 	for _, request := range a.pending {
 		if request.offer == o {
 			return true
@@ -53,23 +52,23 @@
 // addRequest notes a request that is about to be sent and gives its name. The term sets
 // the name apart from those of other leaders, the number from others of this one: the
 // cloud takes a request with a known name for a repetition and provisions nothing.
-func (a *autoscalerState) addRequest(term uint64, o offer, count int) (name string) {
+func (a *autoscaler) addRequest(o offer, count int) (name string) {
 	a.nextRequestNumber++
-	name = fmt.Sprintf("yg-%d-%d", term, a.nextRequestNumber)
+	name = fmt.Sprintf("yg-%d-%d", a.term, a.nextRequestNumber)
 	a.pending[name] = &pendingRequest{offer: o, count: count}
 	return name
 }
 
 // takeRequest removes a request that is no longer pending, and gives nil for one that
 // was not.
-func (a *autoscalerState) takeRequest(name string) *pendingRequest {
+func (a *autoscaler) takeRequest(name string) *pendingRequest {
 	request := a.pending[name]
 	delete(a.pending, name)
 	return request
 }
 
 // pendingRequests gives the pending requests in the order of their names.
-func (a *autoscalerState) pendingRequests() []*pendingRequest {
+func (a *autoscaler) pendingRequests() []*pendingRequest {
 	requests := make([]*pendingRequest, 0, len(a.pending))
 	for _, name := range slices.Sorted(maps.Keys(a.pending)) {
 		requests = append(requests, a.pending[name])
@@ -77,33 +76,6 @@
 	return requests
 }
 
-// capacityBackoff is how long an offer that had too few machines is left alone: as short
-// as the cloud's rate allows for all offers together, since after a wave of interruptions
-// there is capacity again within seconds.
-func (s *Scheduler) capacityBackoff() time.Duration {
-	if s.settings.CloudRate <= 0 {
-		return tuning.MaxCapacityBackoff
-	}
-	offers := 0
-	for _, machineSpec := range s.cluster.machineTypes {
-		offers += 2 * len(machineSpec.Zones) // ordinary and spot machines
-	}
-	backoff := time.Duration(float64(offers) / (s.settings.CloudRate * tuning.CapacityRetryRateShare) * float64(time.Second))
-	return min(max(backoff, tuning.MinCapacityBackoff), tuning.MaxCapacityBackoff)
-}
-
-// SetMachineTypes takes the cloud's machine types.
-func (s *Scheduler) SetMachineTypes(now Now, types []wire.MachineType) {
-	s.now = now
-	for i := range types {
-		machineSpec := types[i]
-		s.cluster.machineTypes[machineSpec.Name] = &machineSpec
-	}
-	for _, m := range s.cluster.machines {
-		m.machineSpec = s.cluster.machineTypes[m.machineType]
-	}
-}
-
 // MachinesListed takes the cloud's machine list, which shows the machines as they were
 // Settings.CloudListLag ago.
 func (s *Scheduler) MachinesListed(now Now, list []wire.ListedMachine) {
@@ -154,11 +126,3 @@
 	}
 	return m
 }
-
-// bootTime is how long machines of the type usually take to come up.
-func (c *clusterState) bootTime(machineType string) time.Duration {
-	if machineSpec := c.machineTypes[machineType]; machineSpec != nil {
-		return time.Duration(machineSpec.BootS * float64(time.Second))
-	}
-	return tuning.MinBootTimeout
-}
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -104,7 +104,7 @@
 			f.now += f.scheduler.placementInterval()
 			f.scheduler.now = f.clock()
 			f.scheduler.autoscaler.scaledOutAt = 0
-			f.scheduler.scaleOut(f.scheduler.placePending())
+			f.scheduler.autoscaler.scaleOut(&f.scheduler.cluster, f.scheduler.reconciler, f.scheduler.placePending())
 			f.scheduler.TakeEffects()
 		}
 	})
--- a/internal/scheduler/offer.go
+++ b/internal/scheduler/offer.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"math"
-	"slices"
 	"strings"
 
 	"github.com/yarrowgap/yarrowgap/wire"
@@ -47,13 +46,13 @@
 
 // bestOffer chooses what to provision for a job, or, without one, as headroom. It reports
 // whether there is any offer to be had.
-func (s *Scheduler) bestOffer(job *job, machinesByZone map[string]int) (offer, bool) {
+func (a *autoscaler) bestOffer(cluster *clusterState, job *job, machinesByZone map[string]int) (offer, bool) {
 	var attemptsByZone map[string]int
 	if job != nil {
 		attemptsByZone = job.attemptsByZone()
 	}
 	best, bestCost := offer{}, math.Inf(1)
-	for _, machineSpec := range s.cluster.sortedMachineTypes() {
+	for _, machineSpec := range cluster.sortedMachineTypes() {
 		capacity := machineSpec.CPUs
 		if job != nil {
 			capacity = tasksPerMachine(machineSpec, job)
@@ -61,13 +60,13 @@
 		for _, zone := range machineSpec.Zones {
 			for _, spot := range []bool{false, true} {
 				o := offer{machineSpec.Name, zone, spot}
-				if spot && !s.settings.Policy.UseSpot || !s.autoscaler.available(o, s.now.Mono) {
+				if spot && !a.settings.Policy.UseSpot || !a.available(o) {
 					continue
 				}
 				if job != nil && !job.allowsOffer(o, machineSpec, attemptsByZone) {
 					continue
 				}
-				if cost := s.offerCost(o, machineSpec, capacity, machinesByZone[zone]); cost < bestCost {
+				if cost := a.offerCost(o, machineSpec, capacity, machinesByZone[zone]); cost < bestCost {
 					best, bestCost = o, cost
 				}
 			}
@@ -96,8 +95,8 @@
 // offerCost is lower for better offers. Capacity is that of one machine, in tasks or CPUs.
 // Where cost is to be minimized, the price of that capacity decides. Otherwise service
 // comes first: ordinary machines stay, large ones serve more, and zones are kept even.
-func (s *Scheduler) offerCost(o offer, machineSpec *wire.MachineType, capacity float64, machinesInZone int) float64 {
-	if s.settings.MinimizeCost {
+func (a *autoscaler) offerCost(o offer, machineSpec *wire.MachineType, capacity float64, machinesInZone int) float64 {
+	if a.settings.MinimizeCost {
 		price := machineSpec.Price
 		if o.spot {
 			price = machineSpec.SpotPrice
@@ -110,13 +109,3 @@
 	}
 	return cost - taskCapacityGain*min(capacity, maxCountedTasks)
 }
-
-// sortedMachineTypes gives the cloud's machine types by name.
-func (c *clusterState) sortedMachineTypes() []*wire.MachineType {
-	types := make([]*wire.MachineType, 0, len(c.machineTypes))
-	for _, machineSpec := range c.machineTypes {
-		types = append(types, machineSpec)
-	}
-	slices.SortFunc(types, func(a, b *wire.MachineType) int { return strings.Compare(a.Name, b.Name) })
-	return types
-}
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -12,12 +12,12 @@
 
 // scaleOut provisions machines for what could not be placed, beyond those that are on
 // their way, and for the headroom that is wanted.
-func (s *Scheduler) scaleOut(unplaced []unplacedTasks) {
-	if !s.mayScaleOut() {
+func (a *autoscaler) scaleOut(cluster *clusterState, reconciler *reconcile.Reconciler, unplaced []unplacedTasks) {
+	if !a.mayScaleOut(cluster) {
 		return
 	}
-	s.autoscaler.scaledOutAt = s.now.Mono
-	plan := s.newScaleOutPlan(unplaced)
+	a.scaledOutAt = a.now.Mono
+	plan := a.newScaleOutPlan(cluster, reconciler, unplaced)
 	plan.coverUnplaced(unplaced)
 	plan.coverNextService()
 	plan.coverHeadroom()
@@ -26,18 +26,19 @@
 
 // mayScaleOut reports whether enough is known to provision machines, whether this process
 // leads for certain, and whether the last time was long enough ago.
-func (s *Scheduler) mayScaleOut() bool {
-	if len(s.cluster.machineTypes) == 0 || !s.autoscaler.listed || !s.holdsLease() {
+func (a *autoscaler) mayScaleOut(cluster *clusterState) bool {
+	if cluster.offerCount() == 0 || !a.listed || !a.holdsLease() {
 		return false
 	}
-	last := s.autoscaler.scaledOutAt
-	return last == 0 || s.now.Mono-last >= s.scaleByCPUShare(tuning.MinScaleOutInterval)
+	return a.scaledOutAt == 0 || a.now.Mono-a.scaledOutAt >= a.scaleByCPUShare(tuning.MinScaleOutInterval)
 }
 
 // scaleOutPlan gathers the requests of one call of scaleOut. What it requests counts as
 // incoming capacity at once, so that no task is provided for twice.
 type scaleOutPlan struct {
-	scheduler      *Scheduler
+	autoscaler     *autoscaler
+	cluster        *clusterState
+	reconciler     *reconcile.Reconciler
 	incoming       []*capacitySlot // of machines on their way, then of requested ones
 	machinesByZone map[string]int
 	machineCount   int           // that exist, are on their way or are requested
@@ -45,10 +46,13 @@
 }
 
 // newScaleOutPlan counts the machines and the capacity that is on its way.
-func (s *Scheduler) newScaleOutPlan(unplaced []unplacedTasks) *scaleOutPlan {
-	plan := &scaleOutPlan{scheduler: s, machinesByZone: map[string]int{}, requests: map[offer]int{}}
-	delayed := s.cluster.delayedBoots()
-	for _, m := range s.sortedMachines() {
+func (a *autoscaler) newScaleOutPlan(cluster *clusterState, reconciler *reconcile.Reconciler, unplaced []unplacedTasks) *scaleOutPlan {
+	plan := &scaleOutPlan{
+		autoscaler: a, cluster: cluster, reconciler: reconciler,
+		machinesByZone: map[string]int{}, requests: map[offer]int{},
+	}
+	delayed := cluster.delayedBoots()
+	for _, m := range cluster.sortedMachines() {
 		if m.phase != machineReleasing {
 			plan.machinesByZone[m.zone]++
 			plan.machineCount++
@@ -58,8 +62,8 @@
 		}
 	}
 	//mutation:provisioning-counts-unconfirmed-capacity
-	plan.incoming = append(plan.incoming, s.cluster.unconfirmedCapacity(s.reconciler, minimumOf(unplaced))...)
-	for _, request := range s.autoscaler.pendingRequests() {
+	plan.incoming = append(plan.incoming, cluster.unconfirmedCapacity(reconciler, minimumOf(unplaced))...)
+	for _, request := range a.pendingRequests() {
 		plan.addPending(request)
 	}
 	return plan
@@ -67,7 +71,7 @@
 
 // addPending counts the machines of a request without an answer.
 func (p *scaleOutPlan) addPending(request *pendingRequest) {
-	machineSpec := p.scheduler.cluster.machineTypes[request.offer.machineType]
+	machineSpec := p.cluster.specOf(request.offer.machineType)
 	if machineSpec == nil {
 		return
 	}
@@ -81,17 +85,17 @@
 // requestMachine plans one more machine, the best one for a job or, without one, for
 // headroom. It returns nil if there is none to be had.
 func (p *scaleOutPlan) requestMachine(job *job) *capacitySlot {
-	if limit := p.scheduler.settings.Policy.MaxMachines; limit > 0 && p.machineCount >= limit {
+	if limit := p.autoscaler.settings.Policy.MaxMachines; limit > 0 && p.machineCount >= limit {
 		return nil
 	}
-	o, ok := p.scheduler.bestOffer(job, p.machinesByZone)
+	o, ok := p.autoscaler.bestOffer(p.cluster, job, p.machinesByZone)
 	if !ok {
 		return nil
 	}
 	p.requests[o]++
 	p.machinesByZone[o.zone]++
 	p.machineCount++
-	slot := newCapacitySlot(o, p.scheduler.cluster.machineTypes[o.machineType])
+	slot := newCapacitySlot(o, p.cluster.specOf(o.machineType))
 	p.incoming = append(p.incoming, slot)
 	return slot
 }
@@ -133,7 +137,7 @@
 
 // coverNextService requests a machine if the next service would find no capacity.
 func (p *scaleOutPlan) coverNextService() {
-	headroom := p.scheduler.cluster.newFleetHeadroom()
+	headroom := p.cluster.newFleetHeadroom()
 	if headroom.fitsNextService() {
 		return
 	}
@@ -148,11 +152,11 @@
 
 // coverHeadroom requests machines up to the headroom of the operators' policy.
 func (p *scaleOutPlan) coverHeadroom() {
-	headroomShare := p.scheduler.settings.Policy.HeadroomShare
+	headroomShare := p.autoscaler.settings.Policy.HeadroomShare
 	if headroomShare <= 0 {
 		return
 	}
-	used, total := p.scheduler.cluster.cpuUsage()
+	used, total := p.cluster.cpuUsage()
 	total += p.pendingCPUs()
 	for total < used*(1+headroomShare) {
 		slot := p.requestMachine(nil)
@@ -165,15 +169,14 @@
 
 // pendingCPUs sums the CPUs of machines that are requested, in this plan or before.
 func (p *scaleOutPlan) pendingCPUs() float64 {
-	machineTypes := p.scheduler.cluster.machineTypes
 	cpus := 0.0
-	for _, request := range p.scheduler.autoscaler.pending {
-		if machineSpec := machineTypes[request.offer.machineType]; machineSpec != nil {
+	for _, request := range p.autoscaler.pending {
+		if machineSpec := p.cluster.specOf(request.offer.machineType); machineSpec != nil {
 			cpus += machineSpec.CPUs * float64(request.count)
 		}
 	}
 	for o, count := range p.requests {
-		cpus += machineTypes[o.machineType].CPUs * float64(count)
+		cpus += p.cluster.specOf(o.machineType).CPUs * float64(count)
 	}
 	return cpus
 }
@@ -182,19 +185,19 @@
 // others are planned anew the next time.
 func (p *scaleOutPlan) sendRequests() {
 	for _, o := range slices.SortedFunc(maps.Keys(p.requests), offer.compare) {
-		if !p.scheduler.reconciler.TakeCloudCall(p.scheduler.now.Mono) {
+		if !p.reconciler.TakeCloudCall(p.autoscaler.now.Mono) {
 			return
 		}
-		p.scheduler.sendProvisionRequest(o, min(p.requests[o], tuning.MaxProvisionBatch))
+		p.reconciler.CountOperation(p.autoscaler.now.Mono, reconcile.Operation{Kind: reconcile.ProvisionOperation})
+		p.autoscaler.sendProvisionRequest(o, min(p.requests[o], tuning.MaxProvisionBatch))
 	}
 }
 
 // sendProvisionRequest asks the cloud for machines.
-func (s *Scheduler) sendProvisionRequest(o offer, count int) {
-	name := s.autoscaler.addRequest(s.term, o, count)
-	s.reconciler.CountOperation(s.now.Mono, reconcile.Operation{Kind: reconcile.ProvisionOperation})
-	s.logInfo("machines requested", "request", name, "type", o.machineType, "zone", o.zone, "spot", o.spot, "count", count)
-	s.effects.Provision = append(s.effects.Provision, ProvisionRequest{wire.ProvisionRequest{RequestID: name, Type: o.machineType, Zone: o.zone, Spot: o.spot, Count: count}})
+func (a *autoscaler) sendProvisionRequest(o offer, count int) {
+	name := a.addRequest(o, count)
+	a.logInfo("machines requested", "request", name, "type", o.machineType, "zone", o.zone, "spot", o.spot, "count", count)
+	a.effects.Provision = append(a.effects.Provision, ProvisionRequest{wire.ProvisionRequest{RequestID: name, Type: o.machineType, Zone: o.zone, Spot: o.spot, Count: count}})
 }
 
 // delayedBoots are the machines that take suspiciously long to come up. They are replaced
@@ -249,20 +252,30 @@
 // if it is ProvisionDone.
 func (s *Scheduler) Provisioned(now Now, name string, result ProvisionResult, machines []string) {
 	s.now = now
-	request := s.autoscaler.takeRequest(name)
+	request := s.autoscaler.handleAnswer(name, result, len(machines), s.cluster.offerCount())
 	if request == nil {
 		return
 	}
 	if result == ProvisionDone {
 		s.adoptProvisioned(request.offer, machines)
 	}
-	if result != ProvisionDone || len(machines) < request.count {
-		s.autoscaler.unavailableUntil[request.offer] = now.Mono + s.provisionBackoff(result)
-	}
-	s.logInfo("machine request answered", "request", name, "result", result.String(), "machines", len(machines))
 	s.placement.due = true
 }
 
+// handleAnswer takes the answer to a request, and leaves its offer alone for a while if
+// that did not bring all machines. It gives nil for a request that is not pending.
+func (a *autoscaler) handleAnswer(name string, result ProvisionResult, machines, offers int) *pendingRequest {
+	request := a.takeRequest(name)
+	if request == nil {
+		return nil
+	}
+	if result != ProvisionDone || machines < request.count {
+		a.unavailableUntil[request.offer] = a.now.Mono + a.provisionBackoff(result, offers)
+	}
+	a.logInfo("machine request answered", "request", name, "result", result.String(), "machines", machines)
+	return request
+}
+
 // adoptProvisioned adds the machines that a request brought. Some may be up and have sent
 // heartbeats ahead of the answer, and some may have been released already.
 func (s *Scheduler) adoptProvisioned(o offer, machines []string) {
@@ -281,9 +294,20 @@
 
 // provisionBackoff is how long an offer is left alone after a request that did not bring
 // all machines. If the outcome is unknown, the list will show them by then.
-func (s *Scheduler) provisionBackoff(result ProvisionResult) time.Duration {
+func (a *autoscaler) provisionBackoff(result ProvisionResult, offers int) time.Duration {
 	if result == ProvisionRefused {
 		return 2 * tuning.CloudRetryDelay
 	}
-	return s.capacityBackoff()
+	return a.capacityBackoff(offers)
+}
+
+// capacityBackoff is how long an offer that had too few machines is left alone: as short
+// as the cloud's rate allows for all offers together, since after a wave of interruptions
+// there is capacity again within seconds.
+func (a *autoscaler) capacityBackoff(offers int) time.Duration {
+	if a.settings.CloudRate <= 0 {
+		return tuning.MaxCapacityBackoff
+	}
+	backoff := time.Duration(float64(offers) / (a.settings.CloudRate * tuning.CapacityRetryRateShare) * float64(time.Second))
+	return min(max(backoff, tuning.MinCapacityBackoff), tuning.MaxCapacityBackoff)
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -41,7 +41,7 @@
 
 	cluster       clusterState
 	placement     placementState
-	autoscaler    autoscalerState
+	autoscaler    autoscaler
 	dispatcher    dispatchState
 	persister     persistState
 	cancellations cancellationState
@@ -82,7 +82,7 @@
 			usage: map[string]*teamUsage{}, released: map[string]bool{},
 		},
 		placement:     placementState{termContext: context, due: true, lastRoundAt: now.Mono - time.Second, backingOff: map[*job]bool{}},
-		autoscaler:    autoscalerState{termContext: context, pending: map[string]*pendingRequest{}, unavailableUntil: map[offer]time.Duration{}},
+		autoscaler:    autoscaler{termContext: context, pending: map[string]*pendingRequest{}, unavailableUntil: map[offer]time.Duration{}},
 		dispatcher:    newDispatchState(context),
 		persister:     newPersistState(context),
 		cancellations: cancellationState{termContext: context, pending: map[string]time.Duration{}},
--- a/internal/scheduler/tick.go
+++ b/internal/scheduler/tick.go
@@ -44,7 +44,7 @@
 	if s.placement.due && now.Mono-s.placement.lastRoundAt >= s.placementInterval() {
 		s.placement.lastRoundAt = now.Mono
 		s.placement.rounds++
-		s.scaleOut(s.placePending())
+		s.autoscaler.scaleOut(&s.cluster, s.reconciler, s.placePending())
 	}
 	s.flush()
 	s.sendToMachinesDue()
