--- a/internal/scheduler/scalein.go
+++ b/internal/scheduler/scalein.go
@@ -10,29 +10,35 @@
 // scaleIn releases machines that are broken, lost, too slow to come up or idle, and asks
 // again for releases whose outcome is unknown.
 func (s *Scheduler) scaleIn() {
-	if s.now.Mono < s.autoscaler.releaseRetryAt || !s.holdsLease() || !s.reconciler.CloudCallReady(s.now.Mono) {
+	if !s.autoscaler.mayScaleIn(s.reconciler) {
 		return
 	}
 	names := s.releaseUnneeded()
-	names = append(names, s.releasesToRetry(tuning.MaxReleaseBatch-len(names))...)
+	names = append(names, s.cluster.releasesToRetry(tuning.MaxReleaseBatch-len(names))...)
 	if len(names) > 0 {
 		s.reconciler.TakeCloudCall(s.now.Mono)
 		s.effects.Release = append(s.effects.Release, names)
 	}
 }
 
+// mayScaleIn reports whether this process leads for certain, and whether the cloud may be
+// called: not too soon after a release that failed.
+func (a *autoscaler) mayScaleIn(reconciler *reconcile.Reconciler) bool {
+	return a.now.Mono >= a.releaseRetryAt && a.holdsLease() && reconciler.CloudCallReady(a.now.Mono)
+}
+
 // releaseUnneeded starts the release of machines for which there is a reason and gives
 // their names.
 func (s *Scheduler) releaseUnneeded() []string {
 	missingZones := s.monitor.zonesMissingHeartbeats(s.cluster.sortedMachines())
 	var headroom *fleetHeadroom // counted only if a machine is idle
 	var names []string
-	for _, m := range s.sortedMachines() {
+	for _, m := range s.cluster.sortedMachines() {
 		if len(names) == tuning.MaxReleaseBatch {
 			break
 		}
 		reason := s.releaseReason(m, missingZones)
-		if reason == "" && s.idleLongEnough(m) {
+		if reason == "" && s.mayReleaseIdle() && s.autoscaler.idleLongEnough(m) {
 			if headroom == nil {
 				headroom = s.cluster.newFleetHeadroom()
 			}
@@ -70,9 +76,9 @@
 
 // releasesToRetry gives the names of at most limit machines whose release has to be asked
 // for once more.
-func (s *Scheduler) releasesToRetry(limit int) []string {
+func (c *clusterState) releasesToRetry(limit int) []string {
 	var names []string
-	for _, m := range s.sortedMachines() {
+	for _, m := range c.sortedMachines() {
 		if m.phase == machineReleasing && m.release.retryDue && len(names) < limit {
 			m.release.retryDue = false
 			names = append(names, m.name)
@@ -84,57 +90,58 @@
 // releaseReason is why a machine has to be released, whatever the headroom; empty if it
 // has not.
 func (s *Scheduler) releaseReason(m *machine, missingZones map[string]bool) ReleaseReason {
-	switch m.phase {
-	case machineReleasing:
+	switch {
+	case m.phase == machineReleasing:
 		return ""
-	case machineBooting:
-		return s.bootReleaseReason(m)
+	case m.phase == machineBooting:
+		return s.autoscaler.bootReleaseReason(m, s.cluster.bootTime(m.machineType), s.monitor.age(m.knownAt))
+	case s.monitor.hasFailed(m):
+		return ReleaseFailed
+	case missingZones[m.zone]:
+		return s.zoneReleaseReason(m)
 	default:
-		return s.upReleaseReason(m, missingZones)
+		return s.monitor.releaseReason(m, s.reconciler)
 	}
 }
 
 // bootReleaseReason is why a machine that has not come up has to be released.
-func (s *Scheduler) bootReleaseReason(m *machine) ReleaseReason {
+func (a *autoscaler) bootReleaseReason(m *machine, bootTime, knownFor time.Duration) ReleaseReason {
 	if m.cloud.failed {
 		return ReleaseBootFailed
 	}
-	now := s.now.Mono
-	bootTimeout := max(tuning.MinBootTimeout, s.cluster.bootTime(m.machineType)*time.Duration(100*s.settings.Policy.BootTimeoutFactor)/100)
+	bootTimeout := max(tuning.MinBootTimeout, bootTime*time.Duration(100*a.settings.Policy.BootTimeoutFactor)/100)
 	// The grace is for machines that came up before the term or during a pause of this
 	// process: their heartbeats arrive within seconds.
-	if now-m.cloud.provisionedAt > bootTimeout && s.monitor.age(m.knownAt) > tuning.FirstHeartbeatGrace {
+	if a.now.Mono-m.cloud.provisionedAt > bootTimeout && knownFor > tuning.FirstHeartbeatGrace {
 		//mutation:release-machine-that-never-came-up
 		return ReleaseNeverUp
 	}
 	return ""
 }
 
-// upReleaseReason is why a machine that has come up has to be released.
-func (s *Scheduler) upReleaseReason(m *machine, missingZones map[string]bool) ReleaseReason {
-	now := s.now.Mono
-	if m.cloud.failed && s.monitor.age(m.connectivity.lastHeartbeatAt) > s.settings.HeartbeatInterval*2 {
-		return ReleaseFailed
-	}
-	if missingZones[m.zone] {
-		return s.zoneReleaseReason(m)
-	}
-	heartbeatAge := s.monitor.ownHeartbeatAge(m)
+// hasFailed reports whether a machine has failed by the cloud's list and sends no heartbeats.
+func (h *heartbeatMonitor) hasFailed(m *machine) bool {
+	return m.cloud.failed && h.age(m.connectivity.lastHeartbeatAt) > h.settings.HeartbeatInterval*2
+}
+
+// releaseReason is why a machine that is up has to be released by itself, not with its zone.
+func (h *heartbeatMonitor) releaseReason(m *machine, reconciler *reconcile.Reconciler) ReleaseReason {
+	now, heartbeatAge := h.now.Mono, h.ownHeartbeatAge(m)
 	//mutation:reconciliation-holds-release
-	if m.calls.unansweredSinceHeartbeat >= tuning.UnansweredProbeThreshold && !s.reconciler.HoldsRelease(now, m.name) && heartbeatAge > s.heartbeatOverdueAfter()+tuning.CommandTimeout*tuning.UnansweredProbeThreshold && len(m.tasks) > 0 {
+	if m.calls.unansweredSinceHeartbeat >= tuning.UnansweredProbeThreshold && !reconciler.HoldsRelease(now, m.name) && heartbeatAge > h.heartbeatOverdueAfter()+tuning.CommandTimeout*tuning.UnansweredProbeThreshold && len(m.tasks) > 0 {
 		// Until its lease ends, its tasks could start nowhere else; the answer to the
 		// release proves them gone at once.
 		return ReleaseProbesUnanswered
 	}
-	if m.cloud.listed && m.cloud.missedLists >= tuning.MissingListThreshold && heartbeatAge > s.settings.HeartbeatInterval*2 {
+	if m.cloud.listed && m.cloud.missedLists >= tuning.MissingListThreshold && heartbeatAge > h.settings.HeartbeatInterval*2 {
 		// A machine stays listed until it is gone, but lists may be old: only the
 		// answer to the release is proof.
 		return ReleaseNotListed
 	}
-	if m.connectivity.unreachableSince > 0 && s.monitor.age(m.connectivity.unreachableSince) > s.settings.WorkerLease {
+	if m.connectivity.unreachableSince > 0 && h.age(m.connectivity.unreachableSince) > h.settings.WorkerLease {
 		return ReleaseUnreachable
 	}
-	if heartbeatAge > s.settings.WorkerLease-tuning.EarlyReleaseMargin {
+	if heartbeatAge > h.settings.WorkerLease-tuning.EarlyReleaseMargin {
 		return ReleaseLeaseExpired
 	}
 	if len(m.tasks) == 0 && m.cloud.interruptionAt == 0 && m.quarantine.until > now {
@@ -148,23 +155,24 @@
 	return c.settings.HeartbeatInterval*5/4 + tuning.HeartbeatGrace
 }
 
-// idleLongEnough reports whether a machine has been idle for its timeout while nothing
-// that waits may still be placed on it.
-func (s *Scheduler) idleLongEnough(m *machine) bool {
-	now := s.now.Mono
+// mayReleaseIdle reports whether nothing that waits may still be placed on idle machines.
+func (s *Scheduler) mayReleaseIdle() bool {
+	return !s.placement.due && !s.reconciler.HoldsIdleReleases()
+}
+
+// idleLongEnough reports whether a machine has been idle for its timeout.
+func (a *autoscaler) idleLongEnough(m *machine) bool {
+	now := a.now.Mono
 	if m.phase != machineUp || len(m.tasks) > 0 || m.cloud.interruptionAt > 0 {
 		return false
 	}
-	if s.placement.due || s.reconciler.HoldsIdleReleases() || now-m.connectivity.lastHeartbeatAt >= s.settings.HeartbeatInterval*2 {
-		return false
-	}
-	return now-max(m.idleSince, m.upAt) > s.idleTimeout(m)
+	return now-m.connectivity.lastHeartbeatAt < a.settings.HeartbeatInterval*2 && now-max(m.idleSince, m.upAt) > a.idleTimeout(m)
 }
 
 // idleTimeout is how long a machine may be idle: a spot machine longer, by the ratio of
 // the prices.
-func (c *termContext) idleTimeout(m *machine) time.Duration {
-	timeout := c.settings.Policy.IdleTimeout
+func (a *autoscaler) idleTimeout(m *machine) time.Duration {
+	timeout := a.settings.Policy.IdleTimeout
 	if m.spot && m.machineSpec != nil && m.machineSpec.SpotPrice > 0 {
 		timeout = time.Duration(float64(timeout) * max(1, m.machineSpec.Price/m.machineSpec.SpotPrice))
 	}
@@ -187,8 +195,8 @@
 	s.now = now
 	//mutation:release-needs-proof
 	if result != ReleaseDone {
-		s.autoscaler.releaseRetryAt = now.Mono + tuning.CloudRetryDelay
-		s.releaseFailed(names, result)
+		s.autoscaler.delayReleases()
+		s.cluster.releaseFailed(names, result)
 		return
 	}
 	for _, name := range names {
@@ -200,11 +208,14 @@
 	}
 }
 
+// delayReleases has nothing released for a while, after a release that failed.
+func (a *autoscaler) delayReleases() { a.releaseRetryAt = a.now.Mono + tuning.CloudRetryDelay }
+
 // releaseFailed puts machines back in use whose release was refused, since they may have
 // recovered meanwhile, and has a release without a known outcome asked for again.
-func (s *Scheduler) releaseFailed(names []string, result ReleaseResult) {
+func (c *clusterState) releaseFailed(names []string, result ReleaseResult) {
 	for _, name := range names {
-		m := s.cluster.machines[name]
+		m := c.machines[name]
 		switch {
 		case m == nil:
 		case result != ReleaseRefused:
