--- a/internal/scheduler/load_log.go
+++ b/internal/scheduler/load_log.go
@@ -3,28 +3,29 @@
 import (
 	"maps"
 	"slices"
+	"time"
 
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// logLoad logs how full the cluster is and what tasks wait for.
-func (s *Scheduler) logLoad() {
-	s.logDelayedStarts()
-	for _, name := range slices.Sorted(maps.Keys(s.cluster.usage)) {
-		if usage := s.cluster.usage[name]; usage.CPUs > 0 {
-			s.logDebug("team usage", "team", name, "cpus_used", usage.CPUs, "cpus_limit", s.settings.Teams[name].CPUsMax)
+// logLoad logs how full the cluster is, what tasks wait for, and how far the leader is
+// behind with cancellations.
+func (c *clusterState) logLoad(cancellationLag time.Duration) {
+	for _, name := range slices.Sorted(maps.Keys(c.usage)) {
+		if usage := c.usage[name]; usage.CPUs > 0 {
+			c.logDebug("team usage", "team", name, "cpus_used", usage.CPUs, "cpus_limit", c.settings.Teams[name].CPUsMax)
 		}
 	}
 	waiting := map[WaitReason]int{}
-	for _, j := range s.cluster.jobs {
+	for _, j := range c.jobs {
 		if tasks := j.pendingTasks(); tasks > 0 {
 			waiting[j.waiting.reason] += tasks
 		}
 	}
-	used, total := s.cluster.cpuUsage()
-	s.logDebug("cluster load", "cpus_used", used, "cpus_total", total, "machines", len(s.cluster.machines), "jobs", len(s.cluster.jobs),
+	used, total := c.cpuUsage()
+	c.logDebug("cluster load", "cpus_used", used, "cpus_total", total, "machines", len(c.machines), "jobs", len(c.jobs),
 		"waiting_for_capacity", waiting[WaitForCapacity], "waiting_for_quota", waiting[WaitForQuota], "waiting_otherwise", waiting[NotWaiting],
-		"cancellation_lag_s", (s.now.Mono - s.EnforcedCancellationWatermark(s.now.Mono)).Seconds())
+		"cancellation_lag_s", cancellationLag.Seconds())
 }
 
 // logDelayedStarts says so if starts wait long for their assignment to be recorded.
--- a/internal/scheduler/tick.go
+++ b/internal/scheduler/tick.go
@@ -25,14 +25,13 @@
 		s.scaleIn()
 	}
 	if s.monitor.beginLoadLog() {
-		s.logLoad()
+		s.logDelayedStarts()
+		s.cluster.logLoad(now.Mono - s.EnforcedCancellationWatermark(now.Mono))
 	}
 	s.reconciler.Advance(now.Mono)
 	s.resolveUnreadableRecords()
 	s.compactBatches()
-	if now.Mono-s.placement.lastRoundAt >= maxPlacementInterval {
-		s.placement.due = true
-	}
+	s.placement.requireRound()
 	s.Settle(now)
 }
 
@@ -40,10 +39,8 @@
 // scales out, writes records and sends commands. It follows every input.
 func (s *Scheduler) Settle(now Now) {
 	s.now = now
-	s.wakeBackedOffJobs()
-	if s.placement.due && now.Mono-s.placement.lastRoundAt >= s.placementInterval() {
-		s.placement.lastRoundAt = now.Mono
-		s.placement.rounds++
+	s.placement.wakeBackedOffJobs()
+	if s.placement.beginRound(len(s.cluster.machines)) {
 		s.autoscaler.scaleOut(&s.cluster, s.reconciler, s.placePending())
 	}
 	s.flush()
@@ -73,10 +70,26 @@
 // successor.
 func (c *termContext) holdsLease() bool { return c.now.Mono < c.leaseHeldUntil }
 
-// placementInterval is the least time between two placement rounds, since each visits
-// every machine.
-func (s *Scheduler) placementInterval() time.Duration {
-	return tuning.MinPlacementInterval + s.scaleByCPUShare(time.Duration(len(s.cluster.machines))*tuning.PlacementIntervalPerMachine)
+// requireRound makes a placement round due if the last one was long ago.
+func (p *placementState) requireRound() {
+	if p.now.Mono-p.lastRoundAt >= maxPlacementInterval {
+		p.due = true
+	}
+}
+
+// beginRound reports whether a placement round is due, and notes that it begins.
+func (p *placementState) beginRound(machines int) bool {
+	if !p.due || p.now.Mono-p.lastRoundAt < p.interval(machines) {
+		return false
+	}
+	p.lastRoundAt = p.now.Mono
+	p.rounds++
+	return true
+}
+
+// interval is the least time between two placement rounds, since each visits every machine.
+func (p *placementState) interval(machines int) time.Duration {
+	return tuning.MinPlacementInterval + p.scaleByCPUShare(time.Duration(machines)*tuning.PlacementIntervalPerMachine)
 }
 
 // scaleByCPUShare stretches an interval that was measured with tuning.ReferenceCPUShare of a
@@ -91,12 +104,12 @@
 
 // wakeBackedOffJobs makes a placement round due for jobs whose backoff after a failed
 // attempt is over.
-func (s *Scheduler) wakeBackedOffJobs() {
-	for j := range s.placement.backingOff {
-		if s.now.Mono >= j.retry.at {
-			delete(s.placement.backingOff, j)
+func (p *placementState) wakeBackedOffJobs() {
+	for j := range p.backingOff {
+		if p.now.Mono >= j.retry.at {
+			delete(p.backingOff, j)
 			j.retry.at = 0
-			s.placement.due = true
+			p.due = true
 		}
 	}
 }
