--- a/internal/scheduler/autoscaler.go
+++ b/internal/scheduler/autoscaler.go
@@ -27,6 +27,13 @@
 	releaseRetryAt    time.Duration // no release before then
 }
 
+func newAutoscaler(context *termContext) autoscaler {
+	return autoscaler{
+		termContext: context,
+		pending:     map[string]*pendingRequest{}, unavailableUntil: map[offer]time.Duration{},
+	}
+}
+
 // pendingRequest is a provisioning request without an answer.
 type pendingRequest struct {
 	offer offer
--- a/internal/scheduler/monitor.go
+++ b/internal/scheduler/monitor.go
@@ -25,6 +25,14 @@
 	loadLoggedAt    time.Duration
 }
 
+func newHeartbeatMonitor(context *termContext) heartbeatMonitor {
+	return heartbeatMonitor{
+		termContext:     context,
+		lastHeartbeatAt: context.now.Mono, tickedAt: context.now.Mono,
+		zoneHeartbeatAt: map[string]time.Duration{}, zoneMissingAt: map[string]time.Duration{},
+	}
+}
+
 // notePause notes that the process was paused since the last tick, if it was. A tick that
 // is merely late is no pause.
 func (h *heartbeatMonitor) notePause() {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -82,16 +82,12 @@
 			usage: map[string]*teamUsage{}, released: map[string]bool{},
 		},
 		placement:     placementState{termContext: context, due: true, lastRoundAt: now.Mono - time.Second, backingOff: map[*job]bool{}},
-		autoscaler:    autoscaler{termContext: context, pending: map[string]*pendingRequest{}, unavailableUntil: map[offer]time.Duration{}},
+		autoscaler:    newAutoscaler(context),
 		dispatcher:    newDispatchState(context),
 		persister:     newPersistState(context),
 		cancellations: cancellationState{termContext: context, pending: map[string]time.Duration{}},
-		monitor: heartbeatMonitor{
-			termContext:     context,
-			lastHeartbeatAt: now.Mono, tickedAt: now.Mono,
-			zoneHeartbeatAt: map[string]time.Duration{}, zoneMissingAt: map[string]time.Duration{},
-		},
-		reconciler: reconcile.New(now.Mono, settings.reconcileConfig()),
+		monitor:       newHeartbeatMonitor(context),
+		reconciler:    reconcile.New(now.Mono, settings.reconcileConfig()),
 	}
 }
 
