--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -67,7 +67,7 @@
 	claimedCPUs map[*machine]float64 // that preemption frees and that were promised to a job
 
 	// unconfirmedCapacity is the largest free capacity on machines without a heartbeat in
-	// this term; computed when it is first needed. See Scheduler.mayFitUnconfirmed.
+	// this term; computed when it is first needed. See mayFitUnconfirmed.
 	unconfirmedCapacity map[offer]*capacitySlot
 
 	secondPass []*job // aged jobs that get what others left
@@ -99,7 +99,7 @@
 // placePending assigns waiting tasks to machines, and gives those that found none.
 func (s *Scheduler) placePending() []unplacedTasks {
 	s.placement.due = false
-	_, totalCPUs := s.cpuUsage()
+	_, totalCPUs := s.cluster.cpuUsage()
 	queue := s.cluster.schedulingQueue(totalCPUs)
 	round := s.newPlacementRound(queue, totalCPUs)
 	for _, j := range queue {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -41,11 +41,11 @@
 
 	cluster       clusterState
 	placement     placementState
-	autoscaler    autoscalerState
+	autoscaler    autoscaler
 	dispatcher    dispatchState
 	persister     persistState
 	cancellations cancellationState
-	monitor       monitorState
+	monitor       heartbeatMonitor
 	reconciler    termReconciler
 }
 
@@ -82,15 +82,11 @@
 			usage: map[string]*teamUsage{}, released: map[string]bool{},
 		},
 		placement:     placementState{termContext: context, due: true, lastRoundAt: now.Mono - time.Second, backingOff: map[*job]bool{}},
-		autoscaler:    autoscalerState{termContext: context, pending: map[string]*pendingRequest{}, unavailableUntil: map[offer]time.Duration{}},
+		autoscaler:    newAutoscaler(context),
 		dispatcher:    newDispatchState(context),
 		persister:     newPersistState(context),
 		cancellations: cancellationState{termContext: context, pending: map[string]time.Duration{}},
-		monitor: monitorState{
-			termContext:     context,
-			lastHeartbeatAt: now.Mono, tickedAt: now.Mono,
-			zoneHeartbeatAt: map[string]time.Duration{}, zoneMissingAt: map[string]time.Duration{},
-		},
+		monitor:       newHeartbeatMonitor(context),
 	}
 	s.reconciler = termReconciler{context, reconcile.New(now.Mono, settings.reconcileConfig()), &s.cluster}
 	return s
