--- a/internal/scheduler/attempt_outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -176,7 +176,7 @@
 		// The start was not executed. It is the one kind of command that is sent again.
 		a.start.replySequence = 0
 		if a.retry.nextAt <= s.now.Mono {
-			s.sendDue(a.machine)
+			s.dispatcher.sendDue(a.machine)
 		}
 	}
 }
@@ -190,7 +190,7 @@
 	j.progress.add(index)
 	s.logDebug("task done", "task", wire.TaskName(j.id, index))
 	s.counters.Finished++
-	s.persister.markDirty(j, s.now.Mono)
+	s.persister.markDirty(j)
 	s.placement.due = true
 	for _, a := range slices.Clone(j.active[index]) {
 		s.stopNow(a, StopTaskDone)
--- a/internal/scheduler/completed_assignments.go
+++ b/internal/scheduler/completed_assignments.go
@@ -4,7 +4,7 @@
 // Without a record of either, the next leader would take the task for one that waits, and
 // start it again before the machine that ran it has sent a heartbeat.
 
-// keepAssignmentUntilSaved keeps an attempt that has completed in its batches.
+// keepAssignmentUntilSaved keeps a completed attempt in its batches.
 func (a *attempt) keepAssignmentUntilSaved() {
 	j, index := a.job, a.ref.index
 	if j == nil || j.service || j.archived || len(a.assignment.batches) == 0 || index >= j.spec.Tasks || j.progress.saved.Has(index) {
@@ -26,7 +26,7 @@
 
 // dropSavedAssignments removes the kept attempts of tasks that are durably done, or whose
 // job has ended.
-func (p *persistState) dropSavedAssignments(j *job) {
+func (p *persister) dropSavedAssignments(j *job) {
 	for index, a := range j.unsavedAttempts {
 		if j.archived || j.progress.saved.Has(index) {
 			delete(j.unsavedAttempts, index)
@@ -36,7 +36,7 @@
 }
 
 // removeFromBatches takes an attempt out of all its batches.
-func (p *persistState) removeFromBatches(a *attempt) {
+func (p *persister) removeFromBatches(a *attempt) {
 	for _, batch := range a.assignment.batches {
 		p.removeFromBatch(batch, a)
 	}
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -162,13 +162,6 @@
 	}
 }
 
-// markDirtyIfComplete has a job's last write made once it is over.
-func (p *persistState) markDirtyIfComplete(j *job) {
-	if j.readyToArchive() {
-		p.markDirty(j, p.now.Mono)
-	}
-}
-
 // pendingTasks is how many tasks are neither done nor have an attempt.
 func (j *job) pendingTasks() int {
 	if j.cancelled || j.archived {
--- a/internal/scheduler/load_log.go
+++ b/internal/scheduler/load_log.go
@@ -4,8 +4,6 @@
 	"maps"
 	"slices"
 	"time"
-
-	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
 // logLoad logs how full the cluster is, what tasks wait for, and how far the leader is
@@ -27,22 +25,3 @@
 		"waiting_for_capacity", waiting[WaitForCapacity], "waiting_for_quota", waiting[WaitForQuota], "waiting_otherwise", waiting[NotWaiting],
 		"cancellation_lag_s", cancellationLag.Seconds())
 }
-
-// logDelayedStarts says so if starts wait long for their assignment to be recorded.
-func (s *Scheduler) logDelayedStarts() {
-	oldest := s.now.Mono
-	for _, a := range s.persister.unrecorded {
-		if !a.start.sent {
-			oldest = min(oldest, a.placedAt)
-		}
-	}
-	delay := s.now.Mono - oldest
-	if delay <= tuning.LateRecordAfter {
-		return
-	}
-	cause := "write rate"
-	if s.now.Mono < s.persister.blockedUntil+tuning.StoreRetryDelay {
-		cause = "key-value store refuses writes"
-	}
-	s.logInfo("starts wait for their assignment records", "cause", cause, "starts", len(s.persister.unrecorded), "longest_s", delay.Seconds(), "changes_per_s", s.settings.WriteRate)
-}
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -50,9 +50,10 @@
 type placementRound struct {
 	*termContext
 	cluster    *clusterState
-	persister  *persistState
+	dispatcher *dispatcher
+	persister  *persister
 	reconciler *termReconciler
-	scheduler  *Scheduler // numbers attempts, and sees to what follows from their end
+	scheduler  *Scheduler // sees to what follows from stops and ends of attempts
 
 	totalCPUs float64    // of the cluster
 	machines  []*machine // with capacity for the smallest task that waits
@@ -114,7 +115,7 @@
 // newPlacementRound prepares a round over the queue.
 func (s *Scheduler) newPlacementRound(queue []*job, totalCPUs float64) *placementRound {
 	r := &placementRound{
-		termContext: s.termContext, cluster: &s.cluster, persister: &s.persister, reconciler: &s.reconciler, scheduler: s,
+		termContext: s.termContext, cluster: &s.cluster, dispatcher: &s.dispatcher, persister: &s.persister, reconciler: &s.reconciler, scheduler: s,
 		totalCPUs: totalCPUs, machines: s.cluster.machinesWithCapacity(queue),
 		agedShareCPUs: totalCPUs * tuning.AgedShare,
 		quota:         newQuotaReservations(), claimedCPUs: map[*machine]float64{},
@@ -273,7 +274,7 @@
 	for placed := range n {
 		m := picker.best()
 		//mutation:counter-check-in-round
-		if m == nil || r.scheduler.attemptNumbersLeft() == 0 || r.waitsForWarmMachine(j, m, picker) {
+		if m == nil || r.dispatcher.attemptNumbersLeft() == 0 || r.waitsForWarmMachine(j, m, picker) {
 			return placed
 		}
 		index, ok := j.takeFreeIndex()
@@ -295,7 +296,7 @@
 // assign makes a new attempt of a task on the machine. No start is sent before the
 // assignment is recorded, for which it has to be queued.
 func (r *placementRound) assign(j *job, index int, m *machine) *attempt {
-	a := r.scheduler.newAttempt(j, index, m)
+	a := r.dispatcher.newAttempt(j, index, m)
 	r.cluster.attach(a)
 	return a
 }
--- a/internal/scheduler/reconciliation.go
+++ b/internal/scheduler/reconciliation.go
@@ -46,14 +46,6 @@
 	}
 }
 
-// countAttemptOperation counts the first operation of its kind on an attempt.
-func (r *termReconciler) countAttemptOperation(kind reconcile.OperationKind, a *attempt) {
-	if r.Phase() == reconcile.Settled {
-		return
-	}
-	r.CountOperation(r.now.Mono, reconcile.Operation{Kind: kind, Machine: a.machine.name, Task: a.ref.String(), Number: a.number})
-}
-
 // evidenceFor gathers what is known of an attempt from before the term.
 func (r *termReconciler) evidenceFor(a *attempt, observation reconcile.Observation) reconcile.Evidence {
 	e := reconcile.Evidence{Observation: observation, Recorded: a.reconciliation.class == reconcile.MissingUnproven}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -42,8 +42,8 @@
 	cluster       clusterState
 	placement     placementState
 	autoscaler    autoscaler
-	dispatcher    dispatchState
-	persister     persistState
+	dispatcher    dispatcher
+	persister     persister
 	cancellations cancellationState
 	monitor       heartbeatMonitor
 	reconciler    termReconciler
@@ -74,6 +74,7 @@
 // newEmptyScheduler makes a scheduler that knows of nothing yet.
 func newEmptyScheduler(now Now, settings Settings, term uint64) *Scheduler {
 	context := &termContext{settings: settings, term: term, now: now, startedAt: now.Mono}
+	reconciler := reconcile.New(now.Mono, settings.reconcileConfig())
 	s := &Scheduler{
 		termContext: context,
 		cluster: clusterState{
@@ -83,12 +84,12 @@
 		},
 		placement:     placementState{termContext: context, due: true, lastRoundAt: now.Mono - time.Second, backingOff: map[*job]bool{}},
 		autoscaler:    newAutoscaler(context),
-		dispatcher:    newDispatchState(context),
-		persister:     newPersistState(context),
+		dispatcher:    newDispatcher(context, reconciler),
+		persister:     newPersister(context),
 		cancellations: cancellationState{termContext: context, pending: map[string]time.Duration{}},
 		monitor:       newHeartbeatMonitor(context),
 	}
-	s.reconciler = termReconciler{context, reconcile.New(now.Mono, settings.reconcileConfig()), &s.cluster}
+	s.reconciler = termReconciler{context, reconciler, &s.cluster}
 	return s
 }
 
@@ -105,9 +106,9 @@
 // probeRestoredMachines asks all machines for a heartbeat under this term's token.
 func (s *Scheduler) probeRestoredMachines() {
 	for _, m := range s.cluster.sortedMachines() {
-		if s.dispatcher.machinesDue[m.name] {
-			s.sendDue(m) // its reply is such a heartbeat
+		if s.dispatcher.isDue(m) {
+			s.dispatcher.sendDue(m) // its reply is such a heartbeat
 		}
-		s.probeStatus(m)
+		s.dispatcher.probeStatus(m, len(s.cluster.machines))
 	}
 }
--- a/internal/scheduler/tick.go
+++ b/internal/scheduler/tick.go
@@ -18,19 +18,19 @@
 	if scan {
 		s.scanMachines()
 		//mutation:counter-check
-		s.watchCounterLimits()
+		s.dispatcher.watchCounterLimits(s.cluster.machines)
 	}
 	s.monitor.resignIfIsolated(s.cluster.upMachineCount())
 	if scan {
 		s.scaleIn()
 	}
 	if s.monitor.beginLoadLog() {
-		s.logDelayedStarts()
+		s.persister.logDelayedStarts()
 		s.cluster.logLoad(now.Mono - s.EnforcedCancellationWatermark(now.Mono))
 	}
 	s.reconciler.Advance(now.Mono)
 	s.resolveUnreadableRecords()
-	s.compactBatches()
+	s.persister.compactBatches()
 	s.placement.requireRound()
 	s.Settle(now)
 }
@@ -43,7 +43,7 @@
 	if s.placement.beginRound(len(s.cluster.machines)) {
 		s.autoscaler.scaleOut(&s.cluster, s.reconciler.Reconciler, s.placePending())
 	}
-	s.flush()
+	s.persister.flush()
 	s.sendToMachinesDue()
 }
 
@@ -51,7 +51,7 @@
 func (s *Scheduler) sendToMachinesDue() {
 	for name := range s.dispatcher.takeDue() {
 		if m := s.cluster.machines[name]; m != nil {
-			s.sendDue(m)
+			s.dispatcher.sendDue(m)
 		}
 	}
 }
