--- a/internal/scheduler/attempt_outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -9,8 +9,12 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// causeLost is that of an attempt which its worker no longer lists.
-const causeLost = "lost"
+// Causes of failed attempts beside those that workers report.
+const (
+	causeLost            = "lost"         // the worker no longer lists it
+	causeMachineReleased = "machine gone" // its machine was released
+	causeAckTimeout      = "ack timeout"  // no worker acknowledged its start in time
+)
 
 // Failure is a failed attempt, kept for operators to ask about.
 type Failure struct {
@@ -59,7 +63,7 @@
 // handleFailedAttempt decides what follows a detached attempt that did not complete.
 func (s *Scheduler) handleFailedAttempt(a *attempt, cause string) {
 	if cause != wire.CauseStopped {
-		s.cluster.listFailure(a, cause)
+		s.cluster.addFailure(Failure{a.ref.String(), a.number, a.machine.name, cause, s.now.Wall})
 		s.cluster.logFailedAttempt(a, cause)
 	}
 	j := a.job
@@ -84,15 +88,6 @@
 	}
 }
 
-// listFailure keeps a failed attempt for operators.
-func (c *clusterState) listFailure(a *attempt, cause string) {
-	failures := append(c.failures, Failure{a.ref.String(), a.number, a.machine.name, cause, c.now.Wall})
-	if len(failures) > tuning.MaxListedFailures {
-		failures = slices.Clone(failures[len(failures)-tuning.MaxListedFailures/2:])
-	}
-	c.failures = failures
-}
-
 func (c *clusterState) logFailedAttempt(a *attempt, cause string) {
 	log := c.logInfo
 	if cause == wire.CauseNoCapacity {
@@ -144,20 +139,6 @@
 	m.quarantine.until = c.now.Mono + tuning.QuarantineDuration
 }
 
-// acquitMachines no longer holds an invalid job's failures against machines.
-func (c *clusterState) acquitMachines(j *job) {
-	for name := range j.retry.failedMachines {
-		m := c.machines[name]
-		if m == nil || !m.quarantine.failedJobs[j.id] {
-			continue
-		}
-		delete(m.quarantine.failedJobs, j.id)
-		if len(m.quarantine.failedJobs) < tuning.QuarantineJobThreshold {
-			m.quarantine.until = 0
-		}
-	}
-}
-
 // handleAbsence takes an attached attempt that is proven not to be on its machine.
 func (s *Scheduler) handleAbsence(a *attempt) {
 	s.observeRecorded(a, reconcile.Absent)
--- a/internal/scheduler/cluster.go
+++ b/internal/scheduler/cluster.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"slices"
 
+	"github.com/yarrowgap/yarrowgap/internal/tuning"
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
@@ -138,3 +139,25 @@
 		m.used.removeTask(&a.job.spec)
 	}
 }
+
+// addFailure lists a failed attempt. Of too many, the older half is dropped.
+func (c *clusterState) addFailure(failure Failure) {
+	c.failures = append(c.failures, failure)
+	if len(c.failures) > tuning.MaxListedFailures {
+		c.failures = slices.Clone(c.failures[len(c.failures)-tuning.MaxListedFailures/2:])
+	}
+}
+
+// acquitMachines no longer holds an invalid job's failures against machines.
+func (c *clusterState) acquitMachines(j *job) {
+	for name := range j.retry.failedMachines {
+		m := c.machines[name]
+		if m == nil || !m.quarantine.failedJobs[j.id] {
+			continue
+		}
+		delete(m.quarantine.failedJobs, j.id)
+		if len(m.quarantine.failedJobs) < tuning.QuarantineJobThreshold {
+			m.quarantine.until = 0
+		}
+	}
+}
--- a/internal/scheduler/machinescan.go
+++ b/internal/scheduler/machinescan.go
@@ -65,6 +65,6 @@
 	a.retry.abandoned = true
 	s.counters.DispatchGiveUps++
 	s.logInfo("dispatch abandoned: start never acknowledged", "task", task, "attempt", a.number, "machine", a.machine.name, "retries", a.retry.count)
-	s.cluster.failures = append(s.cluster.failures, Failure{task, a.number, a.machine.name, "ack timeout", s.now.Wall})
+	s.cluster.addFailure(Failure{task, a.number, a.machine.name, causeAckTimeout, s.now.Wall})
 	s.stopNow(a, StopNeverAcknowledged)
 }
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -18,18 +18,9 @@
 	backingOff  map[*job]bool // jobs that wait out a delay after failed attempts
 }
 
-// maxBackoffDoublings bounds the shift in backOff: the maximum is reached long before.
-const maxBackoffDoublings = 19
-
-// backOff counts one more failure in a row, and keeps the job from placement for a time
-// that doubles with each.
+// backOff keeps a job that has failed once more from placement for a while.
 func (p *placementState) backOff(j *job) {
-	j.retry.failures++
-	delay := p.settings.Policy.MaxErrorBackoff
-	if doublings := j.retry.failures - 1; doublings < maxBackoffDoublings {
-		delay = min(delay, p.settings.Policy.ErrorBackoff<<doublings)
-	}
-	j.retry.at = p.now.Mono + delay
+	j.retry.countFailure(p.now.Mono, p.settings.Policy)
 	p.backingOff[j] = true
 }
 
--- a/internal/scheduler/scalein.go
+++ b/internal/scheduler/scalein.go
@@ -233,7 +233,7 @@
 	for _, a := range m.sortedAttempts() {
 		s.observeRecorded(a, reconcile.Absent)
 		s.detach(a)
-		s.handleFailedAttempt(a, "machine gone")
+		s.handleFailedAttempt(a, causeMachineReleased)
 	}
 	s.reconciler.MachineReleased(s.now.Mono, m.name)
 	for batch := range m.batches {
--- a/internal/scheduler/zone_partition.go
+++ b/internal/scheduler/zone_partition.go
@@ -68,7 +68,7 @@
 	case heartbeatAge > s.monitor.zonePartitionLimit():
 		return ReleaseZoneMissing
 	case heartbeatAge > s.monitor.zoneReleaseDelay() && s.canMoveElsewhere(m):
-		return ReleaseZoneTasksPlacable
+		return ReleaseZoneTasksMovable
 	}
 	return ""
 }
