--- a/internal/scheduler/attempt_outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -28,13 +28,13 @@
 // handleExit takes the end of an attached attempt, as its worker lists it.
 func (s *Scheduler) handleExit(a *attempt, status *wire.TaskStatus) {
 	a.start.acknowledged = true
-	s.reportDeferredVerdict(a)
+	s.reconciler.reportDeferredVerdict(a)
 	if status.Cause == wire.CauseDone {
-		s.classifyRecorded(a, reconcile.Completed)
+		s.observeRecorded(a, reconcile.Completed)
 		//mutation:keep-attempt-until-saved
 		a.keepAssignmentUntilSaved()
 	} else {
-		s.classifyRecorded(a, reconcile.Ended)
+		s.observeRecorded(a, reconcile.Ended)
 	}
 	if a.job != nil && (a.state != "" || status.Cause == wire.CauseDone) {
 		a.machine.addImage(a.job.spec.Image, a.job.spec.ImageGB) // it was fetched
@@ -64,7 +64,7 @@
 func (s *Scheduler) handleFailedAttempt(a *attempt, cause string) {
 	if cause != wire.CauseStopped {
 		s.cluster.addFailure(Failure{a.ref.String(), a.number, a.machine.name, cause, s.now.Wall})
-		s.logFailedAttempt(a, cause)
+		s.cluster.logFailedAttempt(a, cause)
 	}
 	j := a.job
 	if j == nil {
@@ -82,16 +82,16 @@
 	case wire.CauseError:
 		s.handleTaskError(a)
 	case wire.CauseUnknown:
-		s.backoff(j)
+		s.placement.backOff(j)
 	case wire.CauseNoCapacity, wire.CauseDuplicate:
 		a.machine.quarantine.startsPausedUntil = s.now.Mono + tuning.RefusedStartBackoff
 	}
 }
 
-func (s *Scheduler) logFailedAttempt(a *attempt, cause string) {
-	log := s.logInfo
+func (c *clusterState) logFailedAttempt(a *attempt, cause string) {
+	log := c.logInfo
 	if cause == wire.CauseNoCapacity {
-		log = s.logDebug // it is placed again at once
+		log = c.logDebug // it is placed again at once
 	}
 	log("attempt ended", "task", a.ref.String(), "attempt", a.number, "machine", a.machine.name, "cause", cause)
 }
@@ -116,38 +116,32 @@
 		}
 	}
 	j.retry.failedMachines[a.machine.name] = true
-	s.backoff(j)
-	s.attributeFailure(a.machine, j)
+	s.placement.backOff(j)
+	s.cluster.attributeFailure(a.machine, j)
 }
 
 // attributeFailure tells faulty machines from jobs that are invalid, by which of them
 // fail where: a machine on which several jobs fail is quarantined, and a job that fails
 // wherever it runs says nothing about machines. Those that it was held against before
 // are acquitted.
-func (s *Scheduler) attributeFailure(m *machine, j *job) {
-	if j.likelyInvalid(s.now.Mono) {
-		s.cluster.acquitMachines(j)
+func (c *clusterState) attributeFailure(m *machine, j *job) {
+	if j.likelyInvalid(c.now.Mono) {
+		c.acquitMachines(j)
 		return
 	}
 	m.quarantine.failedJobs[j.id] = true
 	if len(m.quarantine.failedJobs) < tuning.QuarantineJobThreshold {
 		return
 	}
-	if m.quarantine.until < s.now.Mono {
-		s.logInfo("machine quarantined", "machine", m.name, "failed_jobs", len(m.quarantine.failedJobs))
+	if m.quarantine.until < c.now.Mono {
+		c.logInfo("machine quarantined", "machine", m.name, "failed_jobs", len(m.quarantine.failedJobs))
 	}
-	m.quarantine.until = s.now.Mono + tuning.QuarantineDuration
-}
-
-// backoff keeps a job that has failed once more from placement for a while.
-func (s *Scheduler) backoff(j *job) {
-	j.retry.countFailure(s.now.Mono, s.settings.Policy)
-	s.placement.backingOff[j] = true
+	m.quarantine.until = c.now.Mono + tuning.QuarantineDuration
 }
 
 // handleAbsence takes an attached attempt that is proven not to be on its machine.
 func (s *Scheduler) handleAbsence(a *attempt) {
-	s.classifyRecorded(a, reconcile.Absent)
+	s.observeRecorded(a, reconcile.Absent)
 	switch {
 	case a.start.acknowledged:
 		// The worker's lease has expired, or the machine has lost the task otherwise.
@@ -200,7 +194,7 @@
 		switch {
 		case a.job.canCheckpointWithin(left):
 			s.stopAfterCheckpoint(a, StopSpotInterruption)
-		case !s.mayRunUntilInterruption(a, left):
+		case !s.cluster.mayRunUntilInterruption(a, left):
 			s.stopNow(a, StopSpotInterruption)
 		}
 	}
@@ -214,20 +208,20 @@
 
 // mayRunUntilInterruption reports whether nothing is gained by a stop before the cloud
 // takes the attempt's machine.
-func (s *Scheduler) mayRunUntilInterruption(a *attempt, left time.Duration) bool {
+func (c *clusterState) mayRunUntilInterruption(a *attempt, left time.Duration) bool {
 	j := a.job
 	if a.state != wire.TaskRunning || j.service || left.Seconds() <= tuning.MinDrainTimeS {
 		return false
 	}
-	remainingS := j.taskDuration() - (s.now.Mono - a.runningAt).Seconds()
-	return remainingS <= left.Seconds() || !s.fitsSomewhereCached(j)
+	remainingS := j.taskDuration() - (c.now.Mono - a.runningAt).Seconds()
+	return remainingS <= left.Seconds() || !c.fitsSomewhereCached(j)
 }
 
 // fitsSomewhereCached remembers what fitsSomewhere says for a moment: many tasks ask at
 // once.
-func (s *Scheduler) fitsSomewhereCached(j *job) bool {
-	if j.headroom.checkedAt == 0 || s.now.Mono-j.headroom.checkedAt > tuning.FreeCapacityMemory {
-		j.headroom.checkedAt, j.headroom.available = s.now.Mono, s.fitsSomewhere(j)
+func (c *clusterState) fitsSomewhereCached(j *job) bool {
+	if j.headroom.checkedAt == 0 || c.now.Mono-j.headroom.checkedAt > tuning.FreeCapacityMemory {
+		j.headroom.checkedAt, j.headroom.available = c.now.Mono, c.fitsSomewhere(j)
 	}
 	return j.headroom.available
 }
--- a/internal/scheduler/cancellations.go
+++ b/internal/scheduler/cancellations.go
@@ -4,7 +4,9 @@
 	"time"
 )
 
-// cancellationState says which cancellations this leader knows of.
+// cancellationState says which cancellations this leader knows of. The watermark only
+// advances, and a job is pending only until the watch has shown its cancellation or end, or
+// a read that was sent later has arrived.
 type cancellationState struct {
 	*termContext
 
--- a/internal/scheduler/cluster.go
+++ b/internal/scheduler/cluster.go
@@ -8,10 +8,15 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// clusterState has the machines, the live jobs and the attempts that may be on machines,
-// with the sums over them. Only attach and detach, setState of attempts and the methods
-// of jobProgress count up or down, and keep this invariant: the resources in use on a
-// machine and by a team, and a job's active tasks, are the sums over attached attempts.
+// clusterState owns the machines, the live jobs and the attempts that may be on machines,
+// with the sums over them, and answers what follows from these alone: which machines have
+// capacity, what quotas allow, in which order jobs wait, which deadlines can be met, and
+// which of machines and jobs are at fault for failures.
+//
+// Only attach and detach, setState of attempts and the methods of jobProgress count up or
+// down, and keep this invariant: the resources in use on a machine and by a team, and a
+// job's active and running tasks, are the sums over attached attempts. An attempt stays
+// attached until it is proven to be gone.
 type clusterState struct {
 	*termContext
 
@@ -52,11 +57,19 @@
 	r.memoryGB -= spec.MemoryGB
 }
 
-// addMachine enters a new machine.
-func (c *clusterState) addMachine(m *machine) {
-	m.machineSpec = c.machineTypes[m.machineType]
-	c.machines[m.name] = m
+// addMachine adds a machine that this term did not know of.
+func (c *clusterState) addMachine(name, machineType, zone string, spot bool, address string) *machine {
+	m := &machine{
+		name: name, machineType: machineType, zone: zone, spot: spot, address: address,
+		machineSpec: c.machineTypes[machineType],
+		knownAt:     c.now.Mono, idleSince: c.now.Mono,
+		cloud: cloudStatus{provisionedAt: c.now.Mono}, connectivity: connectivity{lastHeartbeatAt: c.now.Mono},
+		quarantine: quarantineState{failedJobs: map[string]bool{}},
+		tasks:      map[taskRef]*attempt{}, exited: map[taskRef]taskExit{}, batches: map[*assignmentBatch]bool{},
+	}
+	c.machines[name] = m
 	c.machinesByName = nil
+	return m
 }
 
 // sortedMachines gives the machines by name. The slice is not to be changed.
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -7,7 +7,8 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// placementState says when the next placement round is due.
+// placementState says when the next placement round is due. A job that failed is in
+// backingOff for as long as its retry time keeps it from placement.
 type placementState struct {
 	*termContext
 
@@ -17,6 +18,12 @@
 	backingOff  map[*job]bool // jobs that wait out a delay after failed attempts
 }
 
+// backOff keeps a job that has failed once more from placement for a while.
+func (p *placementState) backOff(j *job) {
+	j.retry.countFailure(p.now.Mono, p.settings.Policy)
+	p.backingOff[j] = true
+}
+
 // unplacedTasks is how many tasks of a job found no machine in a round.
 type unplacedTasks struct {
 	job   *job
@@ -32,8 +39,13 @@
 // capacity and quota, and a preempted attempt that was never sent frees both. It changes
 // the cluster only through assign, undoAssignments, preempt and machine.reserve.
 type placementRound struct {
-	scheduler *Scheduler
-	now       time.Duration
+	*termContext
+	cluster    *clusterState
+	dispatcher *dispatcher
+	persister  *persister
+	reconciler *termReconciler
+	scheduler  *Scheduler // sees to what follows from stops and ends of attempts
+
 	totalCPUs float64    // of the cluster
 	machines  []*machine // with capacity for the smallest task that waits
 
@@ -47,7 +59,7 @@
 	claimedCPUs map[*machine]float64 // that preemption frees and that were promised to a job
 
 	// unconfirmedCapacity is the largest free capacity on machines without a heartbeat in
-	// this term; computed when it is first needed. See Scheduler.mayFitUnconfirmed.
+	// this term; computed when it is first needed. See mayFitUnconfirmed.
 	unconfirmedCapacity map[offer]*capacitySlot
 
 	secondPass []*job // aged jobs that get what others left
@@ -80,7 +92,7 @@
 func (s *Scheduler) placePending() []unplacedTasks {
 	s.placement.due = false
 	_, totalCPUs := s.cluster.cpuUsage()
-	queue := s.schedulingQueue(totalCPUs)
+	queue := s.cluster.schedulingQueue(totalCPUs)
 	round := s.newPlacementRound(queue, totalCPUs)
 	for _, j := range queue {
 		round.visit(j, mainPass)
@@ -94,7 +106,8 @@
 // newPlacementRound prepares a round over the queue.
 func (s *Scheduler) newPlacementRound(queue []*job, totalCPUs float64) *placementRound {
 	r := &placementRound{
-		scheduler: s, now: s.now.Mono, totalCPUs: totalCPUs, machines: s.machinesWithCapacity(queue),
+		termContext: s.termContext, cluster: &s.cluster, dispatcher: &s.dispatcher, persister: &s.persister, reconciler: &s.reconciler, scheduler: s,
+		totalCPUs: totalCPUs, machines: s.cluster.machinesWithCapacity(queue),
 		agedShareCPUs: totalCPUs * tuning.AgedShare,
 		quota:         newQuotaReservations(), claimedCPUs: map[*machine]float64{},
 	}
@@ -117,7 +130,7 @@
 		return
 	}
 	if j.waiting.since == 0 {
-		j.waiting.since = r.now
+		j.waiting.since = r.now.Mono
 	}
 	if reason := r.heldBack(j); reason != NotWaiting {
 		j.waiting.reason = reason
@@ -138,11 +151,11 @@
 
 // heldBack is why nothing of the job may be placed, whatever machines and quota there are.
 func (r *placementRound) heldBack(j *job) WaitReason {
-	if r.scheduler.persister.mayBeInUnreadableRecord(j) {
+	if r.persister.mayBeInUnreadableRecord(j) {
 		return WaitForRecords
 	}
 	//mutation:reconciliation-holds-recovered-work
-	if j.recovered && r.scheduler.reconciler.HoldsRecoveredWork() {
+	if j.recovered && r.reconciler.HoldsRecoveredWork() {
 		return WaitForHeartbeats
 	}
 	if r.placeableTasks(j) <= 0 {
@@ -155,7 +168,7 @@
 // submitted with a mistake is tried with one task at a time.
 func (r *placementRound) placeableTasks(j *job) int {
 	waiting := j.pendingTasks()
-	if !j.spec.Gang() && j.likelyInvalid(r.now) {
+	if !j.spec.Gang() && j.likelyInvalid(r.now.Mono) {
 		return min(waiting, 1-j.activeCount)
 	}
 	return waiting
@@ -166,7 +179,7 @@
 func (r *placementRound) newDemand(j *job, pass placementPass) jobDemand {
 	d := jobDemand{job: j, pass: pass, waiting: r.placeableTasks(j)}
 	r.quota.set(j, 0) // what it reserved for itself is its own to use
-	d.quotaHeadroom = r.scheduler.quotaHeadroom(j, r.quota.byTeam[j.spec.Team])
+	d.quotaHeadroom = r.cluster.quotaHeadroom(j, r.quota.byTeam[j.spec.Team])
 	d.hostable = d.waiting
 	if j.isProduction() || j.spec.Gang() {
 		d.hostable = r.hostableTasks(j, d.waiting)
@@ -252,7 +265,7 @@
 	for placed := range n {
 		m := picker.best()
 		//mutation:counter-check-in-round
-		if m == nil || r.scheduler.dispatcher.attemptNumbersLeft() == 0 || r.waitsForWarmMachine(j, m, picker) {
+		if m == nil || r.dispatcher.attemptNumbersLeft() == 0 || r.waitsForWarmMachine(j, m, picker) {
 			return placed
 		}
 		index, ok := j.takeFreeIndex()
@@ -260,22 +273,22 @@
 			return placed
 		}
 		a := r.assign(j, index, m)
-		r.scheduler.persister.queueAssignment(a)
+		r.persister.queueAssignment(a)
 		picker.recordAssignment(m)
-		r.scheduler.logDebug("task placed", "task", wire.TaskName(j.id, index), "attempt", a.number, "machine", m.name, "has_image", m.hasImage(j.spec.Image))
+		r.logDebug("task placed", "task", wire.TaskName(j.id, index), "attempt", a.number, "machine", m.name, "has_image", m.hasImage(j.spec.Image))
 	}
 	return n
 }
 
 func (r *placementRound) newMachinePicker(j *job) *machinePicker {
-	return r.scheduler.newMachinePicker(j, r.machines)
+	return r.cluster.newMachinePicker(j, r.machines)
 }
 
 // assign makes a new attempt of a task on the machine. No start is sent before the
 // assignment is recorded, for which it has to be queued.
 func (r *placementRound) assign(j *job, index int, m *machine) *attempt {
-	a := r.scheduler.dispatcher.newAttempt(j, index, m)
-	r.scheduler.cluster.attach(a)
+	a := r.dispatcher.newAttempt(j, index, m)
+	r.cluster.attach(a)
 	return a
 }
 
@@ -286,7 +299,7 @@
 	if !j.service || !j.isProduction() || m.hasImage(j.spec.Image) || m.fetchSeconds(j) < tuning.MinFetchForPreemptionS {
 		return false
 	}
-	if r.now-j.waiting.since > tuning.MaxWarmCapacityWait {
+	if r.now.Mono-j.waiting.since > tuning.MaxWarmCapacityWait {
 		return false
 	}
 	// Only where the task would then really go, or capacity would be freed in vain in round
@@ -301,6 +314,6 @@
 		return
 	}
 	j.placedOnce = true
-	r.scheduler.logInfo("job placed", "job", j.id, "tasks", placed, "active", j.activeCount, "waiting", j.pendingTasks(),
-		"after_s", (r.now - j.createdAt).Seconds())
+	r.logInfo("job placed", "job", j.id, "tasks", placed, "active", j.activeCount, "waiting", j.pendingTasks(),
+		"after_s", (r.now.Mono - j.createdAt).Seconds())
 }
--- a/internal/scheduler/scalein.go
+++ b/internal/scheduler/scalein.go
@@ -10,7 +10,7 @@
 // scaleIn releases machines that are broken, lost, too slow to come up or idle, and asks
 // again for releases whose outcome is unknown.
 func (s *Scheduler) scaleIn() {
-	if !s.autoscaler.mayScaleIn(s.reconciler) {
+	if !s.autoscaler.mayScaleIn(s.reconciler.Reconciler) {
 		return
 	}
 	names := s.releaseUnneeded()
@@ -100,7 +100,7 @@
 	case missingZones[m.zone]:
 		return s.zoneReleaseReason(m)
 	default:
-		return s.monitor.releaseReason(m, s.reconciler)
+		return s.monitor.releaseReason(m, s.reconciler.Reconciler)
 	}
 }
 
@@ -231,7 +231,7 @@
 // removeMachine ends a machine that is proven gone, and all its attempts with it.
 func (s *Scheduler) removeMachine(m *machine) {
 	for _, a := range m.sortedAttempts() {
-		s.classifyRecorded(a, reconcile.Absent)
+		s.observeRecorded(a, reconcile.Absent)
 		s.detach(a)
 		s.handleFailedAttempt(a, causeMachineReleased)
 	}
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -286,7 +286,7 @@
 		}
 		m := s.cluster.machines[name]
 		if m == nil {
-			m = s.addMachine(name, o.machineType, o.zone, o.spot, "")
+			m = s.cluster.addMachine(name, o.machineType, o.zone, o.spot, "")
 		}
 		m.cloud.provisionedInTerm = true
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -46,7 +46,7 @@
 	persister     persister
 	cancellations cancellationState
 	monitor       heartbeatMonitor
-	reconciler    *reconcile.Reconciler
+	reconciler    termReconciler
 }
 
 // New starts a term with what the key-value store has: the live jobs by the replica,
@@ -75,7 +75,7 @@
 func newEmptyScheduler(now Now, settings Settings, term uint64) *Scheduler {
 	context := &termContext{settings: settings, term: term, now: now, startedAt: now.Mono}
 	reconciler := reconcile.New(now.Mono, settings.reconcileConfig())
-	return &Scheduler{
+	s := &Scheduler{
 		termContext: context,
 		cluster: clusterState{
 			termContext: context,
@@ -88,14 +88,15 @@
 		persister:     newPersister(context),
 		cancellations: cancellationState{termContext: context, pending: map[string]time.Duration{}},
 		monitor:       newHeartbeatMonitor(context),
-		reconciler:    reconciler,
 	}
+	s.reconciler = termReconciler{context, reconciler, &s.cluster}
+	return s
 }
 
 // restoreJobs adds the jobs that were live before the term.
 func (s *Scheduler) restoreJobs(replica *Replica, doneBits []wire.KeyValue) {
 	for _, live := range replica.Live {
-		s.addJob(live).recovered = true
+		s.cluster.addJob(live).recovered = true
 	}
 	for _, item := range doneBits {
 		s.restoreDoneBits(item)
--- a/internal/scheduler/tick.go
+++ b/internal/scheduler/tick.go
@@ -41,7 +41,7 @@
 	s.now = now
 	s.placement.wakeBackedOffJobs()
 	if s.placement.beginRound(len(s.cluster.machines)) {
-		s.autoscaler.scaleOut(&s.cluster, s.reconciler, s.placePending())
+		s.autoscaler.scaleOut(&s.cluster, s.reconciler.Reconciler, s.placePending())
 	}
 	s.persister.flush()
 	s.sendToMachinesDue()
--- a/internal/scheduler/unconfirmed_capacity.go
+++ b/internal/scheduler/unconfirmed_capacity.go
@@ -56,12 +56,11 @@
 // mayFitUnconfirmed reports whether a task of the job may fit on a machine that is not
 // confirmed yet, so that nothing is preempted for it meanwhile.
 func (r *placementRound) mayFitUnconfirmed(j *job) bool {
-	reconciler := r.scheduler.reconciler
-	if !reconciler.AwaitsCapacity() {
+	if !r.reconciler.AwaitsCapacity() {
 		return false
 	}
 	if r.unconfirmedCapacity == nil {
-		r.unconfirmedCapacity = r.scheduler.cluster.largestUnconfirmedCapacity(reconciler)
+		r.unconfirmedCapacity = r.cluster.largestUnconfirmedCapacity(r.reconciler.Reconciler)
 	}
 	for _, slot := range r.unconfirmedCapacity {
 		capacity := *slot
