--- a/internal/controller/candidate.go
+++ b/internal/controller/candidate.go
@@ -11,49 +11,49 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// candidate acquires the leader's key in the key-value store. It has no state.
+// candidate acquires the leader's key in the key-value store. It is stateless.
 type candidate struct {
 	store  *kvstore.Client
-	record records.Leader // written when it wins
+	record records.Leader // the value that acquire writes to the leader's key
 }
 
-// acquire creates the leader's key on a new lease, and returns the revision of that and the
-// lease. It fails with kvstore.ErrConflict where the key exists.
-func (c candidate) acquire(ctx context.Context, leaseTTL time.Duration) (revision, lease uint64, err error) {
-	lease, err = c.store.GrantLease(ctx, leaseTTL)
+// acquire creates the leader's key with a new lease attached, and returns the key's revision and
+// the lease's ID. It fails with kvstore.ErrConflict if the key exists.
+func (c candidate) acquire(ctx context.Context, leaseTTL time.Duration) (revision, leaseID uint64, err error) {
+	leaseID, err = c.store.GrantLease(ctx, leaseTTL)
 	if err != nil {
 		return 0, 0, err
 	}
-	revision, err = c.createKey(ctx, lease)
+	revision, err = c.createKey(ctx, leaseID)
 	if errors.Is(err, kvstore.ErrOutcomeUnknown) {
-		revision, err = c.readKey(ctx, lease, err)
+		revision, err = c.readKey(ctx, leaseID, err)
 	}
 	if err != nil {
-		_ = c.store.RevokeLease(ctx, lease) // else it expires
+		_ = c.store.RevokeLease(ctx, leaseID) // on failure the lease expires
 		return 0, 0, fmt.Errorf("create leader's key: %w", err)
 	}
-	return revision, lease, nil
+	return revision, leaseID, nil
 }
 
-func (c candidate) createKey(ctx context.Context, lease uint64) (revision uint64, err error) {
+func (c candidate) createKey(ctx context.Context, leaseID uint64) (revision uint64, err error) {
 	revision, _, err = c.store.Commit(ctx, kvstore.PriorityLeader, wire.Txn{
 		If:   []wire.Compare{{Key: records.LeaderKey}},
-		Then: []wire.Op{{Set: records.LeaderKey, Value: c.record, Lease: &lease}},
+		Then: []wire.Op{{Set: records.LeaderKey, Value: c.record, Lease: &leaseID}},
 	})
 	return revision, err
 }
 
-// readKey returns the key's revision if it is ours, after a write whose answer was lost, or
-// else that write's error. Should the write be carried out later still, the key ends with
-// its lease.
-func (c candidate) readKey(ctx context.Context, lease uint64, writeErr error) (revision uint64, err error) {
-	item, err := c.store.Get(ctx, kvstore.PriorityLeader, records.LeaderKey)
-	if err != nil || item.ModRevision == 0 || item.Lease != lease {
+// readKey finds out whether a write whose answer was lost has created the key. If the key is
+// from this process and has its lease attached, readKey returns the key's revision, and otherwise
+// writeErr. If the store applies the write only later, the key is removed with its lease.
+func (c candidate) readKey(ctx context.Context, leaseID uint64, writeErr error) (revision uint64, err error) {
+	current, err := c.store.Get(ctx, kvstore.PriorityLeader, records.LeaderKey)
+	if err != nil || current.ModRevision == 0 || current.Lease != leaseID {
 		return 0, writeErr
 	}
 	var stored records.Leader
-	if wire.Unmarshal(item.Value, &stored) != nil || stored.Boot != c.record.Boot {
+	if wire.Unmarshal(current.Value, &stored) != nil || stored.Boot != c.record.Boot {
 		return 0, writeErr
 	}
-	return item.ModRevision, nil
+	return current.ModRevision, nil
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,31 +1,32 @@
-// Package controller runs a controller process: it feeds the scheduler's state machine with
-// what the network brings and carries out what the scheduler decides.
+// Package controller implements a controller process. It passes network input, such as users'
+// requests and workers' heartbeats, to the scheduler's state machine and carries out the
+// scheduler's decisions.
 //
-// # State and its lock
+// # State and locking
 //
 // One lock, Controller.mu, guards the state of the process, which is divided into parts:
 //
 //   - leadership: the scheduler and the lease, while this controller leads
-//   - membership: the peers, and who leads
+//   - membership: the peers and the current leader
 //   - replication: the local copy of the jobs
 //   - cancellations: which cancellations were confirmed to users, and which are enforced
 //   - machineTypes and metrics
 //
-// Methods of these parts are called with the lock held and touch nothing else; methods of
-// Controller that need the lock held say so. Each input takes the lock by update, which also
-// carries out what the scheduler decided.
+// Methods of these parts are called with the lock held and access no state of other parts.
+// Methods of Controller that need the lock held say so. Each input is applied by update, which
+// takes the lock and then also carries out the scheduler's decisions.
 //
-// Work that waits for others is done without the lock, by types that reach the state by
-// update or take the lock for a look: election and leaderTerm (to lead), leaderWatch and
-// pinger (peers), jobSync (the replica), machineTypeSource, executor (the scheduler's
-// calls), and userRequest, submission and jobReader (users' requests). I/O comes back as an
-// input. replicaRefresher and admission have their own synchronization.
+// Blocking work is done without the lock, by types that change the state through update or
+// take the lock briefly to read it: election and leaderTerm (leadership), leaderWatch and
+// pinger (peers), jobSync (the replica), machineTypeSource, executor (the scheduler's calls),
+// and userRequest, submission and jobReader (users' requests). The results of I/O are applied
+// as inputs. replicaRefresher and admission have their own synchronization.
 //
 // # Goroutines
 //
-// Run starts the loops of the process, leaderTerm.serve those of a term; both wait for them
-// to end. Goroutines for a single call (an effect, a forwarded request, a read that callers
-// share) end with the call, which has a timeout.
+// Run starts the loops of the process, and leaderTerm.serve starts the loops of a term; each
+// waits for its loops to end. A goroutine for a single call (an effect, a forwarded request, a
+// read that callers share) ends with that call, which has a timeout.
 package controller
 
 import (
@@ -47,20 +48,20 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Controller is one controller process. The fields above mu do not change once Run has
-// begun; those below metrics have their own synchronization.
+// Controller is one controller process. The fields above mu do not change once Run has begun.
+// The fields below metrics have their own synchronization.
 //
-// It has an exported method for each kind of input (a user's request, a heartbeat, a ping, a
-// forwarded request, an operator's query), and the methods that touch several of its parts
-// at once; what needs one part alone is a method of the part.
+// Controller has an exported method for each kind of input (a user's request, a heartbeat, a
+// ping, a forwarded request, an operator's query), and the methods that access several parts of
+// the state. A method that needs only one part belongs to that part.
 type Controller struct {
 	cfg       *config.Settings
 	policy    policy.Settings
 	log       *slog.Logger
-	bootID    uint64 // tells this process from its predecessors
+	bootID    uint64 // random ID that distinguishes this process from earlier ones of the node
 	startedAt time.Time
 
-	tracer     *tracing.Tracer // nil: nothing is traced
+	tracer     *tracing.Tracer // nil: tracing is disabled
 	store      *kvstore.Client
 	cloud      *cloud.Client
 	workers    *worker.Client
@@ -76,13 +77,14 @@
 
 	jobSync         *jobSync
 	admission       admission
-	directCallSlots chan struct{} // bounds concurrent calls to workers
-	// shortfallsLoggedFor is up to how many machines it is logged that settings fall short
-	// of them. Only pollMachineList uses it, of which one runs at a time.
-	shortfallsLoggedFor int
+	workerCallSlots chan struct{} // limits concurrent calls to workers
+	// shortfallLogThreshold is the number of machines above which settings that are too small
+	// for the fleet are logged again. Only pollMachineList uses it, and only one call of
+	// pollMachineList runs at a time.
+	shortfallLogThreshold int
 }
 
-// New makes a controller. Run starts it.
+// New creates a controller. Run starts it.
 func New(cfg *config.Settings, schedulingPolicy policy.Settings, log *slog.Logger) *Controller {
 	c := &Controller{
 		cfg: cfg, policy: schedulingPolicy, log: log, bootID: rand.Uint64() >> 1, startedAt: time.Now(),
@@ -93,23 +95,24 @@
 		replication:     replication{replica: scheduler.NewReplica()},
 		metrics:         newMetrics(),
 		admission:       newAdmission(),
-		directCallSlots: make(chan struct{}, maxDirectCalls(cfg)),
+		workerCallSlots: make(chan struct{}, maxConcurrentWorkerCalls(cfg)),
 	}
 	c.membership = newMembership(cfg.Peers, c.store.UnservedFor)
 	c.jobSync = newJobSync(c)
 	return c
 }
 
-// SetRequestBacklog sets how the controller learns for how long requests wait before they
-// are read. It is called before Run.
+// SetRequestBacklog sets the function that returns how long requests wait before they are
+// read. It must be called before Run.
 func (c *Controller) SetRequestBacklog(backlog func() time.Duration) {
 	c.admission.requestBacklog = backlog
 }
 
-// SetTracer has the controller make spans. It is called before Run.
+// SetTracer sets the tracer that records spans. It must be called before Run.
 func (c *Controller) SetTracer(tracer *tracing.Tracer) { c.tracer = tracer }
 
-// Run works until ctx ends, and returns when all its loops have ended.
+// Run runs the loops of the controller until ctx ends, and returns when all of them have
+// ended.
 func (c *Controller) Run(ctx context.Context) {
 	var loops sync.WaitGroup
 	loops.Go(func() { election{c}.run(ctx) })
@@ -121,29 +124,33 @@
 	loops.Wait()
 }
 
-// Healthy reports whether users' requests should come to this controller: unless it is
-// isolated, it can answer them or forward them to a peer that can. A controller that shares
-// its fault with all others stays healthy, since taking it back in would take time.
+// Healthy reports whether load balancers should send users' requests to this controller:
+// unless it is isolated, it can answer them or forward them to a peer that can. In an outage
+// that affects all controllers it stays healthy, since a load balancer takes time to return a
+// controller to service.
 func (c *Controller) Healthy() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.membership.isolated()
 }
 
+// now returns the time for the scheduler: monotonic since New, and wall-clock.
+// now returns the time for the scheduler: monotonic since New, and wall-clock.
 func (c *Controller) now() scheduler.Now {
 	now := time.Now()
 	return scheduler.Now{Mono: now.Sub(c.startedAt), Wall: now.UnixMilli()}
 }
 
-// update runs one input under the lock and carries out what came of it.
+// update applies one input with the lock held, then runs the scheduler and carries out its
+// decisions.
 func (c *Controller) update(input func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	input()
-	c.settle()
+	c.runScheduler()
 }
 
-// updateScheduler feeds the scheduler of a term, unless the term is over.
+// updateScheduler applies an input to a term's scheduler, unless that term has ended.
 func (c *Controller) updateScheduler(sched *scheduler.Scheduler, input func(scheduler.Now)) {
 	c.update(func() {
 		if c.leadership.scheduler == sched {
@@ -152,23 +159,25 @@
 	})
 }
 
-// settle lets the scheduler act on what changed. Placement keeps a minimum interval between
-// rounds; if it has to wait, settle runs again later. Called with the lock held.
-func (c *Controller) settle() {
+// runScheduler lets the scheduler act on what changed and carries out its decisions. There is
+// a minimum interval between placement rounds; if a round has to wait for it, runScheduler runs
+// again after the interval. Called with the lock held.
+func (c *Controller) runScheduler() {
 	sched := c.leadership.scheduler
 	if sched == nil {
 		return
 	}
-	c.settleScheduler(sched)
+	c.runSchedulerPass(sched)
 	c.execute(sched, sched.TakeEffects())
-	if c.leadership.scheduler == sched && sched.PlacementPending() && !c.leadership.settleScheduled {
-		c.leadership.settleScheduled = true
-		time.AfterFunc(tuning.MinPlacementInterval, func() { c.update(func() { c.leadership.settleScheduled = false }) })
+	if c.leadership.scheduler == sched && sched.PlacementPending() && !c.leadership.rerunScheduled {
+		c.leadership.rerunScheduled = true
+		time.AfterFunc(tuning.MinPlacementInterval, func() { c.update(func() { c.leadership.rerunScheduled = false }) })
 	}
 }
 
-// settleScheduler settles the scheduler, which may be a placement round, and traces that.
-func (c *Controller) settleScheduler(sched *scheduler.Scheduler) {
+// runSchedulerPass runs the scheduler once. If that included a placement round and tracing is
+// enabled, it records a span.
+func (c *Controller) runSchedulerPass(sched *scheduler.Scheduler) {
 	if !c.tracer.Enabled() {
 		sched.Settle(c.now())
 		return
@@ -180,8 +189,8 @@
 	}
 }
 
-// runTicker drives what depends on time alone. How late its ticks come shows how far the
-// process lags behind its share of the processor.
+// runTicker calls tick at intervals of tuning.TickInterval until ctx ends. It also measures how
+// late each tick is, which shows whether the process gets too little processor time.
 func (c *Controller) runTicker(ctx context.Context) {
 	for {
 		startedAt := time.Now()
@@ -193,15 +202,15 @@
 	}
 }
 
-// tick checks that this controller may still lead and lets time pass for the scheduler.
-// Called with the lock held.
+// tick steps down if this controller may no longer lead, and otherwise runs the scheduler's
+// periodic work. Called with the lock held.
 func (c *Controller) tick() {
 	sched := c.leadership.scheduler
 	switch {
 	case sched == nil:
 	case c.membership.isolated():
-		// Whoever leads by now cannot tell us, and our workers would stay with us. Their
-		// leases are renewed as followers do it.
+		// A newer leader could not notify this controller, and the workers would keep sending
+		// their heartbeats here. From now on their leases are renewed as at a follower.
 		c.stepDown(sched, stepDownIsolated)
 	case !c.mayRenewLeases():
 		c.stepDown(sched, stepDownWatermarkTooOld)
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -17,9 +17,9 @@
 // failover, and that the workers' leases outlast, and relies on no more than that.
 func TestLeaderLeaseGrowsAsCPUShareShrinks(t *testing.T) {
 	for _, tc := range []struct {
-		share   float64
-		workers float64 // their lease, in seconds
-		ttl     time.Duration
+		share        float64
+		workerLeaseS float64 // their lease, in seconds
+		ttl          time.Duration
 	}{
 		{0, 45, tuning.LeaderLeaseTTL},
 		{0.24, 45, tuning.LeaderLeaseTTL},
@@ -30,7 +30,7 @@
 		{0.072, 4, tuning.LeaderLeaseTTL},
 	} {
 		var requested wire.LeaseRequest
-		service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			answer := any(wire.TxnReply{Revision: 7})
 			if r.URL.Path == "/holds" {
 				body, err := io.ReadAll(r.Body)
@@ -46,16 +46,16 @@
 			_, _ = w.Write(raw)
 		}))
 		c := newTestController(t)
-		c.cfg.Deployment.Quota.CPUShare, c.cfg.Deployment.Workers.LeaseS = tc.share, tc.workers
-		c.store = kvstore.New(service.Listener.Addr().String(), 1000)
+		c.cfg.Deployment.Quota.CPUShare, c.cfg.Deployment.Workers.LeaseS = tc.share, tc.workerLeaseS
+		c.store = kvstore.New(server.Listener.Addr().String(), 1000)
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(tuning.StoreRetryDelay, cancel) // ends the term once it has begun
 		before := time.Now()
 		election{c}.tryToLead(ctx)
 		after := time.Now()
-		service.Close()
+		server.Close()
 		if got := time.Duration(requested.TTLMilli) * time.Millisecond; got != tc.ttl {
-			t.Errorf("share %v, workers %v: a lease of %v, not %v", tc.share, tc.workers, got, tc.ttl)
+			t.Errorf("share %v, workers %v: a lease of %v, not %v", tc.share, tc.workerLeaseS, got, tc.ttl)
 		}
 		if c.leadership.leaseHeldUntil.Before(before.Add(tc.ttl)) || c.leadership.leaseHeldUntil.After(after.Add(tc.ttl)) {
 			t.Errorf("share %v: the leadership is relied on until %v after the request", tc.share, c.leadership.leaseHeldUntil.Sub(before))
--- a/internal/controller/executor.go
+++ b/internal/controller/executor.go
@@ -21,18 +21,18 @@
 		c.log.Log(context.Background(), line.Level, line.Message, line.Attributes...)
 	}
 	c.tracer.ReconcileEvents(c.startedAt, effects.Reconciliation)
-	calls := executor{c, sched}
+	exec := executor{c, sched}
 	for _, request := range effects.Commits {
-		go calls.commit(request)
+		go exec.commit(request)
 	}
 	for _, call := range effects.DirectCalls {
-		go calls.callWorker(call)
+		go exec.callWorker(call)
 	}
 	for _, request := range effects.Provision {
-		go calls.provision(request.Request)
+		go exec.provision(request.Request)
 	}
 	for _, names := range effects.Release {
-		go calls.release(names)
+		go exec.release(names)
 	}
 	if effects.Resign != "" {
 		c.resign(sched, stepDownReason(effects.Resign))
@@ -73,17 +73,17 @@
 	return scheduler.CommitUnknown
 }
 
-// maxDirectCalls returns how many calls to workers there may be at once: a placement round
+// maxConcurrentWorkerCalls returns how many calls to workers there may be at once: a placement round
 // may have commands for every machine, and there are not enough sockets for all of them.
-func maxDirectCalls(cfg *config.Settings) int {
+func maxConcurrentWorkerCalls(cfg *config.Settings) int {
 	_, sockets := cfg.SocketLimits()
 	return min(sockets, tuning.MaxWorkerCalls)
 }
 
 func (e executor) callWorker(call scheduler.DirectCall) {
 	c := e.controller
-	c.directCallSlots <- struct{}{}
-	defer func() { <-c.directCallSlots }()
+	c.workerCallSlots <- struct{}{}
+	defer func() { <-c.workerCallSlots }()
 	outcome, heartbeat, err := c.workers.SendCommands(context.Background(), call.Addr, call.Body)
 	if err != nil {
 		logCallFailure(c.log, "commands not delivered", err, "machine", call.Machine)
--- a/internal/controller/executor_test.go
+++ b/internal/controller/executor_test.go
@@ -45,15 +45,15 @@
 func TestDirectCallsAreBounded(t *testing.T) {
 	c := newTestController(t)
 	c.cfg.Deployment.Quota.FDLimit = 300
-	if got := maxDirectCalls(c.cfg); got != tuning.MinWorkerCalls {
+	if got := maxConcurrentWorkerCalls(c.cfg); got != tuning.MinWorkerCalls {
 		t.Errorf("%d places with few sockets", got)
 	}
-	c.directCallSlots = make(chan struct{}, 3)
+	c.workerCallSlots = make(chan struct{}, 3)
 	var concurrent, maxConcurrent atomic.Int64
 	handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		for now := concurrent.Add(1); ; {
+		for current := concurrent.Add(1); ; {
 			previous := maxConcurrent.Load()
-			if now <= previous || maxConcurrent.CompareAndSwap(previous, now) {
+			if current <= previous || maxConcurrent.CompareAndSwap(previous, current) {
 				break
 			}
 		}
--- a/internal/controller/heartbeat_test.go
+++ b/internal/controller/heartbeat_test.go
@@ -15,7 +15,7 @@
 // stops in time for a cancellation.
 func TestFollowerKeepsWorkersAliveWhilePartitioned(t *testing.T) {
 	c := newTestController(t)
-	c.membership.peers["drover-1"] = &peerState{Peer: config.Peer{Name: "drover-1", Addr: "b:1"}, lastHeardAt: time.Now()}
+	c.membership.peers["drover-1"] = &peerState{Peer: config.Peer{Name: "drover-1", Addr: "b:1"}, lastContactAt: time.Now()}
 	c.setLeader("drover-1", 9)
 	c.cancellations.enforcedUntil = time.Now()
 	token := uint64(9)<<tuning.FencingBits | 3
@@ -25,7 +25,7 @@
 	if a := heartbeat(token); a.Status != http.StatusMisdirectedRequest || a.Redirect.Leader != "drover-1" {
 		t.Errorf("leader reachable: %+v", a)
 	}
-	c.membership.peers["drover-1"].lastHeardAt = time.Now().Add(-2 * tuning.PeerUnreachableAfter)
+	c.membership.peers["drover-1"].lastContactAt = time.Now().Add(-2 * tuning.PeerUnreachableAfter)
 	if a := heartbeat(token); a.Status != http.StatusOK || a.Reply.FencingToken != token || len(a.Reply.Commands) != 0 {
 		t.Errorf("in a partition: %+v", a)
 	}
--- a/internal/controller/leader_watch.go
+++ b/internal/controller/leader_watch.go
@@ -26,16 +26,16 @@
 }
 
 func newLeaderWatch(c *Controller) *leaderWatch {
-	ping := func() peer.Ping {
+	newPing := func() peer.Ping {
 		return peer.Ping{Node: c.cfg.Node, BootID: c.bootID, StoreAvailable: c.membership.storeAvailable()}
 	}
-	return &leaderWatch{controller: c, prober: peerProber{client: c.peerClient, ping: ping}}
+	return &leaderWatch{controller: c, prober: peerProber{client: c.peerClient, newPing: newPing}}
 }
 
 func (w *leaderWatch) run(ctx context.Context) {
 	for sleep(ctx, tuning.PeerWatchRetryDelay) {
 		leader, leaderPeer := w.knownLeader()
-		if leaderPeer == nil || leader.storeLease == 0 || !w.connectionBroke(ctx, leaderPeer) {
+		if leaderPeer == nil || leader.leaseID == 0 || !w.connectionBroke(ctx, leaderPeer) {
 			continue
 		}
 		if time.Since(w.lastRevokedAt) >= tuning.MinLeaderVoteInterval && w.processEnded(ctx, leaderPeer) && w.claimRevocation(leader) {
@@ -62,7 +62,7 @@
 
 // processEnded reports whether the leader refuses connections while another peer answers.
 func (w *leaderWatch) processEnded(ctx context.Context, leader *peerState) bool {
-	return w.prober.refusesConnections(ctx, leader) && w.prober.anotherAnswers(ctx, w.controller.membership.peers, leader)
+	return w.prober.refusesConnections(ctx, leader) && w.prober.anotherPeerAnswers(ctx, w.controller.membership.peers, leader)
 }
 
 // claimRevocation reports whether the leader is still the one to depose, and lets that be
@@ -74,26 +74,26 @@
 	if c.membership.leader.term != leader.term || c.leadership.leading() {
 		return false
 	}
-	c.membership.leader.storeLease = 0
+	c.membership.leader.leaseID = 0
 	return true
 }
 
 func (w *leaderWatch) revokeLease(ctx context.Context, leader leaderInfo) {
 	log := w.controller.log
 	log.Info("revoking the lease of a leader whose process has ended", "leader", leader.name, "term", leader.term)
-	if err := w.controller.store.RevokeLease(ctx, leader.storeLease); err != nil {
+	if err := w.controller.store.RevokeLease(ctx, leader.leaseID); err != nil {
 		log.Debug("leader lease not revoked", "err", err)
 	}
 }
 
 // peerProber asks peers whether they answer at all. It uses no state of the controller.
 type peerProber struct {
-	client *peer.Client
-	ping   func() peer.Ping
+	client  *peer.Client
+	newPing func() peer.Ping
 }
 
 func (p peerProber) probe(ctx context.Context, target *peerState) error {
-	_, err := p.client.Ping(ctx, target.Addr, p.ping())
+	_, err := p.client.Ping(ctx, target.Addr, p.newPing())
 	return err
 }
 
@@ -107,21 +107,21 @@
 	return true
 }
 
-// anotherAnswers reports whether any peer but the given one answers now. Where there is no
+// anotherPeerAnswers reports whether any peer but the given one answers now. Where there is no
 // other, there is nobody to ask.
-func (p peerProber) anotherAnswers(ctx context.Context, peers map[string]*peerState, except *peerState) bool {
+func (p peerProber) anotherPeerAnswers(ctx context.Context, peers map[string]*peerState, excluded *peerState) bool {
 	if len(peers) < 2 {
 		return true
 	}
 	answers := make(chan bool, len(peers))
-	asked := 0
+	probed := 0
 	for _, target := range peers {
-		if target != except {
-			asked++
+		if target != excluded {
+			probed++
 			go func() { answers <- p.probe(ctx, target) == nil }()
 		}
 	}
-	for range asked {
+	for range probed {
 		if <-answers {
 			return true
 		}
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -7,46 +7,48 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// leadership is what a controller holds while it leads, and what it remembers of its own
-// candidacy. Guarded by Controller.mu.
+// leadership is the state of a controller's own term while it leads, and of its campaigns for
+// leadership. Guarded by Controller.mu.
 type leadership struct {
 	// scheduler is nil unless this controller leads.
 	scheduler *scheduler.Scheduler
-	// storeLease is the lease in the key-value store that the leader's key is on.
-	storeLease uint64
-	// leaseHeldUntil is when that lease ends if it is not renewed.
+	// leaseID is the ID of the lease in the key-value store that the leader's key is attached to.
+	leaseID uint64
+	// leaseHeldUntil is when that lease expires unless it is renewed.
 	leaseHeldUntil time.Time
 	// lost is closed when the term ends.
 	lost chan struct{}
-	// electedAt is when this controller last asked for the leadership that it got.
+	// electedAt is when the campaign began that this controller last won.
 	electedAt time.Time
-	// loadingSince is since when this controller, elected, has been loading the records;
-	// zero: it is not.
+	// loadingSince is when this controller began to load the records after it was elected; zero
+	// if it is not loading them.
 	loadingSince time.Time
-	// candidacyBarredUntil is until when this controller does not stand for election.
-	candidacyBarredUntil time.Time
-	// settleScheduled is set while a timer is pending that settles the scheduler again.
-	settleScheduled bool
+	// campaignBackoffUntil is the time before which this controller does not campaign.
+	campaignBackoffUntil time.Time
+	// rerunScheduled is set while a timer is pending that runs the scheduler again.
+	rerunScheduled bool
 }
 
-// leading reports whether this controller leads, with its records loaded.
+// leading reports whether this controller leads and has loaded the records.
 func (l *leadership) leading() bool { return l.scheduler != nil }
 
-// holdsLease reports whether the lease of the scheduler's term lasts for certain now.
+// holdsLease reports whether the term of sched has not ended and its lease has certainly not
+// expired.
 func (l *leadership) holdsLease(sched *scheduler.Scheduler) bool {
 	return l.scheduler == sched && time.Now().Before(l.leaseHeldUntil)
 }
 
-// survivedFailover reports whether a process that started then was up long before this
-// controller was elected, so that workers could be answered until the change of leader. For
-// how long it has been up since then does not matter.
+// survivedFailover reports whether a controller process that started at processStartedAt was
+// up long enough before this controller's election to answer workers until the change of
+// leader: for more than 1/ColdRestartLeaseDivisor of the workers' lease. Time since the election
+// does not count. A zero processStartedAt means that the start time is unknown.
 func (l *leadership) survivedFailover(processStartedAt time.Time, workerLease time.Duration) bool {
 	//mutation:survived-from-election
 	return !processStartedAt.IsZero() && l.electedAt.Sub(processStartedAt) > workerLease/tuning.ColdRestartLeaseDivisor
 }
 
-// stepDownReason says why a leader ends its term before its lease does, for the log. It is one
-// of these, or the reason for which the scheduler resigns.
+// stepDownReason says, for the log, why a leader ends its term before its lease expires. It is
+// one of the constants below, or the scheduler's ResignReason.
 type stepDownReason string
 
 const (
@@ -55,20 +57,21 @@
 	stepDownLaterTerm       stepDownReason = "a peer knows the leader of a later term"
 )
 
-// resign ends the term since the scheduler asks for it. Called with the lock held.
+// resign ends the term at the scheduler's request. Called with the lock held.
 func (c *Controller) resign(sched *scheduler.Scheduler, reason stepDownReason) {
 	if !c.stepDown(sched, reason) {
 		return
 	}
 	if reason == stepDownReason(scheduler.ResignNoHeartbeats) {
-		// Whoever is in a better place goes first. After other ends nobody is barred: five
-		// controllers that depose each other would leave no candidate.
-		c.leadership.candidacyBarredUntil = time.Now().Add(tuning.ResignBackoff)
+		// Controllers that workers may reach campaign first. No other reason causes a backoff:
+		// five controllers that depose each other would leave no candidate.
+		c.leadership.campaignBackoffUntil = time.Now().Add(tuning.ResignBackoff)
 	}
 }
 
-// stepDown ends the term of the scheduler, if it lasts. The lease is revoked, so that the
-// others need not wait for it to expire. Called with the lock held.
+// stepDown ends the term of sched and reports whether that had not ended before. The term then
+// revokes its lease, so that the other controllers need not wait for it to expire. Called with
+// the lock held.
 func (c *Controller) stepDown(sched *scheduler.Scheduler, reason stepDownReason) bool {
 	if c.leadership.scheduler != sched {
 		return false
@@ -79,7 +82,8 @@
 	return true
 }
 
-// endTerm ends this controller's term, in which it leads. Called with the lock held.
+// endTerm ends this controller's current term. Called with the lock held, while this controller
+// leads.
 func (c *Controller) endTerm() {
 	c.metrics.addTerm(c.leadership.scheduler.Counters())
 	c.leadership.scheduler = nil
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -70,7 +70,7 @@
 		if stored.revision >= c.replication.replica.Revision {
 			logUnreadableRecords(c.log, c.replication.replica.Reset(stored.jobs, stored.revision))
 		}
-		c.replication.caughtUp(stored.readAt)
+		c.replication.markCaughtUp(stored.readAt)
 		assignments := stored.assignments()
 		sched = scheduler.New(c.now(), c.schedulerSettings(), t.number, c.replication.replica, stored.bitmaps, assignments, c.machineTypes)
 		t.feedKnown(sched)
@@ -95,8 +95,8 @@
 	sched.ObserveAckLatency = func(latency time.Duration) { observe(c.metrics.startToAck, latency) }
 	sched.LeaseHeldUntil(c.leadership.leaseHeldUntil.Sub(c.startedAt))
 	for _, p := range c.membership.peers {
-		if !p.lastHeardAt.IsZero() {
-			sched.ZoneLastSeen(p.Zone, p.lastHeardAt.Sub(c.startedAt))
+		if !p.lastContactAt.IsZero() {
+			sched.ZoneLastSeen(p.Zone, p.lastContactAt.Sub(c.startedAt))
 		}
 	}
 	sched.ZoneLastSeen(c.cfg.Zone, c.now().Mono)
--- a/internal/controller/machine_list.go
+++ b/internal/controller/machine_list.go
@@ -39,9 +39,9 @@
 func (t *leaderTerm) logFleetShortfalls(machines int) {
 	c := t.controller
 	shortfalls := c.cfg.FleetShortfalls(machines)
-	if len(shortfalls) == 0 || machines <= c.shortfallsLoggedFor {
+	if len(shortfalls) == 0 || machines <= c.shortfallLogThreshold {
 		return
 	}
-	c.shortfallsLoggedFor = 2 * machines
+	c.shortfallLogThreshold = 2 * machines
 	c.log.Error("settings fall short of the fleet", "shortfalls", shortfalls)
 }
--- a/internal/controller/machine_types.go
+++ b/internal/controller/machine_types.go
@@ -20,7 +20,7 @@
 func (c *Controller) refreshMachineTypes(ctx context.Context) {
 	source := machineTypeSource{cloud: c.cloud, store: c.store, log: c.log, retryDelay: tuning.CloudRetryDelay}
 	for wait := time.Millisecond; sleep(ctx, jitter(wait)); wait = tuning.CloudRetryDelay {
-		if source.due() {
+		if source.fetchDue() {
 			c.setMachineTypes(source.fetch(ctx, c.knownMachineTypes()))
 		}
 		if c.isLeader() {
@@ -59,18 +59,18 @@
 
 	nextFetchAt time.Time
 	retryDelay  time.Duration      // doubles with each failure
-	fromCloud   bool               // the cloud has answered
-	copied      []wire.MachineType // the copy in the store, as far as known
+	fetched     bool               // the cloud has answered
+	storedTypes []wire.MachineType // the copy in the store, as far as known
 }
 
-// due reports whether the cloud is to be asked.
-func (s *machineTypeSource) due() bool { return !time.Now().Before(s.nextFetchAt) }
+// fetchDue reports whether the cloud is to be asked.
+func (s *machineTypeSource) fetchDue() bool { return !time.Now().Before(s.nextFetchAt) }
 
 // fetch returns the machine types, or those known where they cannot be read.
 func (s *machineTypeSource) fetch(ctx context.Context, known []wire.MachineType) []wire.MachineType {
 	types, err := s.cloud.MachineTypes(ctx)
 	if err == nil {
-		s.retryDelay, s.fromCloud = tuning.CloudRetryDelay, true
+		s.retryDelay, s.fetched = tuning.CloudRetryDelay, true
 		s.nextFetchAt = time.Now().Add(tuning.MachineTypeInterval)
 		return types
 	}
@@ -80,8 +80,8 @@
 	if len(known) > 0 {
 		return known
 	}
-	s.copied = s.readCopy(ctx)
-	return s.copied
+	s.storedTypes = s.readCopy(ctx)
+	return s.storedTypes
 }
 
 // readCopy reads the copy in the store. Where that fails the types stay unknown, and it is
@@ -106,14 +106,14 @@
 
 // saveCopy writes what the cloud answered to the store, unless the copy is up to date.
 func (s *machineTypeSource) saveCopy(ctx context.Context, types []wire.MachineType) {
-	if !s.fromCloud || slices.EqualFunc(s.copied, types, equalButPrices) {
+	if !s.fetched || slices.EqualFunc(s.storedTypes, types, equalExceptPrices) {
 		return
 	}
 	if err := s.writeCopy(ctx, types); err != nil {
 		logCallFailure(s.log, "machine types not stored", err)
 		return
 	}
-	s.copied = types
+	s.storedTypes = types
 }
 
 func (s *machineTypeSource) writeCopy(ctx context.Context, types []wire.MachineType) error {
@@ -132,8 +132,8 @@
 	return nil
 }
 
-// equalButPrices compares machine types without prices, which change all the time.
-func equalButPrices(a, b wire.MachineType) bool {
+// equalExceptPrices compares machine types without prices, which change all the time.
+func equalExceptPrices(a, b wire.MachineType) bool {
 	a.Price, a.SpotPrice, b.Price, b.SpotPrice = 0, 0, 0, 0
 	return reflect.DeepEqual(a, b)
 }
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -22,7 +22,7 @@
 // settings, which do not change.
 type peerState struct {
 	config.Peer
-	lastHeardAt    time.Time // when it was last asked and answered, or asked us
+	lastContactAt  time.Time // when it was last asked and answered, or asked us
 	storeAvailable bool      // to the peer, when it was last heard
 	// processStartedAt is when its process started; zero: not known.
 	processStartedAt time.Time
@@ -39,8 +39,8 @@
 type leaderInfo struct {
 	name string // empty: nobody leads, as far as is known
 	term uint64 // the highest term known, of name or of an earlier leader
-	// storeLease is the leader's lease; 0: not known, or not to be revoked any more.
-	storeLease uint64
+	// leaseID is the leader's lease; 0: not known, or not to be revoked any more.
+	leaseID uint64
 }
 
 func newMembership(peers []config.Peer, storeUnservedFor func() time.Duration) membership {
@@ -65,7 +65,7 @@
 	}
 	reachable := 1
 	for _, p := range m.peers {
-		if time.Since(p.lastHeardAt) >= tuning.IsolatedAfter {
+		if time.Since(p.lastContactAt) >= tuning.IsolatedAfter {
 			continue
 		}
 		if p.storeAvailable {
@@ -85,7 +85,7 @@
 	if leader == nil || leader.notLeading {
 		return false
 	}
-	if time.Since(leader.lastHeardAt) < tuning.PeerUnreachableAfter {
+	if time.Since(leader.lastContactAt) < tuning.PeerUnreachableAfter {
 		return true
 	}
 	// A refused connection came all the way: something between the controllers is in the
@@ -99,7 +99,7 @@
 func (m *membership) forwardTargets() []*peerState {
 	var targets []*peerState
 	for _, p := range m.peers {
-		if time.Since(p.lastHeardAt) > tuning.PeerUnreachableAfter || time.Since(p.declinedAt) < tuning.UnablePeerBackoff {
+		if time.Since(p.lastContactAt) > tuning.PeerUnreachableAfter || time.Since(p.declinedAt) < tuning.UnablePeerBackoff {
 			continue
 		}
 		if p.Name == m.leader.name {
@@ -111,18 +111,18 @@
 	return targets
 }
 
-// heardPing takes note of a ping that a peer sent.
-func (m *membership) heardPing(ping peer.Ping) {
+// recordPing takes note of a ping that a peer sent.
+func (m *membership) recordPing(ping peer.Ping) {
 	if sender := m.peers[ping.Node]; sender != nil {
-		sender.lastHeardAt, sender.storeAvailable = time.Now(), ping.StoreAvailable
+		sender.lastContactAt, sender.storeAvailable = time.Now(), ping.StoreAvailable
 	}
 }
 
-// heardPong takes the answer to a ping that was sent at sentAt.
-func (p *peerState) heardPong(pong peer.Pong, sentAt time.Time) {
+// recordPong takes the answer to a ping that was sent at sentAt.
+func (p *peerState) recordPong(pong peer.Pong, sentAt time.Time) {
 	// As of when it was sent: after a process pause, an old answer would count as new.
-	if sentAt.After(p.lastHeardAt) {
-		p.lastHeardAt, p.storeAvailable = sentAt, pong.StoreAvailable
+	if sentAt.After(p.lastContactAt) {
+		p.lastContactAt, p.storeAvailable = sentAt, pong.StoreAvailable
 	}
 	p.notLeading = pong.Leader == p.Name && !pong.IsLeader
 	p.processStartedAt = sentAt.Add(-milliseconds(pong.UptimeMilli))
@@ -151,7 +151,7 @@
 	}
 	leader := leaderInfo{name: name, term: term}
 	if known.term == term {
-		leader.storeLease = known.storeLease
+		leader.leaseID = known.leaseID
 	} else {
 		// A leader's enforcement of cancellations covers what it can have started. One that
 		// comes back from a process pause, and does not know yet of the next term, reads all
--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -19,16 +19,16 @@
 		for i := range 4 {
 			p := &peerState{Peer: config.Peer{Name: "drover-" + string(rune('1'+i))}, storeAvailable: storeAvailable}
 			if i < reachable {
-				p.lastHeardAt = time.Now()
+				p.lastContactAt = time.Now()
 			}
 			c.membership.peers[p.Name] = p
 		}
 	}
 	for _, tc := range []struct {
-		without time.Duration
-		served  bool
-		near    int
-		cut     bool
+		unservedFor time.Duration
+		peersServed bool
+		reachable   int
+		isolated    bool
 	}{
 		{0, false, 0, false},
 		{time.Minute, false, 0, true},
@@ -40,10 +40,10 @@
 		// TestCancellationWatermarkIsNeverAheadOfConfirmations.
 		{time.Minute, false, 2, false},
 	} {
-		c.membership.storeUnservedFor = func() time.Duration { return tc.without }
-		setPeers(tc.served, tc.near)
-		if c.Healthy() == tc.cut {
-			t.Errorf("%+v: healthy %v", tc, !tc.cut)
+		c.membership.storeUnservedFor = func() time.Duration { return tc.unservedFor }
+		setPeers(tc.peersServed, tc.reachable)
+		if c.Healthy() == tc.isolated {
+			t.Errorf("%+v: healthy %v", tc, !tc.isolated)
 		}
 	}
 	c.membership.storeUnservedFor = func() time.Duration { return 0 }
@@ -60,9 +60,9 @@
 	m := newMembership([]config.Peer{{Name: "leader"}, {Name: "other"}, {Name: "unreachable"}, {Name: "declined"}}, nil)
 	m.leader.name = "leader"
 	for _, p := range m.peers {
-		p.lastHeardAt = now
+		p.lastContactAt = now
 	}
-	m.peers["unreachable"].lastHeardAt = now.Add(-2 * tuning.PeerUnreachableAfter)
+	m.peers["unreachable"].lastContactAt = now.Add(-2 * tuning.PeerUnreachableAfter)
 	m.peers["declined"].declinedAt = now
 	names := func() (names []string) {
 		for _, target := range m.forwardTargets() {
@@ -89,11 +89,11 @@
 		unservedFor time.Duration
 		want        bool
 	}{
-		{"heard", peerState{lastHeardAt: now}, time.Minute, true},
-		{"not heard", peerState{lastHeardAt: longAgo}, 0, false},
-		{"restarted", peerState{lastHeardAt: now, notLeading: true}, 0, false},
-		{"refuses connections", peerState{lastHeardAt: longAgo, connectionRefusedAt: now}, 0, true},
-		{"refuses connections without the store", peerState{lastHeardAt: longAgo, connectionRefusedAt: now}, time.Minute, false},
+		{"heard", peerState{lastContactAt: now}, time.Minute, true},
+		{"not heard", peerState{lastContactAt: longAgo}, 0, false},
+		{"restarted", peerState{lastContactAt: now, notLeading: true}, 0, false},
+		{"refuses connections", peerState{lastContactAt: longAgo, connectionRefusedAt: now}, 0, true},
+		{"refuses connections without the store", peerState{lastContactAt: longAgo, connectionRefusedAt: now}, time.Minute, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			m := newMembership(nil, func() time.Duration { return test.unservedFor })
--- a/internal/controller/pings.go
+++ b/internal/controller/pings.go
@@ -12,8 +12,8 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// maxEnforcedAge is how old the enforcement of cancellations may be to be told to peers.
-const maxEnforcedAge = time.Hour
+// maxReportedEnforcementAge is how old the enforcement of cancellations may be to be told to peers.
+const maxReportedEnforcementAge = time.Hour
 
 // pingPeers pings each peer in a loop of its own, and returns when ctx ends.
 func (c *Controller) pingPeers(ctx context.Context) {
@@ -64,7 +64,7 @@
 // handlePong takes the answer to a ping that was sent at sentAt. Called with the lock held.
 func (p pinger) handlePong(pong peer.Pong, sentAt time.Time) {
 	c := p.controller
-	p.peer.heardPong(pong, sentAt)
+	p.peer.recordPong(pong, sentAt)
 	if c.leadership.leading() && c.leadership.survivedFailover(p.peer.processStartedAt, config.Seconds(c.cfg.Deployment.Workers.LeaseS)) {
 		c.leadership.scheduler.ControllerSurvived()
 	}
@@ -84,7 +84,7 @@
 func (c *Controller) HandlePing(ping peer.Ping) peer.Pong {
 	var pong peer.Pong
 	c.update(func() {
-		c.membership.heardPing(ping)
+		c.membership.recordPing(ping)
 		c.learnLeader(ping.Leader, ping.Term)
 		pong = c.newPong(ping)
 	})
@@ -104,7 +104,7 @@
 		c.cancellations.raiseEnforced(c.enforcedWatermark())
 		pong.Running = c.leadership.scheduler.View().RunningTasks()
 	}
-	if age := time.Since(c.cancellations.enforcedUntil); age < maxEnforcedAge {
+	if age := time.Since(c.cancellations.enforcedUntil); age < maxReportedEnforcementAge {
 		pong.EnforcedAgoMilli = age.Milliseconds() + 1
 	}
 	seen := ping.ConfirmationsSeen
--- a/internal/controller/queries_test.go
+++ b/internal/controller/queries_test.go
@@ -117,12 +117,12 @@
 	// and now.
 	stale := &refreshCall{done: make(chan struct{}), answeredAt: time.Now().Add(-2 * tuning.MaxAnswerAge)}
 	close(stale.done)
-	c.jobSync.refresher.next, c.jobSync.refresher.running = stale, true
+	c.jobSync.refresher.next, c.jobSync.refresher.serving = stale, true
 	commitOps(t, client, wire.Op{Set: records.JobKey(id), Value: records.Job{Job: wire.Job{ID: id, Tasks: 1}, Cancelled: true}})
 	time.AfterFunc(20*time.Millisecond, func() {
 		c.jobSync.refresher.mu.Lock()
 		defer c.jobSync.refresher.mu.Unlock()
-		c.jobSync.refresher.next, c.jobSync.refresher.running = nil, false
+		c.jobSync.refresher.next, c.jobSync.refresher.serving = nil, false
 	})
 	if v, found, err := c.lookUpJob(ctx, id); err != nil || !found || v.State != wire.JobCancelled {
 		t.Errorf("%+v %v %v", v, found, err)
@@ -148,7 +148,7 @@
 		asked <- struct{}{}
 	}))
 	defer srv.Close()
-	c.membership.peers["drover-1"] = &peerState{Peer: config.Peer{Name: "drover-1", Addr: srv.Listener.Addr().String()}, lastHeardAt: time.Now()}
+	c.membership.peers["drover-1"] = &peerState{Peer: config.Peer{Name: "drover-1", Addr: srv.Listener.Addr().String()}, lastContactAt: time.Now()}
 	for _, refusal := range []int{http.StatusUnprocessableEntity, http.StatusBadRequest, http.StatusNotFound} {
 		status.Store(int64(refusal))
 		b, err := simulator.EncodeSubmission(&wire.Job{ID: id, Class: "c", Team: "crew", Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i"})
--- a/internal/controller/refresher.go
+++ b/internal/controller/refresher.go
@@ -9,12 +9,12 @@
 // replicaRefresher shares reads of the replica's changes among concurrent callers. It has a
 // lock of its own, which is never held together with Controller.mu.
 type replicaRefresher struct {
-	read     func() error         // brings the replica up to date
-	interval func() time.Duration // the least time between two reads
+	read        func() error         // brings the replica up to date
+	minInterval func() time.Duration // the least time between two reads
 
 	mu      sync.Mutex
 	next    *refreshCall // not sent yet; nil: nobody waits
-	running bool         // a goroutine serves the calls
+	serving bool         // a goroutine serves the calls
 }
 
 // refreshCall is one read of changes. Whoever came before it was sent may rely on what it
@@ -43,8 +43,8 @@
 	defer r.mu.Unlock()
 	if r.next == nil {
 		r.next = &refreshCall{done: make(chan struct{})}
-		if !r.running {
-			r.running = true
+		if !r.serving {
+			r.serving = true
 			go r.serve()
 		}
 	}
@@ -58,7 +58,7 @@
 		call := r.next
 		//mutation:query-joins-no-earlier-read
 		r.next = nil // nobody joins a call that is about to be sent
-		r.running = call != nil
+		r.serving = call != nil
 		r.mu.Unlock()
 		if call == nil {
 			return
@@ -66,6 +66,6 @@
 		call.err = r.read()
 		call.answeredAt = time.Now()
 		close(call.done)
-		time.Sleep(r.interval())
+		time.Sleep(r.minInterval())
 	}
 }
--- a/internal/controller/replica_test.go
+++ b/internal/controller/replica_test.go
@@ -29,7 +29,7 @@
 	if touched, _ := r.Apply(wire.WatchReply{Revision: 12, Events: []wire.WatchEvent{set, cancel}}); len(touched) != 0 || r.Live["run-000001"] != nil {
 		t.Error("an older answer brought a job back to life")
 	}
-	if _, bad := r.Apply(wire.WatchReply{Revision: 14, Events: []wire.WatchEvent{{Set: records.JobKey("run-000002"), Value: raw(false), ModRevision: 14}}}); len(bad) != 1 {
+	if _, unreadable := r.Apply(wire.WatchReply{Revision: 14, Events: []wire.WatchEvent{{Set: records.JobKey("run-000002"), Value: raw(false), ModRevision: 14}}}); len(unreadable) != 1 {
 		t.Error("a record under another job's key was trusted")
 	}
 }
--- a/internal/controller/replication.go
+++ b/internal/controller/replication.go
@@ -22,8 +22,8 @@
 	caughtUpAt time.Time
 }
 
-// caughtUp notes that the replica has all changes as of a read sent at sentAt.
-func (r *replication) caughtUp(sentAt time.Time) { r.caughtUpAt = later(r.caughtUpAt, sentAt) }
+// markCaughtUp notes that the replica has all changes as of a read sent at sentAt.
+func (r *replication) markCaughtUp(sentAt time.Time) { r.caughtUpAt = later(r.caughtUpAt, sentAt) }
 
 // jobSync keeps the replica up to date. Its methods are called without the lock.
 //
@@ -37,7 +37,7 @@
 
 func newJobSync(c *Controller) *jobSync {
 	s := &jobSync{controller: c}
-	s.refresher.read, s.refresher.interval = s.readChanges, s.refreshInterval
+	s.refresher.read, s.refresher.minInterval = s.readChanges, s.refreshInterval
 	return s
 }
 
@@ -55,13 +55,13 @@
 	c := s.controller
 	ctx := context.Background() // the store's client bounds the calls
 	c.mu.Lock()
-	loaded, from := c.replication.replica.Loaded, c.replication.replica.Revision
+	loaded, fromRevision := c.replication.replica.Loaded, c.replication.replica.Revision
 	c.mu.Unlock()
 	if !loaded {
 		return s.reload(ctx)
 	}
 	sentAt := time.Now()
-	changes, err := c.store.Watch(ctx, kvstore.PriorityUser, records.JobsPrefix, from, 0)
+	changes, err := c.store.Watch(ctx, kvstore.PriorityUser, records.JobsPrefix, fromRevision, 0)
 	switch {
 	case errors.Is(err, kvstore.ErrCompacted):
 		return s.reload(ctx)
@@ -77,11 +77,11 @@
 func (s *jobSync) run(ctx context.Context) {
 	for interval := tuning.FollowerSyncInterval; sleep(ctx, jitter(interval)); {
 		_, _ = s.refresher.refresh(ctx) // failing that, the next round or a query will do
-		interval = s.interval()
+		interval = s.syncInterval()
 	}
 }
 
-func (s *jobSync) interval() time.Duration {
+func (s *jobSync) syncInterval() time.Duration {
 	if s.controller.isLeader() {
 		return tuning.LeaderSyncInterval
 	}
@@ -93,10 +93,10 @@
 	c := s.controller
 	for ctx.Err() == nil {
 		c.mu.Lock()
-		from := c.replication.replica.Revision
+		fromRevision := c.replication.replica.Revision
 		c.mu.Unlock()
 		sentAt := time.Now()
-		changes, err := c.store.Watch(ctx, kvstore.PriorityLeader, records.JobsPrefix, from, tuning.WatchTimeout)
+		changes, err := c.store.Watch(ctx, kvstore.PriorityLeader, records.JobsPrefix, fromRevision, tuning.WatchTimeout)
 		switch {
 		case errors.Is(err, kvstore.ErrCompacted):
 			if err = s.reload(ctx); err != nil {
@@ -117,15 +117,15 @@
 	c := s.controller
 	c.update(func() {
 		c.updateWatermark()
-		c.replication.caughtUp(sentAt)
-		touched, unreadable := c.replication.replica.Apply(changes)
+		c.replication.markCaughtUp(sentAt)
+		changedJobs, unreadable := c.replication.replica.Apply(changes)
 		logUnreadableRecords(c.log, unreadable)
 		if !c.leadership.leading() {
 			return
 		}
 		c.leadership.scheduler.JobsReadAt(sentAt.Sub(c.startedAt))
-		if len(touched) > 0 {
-			c.leadership.scheduler.JobsChanged(c.now(), touched)
+		if len(changedJobs) > 0 {
+			c.leadership.scheduler.JobsChanged(c.now(), changedJobs)
 		}
 	})
 }
@@ -144,7 +144,7 @@
 			return
 		}
 		c.updateWatermark()
-		c.replication.caughtUp(sentAt)
+		c.replication.markCaughtUp(sentAt)
 		logUnreadableRecords(c.log, c.replication.replica.Reset(items, revision))
 		if c.leadership.leading() {
 			c.leadership.scheduler.JobsReadAt(sentAt.Sub(c.startedAt))
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -11,15 +11,15 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// leaderTerm is one term that this controller was elected for. Its fields do not change. It
-// owns the goroutines of the term: those that renew the lease, read the cloud's list of
-// machines and watch the jobs.
+// leaderTerm is one term for which this controller was elected. Its fields do not change. It
+// owns the goroutines of the term, which renew the lease, read the cloud's list of machines and
+// watch the jobs.
 type leaderTerm struct {
-	controller *Controller
-	number     uint64 // the modification revision of the leader's key
-	storeLease uint64 // which the leader's key is on
-	askedAt    time.Time
-	// lost is closed, with the lock held, when the leadership is lost.
+	controller       *Controller
+	number           uint64 // the modification revision of the leader's key, which identifies the term, which identifies the term
+	leaseID          uint64 // ID of the lease that the leader's key is attached to
+	leaseRequestedAt time.Time
+	// lost is closed when the leadership is lost. It is closed with Controller.mu held.
 	lost chan struct{}
 }
 
@@ -32,11 +32,11 @@
 	}
 }
 
-// serve loads the records and leads until the leadership is lost or ctx ends. It returns
-// when the goroutines of the term have ended.
+// serve loads the records and leads until the leadership is lost or ctx ends. Then it revokes
+// the lease and returns when the goroutines of the term have ended.
 func (t *leaderTerm) serve(ctx context.Context) {
 	log := t.controller.log
-	log.Info("elected", "term", t.number, "took_ms", time.Since(t.askedAt).Milliseconds())
+	log.Info("elected", "term", t.number, "took_ms", time.Since(t.leaseRequestedAt).Milliseconds())
 	var loops sync.WaitGroup
 	defer loops.Wait()
 	ctx, cancel := context.WithCancel(ctx)
@@ -49,7 +49,7 @@
 		t.renewLease(ctx)
 	}()
 	if sched := t.loadScheduler(ctx); sched != nil {
-		log.Info("leading", "term", t.number, "after_ms", time.Since(t.askedAt).Milliseconds())
+		log.Info("leading", "term", t.number, "after_ms", time.Since(t.leaseRequestedAt).Milliseconds())
 		loops.Go(func() { t.pollMachineList(ctx, sched) })
 		loops.Go(func() { t.controller.jobSync.watch(ctx) })
 		select {
@@ -63,18 +63,18 @@
 	t.revokeLease()
 }
 
-// begin takes note of the election.
+// begin records in the controller's state that this controller won the election.
 func (t *leaderTerm) begin() {
 	c := t.controller
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leadership.storeLease = t.storeLease
-	c.leadership.leaseHeldUntil = t.askedAt.Add(leaderLeaseTTL(c.cfg))
-	c.leadership.electedAt = t.askedAt
+	c.leadership.leaseID = t.leaseID
+	c.leadership.leaseHeldUntil = t.leaseRequestedAt.Add(leaderLeaseTTL(c.cfg))
+	c.leadership.electedAt = t.leaseRequestedAt
 	c.setLeader(c.cfg.Node, t.number)
 }
 
-// end ends the term if it still lasts.
+// end ends the term of sched if it has not ended yet, because the process is ending.
 func (t *leaderTerm) end(sched *scheduler.Scheduler) {
 	c := t.controller
 	c.update(func() {
@@ -85,15 +85,15 @@
 	})
 }
 
-// renewLease keeps the lease until it is lost. A store that does not serve us for a while is
-// no proof that it is: in an outage the lease keeps its full time.
+// renewLease renews the lease periodically until it is lost or ctx ends. Renewals that the store
+// does not serve are no proof that the lease is lost: in an outage it keeps its full TTL.
 func (t *leaderTerm) renewLease(ctx context.Context) {
 	for sleep(ctx, tuning.LeaseRenewInterval) {
 		if t.isLost() {
 			return
 		}
 		sentAt := time.Now()
-		err := t.controller.store.RenewLease(ctx, t.storeLease)
+		err := t.controller.store.RenewLease(ctx, t.leaseID)
 		switch {
 		case err == nil:
 			t.leaseRenewed(sentAt)
@@ -106,11 +106,12 @@
 	}
 }
 
-// leaseRenewed extends the lease from when the renewal was sent.
+// leaseRenewed records that the lease was renewed. The new TTL counts from the time at which the
+// renewal was sent.
 func (t *leaderTerm) leaseRenewed(sentAt time.Time) {
 	c := t.controller
 	c.update(func() {
-		if c.leadership.storeLease != t.storeLease {
+		if c.leadership.leaseID != t.leaseID {
 			return
 		}
 		c.leadership.leaseHeldUntil = sentAt.Add(leaderLeaseTTL(c.cfg))
@@ -120,7 +121,7 @@
 	})
 }
 
-// leaseExpired ends the term, in which the records may not have been loaded yet.
+// leaseExpired ends the term, even if its records have not been loaded yet.
 func (t *leaderTerm) leaseExpired() {
 	c := t.controller
 	c.mu.Lock()
@@ -135,10 +136,10 @@
 	}
 }
 
-// revokeLease lets others be elected without waiting for the lease to expire. It works also
-// when the process is about to end.
+// revokeLease lets another controller be elected without waiting for the lease to expire. It
+// uses a context of its own, so that it also works while the process shuts down.
 func (t *leaderTerm) revokeLease() {
 	ctx, cancel := context.WithTimeout(context.Background(), tuning.StoreTimeout)
 	defer cancel()
-	_ = t.controller.store.RevokeLease(ctx, t.storeLease) // else it expires
+	_ = t.controller.store.RevokeLease(ctx, t.leaseID) // on failure the lease expires
 }
