--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -62,7 +62,7 @@
 	c := e.controller
 	if _, err := c.store.Watch(ctx, kvstore.PriorityLeader, records.LeaderPrefix, modRevision, tuning.WatchTimeout); err != nil {
 		// The key may be older than the changes that the store keeps, or the store may be
-		// failing. In both cases the caller reads the key again after a pause.
+		// failing. Reading the key again after a pause is right in both cases.
 		sleep(ctx, jitter(leaderLeaseTTL(c.cfg)/2))
 	}
 }
--- a/internal/controller/executor.go
+++ b/internal/controller/executor.go
@@ -15,7 +15,8 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// execute starts the I/O that the scheduler decided on. Called with the lock held.
+// execute carries out the effects of a scheduler: it logs and traces, starts each call in a new
+// goroutine, and resigns if the scheduler asks for it. Called with the lock held.
 func (c *Controller) execute(sched *scheduler.Scheduler, effects scheduler.Effects) {
 	for _, line := range effects.Log {
 		c.log.Log(context.Background(), line.Level, line.Message, line.Attributes...)
@@ -39,9 +40,9 @@
 	}
 }
 
-// executor makes the calls of one term's scheduler and feeds it their results, which are
-// dropped once the term is over. Its methods are called without the lock, each in a
-// goroutine of its own, which ends with the call.
+// executor makes the calls of one term's scheduler and passes their results to it, unless the term
+// has ended by then. Its methods are called without the lock, each in a goroutine of its own,
+// which ends with the call.
 type executor struct {
 	controller *Controller
 	scheduler  *scheduler.Scheduler
@@ -73,8 +74,8 @@
 	return scheduler.CommitUnknown
 }
 
-// maxConcurrentWorkerCalls returns how many calls to workers there may be at once: a placement round
-// may have commands for every machine, and there are not enough sockets for all of them.
+// maxConcurrentWorkerCalls returns the limit on concurrent calls to workers. A placement round may
+// produce commands for every machine, and there are not enough sockets for all of them at once.
 func maxConcurrentWorkerCalls(cfg *config.Settings) int {
 	_, sockets := cfg.SocketLimits()
 	return min(sockets, tuning.MaxWorkerCalls)
@@ -103,9 +104,9 @@
 	return scheduler.CallLost
 }
 
-// holdsLease reports whether the leader's lease lasts for certain now: the cloud checks
-// neither comparisons nor fencing tokens, and there may have been a process pause since the
-// scheduler decided.
+// holdsLease reports whether the leader's lease has certainly not expired. It is checked before
+// each change at the cloud, which verifies neither compare conditions nor fencing tokens: there
+// may have been a process pause since the scheduler decided on the change.
 func (e executor) holdsLease() bool {
 	e.controller.mu.Lock()
 	defer e.controller.mu.Unlock()
@@ -163,8 +164,8 @@
 	return errors.Is(err, cloud.ErrUnavailable) || errors.Is(err, cloud.ErrRateLimited) || errors.Is(err, cloud.ErrRejected)
 }
 
-// logCallFailure logs a failed call: at debug, since failures of its like are expected, or
-// as an error if the other side does not keep to the protocol.
+// logCallFailure logs a failed call: at level debug, since such failures are expected, or at level
+// error if the other side violates the protocol.
 func logCallFailure(log *slog.Logger, message string, err error, attributes ...any) {
 	level := slog.LevelDebug
 	if errors.Is(err, rpc.ErrMalformedAnswer) {
--- a/internal/controller/leader_watch.go
+++ b/internal/controller/leader_watch.go
@@ -10,15 +10,16 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// leaderWatch notices at once when the leader's process ends, and then revokes its lease, so
-// that nobody has to wait for it to expire. There are three signs: a connection on which the
-// leader holds back its answer breaks, the leader refuses new connections, twice, and
-// another peer answers. Without the last, a filter between the controllers may refuse the
-// connections; then, and when the others do not answer either, the lease has to expire. The
-// signs may mislead all the same. That costs an election, at most once in a while, and no
-// safety, which rests on fencing tokens and compare-and-swap and not on the lease's time.
+// leaderWatch detects when the leader's process ends and then revokes the leader's lease, so that
+// an election need not wait for the lease to expire. It acts only on three signs together: the
+// connection of a request that the leader leaves unanswered breaks, the leader refuses two new
+// connections in a row, and another peer answers. If no other peer answers, a filter between the
+// controllers may be refusing the connections, and the lease is left to expire. All three signs
+// may still be wrong. Then there is a needless election, at most one per MinLeaderVoteInterval,
+// but safety is kept: it depends on fencing tokens and compare-and-swap, not on the lease's
+// duration.
 //
-// It runs in one goroutine, without the lock.
+// leaderWatch runs in one goroutine, without the lock.
 type leaderWatch struct {
 	controller    *Controller
 	prober        peerProber
@@ -32,6 +33,7 @@
 	return &leaderWatch{controller: c, prober: peerProber{client: c.peerClient, newPing: newPing}}
 }
 
+// run watches the known leader until ctx ends.
 func (w *leaderWatch) run(ctx context.Context) {
 	for sleep(ctx, tuning.PeerWatchRetryDelay) {
 		leader, leaderPeer := w.knownLeader()
@@ -52,8 +54,8 @@
 	return c.membership.leader, c.membership.leaderPeer()
 }
 
-// connectionBroke waits on a connection to the leader, and reports whether it broke before
-// the time that the leader holds back its answer.
+// connectionBroke sends the leader a request that it leaves unanswered for PeerWatchTimeout, and
+// reports whether the request failed before that time.
 func (w *leaderWatch) connectionBroke(ctx context.Context, leader *peerState) bool {
 	startedAt := time.Now()
 	err := w.controller.peerClient.WatchProcess(ctx, leader.Addr)
@@ -65,8 +67,9 @@
 	return w.prober.refusesConnections(ctx, leader) && w.prober.anotherPeerAnswers(ctx, w.controller.membership.peers, leader)
 }
 
-// claimRevocation reports whether the leader is still the one to depose, and lets that be
-// done once a term.
+// claimRevocation reports whether the lease of the given leader should still be revoked: no later
+// term is known and this controller does not lead. In that case it clears the known lease ID, so
+// that the lease is revoked once a term.
 func (w *leaderWatch) claimRevocation(leader leaderInfo) bool {
 	c := w.controller
 	c.mu.Lock()
@@ -86,10 +89,10 @@
 	}
 }
 
-// peerProber asks peers whether they answer at all. It uses no state of the controller.
+// peerProber checks whether peers answer pings. It uses no state that Controller.mu guards.
 type peerProber struct {
 	client  *peer.Client
-	newPing func() peer.Ping
+	newPing func() peer.Ping // makes the ping to send
 }
 
 func (p peerProber) probe(ctx context.Context, target *peerState) error {
@@ -107,8 +110,8 @@
 	return true
 }
 
-// anotherPeerAnswers reports whether any peer but the given one answers now. Where there is no
-// other, there is nobody to ask.
+// anotherPeerAnswers reports whether any peer other than excluded answers a ping. It returns true
+// if there is no other peer to ask.
 func (p peerProber) anotherPeerAnswers(ctx context.Context, peers map[string]*peerState, excluded *peerState) bool {
 	if len(peers) < 2 {
 		return true
--- a/internal/controller/machine_list.go
+++ b/internal/controller/machine_list.go
@@ -9,7 +9,8 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// pollMachineList reads the cloud's list of machines until ctx ends.
+// pollMachineList reads the cloud's list of machines periodically until ctx ends, and passes it to
+// the scheduler.
 func (t *leaderTerm) pollMachineList(ctx context.Context, sched *scheduler.Scheduler) {
 	c := t.controller
 	wait := time.Duration(0)
@@ -26,16 +27,17 @@
 	}
 }
 
-// machineListInterval leaves most of the cloud's request rate to provisioning and releases:
-// a long list takes several calls.
+// machineListInterval returns the interval between reads of the machine list. It grows with the
+// list, which takes one call a page, so that most of the cloud's request rate is left to
+// provisioning and releases.
 func machineListInterval(cfg *config.Settings, machines int) time.Duration {
 	pages := float64(1 + machines/tuning.MachineListPageSize)
 	rate := cfg.Deployment.Cloud.RPS * tuning.MachineListRateShare
 	return max(tuning.MachineListInterval, config.Seconds(pages/rate))
 }
 
-// logFleetShortfalls says which settings are too small for the number of machines, and
-// again when that has doubled.
+// logFleetShortfalls logs which settings are too small for the number of machines, and logs them
+// again once the number has more than doubled.
 func (t *leaderTerm) logFleetShortfalls(machines int) {
 	c := t.controller
 	shortfalls := c.cfg.FleetShortfalls(machines)
--- a/internal/controller/machine_types.go
+++ b/internal/controller/machine_types.go
@@ -15,8 +15,8 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// refreshMachineTypes keeps the machine types up to date, and the leader's copy of them in
-// the key-value store, until ctx ends.
+// refreshMachineTypes reads the machine types periodically until ctx ends. At the leader it also
+// keeps a copy of them in the key-value store.
 func (c *Controller) refreshMachineTypes(ctx context.Context) {
 	source := machineTypeSource{cloud: c.cloud, store: c.store, log: c.log, retryDelay: tuning.CloudRetryDelay}
 	for wait := time.Millisecond; sleep(ctx, jitter(wait)); wait = tuning.CloudRetryDelay {
@@ -50,23 +50,24 @@
 	return c.leadership.leading()
 }
 
-// machineTypeSource reads the machine types from the cloud, or, while that is down, from the
-// leader's copy in the key-value store. It belongs to one goroutine.
+// machineTypeSource reads the machine types from the cloud or, while the cloud is unavailable, from
+// the leader's copy in the key-value store. It is used by one goroutine.
 type machineTypeSource struct {
 	cloud *cloud.Client
 	store *kvstore.Client
 	log   *slog.Logger
 
 	nextFetchAt time.Time
-	retryDelay  time.Duration      // doubles with each failure
-	fetched     bool               // the cloud has answered
-	storedTypes []wire.MachineType // the copy in the store, as far as known
+	retryDelay  time.Duration      // doubles with each failure, up to MaxCloudRetryDelay
+	fetched     bool               // whether the cloud has answered at least once
+	storedTypes []wire.MachineType // the copy in the store, as last read or written
 }
 
-// fetchDue reports whether the cloud is to be asked.
+// fetchDue reports whether it is time to read the machine types from the cloud.
 func (s *machineTypeSource) fetchDue() bool { return !time.Now().Before(s.nextFetchAt) }
 
-// fetch returns the machine types, or those known where they cannot be read.
+// fetch reads the machine types from the cloud. If that fails it returns the known ones or, if
+// there are none, the copy in the store.
 func (s *machineTypeSource) fetch(ctx context.Context, known []wire.MachineType) []wire.MachineType {
 	types, err := s.cloud.MachineTypes(ctx)
 	if err == nil {
@@ -84,8 +85,8 @@
 	return s.storedTypes
 }
 
-// readCopy reads the copy in the store. Where that fails the types stay unknown, and it is
-// read again.
+// readCopy reads the copy in the store. If that fails it returns nil: the machine types stay
+// unknown, and the next fetch tries again.
 func (s *machineTypeSource) readCopy(ctx context.Context) []wire.MachineType {
 	items, _, err := s.store.RangeAll(ctx, kvstore.PriorityUser, records.MachineTypePrefix)
 	if err != nil {
@@ -104,7 +105,8 @@
 	return types
 }
 
-// saveCopy writes what the cloud answered to the store, unless the copy is up to date.
+// saveCopy writes the types to the store, unless they are not from the cloud or the copy in the
+// store is up to date.
 func (s *machineTypeSource) saveCopy(ctx context.Context, types []wire.MachineType) {
 	if !s.fetched || slices.EqualFunc(s.storedTypes, types, equalExceptPrices) {
 		return
@@ -118,7 +120,8 @@
 
 func (s *machineTypeSource) writeCopy(ctx context.Context, types []wire.MachineType) error {
 	for i, machineType := range types {
-		// One at a time and unhurried: dispatch has the write rate first.
+		// The types are written one at a time, with pauses and at low priority, to leave the
+		// write rate to dispatch.
 		_, _, err := s.store.Commit(ctx, kvstore.PriorityBackground, wire.Txn{
 			Then: []wire.Op{{Set: records.MachineTypeKey(machineType.Name), Value: machineType}},
 		})
@@ -132,7 +135,8 @@
 	return nil
 }
 
-// equalExceptPrices compares machine types without prices, which change all the time.
+// equalExceptPrices reports whether two machine types are equal except for their prices, which
+// change all the time.
 func equalExceptPrices(a, b wire.MachineType) bool {
 	a.Price, a.SpotPrice, b.Price, b.SpotPrice = 0, 0, 0, 0
 	return reflect.DeepEqual(a, b)
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -8,38 +8,39 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// membership is what a controller knows of its peers and of who leads. Guarded by
-// Controller.mu, but for the map itself, which does not change after New.
+// membership is what a controller knows about its peers and the leader. Guarded by
+// Controller.mu, except for the set of peers, which does not change after New.
 type membership struct {
 	peers  map[string]*peerState
 	leader leaderInfo
-	// storeUnservedFor returns for how long the key-value store has not served this
-	// controller. It needs no lock.
+	// storeUnservedFor returns for how long the key-value store has not served this controller;
+	// 0 if it served the last request. It needs no lock.
 	storeUnservedFor func() time.Duration
 }
 
-// peerState is what a controller knows of one peer. Guarded by Controller.mu, but for the
-// settings, which do not change.
+// peerState is what a controller knows about one peer. Guarded by Controller.mu, except for the
+// embedded settings, which do not change.
 type peerState struct {
 	config.Peer
-	lastContactAt  time.Time // when it was last asked and answered, or asked us
-	storeAvailable bool      // to the peer, when it was last heard
-	// processStartedAt is when its process started; zero: not known.
+	lastContactAt  time.Time // when it last sent a ping, or was sent one that it answered
+	storeAvailable bool      // whether the store served the peer, at the last contact
+	// processStartedAt is when the peer's process started; zero if unknown.
 	processStartedAt time.Time
-	// notLeading is set when the peer is the known leader and says that it does not lead:
-	// its process has been restarted.
+	// notLeading is set when the peer names itself as the leader and reports that it does not
+	// lead: its process has been restarted, or it has not loaded the records yet.
 	notLeading          bool
-	connectionRefusedAt time.Time // when it last refused a connection
-	declinedAt          time.Time // when it last could not decide a forwarded request
-	runningTasks        map[string]int
+	connectionRefusedAt time.Time      // when it last refused a connection
+	declinedAt          time.Time      // when it last could not decide a forwarded request
+	runningTasks        map[string]int // number of running tasks by job ID; only the leader sends it
 	confirmations       confirmationFeed
 }
 
-// leaderInfo is what a controller knows of the leader.
+// leaderInfo is what a controller knows about the leader.
 type leaderInfo struct {
-	name string // empty: nobody leads, as far as is known
-	term uint64 // the highest term known, of name or of an earlier leader
-	// leaseID is the leader's lease; 0: not known, or not to be revoked any more.
+	name string // empty: no leader is known
+	term uint64 // the highest known term; if name is empty, of an earlier leader
+	// leaseID is the ID of the leader's lease; 0 if it is unknown or has been claimed for
+	// revocation.
 	leaseID uint64
 }
 
@@ -51,14 +52,15 @@
 	return m
 }
 
-// storeAvailable reports whether the key-value store has served this controller lately. It
-// needs no lock.
+// storeAvailable reports whether the key-value store has served this controller within the last
+// IsolatedAfter. It needs no lock.
 func (m *membership) storeAvailable() bool { return m.storeUnservedFor() < tuning.IsolatedAfter }
 
-// isolated reports whether this controller, with the peers that it still hears, may be on
-// the wrong side of a partition: the key-value store has served none of them for a while,
-// and they are no more than half of all. If they are more, it is rather an outage of the
-// store, in which the leader goes on for as long as its lease and watermark let it.
+// isolated reports whether this controller and the peers that it can reach may be on the
+// minority side of a partition: the key-value store has served none of them for IsolatedAfter,
+// and they are at most half of all controllers. If they are more than half, an outage of the
+// store is more likely, in which the leader continues for as long as its lease and its
+// cancellation watermark allow.
 func (m *membership) isolated() bool {
 	if len(m.peers) == 0 || m.storeAvailable() {
 		return false
@@ -76,10 +78,11 @@
 	return 2*reachable <= 1+len(m.peers)
 }
 
-// leaderPeer returns the leader's state, or nil if this controller leads or nobody does.
+// leaderPeer returns the state of the leader, or nil if this controller leads or no leader is
+// known.
 func (m *membership) leaderPeer() *peerState { return m.peers[m.leader.name] }
 
-// leaderReachable reports whether workers can be sent to the leader.
+// leaderReachable reports whether workers can be redirected to the leader.
 func (m *membership) leaderReachable() bool {
 	leader := m.leaderPeer()
 	if leader == nil || leader.notLeading {
@@ -88,14 +91,14 @@
 	if time.Since(leader.lastContactAt) < tuning.PeerUnreachableAfter {
 		return true
 	}
-	// A refused connection came all the way: something between the controllers is in the
-	// way, or the leader has no free socket, but there is no partition between zones. By the
-	// key-value store it leads, so workers can reach it.
+	// A refused connection shows that the zones are not partitioned: a filter between the
+	// controllers refuses the connection, or the leader has no free socket. As long as the
+	// key-value store serves this controller and names that leader, workers can reach it.
 	return time.Since(leader.connectionRefusedAt) < tuning.PeerUnreachableAfter && m.storeUnservedFor() == 0
 }
 
-// forwardTargets returns the peers that may decide a request: those heard of lately that
-// have not declined one a moment ago, the leader first.
+// forwardTargets returns the peers that may be able to decide a forwarded request, the leader
+// first: those with recent contact that have not declined a request within UnablePeerBackoff.
 func (m *membership) forwardTargets() []*peerState {
 	var targets []*peerState
 	for _, p := range m.peers {
@@ -111,16 +114,17 @@
 	return targets
 }
 
-// recordPing takes note of a ping that a peer sent.
+// recordPing records that a peer sent a ping.
 func (m *membership) recordPing(ping peer.Ping) {
 	if sender := m.peers[ping.Node]; sender != nil {
 		sender.lastContactAt, sender.storeAvailable = time.Now(), ping.StoreAvailable
 	}
 }
 
-// recordPong takes the answer to a ping that was sent at sentAt.
+// recordPong records the answer to a ping that was sent at sentAt.
 func (p *peerState) recordPong(pong peer.Pong, sentAt time.Time) {
-	// As of when it was sent: after a process pause, an old answer would count as new.
+	// The contact dates from when the ping was sent: otherwise an old answer that is read after
+	// a process pause would count as recent.
 	if sentAt.After(p.lastContactAt) {
 		p.lastContactAt, p.storeAvailable = sentAt, pong.StoreAvailable
 	}
@@ -131,8 +135,8 @@
 
 func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// learnLeader takes a peer's word on who leads, if it is of a later term than ours. Called
-// with the lock held.
+// learnLeader records the leader that a peer reports, if its term is later than the known one. If
+// this controller leads, it steps down first. Called with the lock held.
 func (c *Controller) learnLeader(name string, term uint64) {
 	if term <= c.membership.leader.term || name == "" {
 		return
@@ -143,7 +147,7 @@
 	c.setLeader(name, term)
 }
 
-// setLeader takes note of who leads. Called with the lock held.
+// setLeader records the leader of a term. Called with the lock held.
 func (c *Controller) setLeader(name string, term uint64) {
 	known := c.membership.leader
 	if known.name != name || known.term != term {
@@ -153,10 +157,10 @@
 	if known.term == term {
 		leader.leaseID = known.leaseID
 	} else {
-		// A leader's enforcement of cancellations covers what it can have started. One that
-		// comes back from a process pause, and does not know yet of the next term, reads all
-		// cancellations but knows nothing of that term's tasks: workers with a later fencing
-		// token are kept alive by the enforcement of their own leader alone.
+		// A leader enforces cancellations only for tasks that it can have started. A leader that
+		// resumes after a process pause, and does not know of the next term yet, reads all
+		// cancellations but knows nothing about the tasks of that term. So the enforcement time
+		// of one term must not keep workers alive whose fencing token is of another term.
 		//mutation:lost-leadership-ends-keepalive
 		c.cancellations.enforcedUntil = time.Time{}
 	}
--- a/internal/controller/pings.go
+++ b/internal/controller/pings.go
@@ -12,7 +12,8 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// maxReportedEnforcementAge is how old the enforcement of cancellations may be to be told to peers.
+// maxReportedEnforcementAge is the greatest age of cancellations.enforcedUntil that is reported to
+// peers.
 const maxReportedEnforcementAge = time.Hour
 
 // pingPeers pings each peer in a loop of its own, and returns when ctx ends.
@@ -61,14 +62,15 @@
 	}, sentAt
 }
 
-// handlePong takes the answer to a ping that was sent at sentAt. Called with the lock held.
+// handlePong applies the answer to a ping that was sent at sentAt. Called with the lock held.
 func (p pinger) handlePong(pong peer.Pong, sentAt time.Time) {
 	c := p.controller
 	p.peer.recordPong(pong, sentAt)
 	if c.leadership.leading() && c.leadership.survivedFailover(p.peer.processStartedAt, config.Seconds(c.cfg.Deployment.Workers.LeaseS)) {
 		c.leadership.scheduler.ControllerSurvived()
 	}
-	// The watermark before the cancellations that come now, which may be later ones.
+	// The watermark is updated before the cancellations of this pong are applied, since these may
+	// be later than the watermark.
 	c.updateWatermark()
 	p.peer.confirmations.receive(pong, sentAt, time.Now())
 	if c.leadership.leading() && len(pong.Confirmed) > 0 {
--- a/internal/controller/refresher.go
+++ b/internal/controller/refresher.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// replicaRefresher shares reads of the replica's changes among concurrent callers. It has a
-// lock of its own, which is never held together with Controller.mu.
+// replicaRefresher shares reads of changes for the replica among concurrent callers. Its lock is
+// never held together with Controller.mu.
 type replicaRefresher struct {
 	read        func() error         // brings the replica up to date
 	minInterval func() time.Duration // the least time between two reads
 
 	mu      sync.Mutex
-	next    *refreshCall // not sent yet; nil: nobody waits
-	serving bool         // a goroutine serves the calls
+	next    *refreshCall // the read that new callers join, not sent yet; nil: no caller waits for one
+	serving bool         // whether a goroutine runs serve
 }
 
-// refreshCall is one read of changes. Whoever came before it was sent may rely on what it
-// finds.
+// refreshCall is one read of changes, shared by the callers that joined it before it was sent.
 type refreshCall struct {
-	done       chan struct{}
+	done       chan struct{} // closed when the fields below are set
 	err        error
 	answeredAt time.Time
 }
 
-// refresh brings the replica up to a moment after the call. Concurrent callers share a read,
-// but never one that was sent before they came. It returns when that was answered.
+// refresh brings the replica up to date as of a time after refresh was called. Concurrent callers
+// share a read, but only one that is sent after each of them has called. It returns the time at
+// which that read was answered.
 func (r *replicaRefresher) refresh(ctx context.Context) (answeredAt time.Time, err error) {
 	call := r.join()
 	select {
@@ -37,7 +37,7 @@
 	}
 }
 
-// join returns the next call, and has it served.
+// join returns the next call, and starts serve if it is not running.
 func (r *replicaRefresher) join() *refreshCall {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -51,13 +51,13 @@
 	return r.next
 }
 
-// serve serves waiting calls one after the other and ends when nobody waits.
+// serve makes the next call as long as there is one, at intervals of at least minInterval.
 func (r *replicaRefresher) serve() {
 	for {
 		r.mu.Lock()
 		call := r.next
 		//mutation:query-joins-no-earlier-read
-		r.next = nil // nobody joins a call that is about to be sent
+		r.next = nil // no caller may join a call that is about to be sent
 		r.serving = call != nil
 		r.mu.Unlock()
 		if call == nil {
--- a/internal/controller/replication.go
+++ b/internal/controller/replication.go
@@ -14,22 +14,22 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// replication is the local copy of the jobs in the key-value store. Guarded by
-// Controller.mu.
+// replication is the local copy of the jobs in the key-value store. Guarded by Controller.mu.
 type replication struct {
 	replica *scheduler.Replica
-	// caughtUpAt is the moment as of which the replica has all changes.
+	// caughtUpAt is the time up to which the replica has all changes.
 	caughtUpAt time.Time
 }
 
-// markCaughtUp notes that the replica has all changes as of a read sent at sentAt.
+// markCaughtUp records that the replica has all changes up to sentAt, when a read was sent that
+// has since been answered.
 func (r *replication) markCaughtUp(sentAt time.Time) { r.caughtUpAt = later(r.caughtUpAt, sentAt) }
 
 // jobSync keeps the replica up to date. Its methods are called without the lock.
 //
-// Three callers read changes: run, at intervals; queries, which share reads by the refresher;
-// and, at the leader, watch. Answers may overtake each other: the replica ignores changes
-// that it has already.
+// There are three readers of changes: run, at intervals; queries, which share reads through the
+// refresher; and, at the leader, watch. Answers may arrive out of order: the replica ignores
+// changes that it already has.
 type jobSync struct {
 	controller *Controller
 	refresher  replicaRefresher
@@ -41,8 +41,8 @@
 	return s
 }
 
-// refreshInterval spaces the reads of changes so that all controllers together stay within
-// their share of the store's request rate.
+// refreshInterval returns the least time between two reads of changes through the refresher, so
+// that all controllers together stay within their share of the store's request rate.
 func (s *jobSync) refreshInterval() time.Duration {
 	c := s.controller
 	controllers := float64(1 + len(c.membership.peers))
@@ -50,10 +50,10 @@
 	return max(tuning.MinSyncInterval, config.Seconds(controllers/rate))
 }
 
-// readChanges brings the replica up to date once, for replicaRefresher.
+// readChanges brings the replica up to date once. The refresher calls it.
 func (s *jobSync) readChanges() error {
 	c := s.controller
-	ctx := context.Background() // the store's client bounds the calls
+	ctx := context.Background() // the store's client sets a timeout for each call
 	c.mu.Lock()
 	loaded, fromRevision := c.replication.replica.Loaded, c.replication.replica.Revision
 	c.mu.Unlock()
@@ -72,15 +72,17 @@
 	return nil
 }
 
-// run keeps a follower's replica within the changes that the store keeps, and the
-// leader's as fresh as renewing workers' leases needs.
+// run reads changes periodically until ctx ends. A follower reads them before the store discards
+// them; the leader more often, since its right to renew workers' leases counts from the last
+// read.
 func (s *jobSync) run(ctx context.Context) {
 	for interval := tuning.FollowerSyncInterval; sleep(ctx, jitter(interval)); {
-		_, _ = s.refresher.refresh(ctx) // failing that, the next round or a query will do
+		_, _ = s.refresher.refresh(ctx) // after a failure, the next round or a query reads again
 		interval = s.syncInterval()
 	}
 }
 
+// syncInterval returns the interval between the reads of run, before jitter.
 func (s *jobSync) syncInterval() time.Duration {
 	if s.controller.isLeader() {
 		return tuning.LeaderSyncInterval
@@ -88,7 +90,7 @@
 	return tuning.FollowerSyncInterval
 }
 
-// watch brings the leader changes of jobs as they come, until ctx ends.
+// watch applies changes of jobs as they are made, until ctx ends. It runs at the leader.
 func (s *jobSync) watch(ctx context.Context) {
 	c := s.controller
 	for ctx.Err() == nil {
@@ -112,7 +114,8 @@
 	}
 }
 
-// applyChanges takes the answer to a watch that was sent at sentAt.
+// applyChanges applies the answer to a watch that was sent at sentAt to the replica and, at the
+// leader, to the scheduler.
 func (s *jobSync) applyChanges(changes wire.WatchReply, sentAt time.Time) {
 	c := s.controller
 	c.update(func() {
@@ -130,7 +133,7 @@
 	})
 }
 
-// reload reads all live jobs again.
+// reload replaces the live jobs of the replica by a full read of them.
 func (s *jobSync) reload(ctx context.Context) error {
 	c := s.controller
 	sentAt := time.Now()
--- a/internal/controller/scheduler_settings.go
+++ b/internal/controller/scheduler_settings.go
@@ -5,8 +5,8 @@
 	"github.com/yarrowgap/yarrowgap/internal/scheduler"
 )
 
-// schedulerSettings returns what the scheduler needs of the settings, and of how this
-// controller came to lead. Called with the lock held.
+// schedulerSettings returns the settings of a term's scheduler, from the controller's settings and
+// the circumstances of its election. Called with the lock held.
 func (c *Controller) schedulerSettings() scheduler.Settings {
 	deployment := &c.cfg.Deployment
 	return scheduler.Settings{
@@ -29,7 +29,7 @@
 	}
 }
 
-// coldRestart reports whether no controller that this one has heard of survived the
+// coldRestart reports whether no controller, this one included, is known to have survived the
 // failover. Called with the lock held.
 func (c *Controller) coldRestart() bool {
 	workerLease := config.Seconds(c.cfg.Deployment.Workers.LeaseS)
@@ -55,13 +55,13 @@
 	return quotas
 }
 
-// Kinds of objectives in the settings that the scheduler acts on.
+// Kinds of objectives in the settings that the scheduler uses.
 const (
 	objectiveDeadline = "deadline"
 	objectiveFinished = "finished"
 )
 
-// objectives gathers the objectives of each class of jobs.
+// objectives groups the configured objectives by job class.
 func objectives(configured []config.Objective) map[string]scheduler.Objective {
 	byClass := map[string]scheduler.Objective{}
 	for _, o := range configured {
--- a/internal/controller/timing.go
+++ b/internal/controller/timing.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// sleep waits for d. It returns false if ctx ends first.
+// sleep waits for d and returns true. It returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -18,7 +18,7 @@
 	}
 }
 
-// jitter returns a random duration around d, from a half to one and a half of it.
+// jitter returns a random duration from 0.5 to 1.5 times d.
 func jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(rand.Int64N(int64(d)))
 }
