--- a/internal/controller/candidate_test.go
+++ b/internal/controller/candidate_test.go
@@ -12,8 +12,8 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// A candidate whose answer is lost has won if the key in the store is of its process and on
-// its lease, and else gives the lease up.
+// A candidate that gets no answer to the creation of the leader's key has won if the key in the
+// store is from its process and has its lease attached. Otherwise it revokes the lease.
 func TestCandidateReadsKeyAfterLostAnswer(t *testing.T) {
 	const lease, revision, bootID = 3, 7, 11
 	for _, test := range []struct {
@@ -22,10 +22,10 @@
 		bootID uint64
 		won    bool
 	}{
-		{"ours", wire.KeyValue{ModRevision: revision, Lease: lease}, bootID, true},
-		{"missing", wire.KeyValue{}, bootID, false},
-		{"on another lease", wire.KeyValue{ModRevision: revision, Lease: lease + 1}, bootID, false},
-		{"of another process", wire.KeyValue{ModRevision: revision, Lease: lease}, bootID + 1, false},
+		{"own key", wire.KeyValue{ModRevision: revision, Lease: lease}, bootID, true},
+		{"no key", wire.KeyValue{}, bootID, false},
+		{"with another lease", wire.KeyValue{ModRevision: revision, Lease: lease + 1}, bootID, false},
+		{"from another process", wire.KeyValue{ModRevision: revision, Lease: lease}, bootID + 1, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			revoked := false
@@ -66,7 +66,7 @@
 				t.Fatalf("won: %v (%v), lease revoked: %v", won, err, revoked)
 			}
 			if test.won && (gotRevision != revision || gotLease != lease) {
-				t.Errorf("revision %d on lease %d", gotRevision, gotLease)
+				t.Errorf("revision %d with lease %d", gotRevision, gotLease)
 			}
 		})
 	}
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -10,8 +10,8 @@
 	"github.com/yarrowgap/yarrowgap/internal/policy"
 )
 
-// newTestController makes a controller with the example settings that logs nothing and is not
-// run.
+// newTestController creates a controller with the example settings. It logs nothing, and its loops
+// do not run.
 func newTestController(t *testing.T) *Controller {
 	t.Helper()
 	t.Helper()
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -13,12 +13,13 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// A leader with a small share of the processor requests a lease that outlasts the load of a
-// failover, and that the workers' leases outlast, and relies on no more than that.
+// A leader with a small CPU share requests a longer lease, so that the load of a failover does not
+// delay its renewal for too long. The lease stays shorter than the workers' leases, and the leader
+// does not rely on it for longer than it requested.
 func TestLeaderLeaseGrowsAsCPUShareShrinks(t *testing.T) {
 	for _, tc := range []struct {
 		share        float64
-		workerLeaseS float64 // their lease, in seconds
+		workerLeaseS float64 // the workers' lease, in seconds
 		ttl          time.Duration
 	}{
 		{0, 45, tuning.LeaderLeaseTTL},
@@ -55,10 +56,10 @@
 		after := time.Now()
 		server.Close()
 		if got := time.Duration(requested.TTLMilli) * time.Millisecond; got != tc.ttl {
-			t.Errorf("share %v, workers %v: a lease of %v, not %v", tc.share, tc.workerLeaseS, got, tc.ttl)
+			t.Errorf("CPU share %v, worker lease %v s: requested a lease of %v, want %v", tc.share, tc.workerLeaseS, got, tc.ttl)
 		}
 		if c.leadership.leaseHeldUntil.Before(before.Add(tc.ttl)) || c.leadership.leaseHeldUntil.After(after.Add(tc.ttl)) {
-			t.Errorf("share %v: the leadership is relied on until %v after the request", tc.share, c.leadership.leaseHeldUntil.Sub(before))
+			t.Errorf("CPU share %v: the leader relies on its lease until %v after the request", tc.share, c.leadership.leaseHeldUntil.Sub(before))
 		}
 	}
 }
--- a/internal/controller/executor_test.go
+++ b/internal/controller/executor_test.go
@@ -15,8 +15,8 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// A request to the cloud that a process pause has delayed is not sent once the lease may have
-// expired: a release would take machines that work for the next leader.
+// A request to the cloud that was delayed by a process pause is not sent once the lease may have
+// expired: a release would remove machines that run tasks for the next leader.
 func TestNoCloudRequestAfterLeaseExpiry(t *testing.T) {
 	requests := 0
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -33,20 +33,21 @@
 	}
 	c.leadership.leaseHeldUntil = time.Now().Add(-time.Second)
 	if callCloud(); requests != 0 {
-		t.Errorf("%d requests after the lease", requests)
+		t.Errorf("%d requests after the lease expired", requests)
 	}
 	c.leadership.leaseHeldUntil = time.Now().Add(time.Hour)
 	if callCloud(); requests != 2 {
-		t.Errorf("%d requests within the lease", requests)
+		t.Errorf("%d requests while the lease is held", requests)
 	}
 }
 
-// However many machines have commands due, direct calls keep within their share of sockets.
+// The number of concurrent calls to workers is bounded by their share of the sockets, however many
+// machines have commands due.
 func TestDirectCallsAreBounded(t *testing.T) {
 	c := newTestController(t)
 	c.cfg.Deployment.Quota.FDLimit = 300
 	if got := maxConcurrentWorkerCalls(c.cfg); got != tuning.MinWorkerCalls {
-		t.Errorf("%d places with few sockets", got)
+		t.Errorf("limit of %d concurrent calls with few sockets", got)
 	}
 	c.workerCallSlots = make(chan struct{}, 3)
 	var concurrent, maxConcurrent atomic.Int64
@@ -58,14 +59,14 @@
 			}
 		}
 		for range 100 {
-			runtime.Gosched() // lets others in, if anything does
+			runtime.Gosched() // lets other calls run at the same time, if they are not limited
 		}
 		concurrent.Add(-1)
 		w.WriteHeader(http.StatusTeapot)
 	})
 	var wg sync.WaitGroup
 	for range 24 {
-		srv := httptest.NewServer(handler) // a machine each: the client bounds one host's connections itself
+		srv := httptest.NewServer(handler) // one a call: the client limits connections per host
 		defer srv.Close()
 		wg.Go(func() {
 			executor{c, &scheduler.Scheduler{}}.callWorker(scheduler.DirectCall{Addr: srv.Listener.Addr().String()})
@@ -73,6 +74,6 @@
 	}
 	wg.Wait()
 	if got := maxConcurrent.Load(); got == 0 || got > 3 {
-		t.Errorf("%d calls at once, of 3 places", got)
+		t.Errorf("%d concurrent calls, with a limit of 3", got)
 	}
 }
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -6,7 +6,7 @@
 	"github.com/yarrowgap/yarrowgap/internal/golden"
 )
 
-// TestOperatorAnswersMatchGoldenFiles covers what operators are shown of the process.
+// TestOperatorAnswersMatchGoldenFiles covers the answers to operators' queries about the process.
 func TestOperatorAnswersMatchGoldenFiles(t *testing.T) {
 	answers := map[string]any{
 		"leader":  &LeaderView{},
--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -9,9 +9,9 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// A controller without the key-value store is isolated, and unhealthy, unless a peer that the
-// store serves is reachable, or so many share the fault that it is an outage. Once served
-// again it is healthy at once.
+// A controller that the key-value store does not serve is isolated, and so unhealthy, unless it
+// reaches a peer that the store serves, or more than half of the controllers, which suggests an
+// outage of the store. It is healthy again as soon as the store serves it.
 func TestIsolatedControllerIsUnhealthy(t *testing.T) {
 	c := newTestController(t)
 	setPeers := func(storeAvailable bool, reachable int) {
@@ -32,11 +32,12 @@
 	}{
 		{0, false, 0, false},
 		{time.Minute, false, 0, true},
-		{time.Minute, false, 1, true},  // two of five, in one zone
+		{time.Minute, false, 1, true},  // two of five controllers, those in one zone
 		{time.Minute, true, 1, false},  // the store serves a peer
-		{time.Minute, false, 4, false}, // an outage
-		// Three of five without the other two: an outage with two controllers down, or a
-		// partitioned zone. Others may cancel jobs meanwhile: see
+		{time.Minute, false, 4, false}, // an outage of the store
+		// Three of five controllers reach each other. This is an outage of the store while two
+		// controllers are down, or a partition. In a partition, the others may cancel jobs
+		// meanwhile: see
 		// TestCancellationWatermarkIsNeverAheadOfConfirmations.
 		{time.Minute, false, 2, false},
 	} {
@@ -53,8 +54,8 @@
 	}
 }
 
-// Requests are forwarded to peers that were heard of lately and did not decline one a moment
-// ago, first of all to the leader.
+// Requests are forwarded to peers with recent contact that have not recently declined one, and to
+// the leader first.
 func TestForwardTargets(t *testing.T) {
 	now := time.Now()
 	m := newMembership([]config.Peer{{Name: "leader"}, {Name: "other"}, {Name: "unreachable"}, {Name: "declined"}}, nil)
@@ -79,8 +80,8 @@
 	}
 }
 
-// Workers are sent to a leader that was heard of lately, or that refuses connections while the
-// key-value store serves this controller, unless its process was restarted.
+// Workers are redirected to a leader with recent contact, or to one that refuses connections while
+// the key-value store serves this controller, unless the leader's process was restarted.
 func TestLeaderReachable(t *testing.T) {
 	now, longAgo := time.Now(), time.Now().Add(-time.Hour)
 	for _, test := range []struct {
@@ -89,8 +90,8 @@
 		unservedFor time.Duration
 		want        bool
 	}{
-		{"heard", peerState{lastContactAt: now}, time.Minute, true},
-		{"not heard", peerState{lastContactAt: longAgo}, 0, false},
+		{"recent contact", peerState{lastContactAt: now}, time.Minute, true},
+		{"no recent contact", peerState{lastContactAt: longAgo}, 0, false},
 		{"restarted", peerState{lastContactAt: now, notLeading: true}, 0, false},
 		{"refuses connections", peerState{lastContactAt: longAgo, connectionRefusedAt: now}, 0, true},
 		{"refuses connections without the store", peerState{lastContactAt: longAgo, connectionRefusedAt: now}, time.Minute, false},
--- a/internal/controller/replica_test.go
+++ b/internal/controller/replica_test.go
@@ -8,7 +8,7 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Answers of watches that overtake each other never take the replica back.
+// Watch answers that arrive out of order never revert the replica to an older state.
 func TestReplicaIgnoresOlderWatchAnswers(t *testing.T) {
 	raw := func(cancelled bool) wire.Raw {
 		b, err := wire.Marshal(records.Job{Job: wire.Job{ID: "run-000001", Tasks: 1}, Cancelled: cancelled})
@@ -23,19 +23,19 @@
 	cancel := wire.WatchEvent{Set: records.JobKey("run-000001"), Value: raw(true), ModRevision: 12}
 	r.Apply(wire.WatchReply{Revision: 12, Events: []wire.WatchEvent{set, cancel}})
 	if touched, _ := r.Apply(wire.WatchReply{Revision: 11, Events: []wire.WatchEvent{set}}); len(touched) != 0 || !r.Live["run-000001"].Record.Cancelled {
-		t.Error("an older answer undid a cancellation")
+		t.Error("an older answer reverted a cancellation")
 	}
 	r.Apply(wire.WatchReply{Revision: 13, Events: []wire.WatchEvent{{Delete: records.JobKey("run-000001"), ModRevision: 13}}})
 	if touched, _ := r.Apply(wire.WatchReply{Revision: 12, Events: []wire.WatchEvent{set, cancel}}); len(touched) != 0 || r.Live["run-000001"] != nil {
-		t.Error("an older answer brought a job back to life")
+		t.Error("an older answer restored a deleted job")
 	}
 	if _, unreadable := r.Apply(wire.WatchReply{Revision: 14, Events: []wire.WatchEvent{{Set: records.JobKey("run-000002"), Value: raw(false), ModRevision: 14}}}); len(unreadable) != 1 {
-		t.Error("a record under another job's key was trusted")
+		t.Error("a record under another job's key was accepted")
 	}
 }
 
-// That there is no job of an id costs one read, until a change creates one: queries about
-// jobs that nobody submitted must not cost the key-value store a read each.
+// A job that does not exist is read once, and then known to be absent until a change creates it:
+// otherwise each query about a job that nobody submitted would cost the key-value store a read.
 func TestReplicaCachesAbsentJobs(t *testing.T) {
 	raw, err := wire.Marshal(records.Job{Job: wire.Job{ID: "run-000001", Tasks: 1}})
 	if err != nil {
@@ -47,18 +47,18 @@
 	r.NoteAbsent("run-000001")
 	r.NoteAbsent("run-000002")
 	if !r.Absent("run-000001") || r.Absent("run-000003") {
-		t.Error("absence is not known, or of too many")
+		t.Error("an absent job is not known to be absent, or an unknown job is")
 	}
 	r.Apply(wire.WatchReply{Revision: 11, Events: []wire.WatchEvent{set}})
 	if r.Absent("run-000001") || !r.Absent("run-000002") {
-		t.Error("missing though submitted")
+		t.Error("a submitted job is still absent, or its submission cleared the absence of another job")
 	}
-	r.NoteAbsent("run-000001") // by a read that was sent before the job came
+	r.NoteAbsent("run-000001") // by a read that was sent before the job was submitted
 	if r.Absent("run-000001") {
-		t.Error("missing though live")
+		t.Error("a live job is absent")
 	}
 	r.Reset(nil, 20)
 	if r.Absent("run-000002") {
-		t.Error("missing though changes were passed over")
+		t.Error("a job is still absent after a reset, which skips changes")
 	}
 }
