--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -134,8 +134,7 @@
 	return !c.membership.isolated()
 }
 
-// now returns the time for the scheduler: monotonic since New, and wall-clock.
-// now returns the time for the scheduler: monotonic since New, and wall-clock.
+// now returns the time for the scheduler: monotonic time since New, and wall-clock time.
 func (c *Controller) now() scheduler.Now {
 	now := time.Now()
 	return scheduler.Now{Mono: now.Sub(c.startedAt), Wall: now.UnixMilli()}
@@ -210,7 +209,7 @@
 	case sched == nil:
 	case c.membership.isolated():
 		// A newer leader could not notify this controller, and the workers would keep sending
-		// their heartbeats here. From now on their leases are renewed as at a follower.
+		// their heartbeats here. After the step-down their leases are renewed as a follower does it.
 		c.stepDown(sched, stepDownIsolated)
 	case !c.mayRenewLeases():
 		c.stepDown(sched, stepDownWatermarkTooOld)
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -45,7 +45,7 @@
 		// late. In both cases nobody leads, and revoking the lease avoids waiting for it to
 		// expire.
 		c.log.Info("revoking the lease of an earlier process of this controller", "term", leaderKey.ModRevision)
-		_ = c.store.RevokeLease(ctx, leaderKey.Lease) // on failure run tries again
+		_ = c.store.RevokeLease(ctx, leaderKey.Lease) // on failure, run retries
 		return
 	}
 	c.update(func() {
@@ -107,9 +107,10 @@
 	return true
 }
 
-// leaderLeaseTTL returns the TTL of the leader's lease. The smaller the CPU share of the process,
-// the longer it is, up to a bound that keeps it well below the workers' leases. Safety does not
-// depend on the TTL; it determines only how long there is no leader after a leader has failed.
+// leaderLeaseTTL returns the TTL of the leader's lease. It grows as the CPU share of the process
+// falls below ReferenceCPUShare, up to MaxLeaderLeaseTTL and 1/WorkerLeaseDivisor of the workers'
+// lease. Safety does not depend on the TTL, which determines only how long there is no leader
+// after a leader has failed.
 func leaderLeaseTTL(cfg *config.Settings) time.Duration {
 	cpuShare := cfg.Deployment.Quota.CPUShare
 	if cpuShare <= 0 || cpuShare >= tuning.ReferenceCPUShare {
--- a/internal/controller/leader_watch.go
+++ b/internal/controller/leader_watch.go
@@ -14,10 +14,10 @@
 // an election need not wait for the lease to expire. It acts only on three signs together: the
 // connection of a request that the leader leaves unanswered breaks, the leader refuses two new
 // connections in a row, and another peer answers. If no other peer answers, a filter between the
-// controllers may be refusing the connections, and the lease is left to expire. All three signs
-// may still be wrong. Then there is a needless election, at most one per MinLeaderVoteInterval,
-// but safety is kept: it depends on fencing tokens and compare-and-swap, not on the lease's
-// duration.
+// controllers may be refusing the connections, and the lease is left to expire. The three signs
+// can still be misleading. This causes a needless election, at most one per
+// MinLeaderVoteInterval, but does not affect safety, which depends on fencing tokens and
+// compare-and-swap and not on the duration of the lease.
 //
 // leaderWatch runs in one goroutine, without the lock.
 type leaderWatch struct {
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -16,7 +16,7 @@
 	leaseID uint64
 	// leaseHeldUntil is when that lease expires unless it is renewed.
 	leaseHeldUntil time.Time
-	// lost is closed when the term ends.
+	// lost is leaderTerm.lost of the current term. endTerm closes it.
 	lost chan struct{}
 	// electedAt is when the campaign began that this controller last won.
 	electedAt time.Time
@@ -69,9 +69,9 @@
 	}
 }
 
-// stepDown ends the term of sched and reports whether that had not ended before. The term then
-// revokes its lease, so that the other controllers need not wait for it to expire. Called with
-// the lock held.
+// stepDown ends the term of sched. It returns false if that term has already ended. After the end
+// of the term its lease is revoked, so that the other controllers need not wait for it to expire.
+// Called with the lock held.
 func (c *Controller) stepDown(sched *scheduler.Scheduler, reason stepDownReason) bool {
 	if c.leadership.scheduler != sched {
 		return false
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -29,10 +29,10 @@
 	// notLeading is set when the peer names itself as the leader and reports that it does not
 	// lead: its process has been restarted, or it has not loaded the records yet.
 	notLeading          bool
-	connectionRefusedAt time.Time      // when it last refused a connection
-	declinedAt          time.Time      // when it last could not decide a forwarded request
-	runningTasks        map[string]int // number of running tasks by job ID; only the leader sends it
-	confirmations       confirmationFeed
+	connectionRefusedAt time.Time        // when it last refused a connection
+	declinedAt          time.Time        // when it last could not decide a forwarded request
+	runningTasks        map[string]int   // number of running tasks by job ID; only the leader sends it
+	confirmations       confirmationFeed // the peer's confirmed cancellations, as far as received
 }
 
 // leaderInfo is what a controller knows about the leader.
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -16,7 +16,7 @@
 // watch the jobs.
 type leaderTerm struct {
 	controller       *Controller
-	number           uint64 // the modification revision of the leader's key, which identifies the term, which identifies the term
+	number           uint64 // the modification revision of the leader's key
 	leaseID          uint64 // ID of the lease that the leader's key is attached to
 	leaseRequestedAt time.Time
 	// lost is closed when the leadership is lost. It is closed with Controller.mu held.
