--- a/internal/controller/leader_watch.go
+++ b/internal/controller/leader_watch.go
@@ -10,15 +10,16 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// leaderWatch notices at once when the leader's process ends, and then revokes its lease, so
-// that nobody has to wait for it to expire. There are three signs: a connection on which the
-// leader holds back its answer breaks, the leader refuses new connections, twice, and
-// another peer answers. Without the last, a filter between the controllers may refuse the
-// connections; then, and when the others do not answer either, the lease has to expire. The
-// signs may mislead all the same. That costs an election, at most once in a while, and no
-// safety, which rests on fencing tokens and compare-and-swap and not on the lease's time.
+// leaderWatch detects when the leader's process ends and then revokes the leader's lease, so that
+// an election need not wait for the lease to expire. It acts only on three signs together: the
+// connection of a request that the leader leaves unanswered breaks, the leader refuses two new
+// connections in a row, and another peer answers. If no other peer answers, a filter between the
+// controllers may be refusing the connections, and the lease is left to expire. The three signs
+// can still be misleading. This causes a needless election, at most one per
+// MinLeaderVoteInterval, but does not affect safety, which depends on fencing tokens and
+// compare-and-swap and not on the duration of the lease.
 //
-// It runs in one goroutine, without the lock.
+// leaderWatch runs in one goroutine, without the lock.
 type leaderWatch struct {
 	controller    *Controller
 	prober        peerProber
@@ -26,16 +27,17 @@
 }
 
 func newLeaderWatch(c *Controller) *leaderWatch {
-	ping := func() peer.Ping {
+	newPing := func() peer.Ping {
 		return peer.Ping{Node: c.cfg.Node, BootID: c.bootID, StoreAvailable: c.membership.storeAvailable()}
 	}
-	return &leaderWatch{controller: c, prober: peerProber{client: c.peerClient, ping: ping}}
+	return &leaderWatch{controller: c, prober: peerProber{client: c.peerClient, newPing: newPing}}
 }
 
+// run watches the known leader until ctx ends.
 func (w *leaderWatch) run(ctx context.Context) {
 	for sleep(ctx, tuning.PeerWatchRetryDelay) {
 		leader, leaderPeer := w.knownLeader()
-		if leaderPeer == nil || leader.storeLease == 0 || !w.connectionBroke(ctx, leaderPeer) {
+		if leaderPeer == nil || leader.leaseID == 0 || !w.connectionBroke(ctx, leaderPeer) {
 			continue
 		}
 		if time.Since(w.lastRevokedAt) >= tuning.MinLeaderVoteInterval && w.processEnded(ctx, leaderPeer) && w.claimRevocation(leader) {
@@ -52,8 +54,8 @@
 	return c.membership.leader, c.membership.leaderPeer()
 }
 
-// connectionBroke waits on a connection to the leader, and reports whether it broke before
-// the time that the leader holds back its answer.
+// connectionBroke sends the leader a request that it leaves unanswered for PeerWatchTimeout, and
+// reports whether the request failed before that time.
 func (w *leaderWatch) connectionBroke(ctx context.Context, leader *peerState) bool {
 	startedAt := time.Now()
 	err := w.controller.peerClient.WatchProcess(ctx, leader.Addr)
@@ -62,11 +64,12 @@
 
 // processEnded reports whether the leader refuses connections while another peer answers.
 func (w *leaderWatch) processEnded(ctx context.Context, leader *peerState) bool {
-	return w.prober.refusesConnections(ctx, leader) && w.prober.anotherAnswers(ctx, w.controller.membership.peers, leader)
+	return w.prober.refusesConnections(ctx, leader) && w.prober.anotherPeerAnswers(ctx, w.controller.membership.peers, leader)
 }
 
-// claimRevocation reports whether the leader is still the one to depose, and lets that be
-// done once a term.
+// claimRevocation reports whether the lease of the given leader should still be revoked: no later
+// term is known and this controller does not lead. In that case it clears the known lease ID, so
+// that the lease is revoked once a term.
 func (w *leaderWatch) claimRevocation(leader leaderInfo) bool {
 	c := w.controller
 	c.mu.Lock()
@@ -74,26 +77,26 @@
 	if c.membership.leader.term != leader.term || c.leadership.leading() {
 		return false
 	}
-	c.membership.leader.storeLease = 0
+	c.membership.leader.leaseID = 0
 	return true
 }
 
 func (w *leaderWatch) revokeLease(ctx context.Context, leader leaderInfo) {
 	log := w.controller.log
 	log.Info("revoking the lease of a leader whose process has ended", "leader", leader.name, "term", leader.term)
-	if err := w.controller.store.RevokeLease(ctx, leader.storeLease); err != nil {
+	if err := w.controller.store.RevokeLease(ctx, leader.leaseID); err != nil {
 		log.Debug("leader lease not revoked", "err", err)
 	}
 }
 
-// peerProber asks peers whether they answer at all. It uses no state of the controller.
+// peerProber checks whether peers answer pings. It uses no state that Controller.mu guards.
 type peerProber struct {
-	client *peer.Client
-	ping   func() peer.Ping
+	client  *peer.Client
+	newPing func() peer.Ping // makes the ping to send
 }
 
 func (p peerProber) probe(ctx context.Context, target *peerState) error {
-	_, err := p.client.Ping(ctx, target.Addr, p.ping())
+	_, err := p.client.Ping(ctx, target.Addr, p.newPing())
 	return err
 }
 
@@ -107,21 +110,21 @@
 	return true
 }
 
-// anotherAnswers reports whether any peer but the given one answers now. Where there is no
-// other, there is nobody to ask.
-func (p peerProber) anotherAnswers(ctx context.Context, peers map[string]*peerState, except *peerState) bool {
+// anotherPeerAnswers reports whether any peer other than excluded answers a ping. It returns true
+// if there is no other peer to ask.
+func (p peerProber) anotherPeerAnswers(ctx context.Context, peers map[string]*peerState, excluded *peerState) bool {
 	if len(peers) < 2 {
 		return true
 	}
 	answers := make(chan bool, len(peers))
-	asked := 0
+	probed := 0
 	for _, target := range peers {
-		if target != except {
-			asked++
+		if target != excluded {
+			probed++
 			go func() { answers <- p.probe(ctx, target) == nil }()
 		}
 	}
-	for range asked {
+	for range probed {
 		if <-answers {
 			return true
 		}
--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -9,9 +9,9 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// A controller without the key-value store is isolated, and unhealthy, unless a peer that the
-// store serves is reachable, or so many share the fault that it is an outage. Once served
-// again it is healthy at once.
+// A controller that the key-value store does not serve is isolated, and so unhealthy, unless it
+// reaches a peer that the store serves, or more than half of the controllers, which suggests an
+// outage of the store. It is healthy again as soon as the store serves it.
 func TestIsolatedControllerIsUnhealthy(t *testing.T) {
 	c := newTestController(t)
 	setPeers := func(storeAvailable bool, reachable int) {
@@ -19,31 +19,32 @@
 		for i := range 4 {
 			p := &peerState{Peer: config.Peer{Name: "drover-" + string(rune('1'+i))}, storeAvailable: storeAvailable}
 			if i < reachable {
-				p.lastHeardAt = time.Now()
+				p.lastContactAt = time.Now()
 			}
 			c.membership.peers[p.Name] = p
 		}
 	}
 	for _, tc := range []struct {
-		without time.Duration
-		served  bool
-		near    int
-		cut     bool
+		unservedFor time.Duration
+		peersServed bool
+		reachable   int
+		isolated    bool
 	}{
 		{0, false, 0, false},
 		{time.Minute, false, 0, true},
-		{time.Minute, false, 1, true},  // two of five, in one zone
+		{time.Minute, false, 1, true},  // two of five controllers, those in one zone
 		{time.Minute, true, 1, false},  // the store serves a peer
-		{time.Minute, false, 4, false}, // an outage
-		// Three of five without the other two: an outage with two controllers down, or a
-		// partitioned zone. Others may cancel jobs meanwhile: see
+		{time.Minute, false, 4, false}, // an outage of the store
+		// Three of five controllers reach each other. This is an outage of the store while two
+		// controllers are down, or a partition. In a partition, the others may cancel jobs
+		// meanwhile: see
 		// TestCancellationWatermarkIsNeverAheadOfConfirmations.
 		{time.Minute, false, 2, false},
 	} {
-		c.membership.storeUnservedFor = func() time.Duration { return tc.without }
-		setPeers(tc.served, tc.near)
-		if c.Healthy() == tc.cut {
-			t.Errorf("%+v: healthy %v", tc, !tc.cut)
+		c.membership.storeUnservedFor = func() time.Duration { return tc.unservedFor }
+		setPeers(tc.peersServed, tc.reachable)
+		if c.Healthy() == tc.isolated {
+			t.Errorf("%+v: healthy %v", tc, !tc.isolated)
 		}
 	}
 	c.membership.storeUnservedFor = func() time.Duration { return 0 }
@@ -53,16 +54,16 @@
 	}
 }
 
-// Requests are forwarded to peers that were heard of lately and did not decline one a moment
-// ago, first of all to the leader.
+// Requests are forwarded to peers with recent contact that have not recently declined one, and to
+// the leader first.
 func TestForwardTargets(t *testing.T) {
 	now := time.Now()
 	m := newMembership([]config.Peer{{Name: "leader"}, {Name: "other"}, {Name: "unreachable"}, {Name: "declined"}}, nil)
 	m.leader.name = "leader"
 	for _, p := range m.peers {
-		p.lastHeardAt = now
+		p.lastContactAt = now
 	}
-	m.peers["unreachable"].lastHeardAt = now.Add(-2 * tuning.PeerUnreachableAfter)
+	m.peers["unreachable"].lastContactAt = now.Add(-2 * tuning.PeerUnreachableAfter)
 	m.peers["declined"].declinedAt = now
 	names := func() (names []string) {
 		for _, target := range m.forwardTargets() {
@@ -79,8 +80,8 @@
 	}
 }
 
-// Workers are sent to a leader that was heard of lately, or that refuses connections while the
-// key-value store serves this controller, unless its process was restarted.
+// Workers are redirected to a leader with recent contact, or to one that refuses connections while
+// the key-value store serves this controller, unless the leader's process was restarted.
 func TestLeaderReachable(t *testing.T) {
 	now, longAgo := time.Now(), time.Now().Add(-time.Hour)
 	for _, test := range []struct {
@@ -89,11 +90,11 @@
 		unservedFor time.Duration
 		want        bool
 	}{
-		{"heard", peerState{lastHeardAt: now}, time.Minute, true},
-		{"not heard", peerState{lastHeardAt: longAgo}, 0, false},
-		{"restarted", peerState{lastHeardAt: now, notLeading: true}, 0, false},
-		{"refuses connections", peerState{lastHeardAt: longAgo, connectionRefusedAt: now}, 0, true},
-		{"refuses connections without the store", peerState{lastHeardAt: longAgo, connectionRefusedAt: now}, time.Minute, false},
+		{"recent contact", peerState{lastContactAt: now}, time.Minute, true},
+		{"no recent contact", peerState{lastContactAt: longAgo}, 0, false},
+		{"restarted", peerState{lastContactAt: now, notLeading: true}, 0, false},
+		{"refuses connections", peerState{lastContactAt: longAgo, connectionRefusedAt: now}, 0, true},
+		{"refuses connections without the store", peerState{lastContactAt: longAgo, connectionRefusedAt: now}, time.Minute, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			m := newMembership(nil, func() time.Duration { return test.unservedFor })
