--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -15,7 +15,7 @@
 // submissions.
 func TestOverloadShedsSubmissionsBeforeQueriesBeforeHeartbeats(t *testing.T) {
 	c := newTestController(t)
-	c.replication.replica.RememberEnded("run-000001", records.EndedJob{State: wire.JobDone, Done: 1, Tasks: 1})
+	c.replication.replica.CacheEnded("run-000001", records.EndedJob{State: wire.JobDone, Done: 1, Tasks: 1})
 	heartbeat := &wire.Heartbeat{Machine: "n-1", Address: "a:1", Incarnation: 1, Sequence: 1}
 	for _, tc := range []struct {
 		lag           time.Duration
--- a/internal/controller/executor.go
+++ b/internal/controller/executor.go
@@ -57,7 +57,7 @@
 		c.log.Error("transaction called malformed by the key-value store", "err", err)
 	}
 	c.updateScheduler(e.scheduler, func(now scheduler.Now) {
-		e.scheduler.CommitDone(now, request.ID, commitResult(err), revision, failedKeys)
+		e.scheduler.CommitEnded(now, request.ID, commitResult(err), revision, failedKeys)
 	})
 }
 
@@ -119,7 +119,7 @@
 		names, err = e.controller.cloud.Provision(context.Background(), request)
 	}
 	e.controller.updateScheduler(e.scheduler, func(now scheduler.Now) {
-		e.scheduler.Provisioned(now, request.RequestID, provisionResult(err), names)
+		e.scheduler.ProvisionEnded(now, request.RequestID, provisionResult(err), names)
 	})
 }
 
@@ -144,7 +144,7 @@
 		e.controller.log.Info("machine release failed", "machines", names, "err", err)
 	}
 	e.controller.updateScheduler(e.scheduler, func(now scheduler.Now) {
-		e.scheduler.Released(now, names, releaseResult(err))
+		e.scheduler.ReleaseEnded(now, names, releaseResult(err))
 	})
 }
 
--- a/internal/controller/queries.go
+++ b/internal/controller/queries.go
@@ -92,7 +92,7 @@
 	c := r.controller
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ended, ok := c.replication.replica.Ended(r.id)
+	ended, ok := c.replication.replica.CachedEnded(r.id)
 	return endedView(r.id, ended), ok
 }
 
@@ -108,7 +108,7 @@
 	if live != nil {
 		reading.view, reading.found = c.liveView(id, live), true
 	}
-	if ended, ok := c.replication.replica.Ended(id); ok {
+	if ended, ok := c.replication.replica.CachedEnded(id); ok {
 		reading.view, reading.found = endedView(id, ended), true
 	}
 	return reading, c.replication.replica.Resets, reading.found || c.replication.replica.Absent(id)
@@ -134,7 +134,7 @@
 		return reading, fmt.Errorf("decode %s: %w", item.Key, err)
 	}
 	c.mu.Lock()
-	c.replication.replica.RememberEnded(id, ended)
+	c.replication.replica.CacheEnded(id, ended)
 	c.mu.Unlock()
 	reading.view, reading.found = endedView(id, ended), true
 	return reading, nil
@@ -150,7 +150,7 @@
 	// reset skipped: it would be absent here for good.
 	//mutation:absence-across-reset
 	if c.replication.replica.Resets == resets {
-		c.replication.replica.NoteAbsent(r.id)
+		c.replication.replica.MarkAbsent(r.id)
 	}
 }
 
--- a/internal/controller/replica_test.go
+++ b/internal/controller/replica_test.go
@@ -44,8 +44,8 @@
 	set := wire.WatchEvent{Set: records.JobKey("run-000001"), Value: raw, ModRevision: 11}
 	r := scheduler.NewReplica()
 	r.Reset(nil, 10)
-	r.NoteAbsent("run-000001")
-	r.NoteAbsent("run-000002")
+	r.MarkAbsent("run-000001")
+	r.MarkAbsent("run-000002")
 	if !r.Absent("run-000001") || r.Absent("run-000003") {
 		t.Error("absence is not known, or of too many")
 	}
@@ -53,7 +53,7 @@
 	if r.Absent("run-000001") || !r.Absent("run-000002") {
 		t.Error("missing though submitted")
 	}
-	r.NoteAbsent("run-000001") // by a read that was sent before the job came
+	r.MarkAbsent("run-000001") // by a read that was sent before the job came
 	if r.Absent("run-000001") {
 		t.Error("missing though live")
 	}
--- a/internal/controller/replication.go
+++ b/internal/controller/replication.go
@@ -123,7 +123,7 @@
 		if !c.leadership.leading() {
 			return
 		}
-		c.leadership.scheduler.JobsReadAt(sentAt.Sub(c.startedAt))
+		c.leadership.scheduler.DropPendingCancellationsBefore(sentAt.Sub(c.startedAt))
 		if len(touched) > 0 {
 			c.leadership.scheduler.JobsChanged(c.now(), touched)
 		}
@@ -147,7 +147,7 @@
 		c.replication.caughtUp(sentAt)
 		logUnreadableRecords(c.log, c.replication.replica.Reset(items, revision))
 		if c.leadership.leading() {
-			c.leadership.scheduler.JobsReadAt(sentAt.Sub(c.startedAt))
+			c.leadership.scheduler.DropPendingCancellationsBefore(sentAt.Sub(c.startedAt))
 			c.leadership.scheduler.JobsReset(c.now(), c.replication.replica)
 		}
 	})
--- a/internal/restartsim/controller.go
+++ b/internal/restartsim/controller.go
@@ -94,7 +94,7 @@
 			result = scheduler.CommitConflict
 		}
 		c.after(c.latency(), func() {
-			c.inTerm(term, func() { term.CommitDone(c.schedulerNow(), commit.ID, result, reply.Revision, reply.FailedKeys) })
+			c.inTerm(term, func() { term.CommitEnded(c.schedulerNow(), commit.ID, result, reply.Revision, reply.FailedKeys) })
 		})
 	})
 }
@@ -136,7 +136,7 @@
 		}
 		c.machinesByRequest[request.RequestID] = names
 		c.counts.orders.CountProvisioned(len(names))
-		c.inTerm(term, func() { term.Provisioned(c.schedulerNow(), request.RequestID, scheduler.ProvisionDone, names) })
+		c.inTerm(term, func() { term.ProvisionEnded(c.schedulerNow(), request.RequestID, scheduler.ProvisionDone, names) })
 	})
 }
 
@@ -147,6 +147,6 @@
 			c.terminate(name)
 			c.counts.orders.CountRelease(name)
 		}
-		c.inTerm(term, func() { term.Released(c.schedulerNow(), names, scheduler.ReleaseDone) })
+		c.inTerm(term, func() { term.ReleaseEnded(c.schedulerNow(), names, scheduler.ReleaseDone) })
 	})
 }
--- a/internal/scheduler/assignmentrestore.go
+++ b/internal/scheduler/assignmentrestore.go
@@ -11,11 +11,11 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// restoreAssignments takes over the attempts of a stored record. Each may run, or may yet be
-// started by a command of an earlier leader, so it stays until its worker sends a heartbeat
-// under this term's fencing token.
+// restoreAssignments restores the attempts of a stored record. Each may be running, or may
+// still be started by a delayed command of an earlier leader, so it is kept until its worker
+// sends a heartbeat under this term's fencing token.
 func (s *Scheduler) restoreAssignments(item wire.KeyValue) {
-	b := s.persister.newBatch(item.Key)
+	b := s.persister.trackBatch(item.Key)
 	var err error
 	if name, legacy := strings.CutPrefix(item.Key, records.LegacyMachinePrefix); legacy {
 		err = s.restoreLegacyMachine(b, name, item.Value)
@@ -23,14 +23,15 @@
 		err = s.restoreBatch(b, item.Value)
 	}
 	if err != nil {
-		s.persister.noteUnreadableRecord(b, err)
+		s.persister.addUnreadableRecord(b, err)
 		return
 	}
 	b.attemptCount = len(b.neededBy)
 	s.persister.deleteIfUnneeded(b)
 }
 
-// restoreLegacyMachine takes over a machine's record in the layout before batches.
+// restoreLegacyMachine restores the attempts of one machine from the record layout that
+// preceded batches.
 func (s *Scheduler) restoreLegacyMachine(b *assignmentBatch, name string, value wire.Raw) error {
 	var record records.LegacyMachine
 	if err := wire.Unmarshal(value, &record); err != nil {
@@ -70,21 +71,21 @@
 	return nil
 }
 
-// recordedMachine is what a record says of a machine.
+// recordedMachine has the fields of a machine in a record.
 type recordedMachine struct {
 	name, machineType, zone, address string
 	spot                             bool
 	images                           []string
 }
 
-// restoreMachine adds a machine that a record names, unless an earlier one has.
+// restoreMachine adds a machine that a record names, unless another record already did.
 func (s *Scheduler) restoreMachine(b *assignmentBatch, recorded recordedMachine) *machine {
 	m := s.cluster.machines[recorded.name]
 	if m == nil {
 		m = s.cluster.addMachine(recorded.name, recorded.machineType, recorded.zone, recorded.spot, recorded.address)
 		m.phase, m.upAt = machineUp, s.now.Mono
-		// It sent heartbeats in an earlier term, so the cloud lists it, but for the lag
-		// of the list; a few more lists make up for that.
+		// The machine sent heartbeats in an earlier term, so the cloud has it, but the list may
+		// lag behind. It may be missing from a few more lists before it counts as gone.
 		m.cloud.listed, m.cloud.missedLists = true, -tuning.MissingListThreshold
 		s.reconciler.ExpectMachine(recorded.name)
 	}
@@ -97,8 +98,8 @@
 	return m
 }
 
-// restoreAttempt adds an attempt that a record names, unless a record of a later attempt
-// shows that it is gone.
+// restoreAttempt adds an attempt that a record names, unless its task is done or the record of
+// a later attempt shows that it is gone.
 func (s *Scheduler) restoreAttempt(b *assignmentBatch, m *machine, ref taskRef, number uint64) {
 	j := s.cluster.jobs[ref.jobID]
 	if j != nil && (ref.index >= j.spec.Tasks || j.progress.done.Has(ref.index)) {
@@ -111,7 +112,7 @@
 			known.assignment.batches = append(known.assignment.batches, b)
 			return
 		case known.number > number:
-			return // the task was placed there again only after this one was proven absent
+			return // the later attempt was placed only after this one was proven absent
 		}
 		s.reconciler.UnexpectAttempt(m.name)
 		s.detach(known)
@@ -131,18 +132,18 @@
 	}
 }
 
-// noteUnreadableRecord deals with a record that cannot be decoded: any task that no other
-// record names may have been started by it. See resolveUnreadableRecords.
-func (p *persister) noteUnreadableRecord(b *assignmentBatch, err error) {
+// addUnreadableRecord adds the record of a batch that cannot be decoded. It may have assigned
+// any task that no other record names. See resolveUnreadableRecords.
+func (p *persister) addUnreadableRecord(b *assignmentBatch, err error) {
 	delete(p.batches, b.key)
 	p.unreadableRecords = append(p.unreadableRecords, b.key)
 	p.logInfo("assignment record unreadable", "key", b.key, "err", err.Error())
 }
 
-// mayBeInUnreadableRecord reports whether a record that cannot be decoded may concern the
-// job. Until that is settled, none of it is placed, and its end is not written if it is
-// cancelled: a later leader would not know whose quota its attempts count against, and
-// nothing of a job whose attempts nobody has seen is known to be gone.
+// mayBeInUnreadableRecord reports whether an unreadable record may name attempts of the job. As
+// long as it may, no task of the job is placed, and the end of the job is not written if it is
+// cancelled: attempts that no heartbeat has shown may still run, and a later leader would not
+// know which team's quota they count against.
 func (p *persister) mayBeInUnreadableRecord(j *job) bool {
 	return p.hasUnreadableRecords() && j.recovered
 }
@@ -150,15 +151,15 @@
 func (p *persister) hasUnreadableRecords() bool { return len(p.unreadableRecords) > 0 }
 
 func (p *persister) deleteUnreadableRecords() {
-	p.deleteLater(p.unreadableRecords...)
+	p.queueDeletion(p.unreadableRecords...)
 	p.unreadableRecords = nil
 }
 
-// resolveUnreadableRecords ends the wait for what unreadable records may have held: when the
-// cloud's list is of this term, and every machine that it has has sent a heartbeat under this
-// term's token.
+// resolveUnreadableRecords deletes the unreadable records once heartbeats have shown all
+// attempts that they may name: when the cloud's list is of this term, and every machine from
+// before the term has sent a heartbeat under this term's fencing token.
 func (s *Scheduler) resolveUnreadableRecords() {
-	if !s.persister.hasUnreadableRecords() || s.autoscaler.listedAt-s.startedAt <= 3*s.settings.CloudListLag {
+	if !s.persister.hasUnreadableRecords() || s.autoscaler.listReceivedAt-s.startedAt <= 3*s.settings.CloudListLag {
 		return
 	}
 	for _, m := range s.cluster.machines {
--- a/internal/scheduler/assignments.go
+++ b/internal/scheduler/assignments.go
@@ -10,42 +10,43 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// assignmentBatch is a stored record of attempts and their machines. Batches are written once
-// and deleted when nothing needs them; their keys are never used twice. So a write or a
-// deletion that is executed late can only bring back an old batch, which makes a later
-// leader wait for a heartbeat, and never removes a record that is still needed: an attempt
-// leaves a batch only when it is gone, or when a later batch with it is known to be written.
+// assignmentBatch is a stored record of attempts and their machines. A batch is written once
+// and deleted when no attempt needs it. Its key is never reused, so a write that is executed
+// late can only bring back an old batch, which makes a later leader wait for a heartbeat, and a
+// late deletion never removes a record that is still needed. For that, an attempt stops needing
+// a batch only when it is gone, or when a later batch with it is known to be stored.
 type assignmentBatch struct {
-	key                  string
-	neededBy             map[*attempt]bool // attempts that have no later record
-	attemptCount         int               // how many attempts were written
-	createdAt            time.Duration
-	writeInFlight        bool
-	namesReleasedMachine bool // a new leader would wait for that machine
-	machines             []*machine
+	key              string
+	neededBy         map[*attempt]bool // attempts without a later record
+	attemptCount     int               // number of attempts written
+	createdAt        time.Duration
+	writeInFlight    bool
+	rewriteRequested bool       // see batchesToCompact
+	machines         []*machine // all machines that the batch names
 }
 
-// newBatch keeps track of a batch that is stored under the key, or is to be.
-func (p *persister) newBatch(key string) *assignmentBatch {
+// trackBatch adds a batch that is stored under the key or about to be written.
+func (p *persister) trackBatch(key string) *assignmentBatch {
 	b := &assignmentBatch{key: key, neededBy: map[*attempt]bool{}, createdAt: p.now.Mono}
 	p.batches[key] = b
 	return b
 }
 
-// addMachine notes that the batch names a machine.
+// addMachine adds a machine that the batch names.
 func (b *assignmentBatch) addMachine(m *machine) {
 	b.machines = append(b.machines, m)
 	m.batches[b] = true
 }
 
-// noteMachineReleased has the batches compacted that name a machine which was released.
-func (p *persister) noteMachineReleased(m *machine) {
+// requestBatchRewrites requests that the batches which name a released machine are rewritten,
+// since a new leader would wait for a heartbeat of that machine.
+func (p *persister) requestBatchRewrites(m *machine) {
 	for b := range m.batches {
-		b.namesReleasedMachine = true
+		b.rewriteRequested = true
 	}
 }
 
-// queueAssignment has an attempt written with the next batch.
+// queueAssignment queues an attempt to be written with the next batch.
 func (p *persister) queueAssignment(a *attempt) {
 	if !a.assignment.queued {
 		a.assignment.queued = true
@@ -53,7 +54,7 @@
 	}
 }
 
-// queueUnrecorded has those attempts of a batch written that no batch has for certain.
+// queueUnrecorded queues the attempts of a batch that are not known to be in any stored batch.
 func (p *persister) queueUnrecorded(b *assignmentBatch) {
 	for a := range b.neededBy {
 		if !a.assignment.durable {
@@ -62,7 +63,7 @@
 	}
 }
 
-// removeFromBatch takes note that an attempt does not need a batch any more.
+// removeFromBatch removes an attempt that no longer needs the batch.
 func (p *persister) removeFromBatch(b *assignmentBatch, a *attempt) {
 	delete(b.neededBy, a)
 	p.deleteIfUnneeded(b)
@@ -72,20 +73,20 @@
 	if len(b.neededBy) > 0 || b.writeInFlight || p.batches[b.key] != b {
 		return
 	}
-	p.forgetBatch(b)
-	p.deleteLater(b.key)
+	p.untrackBatch(b)
+	p.queueDeletion(b.key)
 }
 
-// forgetBatch drops a batch from memory.
-func (p *persister) forgetBatch(b *assignmentBatch) {
+// untrackBatch removes a batch from memory.
+func (p *persister) untrackBatch(b *assignmentBatch) {
 	delete(p.batches, b.key)
 	for _, m := range b.machines {
 		delete(m.batches, b)
 	}
 }
 
-// addAssignmentBatches writes attempts that wait for their record, those of the highest
-// priority first. Batches are spaced in time, so that what is placed meanwhile shares one.
+// addAssignmentBatches writes the queued attempts, the highest priority first. Batches are
+// spaced in time so that attempts placed between two of them share the second.
 func (p *persister) addAssignmentBatches(t *transaction) {
 	if len(p.unrecorded) == 0 || p.now.Mono < p.nextBatchAt || !t.canAdd(1) {
 		return
@@ -95,7 +96,7 @@
 	for len(queue) > 0 && t.canAdd(1) {
 		written := p.addBatch(t, queue)
 		if written == 0 {
-			break // never: one attempt always fits
+			break // not reached: the first attempt always fits
 		}
 		queue = queue[written:]
 	}
@@ -103,7 +104,7 @@
 	p.nextBatchAt = p.now.Mono + time.Duration(float64(time.Second)/(p.settings.WriteRate*tuning.BatchWriteShare))
 }
 
-// currentUnrecorded drops the attempts from the queue that are gone, and gives the others.
+// currentUnrecorded removes attempts that are gone from the queue, and returns the others.
 func (p *persister) currentUnrecorded() []*attempt {
 	queue := p.unrecorded[:0]
 	for _, a := range p.unrecorded {
@@ -117,10 +118,10 @@
 	return queue
 }
 
-// Ranks of attempts in the queue for a record, behind those of all priorities of jobs.
+// Ranks of attempts in the queue that come after those of all job priorities.
 const (
-	adoptedRecordRank   = 8 // it runs already
-	compactedRecordRank = 9 // it has a record, and is written again to be rid of an old batch
+	adoptedRecordRank   = 8 // its start was sent, or its job is unknown
+	compactedRecordRank = 9 // already recorded; written again to free an old batch
 )
 
 func recordRank(a *attempt) int {
@@ -133,8 +134,8 @@
 	return a.job.rank
 }
 
-// compareForRecord orders attempts by how urgent their record is, then by machine, which
-// makes batches short.
+// compareForRecord orders attempts by the urgency of their record, then by machine, which makes
+// batches smaller.
 func compareForRecord(a, b *attempt) int {
 	return cmp.Or(
 		cmp.Compare(recordRank(a), recordRank(b)),
@@ -143,7 +144,8 @@
 	)
 }
 
-// addBatch writes one batch with the first attempts of the queue, and gives their number.
+// addBatch writes one batch with as many attempts from the front of the queue as fit, and
+// returns their number.
 func (p *persister) addBatch(t *transaction, queue []*attempt) int {
 	encoder := newBatchEncoder(min(int(float64(p.settings.MaxValueBytes)*(1-tuning.ValueSizeMargin)), tuning.MaxBatchBytes))
 	written := 0
@@ -155,7 +157,7 @@
 		return 0
 	}
 	p.nextEffectID++
-	b := p.newBatch(records.BatchKey(p.term, p.nextEffectID))
+	b := p.trackBatch(records.BatchKey(p.term, p.nextEffectID))
 	b.attemptCount, b.writeInFlight = written, true
 	for _, a := range queue[:written] {
 		b.neededBy[a] = true
@@ -169,26 +171,26 @@
 	return written
 }
 
-// batchWritten takes the outcome of a batch's write.
-func (p *persister) batchWritten(b *assignmentBatch, outcome commitOutcome, dispatcher *dispatcher) {
+// handleBatchWriteOutcome handles the outcome of a batch's write.
+func (p *persister) handleBatchWriteOutcome(b *assignmentBatch, outcome commitOutcome, dispatcher *dispatcher) {
 	b.writeInFlight = false
 	for a := range b.neededBy {
 		if a.machine.tasks[a.ref] != a && !a.awaitsDurableCompletion() {
-			delete(b.neededBy, a) // gone meanwhile
+			delete(b.neededBy, a) // it ended during the write
 		}
 	}
 	switch {
 	case outcome.result == CommitDone:
 		p.batchStored(b, dispatcher)
-	case outcome.result == CommitUnknown || outcome.conflicting[b.key]:
-		p.batchInDoubt(b)
+	case outcome.result == CommitUnknown || outcome.conflictingKeys[b.key]:
+		p.batchPossiblyStored(b)
 	default:
 		p.batchNotStored(b)
 	}
 }
 
-// batchStored makes the attempts of a batch durable, lets go of their earlier batches, and
-// has their starts sent.
+// batchStored marks the attempts of a stored batch as durable, removes them from earlier
+// batches, and makes their starts due.
 func (p *persister) batchStored(b *assignmentBatch, dispatcher *dispatcher) {
 	for a := range b.neededBy {
 		for _, earlier := range a.assignment.batches {
@@ -203,26 +205,27 @@
 	p.deleteIfUnneeded(b)
 }
 
-// batchInDoubt keeps track of a batch that may be stored, or may be yet. What it holds is
-// written again under another key, and then this one is deleted.
-func (p *persister) batchInDoubt(b *assignmentBatch) {
+// batchPossiblyStored keeps a batch that may be stored now or later. Its attempts are written
+// again under another key, and then this key is deleted.
+func (p *persister) batchPossiblyStored(b *assignmentBatch) {
 	for a := range b.neededBy {
 		a.assignment.batches = append(a.assignment.batches, b)
 	}
 	p.queueUnrecorded(b)
-	b.namesReleasedMachine = true
+	b.rewriteRequested = true
 	p.deleteIfUnneeded(b)
 }
 
-// batchNotStored drops a batch that was not written, and has its attempts written anew.
+// batchNotStored drops a batch that was not written, and queues its attempts again.
 func (p *persister) batchNotStored(b *assignmentBatch) {
 	p.queueUnrecorded(b)
 	clear(b.neededBy)
-	p.forgetBatch(b)
+	p.untrackBatch(b)
 }
 
-// compactBatches has what is left of old batches written again, about a value at a time, so
-// that neither the store nor what a new leader reads grows with attempts that have ended.
+// compactBatches queues the attempts that still need old batches to be written again, about one
+// value's worth at a time. Otherwise ended attempts would fill up the store and what a new
+// leader has to read.
 func (p *persister) compactBatches() {
 	if len(p.unrecorded) > 0 || p.writeBudget.tokens < p.settings.WriteRate*tuning.StoreWriteRateShare/2 {
 		return
@@ -241,16 +244,16 @@
 	}
 }
 
-// batchesToCompact gives the batches that are worth it, those of the fewest attempts first:
-// those that name released machines, and, if there are many batches, those of which at most
-// a quarter is needed.
+// batchesToCompact returns the batches to rewrite, those with the fewest needed attempts first:
+// batches with a requested rewrite and, if there are many batches, those of which at most a
+// quarter is needed.
 func (p *persister) batchesToCompact() []*assignmentBatch {
 	var batches []*assignmentBatch
 	for _, b := range p.batches {
 		if b.writeInFlight || p.now.Mono-b.createdAt < tuning.BatchRewriteAge {
 			continue
 		}
-		if b.namesReleasedMachine || len(p.batches) > tuning.BatchCompactionThreshold && len(b.neededBy)*4 <= b.attemptCount {
+		if b.rewriteRequested || len(p.batches) > tuning.BatchCompactionThreshold && len(b.neededBy)*4 <= b.attemptCount {
 			batches = append(batches, b)
 		}
 	}
@@ -260,7 +263,7 @@
 	return batches
 }
 
-// logDelayedStarts says so if starts wait long for their assignment to be recorded.
+// logDelayedStarts logs if starts wait long for their assignments to be recorded.
 func (p *persister) logDelayedStarts() {
 	oldest := p.now.Mono
 	for _, a := range p.unrecorded {
--- a/internal/scheduler/assignments_test.go
+++ b/internal/scheduler/assignments_test.go
@@ -14,8 +14,9 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// The assignments of a placement round on many machines take one change; what is left of
-// batches is written again before they are deleted, and nothing is left in the end.
+// The assignments of a placement round on many machines take one change. Attempts that still
+// need a batch are written again before the batch is deleted, and no batch is left once all
+// attempts are gone.
 func TestAssignmentBatchesAreCompactedAndDeleted(t *testing.T) {
 	h := newHarness(t)
 	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 8, CPUsMax: 1000}
@@ -34,19 +35,19 @@
 	}
 	h.submit(wire.Job{ID: "run-000001", Tasks: 20, CPUs: 8})
 	if n := batches(); n != 1 || h.recordedAttempts() != 20 {
-		t.Fatalf("%d tasks recorded in %d values", h.recordedAttempts(), n)
+		t.Fatalf("%d tasks recorded in %d batches", h.recordedAttempts(), n)
 	}
 	h.answerAll(CallExecuted)
-	// A machine of the batch is released: a new leader would wait for it.
-	var gone string
+	// Releases a machine that the batch names: a new leader would wait for its heartbeat.
+	var releasedMachine string
 	for _, m := range h.scheduler.cluster.sortedMachines() {
 		if len(m.tasks) > 0 {
-			gone = m.name
+			releasedMachine = m.name
 		}
 	}
-	h.scheduler.Released(h.clock(), []string{gone}, ReleaseDone)
-	names = slices.DeleteFunc(names, func(n string) bool { return n == gone })
-	keep := func(t time.Duration) {
+	h.scheduler.ReleaseEnded(h.clock(), []string{releasedMachine}, ReleaseDone)
+	names = slices.DeleteFunc(names, func(n string) bool { return n == releasedMachine })
+	runFor := func(t time.Duration) {
 		for end := h.now + t; h.now < end; {
 			h.now += tuning.TickInterval
 			for _, n := range names {
@@ -57,10 +58,10 @@
 			h.answerStatusProbes(names)
 		}
 	}
-	keep(2*tuning.BatchRewriteAge + time.Second)
-	for key, it := range h.items {
-		if strings.HasPrefix(key, records.BatchPrefix) && strings.Contains(string(it.Value), gone) {
-			t.Errorf("%s still names %s", key, gone)
+	runFor(2*tuning.BatchRewriteAge + time.Second)
+	for key, item := range h.items {
+		if strings.HasPrefix(key, records.BatchPrefix) && strings.Contains(string(item.Value), releasedMachine) {
+			t.Errorf("%s still names %s", key, releasedMachine)
 		}
 	}
 	if n := h.recordedAttempts(); n != 19 && n != 20 {
@@ -85,20 +86,20 @@
 		h.answerAll(CallExecuted)
 	}
 	if n := batches(); n != 0 {
-		t.Errorf("%d batches are left though no attempt is", n)
+		t.Errorf("%d batches are left although all attempts are gone", n)
 	}
 }
 
-// The estimate of a batch's size is never below its size, whatever is in it, and what was
-// written is restored as it was.
+// The estimated size of a batch is never below its real size, whatever the batch contains, and
+// a new leader restores the batch as it was written.
 func TestAssignmentBatchFitsValueLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := New(Now{}, Settings{}, 1, NewReplica(), nil, nil, nil)
-		l.term = rapid.Uint64Range(1, 1<<43).Draw(t, "term")
+		scheduler := New(Now{}, Settings{}, 1, NewReplica(), nil, nil, nil)
+		scheduler.term = rapid.Uint64Range(1, 1<<43).Draw(t, "term")
 		limit := rapid.IntRange(1500, 20000).Draw(t, "limit")
 		var machines []*machine
 		for i := range rapid.IntRange(1, 40).Draw(t, "machines") {
-			m := l.cluster.addMachine(fmt.Sprintf("n-%06d", i), rapid.SampledFrom([]string{"small", "large"}).Draw(t, "type"), "zone", i%2 == 0, "10.1.0.232:9000")
+			m := scheduler.cluster.addMachine(fmt.Sprintf("n-%06d", i), rapid.SampledFrom([]string{"small", "large"}).Draw(t, "type"), "zone", i%2 == 0, "10.1.0.232:9000")
 			for k := range rapid.IntRange(0, 8).Draw(t, "images") {
 				m.addImage(fmt.Sprintf("img-%0*d", 1+k*20, k), 1)
 			}
@@ -120,16 +121,16 @@
 			t.Fatal(err)
 		}
 		if size := wire.JSONSize(batch); size > limit || size > encoder.size {
-			t.Fatalf("%d tasks take %d bytes of %d, estimated %d", len(encoder.attempts), size, limit, encoder.size)
+			t.Fatalf("%d tasks take %d bytes, limit %d, estimate %d", len(encoder.attempts), size, limit, encoder.size)
 		}
-		next := New(Now{}, Settings{}, l.term+1, NewReplica(), nil, []wire.KeyValue{{Key: records.BatchKey(1, 1), Value: raw, ModRevision: 3}}, nil)
+		next := New(Now{}, Settings{}, scheduler.term+1, NewReplica(), nil, []wire.KeyValue{{Key: records.BatchKey(1, 1), Value: raw, ModRevision: 3}}, nil)
 		for _, a := range encoder.attempts {
 			m := next.cluster.machines[a.machine.name]
 			if m == nil || m.machineType != a.machine.machineType || m.spot != a.machine.spot || m.address != a.machine.address {
-				t.Fatalf("machine read back as %+v", m)
+				t.Fatalf("machine restored as %+v", m)
 			}
 			if got := m.tasks[a.ref]; got == nil || got.number != a.number || !got.assignment.durable {
-				t.Fatalf("%v read back as %+v", a.ref, got)
+				t.Fatalf("%v restored as %+v", a.ref, got)
 			}
 		}
 	})
--- a/internal/scheduler/attempt_outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -70,7 +70,7 @@
 	if j == nil {
 		return
 	}
-	s.persister.markDirtyIfComplete(j)
+	s.persister.markDirtyIfReadyToArchive(j)
 	if j.cancelled {
 		return
 	}
@@ -176,7 +176,7 @@
 	for _, a := range slices.Clone(j.active[index]) {
 		s.stopNow(a, StopTaskDone)
 	}
-	s.persister.markDirtyIfComplete(j)
+	s.persister.markDirtyIfReadyToArchive(j)
 }
 
 // drainMachine stops tasks that had better start again elsewhere before the cloud takes
--- a/internal/scheduler/autoscaler.go
+++ b/internal/scheduler/autoscaler.go
@@ -9,22 +9,23 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// autoscaler owns the provisioning requests that are pending, the offers that the cloud had
-// too few machines of, and when it last listed its machines or failed to release one.
+// autoscaler owns the pending provisioning requests and the backoffs of offers that the cloud
+// had too few machines of. It also keeps when the cloud's machine list last arrived and when
+// releases may be sent again after a failure.
 //
-// A request is pending from when it is sent until its answer, or the news that there is
-// none, has come. An offer has at most one pending request, and none is sent for it
-// before its backoff is over: see available. Request names are never used twice.
+// A request is pending from when it is sent until its answer, or a notice that no answer will
+// come, arrives. An offer has at most one pending request and is not requested before its
+// backoff has passed (see available). Request ids are never reused.
 type autoscaler struct {
 	*termContext
 
-	pending           map[string]*pendingRequest // by name
-	unavailableUntil  map[offer]time.Duration
+	pending           map[string]*pendingRequest // by request id
+	unavailableUntil  map[offer]time.Duration    // end of the backoff
 	nextRequestNumber uint64
-	scaledOutAt       time.Duration // when scaling out was last considered; 0: never
-	listed            bool          // the cloud's list was read in this term
-	listedAt          time.Duration
-	releaseRetryAt    time.Duration // no release before then
+	lastScaleOutAt    time.Duration // 0: not in this term
+	listReceived      bool          // the cloud's machine list has arrived in this term
+	listReceivedAt    time.Duration // last arrival of the cloud's machine list
+	releaseRetryAt    time.Duration // no machine is released before then
 }
 
 func newAutoscaler(context *termContext) autoscaler {
@@ -40,9 +41,9 @@
 	count int
 }
 
-// available reports whether the offer may be asked for. While a request for it is pending
-// it may not: the answer tells whether the cloud has more, so that a second request would
-// be a guess, and bursts of them run into the cloud's rate limit.
+// available reports whether the offer may be requested. It may not while a request for it is
+// pending: only the answer tells whether the cloud has more machines, and bursts of speculative
+// requests exceed the cloud's rate limit.
 func (a *autoscaler) available(o offer) bool {
 	return a.now.Mono >= a.unavailableUntil[o] && !a.isPending(o)
 }
@@ -56,25 +57,24 @@
 	return false
 }
 
-// addRequest notes a request that is about to be sent and gives its name. The term sets
-// the name apart from those of other leaders, the number from others of this one: the
-// cloud takes a request with a known name for a repetition and provisions nothing.
-func (a *autoscaler) addRequest(o offer, count int) (name string) {
+// addRequest adds a pending request and returns its id. The id must be unique across terms,
+// which the term in it ensures, and within the term: the cloud treats a request with a known id
+// as a repetition and provisions nothing.
+func (a *autoscaler) addRequest(o offer, count int) (requestID string) {
 	a.nextRequestNumber++
-	name = fmt.Sprintf("yg-%d-%d", a.term, a.nextRequestNumber)
-	a.pending[name] = &pendingRequest{offer: o, count: count}
-	return name
+	requestID = fmt.Sprintf("yg-%d-%d", a.term, a.nextRequestNumber)
+	a.pending[requestID] = &pendingRequest{offer: o, count: count}
+	return requestID
 }
 
-// takeRequest removes a request that is no longer pending, and gives nil for one that
-// was not.
-func (a *autoscaler) takeRequest(name string) *pendingRequest {
-	request := a.pending[name]
-	delete(a.pending, name)
+// removeRequest removes a pending request and returns it, or nil if it is not pending.
+func (a *autoscaler) removeRequest(requestID string) *pendingRequest {
+	request := a.pending[requestID]
+	delete(a.pending, requestID)
 	return request
 }
 
-// pendingRequests gives the pending requests in the order of their names.
+// pendingRequests returns the pending requests, sorted by id.
 func (a *autoscaler) pendingRequests() []*pendingRequest {
 	requests := make([]*pendingRequest, 0, len(a.pending))
 	for _, name := range slices.Sorted(maps.Keys(a.pending)) {
@@ -83,35 +83,36 @@
 	return requests
 }
 
-// MachinesListed takes the cloud's machine list, which shows the machines as they were
+// MachinesListed handles the cloud's machine list, which shows the machines as they were
 // Settings.CloudListLag ago.
 func (s *Scheduler) MachinesListed(now Now, list []wire.ListedMachine) {
 	s.now = now
-	s.autoscaler.listed, s.autoscaler.listedAt = true, now.Mono
+	s.autoscaler.listReceived, s.autoscaler.listReceivedAt = true, now.Mono
 	for _, m := range s.cluster.machines {
 		m.cloud.missedLists++
 	}
 	for i := range list {
 		if listed := &list[i]; !s.cluster.released[listed.Name] {
-			s.applyListed(listed)
+			s.applyListedMachine(listed)
 		}
 	}
 	s.reconciler.CloudListed(now.Mono)
 }
 
-// applyListed takes the list's entry for one machine, and adopts a machine that is new.
-func (s *Scheduler) applyListed(listed *wire.ListedMachine) {
+// applyListedMachine applies the list's entry of one machine, and adopts a machine that is new.
+func (s *Scheduler) applyListedMachine(listed *wire.ListedMachine) {
 	now := s.now.Mono
 	m := s.cluster.machines[listed.Name]
 	if m == nil {
-		m = s.adoptListed(listed)
+		m = s.adoptListedMachine(listed)
 	}
 	m.cloud.missedLists, m.cloud.listed = 0, true
 	if m.address == "" {
 		m.address = listed.Address
 	}
 	if m.phase == machineBooting && listed.State == wire.MachineRunning && now-m.knownAt > s.settings.HeartbeatInterval {
-		// It came up before this term, or its first heartbeat went to another controller.
+		// The machine came up before this term, or its first heartbeat went to another
+		// controller.
 		s.markUp(m)
 		s.dispatcher.probeStatus(m, len(s.cluster.machines))
 	}
@@ -121,9 +122,10 @@
 	}
 }
 
-// adoptListed adds a machine that this leader did not know of. One that was running before
-// the term began may have tasks that reconciliation has to wait for.
-func (s *Scheduler) adoptListed(listed *wire.ListedMachine) *machine {
+// adoptListedMachine adds a machine that was unknown to this leader. If it was provisioned
+// before the term began and is running, it may have tasks, and reconciliation waits for its
+// heartbeat.
+func (s *Scheduler) adoptListedMachine(listed *wire.ListedMachine) *machine {
 	m := s.cluster.addMachine(listed.Name, listed.Type, listed.Zone, listed.Spot, listed.Address)
 	m.cloud.provisionedAt = s.now.Mono - time.Duration(listed.AgeS*float64(time.Second))
 	s.logInfo("machine adopted from cloud list", "machine", m.name, "type", m.machineType, "zone", m.zone, "spot", m.spot, "state", listed.State)
--- a/internal/scheduler/batchencoder.go
+++ b/internal/scheduler/batchencoder.go
@@ -5,8 +5,8 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// Places in a run of records.BatchMachine: consecutive tasks of a job whose attempts have
-// consecutive numbers.
+// Indexes into a run of records.BatchMachine, which stands for consecutive tasks of a job whose
+// attempts have consecutive numbers.
 const (
 	runJob = iota
 	runFirstTask
@@ -14,18 +14,17 @@
 	runFirstAttempt
 )
 
-// Parts of a batch take at most this many bytes in JSON, beside names: what surrounds the
-// lists, a machine's fields, and a run with an attempt's twenty digits.
+// Upper bounds in bytes of the parts of a batch in JSON, without the names themselves.
 const (
-	batchOverheadBytes = 160
-	batchMachineBytes  = 60
-	batchRunBytes      = 48
-	batchNameBytes     = 4
+	batchOverheadBytes = 160 // everything outside the lists
+	batchMachineBytes  = 60  // the fields of a machine
+	batchRunBytes      = 48  // a run, with twenty digits for the attempt number
+	batchNameBytes     = 4   // quotes and separator of a name, or the index of an image
 )
 
-// batchEncoder fills a batch with attempts up to a size.
+// batchEncoder fills a batch with attempts up to a size limit.
 type batchEncoder struct {
-	machines                   []records.BatchMachine // runs have whole attempt numbers until finish
+	machines                   []records.BatchMachine // attempt numbers in runs are absolute until finish
 	machineIndex               map[*machine]int
 	types, zones, jobs, images nameTable
 	attempts                   []*attempt
@@ -36,31 +35,32 @@
 	return &batchEncoder{machineIndex: map[*machine]int{}, size: batchOverheadBytes, limit: limit}
 }
 
-// add takes one more attempt, unless it would not fit. The first always does.
+// add adds an attempt and reports whether it fits within the limit. The first attempt is always
+// added.
 func (e *batchEncoder) add(a *attempt) bool {
 	if !e.extendLastRun(a) {
-		cost := e.costOf(a)
-		if e.size+cost > e.limit && len(e.attempts) > 0 {
+		bytes := e.maxAttemptBytes(a)
+		if e.size+bytes > e.limit && len(e.attempts) > 0 {
 			return false
 		}
-		e.size += cost
-		m := e.machineOf(a)
-		m.Runs = append(m.Runs, [4]uint64{
-			runJob: uint64(e.jobs.place(a.ref.jobID)), runFirstTask: uint64(a.ref.index), runLength: 1, runFirstAttempt: a.number,
+		e.size += bytes
+		entry := e.machineEntry(a)
+		entry.Runs = append(entry.Runs, [4]uint64{
+			runJob: uint64(e.jobs.intern(a.ref.jobID)), runFirstTask: uint64(a.ref.index), runLength: 1, runFirstAttempt: a.number,
 		})
 	}
 	e.attempts = append(e.attempts, a)
 	return true
 }
 
-// extendLastRun adds the attempt to its machine's last run if it continues that, which takes
-// no more bytes.
+// extendLastRun adds the attempt to the last run of its machine if it is the next one in that
+// run. This takes no additional bytes.
 func (e *batchEncoder) extendLastRun(a *attempt) bool {
-	at, known := e.machineIndex[a.machine]
+	index, known := e.machineIndex[a.machine]
 	if !known {
 		return false
 	}
-	runs := e.machines[at].Runs
+	runs := e.machines[index].Runs
 	last := &runs[len(runs)-1]
 	if e.jobs.names[last[runJob]] != a.ref.jobID || last[runFirstTask]+last[runLength] != uint64(a.ref.index) || last[runFirstAttempt]+last[runLength] != a.number {
 		return false
@@ -69,45 +69,46 @@
 	return true
 }
 
-// costOf is how many bytes the attempt takes at most, with a run of its own.
-func (e *batchEncoder) costOf(a *attempt) int {
-	cost := batchRunBytes + e.jobs.costOf(a.ref.jobID)
+// maxAttemptBytes returns an upper bound of the bytes that an attempt with a new run adds.
+func (e *batchEncoder) maxAttemptBytes(a *attempt) int {
+	bytes := batchRunBytes + e.jobs.maxNameBytes(a.ref.jobID)
 	m := a.machine
 	if _, known := e.machineIndex[m]; known {
-		return cost
+		return bytes
 	}
 	images := recordedImages(m)
-	cost += batchMachineBytes + len(m.name) + len(m.address) + batchNameBytes*len(images)
-	cost += e.types.costOf(m.machineType) + e.zones.costOf(m.zone)
+	bytes += batchMachineBytes + len(m.name) + len(m.address) + batchNameBytes*len(images)
+	bytes += e.types.maxNameBytes(m.machineType) + e.zones.maxNameBytes(m.zone)
 	for _, image := range images {
-		cost += e.images.costOf(image.name)
+		bytes += e.images.maxNameBytes(image.name)
 	}
-	return cost
+	return bytes
 }
 
-// machineOf gives the entry of the attempt's machine, which it adds if need be.
-func (e *batchEncoder) machineOf(a *attempt) *records.BatchMachine {
+// machineEntry returns the entry of the attempt's machine, and adds it if it is missing.
+func (e *batchEncoder) machineEntry(a *attempt) *records.BatchMachine {
 	m := a.machine
-	at, known := e.machineIndex[m]
+	index, known := e.machineIndex[m]
 	if !known {
-		entry := records.BatchMachine{Name: m.name, Type: e.types.place(m.machineType), Zone: e.zones.place(m.zone), Spot: m.spot, Address: m.address}
+		entry := records.BatchMachine{Name: m.name, Type: e.types.intern(m.machineType), Zone: e.zones.intern(m.zone), Spot: m.spot, Address: m.address}
 		for _, image := range recordedImages(m) {
-			entry.Images = append(entry.Images, e.images.place(image.name))
+			entry.Images = append(entry.Images, e.images.intern(image.name))
 		}
-		at = len(e.machines)
-		e.machineIndex[m] = at
+		index = len(e.machines)
+		e.machineIndex[m] = index
 		e.machines = append(e.machines, entry)
 	}
-	return &e.machines[at]
+	return &e.machines[index]
 }
 
-// recordedImages are the images of a machine that records name: the latest.
+// recordedImages returns the images of a machine that are recorded: the most recently used
+// ones.
 func recordedImages(m *machine) []cachedImage {
 	return m.images[max(0, len(m.images)-tuning.MaxRecordedImages):]
 }
 
-// finish gives the batch, with attempt numbers relative to the lowest. Nothing can be added
-// afterwards.
+// finish returns the batch, with attempt numbers relative to the lowest. No attempt can be
+// added afterwards.
 func (e *batchEncoder) finish() records.Batch {
 	base := e.attempts[0].number
 	for _, a := range e.attempts {
@@ -123,29 +124,29 @@
 	}
 }
 
-// nameTable gives each distinct name a place in a list.
+// nameTable lists distinct names, which records refer to by index.
 type nameTable struct {
-	names  []string
-	places map[string]int
+	names   []string
+	indexes map[string]int
 }
 
-// place gives a name's place, and adds the name if it has none.
-func (t *nameTable) place(name string) int {
-	if at, ok := t.places[name]; ok {
-		return at
+// intern returns the index of a name, and adds the name if it is new.
+func (t *nameTable) intern(name string) int {
+	if index, ok := t.indexes[name]; ok {
+		return index
 	}
-	if t.places == nil {
-		t.places = map[string]int{}
+	if t.indexes == nil {
+		t.indexes = map[string]int{}
 	}
-	at := len(t.names)
-	t.places[name] = at
+	index := len(t.names)
+	t.indexes[name] = index
 	t.names = append(t.names, name)
-	return at
+	return index
 }
 
-// costOf is how many bytes the name would add at most.
-func (t *nameTable) costOf(name string) int {
-	if _, ok := t.places[name]; ok {
+// maxNameBytes returns an upper bound of the bytes that a name adds to the list.
+func (t *nameTable) maxNameBytes(name string) int {
+	if _, ok := t.indexes[name]; ok {
 		return 0
 	}
 	return len(name) + batchNameBytes
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -103,7 +103,7 @@
 		for range b.N {
 			f.now += f.scheduler.placement.interval(len(f.scheduler.cluster.machines))
 			f.scheduler.now = f.clock()
-			f.scheduler.autoscaler.scaledOutAt = 0
+			f.scheduler.autoscaler.lastScaleOutAt = 0
 			f.scheduler.autoscaler.scaleOut(&f.scheduler.cluster, f.scheduler.reconciler.Reconciler, f.scheduler.placePending())
 			f.scheduler.TakeEffects()
 		}
@@ -137,7 +137,7 @@
 		jobs := heapGrowth(func() any {
 			replica := NewReplica()
 			for i := range ended {
-				replica.RememberEnded(fmt.Sprintf("run-%06d", i), records.EndedJob{State: wire.JobDone, Done: 40, Tasks: 40, Class: "batch"})
+				replica.CacheEnded(fmt.Sprintf("run-%06d", i), records.EndedJob{State: wire.JobDone, Done: 40, Tasks: 40, Class: "batch"})
 			}
 			return replica
 		})
--- a/internal/scheduler/cancellations.go
+++ b/internal/scheduler/cancellations.go
@@ -4,21 +4,22 @@
 	"time"
 )
 
-// cancellationState says which cancellations this leader knows of. The watermark only
-// advances, and a job is pending only until the watch has shown its cancellation or end, or
-// a read that was sent later has arrived.
+// cancellationState tracks which cancellations this leader knows of. The watermark only
+// advances. A job is pending until the watch has shown its cancellation or end, or until the
+// result of a later read has arrived.
 type cancellationState struct {
 	*termContext
 
-	// watermark is the time as of which all cancellations are known.
+	// watermark is the time up to which all cancellations are known.
 	watermark time.Duration
-	// pending has the cancelled jobs that the watch has yet to show, and since when.
+	// pending has the cancelled jobs that are unknown to this leader, with the time at which
+	// their cancellation became known.
 	pending map[string]time.Duration
 }
 
-// Cancelled takes the ids of jobs that are durably cancelled, ahead of the watch. Those
-// that are not known yet are kept until a read that was sent later has arrived: that one
-// has them as cancelled or ended, or has nothing of them any more.
+// Cancelled handles durable cancellations that arrive ahead of the watch. Those of unknown jobs
+// are kept until the result of a later read has arrived, in which the jobs are cancelled, ended
+// or absent.
 func (s *Scheduler) Cancelled(now Now, ids []string) {
 	s.now = now
 	for _, id := range ids {
@@ -33,39 +34,39 @@
 	}
 }
 
-// JobsReadAt takes the time at which the next JobsChanged or JobsReset was asked for.
-// Cancellations that were known before need not be kept any longer: else a term of days
-// would gather all those that peers list once their jobs are over.
-func (s *Scheduler) JobsReadAt(at time.Duration) {
+// DropPendingCancellationsBefore drops the pending cancellations that were known before the
+// read was requested whose result the next JobsChanged or JobsReset brings. Otherwise the
+// cancellations that peers list after their jobs have ended would pile up over a long term.
+func (s *Scheduler) DropPendingCancellationsBefore(readRequestedAt time.Duration) {
 	for id, since := range s.cancellations.pending {
-		if since < at {
+		if since < readRequestedAt {
 			delete(s.cancellations.pending, id)
 		}
 	}
 }
 
-// AdvanceCancellationWatermark takes the time as of which all cancellations are known. It
-// comes before any later ones.
-func (s *Scheduler) AdvanceCancellationWatermark(at time.Duration) {
-	s.cancellations.watermark = max(s.cancellations.watermark, at)
+// AdvanceCancellationWatermark sets the time up to which all cancellations are known. It must
+// be called before any cancellation that may be later is handled.
+func (s *Scheduler) AdvanceCancellationWatermark(watermark time.Duration) {
+	s.cancellations.watermark = max(s.cancellations.watermark, watermark)
 }
 
-// EnforcedCancellationWatermark is the time, at most the given one, as of which all
-// cancellations are not only known but enforced: nothing of the jobs is on any machine.
-// Peers that keep workers' leases alive for this leader count from it, since tasks that
-// could not be stopped may be there.
-func (s *Scheduler) EnforcedCancellationWatermark(at time.Duration) time.Duration {
+// EnforcedCancellationWatermark returns the time, at most the given watermark, up to which all
+// cancellations are enforced: no machine has attempts of the cancelled jobs any more. Peers
+// renew worker leases for this leader only within a bound of this time, since tasks that could
+// not be stopped may still run.
+func (s *Scheduler) EnforcedCancellationWatermark(watermark time.Duration) time.Duration {
 	for _, j := range s.cluster.jobs {
 		//mutation:watermark-waits-for-unreadable-records
 		if j.cancelled && (j.activeCount > 0 || s.persister.mayBeInUnreadableRecord(j)) {
 			//mutation:watermark-of-unconfirmed-stops
-			at = min(at, j.cancellationWatermark)
+			watermark = min(watermark, j.cancellationWatermark)
 		}
 	}
-	return at
+	return watermark
 }
 
-// cancelJob stops what runs of a job that was cancelled.
+// cancelJob marks a job as cancelled and stops its attempts.
 func (s *Scheduler) cancelJob(j *job) {
 	j.cancelled, j.cancellationWatermark = true, s.cancellations.watermark
 	s.placement.due = true
@@ -73,5 +74,5 @@
 	for _, a := range j.sortedAttempts() {
 		s.stopNow(a, StopJobCancelled)
 	}
-	s.persister.markDirtyIfComplete(j)
+	s.persister.markDirtyIfReadyToArchive(j)
 }
--- a/internal/scheduler/capacity_slot.go
+++ b/internal/scheduler/capacity_slot.go
@@ -6,8 +6,8 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// capacitySlot is the free capacity of a machine that tasks may be counted on for: one
-// that is booting, is being provisioned, or has yet to confirm its tasks in this term.
+// capacitySlot is free capacity that tasks are expected to get without another request: that of
+// a machine that is booting, was requested, or has yet to confirm its tasks in this term.
 type capacitySlot struct {
 	machineType, zone    string
 	spot                 bool
@@ -15,12 +15,12 @@
 	cpus, gpus, memoryGB float64
 }
 
-// newCapacitySlot is the slot of an empty machine.
+// newCapacitySlot returns the slot of an empty machine.
 func newCapacitySlot(o offer, machineSpec *wire.MachineType) *capacitySlot {
 	return &capacitySlot{o.machineType, o.zone, o.spot, machineSpec, machineSpec.CPUs, machineSpec.GPUs, machineSpec.MemoryGB}
 }
 
-// reserveTask takes the capacity for one task of the job, if there is enough.
+// reserveTask reserves capacity for one task of the job and reports whether it fits.
 func (s *capacitySlot) reserveTask(job *job) bool {
 	if !job.allows(offer{s.machineType, s.zone, s.spot}) {
 		return false
@@ -34,8 +34,8 @@
 	return true
 }
 
-// reserveUpTo takes the capacity for up to count tasks of the job and returns how many
-// tasks are left.
+// reserveUpTo reserves capacity for up to count tasks of the job and returns how many did not
+// fit.
 func (s *capacitySlot) reserveUpTo(job *job, count int) int {
 	for count > 0 && s.reserveTask(job) {
 		count--
@@ -43,16 +43,16 @@
 	return count
 }
 
-// hasAtLeast reports whether any of the jobs behind the minimum could have a task here.
+// hasAtLeast reports whether the slot's free capacity reaches the minimum.
 func (s *capacitySlot) hasAtLeast(minimum resourceMinimum) bool {
 	return s.cpus+epsilon >= minimum.cpus && s.memoryGB+epsilon >= minimum.memoryGB
 }
 
-// resourceMinimum is the least that any task of some jobs takes of each resource that all
-// machines have: a slot with less fits none of them.
+// resourceMinimum is the smallest demand of any task of some jobs, for each resource that all
+// machines have. None of the tasks fits a slot with less.
 type resourceMinimum struct{ cpus, memoryGB float64 }
 
-// minimumOf is the minimum of the jobs with unplaced tasks.
+// minimumOf returns the smallest demands of the unplaced tasks.
 func minimumOf(unplaced []unplacedTasks) resourceMinimum {
 	minimum := resourceMinimum{math.Inf(1), math.Inf(1)}
 	for _, waiting := range unplaced {
--- a/internal/scheduler/completed_assignments.go
+++ b/internal/scheduler/completed_assignments.go
@@ -1,10 +1,11 @@
 package scheduler
 
-// A completed attempt stays in its assignment batches until its task is durably done.
-// Without a record of either, the next leader would take the task for one that waits, and
-// start it again before the machine that ran it has sent a heartbeat.
+// A completed attempt stays in its assignment batches until its task is durably done. If neither
+// were recorded, the next leader would treat the task as waiting, and start it again before the
+// machine that ran it has sent a heartbeat.
 
-// keepAssignmentUntilSaved keeps a completed attempt in its batches.
+// keepAssignmentUntilSaved keeps a completed attempt in its batches until its task is durably
+// done. It does nothing if the attempt needs no record or its task is already durably done.
 func (a *attempt) keepAssignmentUntilSaved() {
 	j, index := a.job, a.ref.index
 	if j == nil || j.service || j.archived || len(a.assignment.batches) == 0 || index >= j.spec.Tasks || j.progress.saved.Has(index) {
@@ -18,14 +19,14 @@
 	}
 }
 
-// awaitsDurableCompletion reports whether the attempt has completed and is kept in its
-// batches.
+// awaitsDurableCompletion reports whether the attempt has completed and stays in its batches
+// until its task is durably done.
 func (a *attempt) awaitsDurableCompletion() bool {
 	return a.job != nil && a.job.unsavedAttempts[a.ref.index] == a
 }
 
-// dropSavedAssignments removes the kept attempts of tasks that are durably done, or whose
-// job has ended.
+// dropSavedAssignments removes completed attempts from their batches if their tasks are durably
+// done or their job has ended.
 func (p *persister) dropSavedAssignments(j *job) {
 	for index, a := range j.unsavedAttempts {
 		if j.archived || j.progress.saved.Has(index) {
@@ -35,7 +36,7 @@
 	}
 }
 
-// removeFromBatches takes an attempt out of all its batches.
+// removeFromBatches removes an attempt from all its batches.
 func (p *persister) removeFromBatches(a *attempt) {
 	for _, batch := range a.assignment.batches {
 		p.removeFromBatch(batch, a)
--- a/internal/scheduler/fleet_harness_test.go
+++ b/internal/scheduler/fleet_harness_test.go
@@ -86,7 +86,7 @@
 	settings := fleetSettings()
 	settings.CPUShare = f.cpuShare
 	f.scheduler = New(f.clock(), settings, term, replica, nil, storedBatches(f.items), fleetMachineTypes)
-	f.scheduler.autoscaler.listed = true
+	f.scheduler.autoscaler.listReceived = true
 	f.scheduler.LeaseHeldUntil(1000 * time.Hour)
 }
 
@@ -187,7 +187,7 @@
 	f.revision++
 	f.writes += len(c.Txn.Then)
 	storeTransaction(f.tb, f.items, c.Txn, f.revision)
-	f.scheduler.CommitDone(f.clock(), c.ID, CommitDone, f.revision, nil)
+	f.scheduler.CommitEnded(f.clock(), c.ID, CommitDone, f.revision, nil)
 }
 
 // call has a machine execute a direct call, and answers it.
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -110,12 +110,12 @@
 func (h *harness) commit(c Commit) {
 	h.t.Helper()
 	if h.refuseCommits {
-		h.scheduler.CommitDone(h.clock(), c.ID, CommitRefused, 0, nil)
+		h.scheduler.CommitEnded(h.clock(), c.ID, CommitRefused, 0, nil)
 		return
 	}
 	h.revision++
 	storeTransaction(h.t, h.items, c.Txn, h.revision)
-	h.scheduler.CommitDone(h.clock(), c.ID, CommitDone, h.revision, nil)
+	h.scheduler.CommitEnded(h.clock(), c.ID, CommitDone, h.revision, nil)
 }
 
 // storeTransaction carries out the changes of a transaction on what is stored.
--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -2,44 +2,45 @@
 
 import "math"
 
-// fleetHeadroom is the headroom of the fleet: spare CPUs as the operators' policy wants
-// them, and free capacity at once for the next service. That is taken to have as many
-// tasks as the largest live service, and to find them in its zones, on ordinary machines,
-// beside other services; work of lower priority makes way. Without it, a fleet that was
-// scaled in to what its services fill would make the next one wait for a boot.
+// fleetHeadroom counts the headroom that the fleet needs: the spare CPUs of the operators'
+// policy, and free capacity for the next service to start without waiting. That service is
+// assumed to have as many tasks as the largest live service and its zone limit. Its tasks go to
+// on-demand machines, beside other tasks of the same or a higher priority; tasks of lower
+// priority can be preempted. Without this headroom, a fleet scaled in to what its services need
+// would make the next service wait for a machine to boot.
 //
-// Machines that are released one after the other are taken off by removeIfDispensable, so that
-// together they leave enough headroom.
+// Machines that are released in one pass are subtracted with removeIfUnneeded, so that the ones
+// that stay have enough headroom together.
 type fleetHeadroom struct {
-	headroomShare       float64 // spare CPUs that are wanted, as a share of those in use
+	headroomShare       float64 // wanted spare CPUs, as a share of those in use
 	usedCPUs, totalCPUs float64
-	largestService      *job             // nil: there is none
+	largestService      *job             // nil if there is no live service
 	fittingByZone       map[string]int   // tasks of largestService that fit
-	fittingOn           map[*machine]int // the same by machine
+	fittingByMachine    map[*machine]int // tasks of largestService that fit
 }
 
-// newFleetHeadroom counts the headroom as it is now.
+// newFleetHeadroom counts the present headroom of the fleet.
 func (c *clusterState) newFleetHeadroom() *fleetHeadroom {
 	headroom := &fleetHeadroom{
 		headroomShare:  c.settings.Policy.HeadroomShare,
 		largestService: c.largestService(),
-		fittingByZone:  map[string]int{}, fittingOn: map[*machine]int{},
+		fittingByZone:  map[string]int{}, fittingByMachine: map[*machine]int{},
 	}
 	headroom.usedCPUs, headroom.totalCPUs = c.cpuUsage()
 	if headroom.largestService == nil {
 		return headroom
 	}
 	for _, m := range c.machines {
-		if m.mayHostNext(headroom.largestService) {
-			fitting := m.tasksBesideEqualPriority(headroom.largestService)
-			headroom.fittingOn[m] = fitting
+		if m.canHostService(headroom.largestService) {
+			fitting := m.serviceTaskCapacity(headroom.largestService)
+			headroom.fittingByMachine[m] = fitting
 			headroom.fittingByZone[m.zone] += fitting
 		}
 	}
 	return headroom
 }
 
-// largestService is the live service with the most CPUs in all, or nil.
+// largestService returns the live service whose tasks take the most CPUs together, or nil.
 func (c *clusterState) largestService() *job {
 	size := func(j *job) float64 { return float64(j.spec.Tasks) * j.spec.CPUs }
 	var largest *job
@@ -54,8 +55,9 @@
 	return largest
 }
 
-// mayHostNext reports whether the machine may be counted on for a service like the given one.
-func (m *machine) mayHostNext(service *job) bool {
+// canHostService reports whether the machine counts as capacity for a service with the
+// constraints of the given one.
+func (m *machine) canHostService(service *job) bool {
 	if m.spot || m.phase != machineUp || m.machineSpec == nil {
 		return false
 	}
@@ -65,9 +67,9 @@
 	return service.allows(m.offer())
 }
 
-// tasksBesideEqualPriority is how many tasks of the service fit beside those of its own
-// and higher priority.
-func (m *machine) tasksBesideEqualPriority(service *job) int {
+// serviceTaskCapacity returns how many tasks of the service fit on the machine beside its tasks
+// of the same or a higher priority.
+func (m *machine) serviceTaskCapacity(service *job) int {
 	cpus, memoryGB := m.machineSpec.CPUs, m.machineSpec.MemoryGB
 	for _, a := range m.tasks {
 		if a.job != nil && a.job.rank <= service.rank {
@@ -75,7 +77,7 @@
 			memoryGB -= a.job.spec.MemoryGB
 		}
 	}
-	fitting := 1 << 20 // without bounds, if the service needs neither
+	fitting := 1 << 20 // unlimited, if the service demands neither CPUs nor memory
 	if service.spec.CPUs > 0 {
 		fitting = min(fitting, int(math.Floor(cpus/service.spec.CPUs+epsilon)))
 	}
@@ -85,7 +87,7 @@
 	return max(fitting, 0)
 }
 
-// fitsNextService reports whether the next service finds capacity at once.
+// fitsNextService reports whether all tasks of the next service would find capacity at once.
 func (h *fleetHeadroom) fitsNextService() bool {
 	if h.largestService == nil {
 		return true
@@ -97,8 +99,9 @@
 	return total >= h.largestService.spec.Tasks
 }
 
-// removeIfDispensable takes the machine off, if the headroom is enough without it.
-func (h *fleetHeadroom) removeIfDispensable(m *machine) bool {
+// removeIfUnneeded subtracts the machine if the headroom is sufficient without it, and reports
+// whether it is.
+func (h *fleetHeadroom) removeIfUnneeded(m *machine) bool {
 	cpus := 0.0
 	if m.machineSpec != nil {
 		cpus = m.machineSpec.CPUs
@@ -106,17 +109,18 @@
 	if h.totalCPUs-cpus < h.usedCPUs*(1+h.headroomShare) {
 		return false
 	}
-	h.fittingByZone[m.zone] -= h.fittingOn[m]
+	h.fittingByZone[m.zone] -= h.fittingByMachine[m]
 	if !h.fitsNextService() {
-		h.fittingByZone[m.zone] += h.fittingOn[m]
+		h.fittingByZone[m.zone] += h.fittingByMachine[m]
 		return false
 	}
-	delete(h.fittingOn, m)
+	delete(h.fittingByMachine, m)
 	h.totalCPUs -= cpus
 	return true
 }
 
-// cpuUsage sums the CPUs in use and those of all machines that are there to stay.
+// cpuUsage sums the CPUs in use and the CPUs of all machines, without machines that have
+// failed, are being released or are about to be interrupted.
 func (c *clusterState) cpuUsage() (used, total float64) {
 	for _, m := range c.machines {
 		if m.machineSpec == nil || m.phase == machineReleasing || m.cloud.failed || m.cloud.interruptionAt > 0 {
--- a/internal/scheduler/heartbeat_test.go
+++ b/internal/scheduler/heartbeat_test.go
@@ -297,7 +297,7 @@
 	if n := len(h.scheduler.cluster.machines["n-2"].tasks); n != 4 {
 		t.Error("placed again before the release was answered")
 	}
-	h.scheduler.Released(h.clock(), h.releases[0], ReleaseDone)
+	h.scheduler.ReleaseEnded(h.clock(), h.releases[0], ReleaseDone)
 	h.settle()
 	runUnreachable(time.Second, "n-2")
 	if n := len(h.scheduler.cluster.machines["n-2"].tasks); n != 5 {
@@ -374,7 +374,7 @@
 			t.Errorf("a late duplicate: %+v, %d tasks, last heartbeat at %v then %v", reply, len(m.tasks), heard, m.connectivity.lastHeartbeatAt)
 		}
 	}
-	h.scheduler.Released(h.clock(), []string{m.name}, ReleaseDone)
+	h.scheduler.ReleaseEnded(h.clock(), []string{m.name}, ReleaseDone)
 	if h.scheduler.Heartbeat(h.clock(), early); h.scheduler.cluster.machines[m.name] != nil {
 		t.Error("a released machine is adopted for a late duplicate")
 	}
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -156,7 +156,7 @@
 	}
 	j := s.cluster.jobs[id]
 	if j == nil {
-		s.persister.deleteLater(item.Key) // left over from a job that has ended
+		s.persister.queueDeletion(item.Key) // left over from a job that has ended
 		return
 	}
 	j.write.chunkRevisions[chunk] = item.ModRevision
--- a/internal/scheduler/job_changes.go
+++ b/internal/scheduler/job_changes.go
@@ -33,7 +33,7 @@
 	_, cancelled := s.cancellations.pending[j.id]
 	//mutation:pending-cancellations
 	j.cancelled = j.cancelled || cancelled
-	s.persister.markDirtyIfComplete(j)
+	s.persister.markDirtyIfReadyToArchive(j)
 	s.placement.due = true
 	s.logDebug("job added", "job", j.id, "class", j.spec.Class, "tasks", j.spec.Tasks, "team", j.spec.Team, "estimate_s", j.spec.EstimatedRunS, "due_s", j.plan.deadlines)
 }
--- a/internal/scheduler/jobwrite.go
+++ b/internal/scheduler/jobwrite.go
@@ -12,22 +12,22 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Estimates of what records of a job take beside their bitmaps, in bytes.
+// Estimated sizes in bytes of the records of a job, without their bitmaps.
 const (
 	endedJobBytes  = 400
 	jobRecordBytes = 800
 )
 
-// jobWrite is the write of one job that is part of a transaction: its end, or its progress.
+// jobWrite is the write of one job in a transaction, either of its end or of its progress.
 type jobWrite struct {
 	job            *job
-	ended          bool
-	doneBits       records.Bitmap // as they were when the write was made
-	wroteJobRecord bool           // with the first chunk of the bitmap
-	chunks         []int          // further chunks that were written
+	ended          bool           // the job's end is written, not its progress
+	doneBits       records.Bitmap // the done tasks when the transaction was made
+	wroteJobRecord bool           // the job record with the first bitmap chunk is written
+	chunks         []int          // further chunks of the bitmap that are written
 }
 
-// markDirty notes that there is something of the job to write.
+// markDirty marks a job as having unsaved changes.
 func (p *persister) markDirty(j *job) {
 	if j.write.dirtyAt == 0 {
 		j.write.dirtyAt = p.now.Mono
@@ -35,21 +35,21 @@
 	}
 }
 
-// markDirtyIfComplete has a job's last write made once it is over.
-func (p *persister) markDirtyIfComplete(j *job) {
+// markDirtyIfReadyToArchive schedules the write of the job's end once it may be written.
+func (p *persister) markDirtyIfReadyToArchive(j *job) {
 	if j.readyToArchive() {
 		p.markDirty(j)
 	}
 }
 
-// markClean notes that there is nothing of the job to write.
+// markClean marks a job as having no unsaved changes.
 func (p *persister) markClean(j *job) {
 	j.write.dirtyAt = 0
 	delete(p.dirtyJobs, j)
 }
 
-// jobsDueForWrite gives the jobs that have had something to write for that long, the longest
-// first.
+// jobsDueForWrite returns the jobs whose changes have been unsaved for at least minAge, the
+// oldest changes first.
 func (p *persister) jobsDueForWrite(minAge time.Duration) []*job {
 	var due []*job
 	for j := range p.dirtyJobs {
@@ -63,15 +63,15 @@
 	return due
 }
 
-// readyToArchive reports whether the job's end may be written. A cancelled job stays live
-// until all its attempts are gone: a later leader would not know whose quota the attempts of
-// a job count against that is not live.
+// readyToArchive reports whether the end of the job may be written. A cancelled job stays live
+// until all its attempts are gone: a later leader knows only from live jobs which team's quota
+// an attempt counts against.
 func (j *job) readyToArchive() bool {
 	//mutation:cancelled-job-outlives-attempts
 	return j.progress.doneCount == j.spec.Tasks || j.cancelled && j.activeCount == 0
 }
 
-// endState is the state in which the job ends.
+// endState returns the final state of the job.
 func (j *job) endState() string {
 	if j.cancelled {
 		return wire.JobCancelled
@@ -79,7 +79,7 @@
 	return wire.JobDone
 }
 
-// addEndedJobs writes the ends of jobs.
+// addEndedJobs writes the ends of jobs that are ready to be archived.
 func (p *persister) addEndedJobs(t *transaction) {
 	for _, j := range p.jobsDueForWrite(0) {
 		//mutation:end-waits-for-unreadable-records
@@ -92,15 +92,15 @@
 		//mutation:job-end-conditions
 		t.expect(records.JobKey(j.id), j.modRevision)
 		t.delete(records.JobKey(j.id))
-		end := records.EndedJob{State: j.endState(), Done: j.progress.doneCount, Tasks: j.spec.Tasks, Class: j.spec.Class}
-		t.set(records.EndedJobKey(j.id), end, endedJobBytes)
+		endedJob := records.EndedJob{State: j.endState(), Done: j.progress.doneCount, Tasks: j.spec.Tasks, Class: j.spec.Class}
+		t.set(records.EndedJobKey(j.id), endedJob, endedJobBytes)
 		j.write.inFlight = true
 		t.contents.jobWrites = append(t.contents.jobWrites, jobWrite{job: j, ended: true})
 	}
 }
 
-// progressFlushDelay is how long done tasks wait for their write: longer where many jobs
-// have some, since each job's write is one of its own.
+// progressFlushDelay returns how long done tasks may wait to be written. It grows with the
+// number of jobs with unsaved changes, since each job takes a write of its own.
 func (p *persister) progressFlushDelay() time.Duration {
 	seconds := float64(len(p.dirtyJobs)) / (p.settings.WriteRate * tuning.ProgressWriteShare)
 	return max(tuning.DoneFlushDelay, time.Duration(seconds*float64(time.Second)))
@@ -113,13 +113,13 @@
 			continue
 		}
 		if t.budgetLeft() < p.settings.WriteRate*tuning.StartWriteReserve {
-			return // starts, and jobs that end, come first
+			return // the rest of the budget is for starts and ended jobs
 		}
 		if !j.progress.unsaved() {
 			p.markClean(j)
 			continue
 		}
-		write := t.addProgressOf(j)
+		write := t.addChangedChunks(j)
 		if !write.wroteJobRecord && len(write.chunks) == 0 {
 			return
 		}
@@ -128,9 +128,9 @@
 	}
 }
 
-// addProgressOf writes the chunks of a job's bitmap that have changed, as many as fit; the
-// others follow with the next write.
-func (t *transaction) addProgressOf(j *job) jobWrite {
+// addChangedChunks writes the changed chunks of a job's done bitmap, as many as fit. The job's
+// next write has the others.
+func (t *transaction) addChangedChunks(j *job) jobWrite {
 	write := jobWrite{job: j, doneBits: slices.Clone(j.progress.done)}
 	for chunk := range j.progress.done.ChunkCount() {
 		bits := j.progress.done.EncodeChunk(chunk)
@@ -156,8 +156,9 @@
 	return write
 }
 
-// jobWritten takes the outcome of a job's write. A job whose end is stored is to be archived.
-func (p *persister) jobWritten(write jobWrite, outcome commitOutcome) {
+// handleJobWriteOutcome handles the outcome of a job's write. If its end was written, the
+// caller must archive the job.
+func (p *persister) handleJobWriteOutcome(write jobWrite, outcome commitOutcome) {
 	write.job.write.inFlight = false
 	switch {
 	case outcome.result != CommitDone:
@@ -169,14 +170,15 @@
 	}
 }
 
-// jobWriteFailed puts the write off. After a conflict, or when the outcome is unknown, the
-// watch brings the job's record as it is. No watch brings further chunks of the bitmap, which
-// only the leader writes: a conflict there ends the term, and the next one reads them.
+// jobWriteFailed delays the next write of the job. After a conflict or an unknown outcome, the
+// watch delivers the job's current record. It doesn't deliver further chunks of the bitmap,
+// which only the leader writes: after a conflict there, this leader resigns and the next term
+// reads them.
 func (p *persister) jobWriteFailed(write jobWrite, outcome commitOutcome) {
 	j := write.job
 	j.write.blockedUntil = p.now.Mono + tuning.StoreRetryDelay
 	for _, chunk := range write.chunks {
-		if outcome.conflicting[records.BitmapKey(j.id, chunk)] {
+		if outcome.conflictingKeys[records.BitmapKey(j.id, chunk)] {
 			p.effects.Resign = ResignBitmapConflict
 		}
 	}
@@ -184,7 +186,7 @@
 
 func (p *persister) jobEndWritten(j *job) {
 	for _, chunk := range slices.Sorted(maps.Keys(j.write.chunkRevisions)) {
-		p.deleteLater(records.BitmapKey(j.id, chunk))
+		p.queueDeletion(records.BitmapKey(j.id, chunk))
 	}
 	p.logInfo("job ended", "job", j.id, "state", j.endState(), "after_s", (p.now.Mono - j.createdAt).Seconds())
 	j.progress.markAllSaved()
--- a/internal/scheduler/leadership_change_test.go
+++ b/internal/scheduler/leadership_change_test.go
@@ -197,7 +197,7 @@
 	h.settle()
 	stops := 0
 	for range 3 {
-		h.scheduler.Released(h.clock(), h.releases[0], ReleaseUnknown)
+		h.scheduler.ReleaseEnded(h.clock(), h.releases[0], ReleaseUnknown)
 		for _, o := range h.heartbeat(on, tasks...).Commands {
 			if o.Verb == wire.VerbStop && o.Task == tasks[0].Task && o.Attempt == tasks[0].Attempt {
 				stops++
@@ -244,11 +244,11 @@
 	}
 	// The watch shows nothing of a job that has ended: a read that was sent later will do.
 	h.scheduler.Cancelled(h.clock(), []string{"run-000002"})
-	h.scheduler.JobsReadAt(h.now)
+	h.scheduler.DropPendingCancellationsBefore(h.now)
 	if len(h.scheduler.cancellations.pending) != 1 {
 		t.Error("a cancellation is dropped for a read that may not have it")
 	}
-	h.scheduler.JobsReadAt(h.now + time.Millisecond)
+	h.scheduler.DropPendingCancellationsBefore(h.now + time.Millisecond)
 	if len(h.scheduler.cancellations.pending) != 0 {
 		t.Errorf("kept for good: %v", h.scheduler.cancellations.pending)
 	}
--- a/internal/scheduler/offer.go
+++ b/internal/scheduler/offer.go
@@ -8,44 +8,46 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// offer is a kind of machine that the cloud may provision.
+// offer is a kind of machine that the cloud can provision: a machine type in a zone, either
+// spot or on-demand.
 type offer struct {
 	machineType, zone string
 	spot              bool
 }
 
-// Weights of an offer's cost.
+// Weights of offerCost.
 const (
-	// maxTasksPerMachine bounds how far the size of a machine counts.
+	// maxTasksPerMachine limits the tasks of a job that are counted for one machine.
 	maxTasksPerMachine = 1000
-	// zoneBalanceCost is added for each machine that a zone has, where cost is to be
-	// minimized: it decides between offers of the same price.
+	// zoneBalanceCost is the cost per machine in the offer's zone where cost is minimized. It
+	// only decides between offers of the same price.
 	zoneBalanceCost = 1e-4
-	// zoneMachineCost is the same where service comes before cost.
+	// zoneMachineCost is the cost per machine in the offer's zone where service comes before
+	// cost.
 	zoneMachineCost = 0.01
-	// spotCost is added for spot machines where service comes before cost, since they may
-	// be interrupted.
+	// spotCost is the cost of a spot machine, which can be interrupted, where service comes
+	// before cost.
 	spotCost = 1
-	// taskCapacityGain is taken off for each task that fits on one machine, up to
-	// maxCountedTasks of them, where service comes before cost.
-	taskCapacityGain = 0.001
-	maxCountedTasks  = 50
+	// taskCapacityDiscount is subtracted for each task that fits on one machine, up to
+	// maxCountedTasks, where service comes before cost.
+	taskCapacityDiscount = 0.001
+	maxCountedTasks      = 50
 )
 
-// compare orders offers by type and zone, ordinary machines before spot ones.
+// compare orders offers by machine type, zone, and on-demand before spot.
 func (o offer) compare(other offer) int {
-	spot := 0
+	spotOrder := 0
 	switch {
 	case o.spot && !other.spot:
-		spot = 1
+		spotOrder = 1
 	case !o.spot && other.spot:
-		spot = -1
+		spotOrder = -1
 	}
-	return cmp.Or(strings.Compare(o.machineType, other.machineType), strings.Compare(o.zone, other.zone), spot)
+	return cmp.Or(strings.Compare(o.machineType, other.machineType), strings.Compare(o.zone, other.zone), spotOrder)
 }
 
-// bestOffer chooses what to provision for a job, or, without one, as headroom. It reports
-// whether there is any offer to be had.
+// bestOffer returns the available offer with the lowest cost for a job or, if job is nil, for
+// headroom. It reports false if there is none.
 func (a *autoscaler) bestOffer(cluster *clusterState, job *job, machinesByZone map[string]int) (offer, bool) {
 	var attemptsByZone map[string]int
 	if job != nil {
@@ -80,7 +82,8 @@
 	return machineSpec.Fits(&j.spec) && j.allows(o) && j.allowsZone(attemptsByZone, o.zone)
 }
 
-// tasksPerMachine is how many tasks of the job fit on one empty machine of the type.
+// tasksPerMachine returns how many tasks of the job fit on an empty machine of the type,
+// between 1 and maxTasksPerMachine.
 func tasksPerMachine(machineSpec *wire.MachineType, job *job) float64 {
 	tasks := math.Inf(1)
 	if job.spec.CPUs > 0 {
@@ -92,9 +95,11 @@
 	return max(1, min(tasks, maxTasksPerMachine))
 }
 
-// offerCost is lower for better offers. Capacity is that of one machine, in tasks or CPUs.
-// Where cost is to be minimized, the price of that capacity decides. Otherwise service
-// comes first: ordinary machines stay, large ones serve more, and zones are kept even.
+// offerCost returns the cost of an offer; the offer with the lowest cost is the best. The
+// capacity is that of one machine, in tasks or CPUs. Where cost is minimized, it is the price
+// of a unit of capacity. Otherwise service comes first: on-demand machines are preferred since
+// they are not interrupted, large ones since they hold more tasks, and zones with few machines
+// to balance them.
 func (a *autoscaler) offerCost(o offer, machineSpec *wire.MachineType, capacity float64, machinesInZone int) float64 {
 	if a.settings.MinimizeCost {
 		price := machineSpec.Price
@@ -107,5 +112,5 @@
 	if o.spot {
 		cost += spotCost
 	}
-	return cost - taskCapacityGain*min(capacity, maxCountedTasks)
+	return cost - taskCapacityDiscount*min(capacity, maxCountedTasks)
 }
--- a/internal/scheduler/persist.go
+++ b/internal/scheduler/persist.go
@@ -7,25 +7,25 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// maxTransactionsInFlight is how many of the leader's transactions may be in flight at once.
-// They never share a key.
+// maxTransactionsInFlight limits the leader's transactions that are in flight at once. No two
+// of them write the same key.
 const maxTransactionsInFlight = 4
 
-// persister owns what has to be written and what is being written: assignment batches, the
-// progress and the ends of jobs, and deletions, within the write budget. A batch or a job has
-// at most one write in flight, and a batch is deleted only when no attempt needs it.
+// persister owns the pending and in-flight writes to the key-value store: assignment batches,
+// the progress and the ends of jobs, and deletions, all within the write budget. A batch or a
+// job has at most one write in flight, and a batch is deleted only when no attempt needs it.
 type persister struct {
 	*termContext
 
-	inFlight          map[uint64]*transactionContents
-	batches           map[string]*assignmentBatch // by key, those that are or may be stored
-	unrecorded        []*attempt                  // to be written with the next batch
-	nextBatchAt       time.Duration               // no batch before then
-	dirtyJobs         map[*job]bool               // with something to write
-	unreadableRecords []string                    // keys of records that could not be decoded
-	obsoleteKeys      []string                    // to be deleted when the budget allows
-	writeBudget       tokenBucket                 // a token for each change
-	blockedUntil      time.Duration               // no writes until then: the key-value store refused one
+	inFlight          map[uint64]*transactionContents // by commit id
+	batches           map[string]*assignmentBatch     // by key; those that are or may be stored
+	unrecorded        []*attempt                      // queued for the next batch
+	nextBatchAt       time.Duration                   // no batch is written before then
+	dirtyJobs         map[*job]bool                   // jobs with unsaved changes
+	unreadableRecords []string                        // keys of records that could not be decoded
+	obsoleteKeys      []string                        // keys to delete as the write budget allows
+	writeBudget       tokenBucket                     // one token per change
+	blockedUntil      time.Duration                   // no write before then, after a failed one
 }
 
 func newPersister(context *termContext) persister {
@@ -38,18 +38,18 @@
 	}
 }
 
-// deleteLater has keys deleted that nothing needs any more.
-func (p *persister) deleteLater(keys ...string) { p.obsoleteKeys = append(p.obsoleteKeys, keys...) }
+// queueDeletion queues keys for deletion that are no longer needed.
+func (p *persister) queueDeletion(keys ...string) { p.obsoleteKeys = append(p.obsoleteKeys, keys...) }
 
-// flush writes what is due, the most urgent first: attempts that may not start before they
-// are recorded, jobs that have ended, then what can wait.
+// flush commits the writes that are due, in order of urgency: assignments of attempts that may
+// not start before they are recorded, then jobs that have ended, then progress and deletions.
 func (p *persister) flush() {
 	p.refillWriteBudget()
 	for len(p.inFlight) < maxTransactionsInFlight && p.now.Mono >= p.blockedUntil {
 		t := p.newTransaction()
 		// Batches come first. They are spaced in time, and one change records dozens of
-		// attempts where a job's end takes two: many small jobs that end would hold back
-		// all starts.
+		// attempts, while the end of a job takes two. If ended jobs came first, many small ones
+		// would delay all starts.
 		p.addAssignmentBatches(t)
 		p.addEndedJobs(t)
 		p.addJobProgress(t)
@@ -73,8 +73,7 @@
 	p.effects.Commits = append(p.effects.Commits, Commit{ID: p.nextEffectID, Txn: t.request})
 }
 
-// addDeletions deletes batches that nothing needs any more, and the bitmap chunks of ended
-// jobs.
+// addDeletions deletes batches that are no longer needed and the bitmap chunks of ended jobs.
 func (p *persister) addDeletions(t *transaction) {
 	for len(p.obsoleteKeys) > 0 && t.canAdd(1) {
 		key := p.obsoleteKeys[0]
@@ -84,73 +83,74 @@
 	}
 }
 
-// CommitResult says what became of a transaction.
+// CommitResult is the outcome of a transaction.
 type CommitResult int
 
 // Outcomes of a transaction.
 const (
-	CommitUnknown  CommitResult = iota // executed, or not, or later
-	CommitDone                         // executed at the given revision
-	CommitConflict                     // not executed: the named keys differ
+	CommitUnknown  CommitResult = iota // executed, not executed, or to be executed later
+	CommitDone                         // executed at the reported revision
+	CommitConflict                     // not executed: the reported keys have unexpected revisions
 	CommitRefused                      // not executed: the key-value store refused it
 )
 
-// commitOutcome is what became of a transaction.
+// commitOutcome is the outcome of a transaction with its details.
 type commitOutcome struct {
-	result      CommitResult
-	revision    uint64          // of its changes, if it was executed
-	conflicting map[string]bool // keys whose revision was not the expected one
+	result          CommitResult
+	revision        uint64          // of the changes, if executed
+	conflictingKeys map[string]bool // whose revision is not the expected one
 }
 
 func newCommitOutcome(result CommitResult, revision uint64, failedKeys []string) commitOutcome {
-	outcome := commitOutcome{result: result, revision: revision, conflicting: map[string]bool{}}
+	outcome := commitOutcome{result: result, revision: revision, conflictingKeys: map[string]bool{}}
 	if result == CommitConflict {
 		for _, key := range failedKeys {
-			outcome.conflicting[key] = true
+			outcome.conflictingKeys[key] = true
 		}
 	}
 	return outcome
 }
 
-// CommitDone takes the outcome of a transaction.
-func (s *Scheduler) CommitDone(now Now, id uint64, result CommitResult, revision uint64, failedKeys []string) {
+// CommitEnded handles the outcome of the transaction with the given id.
+func (s *Scheduler) CommitEnded(now Now, id uint64, result CommitResult, revision uint64, failedKeys []string) {
 	s.now = now
-	contents := s.persister.endCommit(id)
+	contents := s.persister.removeInFlight(id)
 	if contents == nil {
 		return
 	}
 	outcome := newCommitOutcome(result, revision, failedKeys)
-	if outcome.conflicting[records.LeaderKey] {
+	if outcome.conflictingKeys[records.LeaderKey] {
 		s.effects.Resign = ResignLeaderKeyLost
 		return
 	}
-	s.persister.noteOutcome(contents, outcome)
+	s.persister.handleCommitOutcome(contents, outcome)
 	for _, write := range contents.jobWrites {
-		s.persister.jobWritten(write, outcome)
+		s.persister.handleJobWriteOutcome(write, outcome)
 		if write.ended && outcome.result == CommitDone {
 			s.archiveJob(write.job)
 		}
 	}
 	for _, b := range contents.batches {
-		s.persister.batchWritten(b, outcome, &s.dispatcher)
+		s.persister.handleBatchWriteOutcome(b, outcome, &s.dispatcher)
 	}
 	s.persister.flush()
 }
 
-// endCommit takes a transaction out of those in flight; nil if it is not one of them.
-func (p *persister) endCommit(id uint64) *transactionContents {
+// removeInFlight removes a transaction from those in flight and returns its contents, or nil if
+// it is not in flight.
+func (p *persister) removeInFlight(id uint64) *transactionContents {
 	contents := p.inFlight[id]
 	delete(p.inFlight, id)
 	return contents
 }
 
-// noteOutcome puts off further writes if the key-value store does not take them, and queues
-// deletions again that may not have been executed.
-func (p *persister) noteOutcome(contents *transactionContents, outcome commitOutcome) {
+// handleCommitOutcome delays further writes after a refusal or an unknown outcome, and requeues
+// deletions that may not have been executed.
+func (p *persister) handleCommitOutcome(contents *transactionContents, outcome commitOutcome) {
 	if outcome.result == CommitRefused || outcome.result == CommitUnknown {
 		p.blockedUntil = p.now.Mono + tuning.StoreRetryDelay
 	}
 	if outcome.result != CommitDone {
-		p.deleteLater(contents.deletedKeys...)
+		p.queueDeletion(contents.deletedKeys...)
 	}
 }
--- a/internal/scheduler/persist_test.go
+++ b/internal/scheduler/persist_test.go
@@ -8,23 +8,23 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// persisterFixture is a persister with one batch in flight, for an attempt that had a record
-// before.
+// persisterFixture is a persister with an attempt in two batches: an earlier one that is
+// stored, and one whose write is in flight.
 type persisterFixture struct {
-	persister      persister
-	dispatcher     dispatcher
-	attempt        *attempt
-	earlier, batch *assignmentBatch
+	persister           persister
+	dispatcher          dispatcher
+	attempt             *attempt
+	earlierBatch, batch *assignmentBatch
 }
 
 func newPersisterFixture(durable bool) *persisterFixture {
 	context := &termContext{term: 7, now: Now{Mono: time.Hour}, settings: Settings{WriteRate: 10, MaxTransactionOps: 5}}
 	f := &persisterFixture{persister: newPersister(context), dispatcher: newDispatcher(context, nil)}
 	m := &machine{name: "n-1", tasks: map[taskRef]*attempt{}, batches: map[*assignmentBatch]bool{}}
-	f.earlier, f.batch = f.persister.newBatch("earlier"), f.persister.newBatch("batch")
-	f.attempt = &attempt{ref: taskRef{"run-000001", 0}, machine: m, assignment: assignmentState{durable: durable, batches: []*assignmentBatch{f.earlier}}}
+	f.earlierBatch, f.batch = f.persister.trackBatch("earlier"), f.persister.trackBatch("batch")
+	f.attempt = &attempt{ref: taskRef{"run-000001", 0}, machine: m, assignment: assignmentState{durable: durable, batches: []*assignmentBatch{f.earlierBatch}}}
 	m.tasks[f.attempt.ref] = f.attempt
-	for _, b := range []*assignmentBatch{f.earlier, f.batch} {
+	for _, b := range []*assignmentBatch{f.earlierBatch, f.batch} {
 		b.neededBy[f.attempt] = true
 		b.addMachine(m)
 	}
@@ -32,45 +32,45 @@
 	return f
 }
 
-func TestBatchOutcomeDecidesWhatIsDurable(t *testing.T) {
+func TestBatchWriteOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		durable bool // before
+		durable bool // the attempt's state before the outcome
 		outcome commitOutcome
 
-		startsNow, queued         bool
-		earlierKept, tracked      bool // the batch before, and this one
-		namedInEarlier, namedHere bool // the attempt, by what it needs
+		startDue, queued                   bool
+		earlierKept, batchTracked          bool // whether the persister still tracks the batches
+		neededByInEarlier, neededByInBatch bool // whether the attempt still needs the batches
 	}{
 		{"stored", false, newCommitOutcome(CommitDone, 3, nil), true, false, false, true, false, true},
-		{"stored again", true, newCommitOutcome(CommitDone, 3, nil), false, false, false, true, false, true},
+		{"stored, already durable", true, newCommitOutcome(CommitDone, 3, nil), false, false, false, true, false, true},
 		{"refused", false, newCommitOutcome(CommitRefused, 0, nil), false, true, true, false, true, false},
-		{"refused, and recorded before", true, newCommitOutcome(CommitRefused, 0, nil), false, false, true, false, true, false},
+		{"refused, already durable", true, newCommitOutcome(CommitRefused, 0, nil), false, false, true, false, true, false},
 		{"another key conflicts", false, newCommitOutcome(CommitConflict, 0, []string{"other"}), false, true, true, false, true, false},
-		{"its key conflicts", false, newCommitOutcome(CommitConflict, 0, []string{"batch"}), false, true, true, true, true, true},
+		{"batch key conflicts", false, newCommitOutcome(CommitConflict, 0, []string{"batch"}), false, true, true, true, true, true},
 		{"unknown", false, newCommitOutcome(CommitUnknown, 0, nil), false, true, true, true, true, true},
-		{"unknown, and recorded before", true, newCommitOutcome(CommitUnknown, 0, nil), false, false, true, true, true, true},
+		{"unknown, already durable", true, newCommitOutcome(CommitUnknown, 0, nil), false, false, true, true, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newPersisterFixture(c.durable)
-			f.persister.batchWritten(f.batch, c.outcome, &f.dispatcher)
-			if got := f.dispatcher.isDue(f.attempt.machine); got != c.startsNow {
+			f.persister.handleBatchWriteOutcome(f.batch, c.outcome, &f.dispatcher)
+			if got := f.dispatcher.isDue(f.attempt.machine); got != c.startDue {
 				t.Errorf("start due: %v", got)
 			}
-			if got := f.attempt.assignment.durable; got != (c.durable || c.startsNow) {
+			if got := f.attempt.assignment.durable; got != (c.durable || c.startDue) {
 				t.Errorf("durable: %v", got)
 			}
 			if got := f.attempt.assignment.queued; got != c.queued || len(f.persister.unrecorded) > 0 != c.queued {
 				t.Errorf("queued: %v, %d in the queue", got, len(f.persister.unrecorded))
 			}
 			if got := f.persister.batches["earlier"] != nil; got != c.earlierKept {
-				t.Errorf("earlier batch kept: %v, to be deleted: %v", got, f.persister.obsoleteKeys)
+				t.Errorf("earlier batch kept: %v, queued deletions: %v", got, f.persister.obsoleteKeys)
 			}
-			if got := f.persister.batches["batch"] != nil; got != c.tracked || f.attempt.machine.batches[f.batch] != c.tracked {
+			if got := f.persister.batches["batch"] != nil; got != c.batchTracked || f.attempt.machine.batches[f.batch] != c.batchTracked {
 				t.Errorf("batch tracked: %v, by its machine: %v", got, f.attempt.machine.batches[f.batch])
 			}
-			if f.earlier.neededBy[f.attempt] != c.namedInEarlier || f.batch.neededBy[f.attempt] != c.namedHere {
-				t.Errorf("needs the earlier batch: %v, this one: %v", f.earlier.neededBy[f.attempt], f.batch.neededBy[f.attempt])
+			if f.earlierBatch.neededBy[f.attempt] != c.neededByInEarlier || f.batch.neededBy[f.attempt] != c.neededByInBatch {
+				t.Errorf("attempt needs the earlier batch: %v, the new batch: %v", f.earlierBatch.neededBy[f.attempt], f.batch.neededBy[f.attempt])
 			}
 		})
 	}
@@ -81,15 +81,15 @@
 	delete(f.attempt.machine.tasks, f.attempt.ref)
 	f.persister.removeFromBatches(f.attempt)
 	if f.persister.batches["earlier"] != nil || f.persister.batches["batch"] == nil {
-		t.Errorf("before the write's outcome: %v", f.persister.batches)
+		t.Errorf("batches before the outcome: %v", f.persister.batches)
 	}
-	f.persister.batchWritten(f.batch, newCommitOutcome(CommitDone, 3, nil), &f.dispatcher)
+	f.persister.handleBatchWriteOutcome(f.batch, newCommitOutcome(CommitDone, 3, nil), &f.dispatcher)
 	if len(f.persister.batches) != 0 || len(f.persister.obsoleteKeys) != 2 {
-		t.Errorf("after it: %v, to be deleted: %v", f.persister.batches, f.persister.obsoleteKeys)
+		t.Errorf("batches after the outcome: %v, queued deletions: %v", f.persister.batches, f.persister.obsoleteKeys)
 	}
 }
 
-func TestOutcomePutsOffWritesAndRepeatsDeletions(t *testing.T) {
+func TestCommitOutcomeDelaysWritesAndRequeuesDeletions(t *testing.T) {
 	for _, c := range []struct {
 		name              string
 		result            CommitResult
@@ -102,7 +102,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newPersisterFixture(false)
-			f.persister.noteOutcome(&transactionContents{deletedKeys: []string{"key"}}, newCommitOutcome(c.result, 0, nil))
+			f.persister.handleCommitOutcome(&transactionContents{deletedKeys: []string{"key"}}, newCommitOutcome(c.result, 0, nil))
 			want := time.Duration(0)
 			if c.blocked {
 				want = time.Hour + tuning.StoreRetryDelay
@@ -111,7 +111,7 @@
 				t.Errorf("blocked until %v, want %v", f.persister.blockedUntil, want)
 			}
 			if got := len(f.persister.obsoleteKeys) > 0; got != c.repeated {
-				t.Errorf("deleted again: %v", got)
+				t.Errorf("deletion queued again: %v", got)
 			}
 		})
 	}
@@ -119,7 +119,7 @@
 
 func TestTransactionDependsOnLeadershipAndEndsOnce(t *testing.T) {
 	f := newPersisterFixture(false)
-	f.persister.deleteLater("key")
+	f.persister.queueDeletion("key")
 	f.persister.flush()
 	if len(f.persister.effects.Commits) != 1 {
 		t.Fatalf("commits: %+v", f.persister.effects.Commits)
@@ -128,10 +128,10 @@
 	if len(commit.Txn.If) != 1 || commit.Txn.If[0].Key != records.LeaderKey || commit.Txn.If[0].ModRevision != 7 {
 		t.Errorf("conditions: %+v", commit.Txn.If)
 	}
-	if contents := f.persister.endCommit(commit.ID); contents == nil || len(contents.deletedKeys) != 1 {
-		t.Errorf("ended: %+v", contents)
+	if contents := f.persister.removeInFlight(commit.ID); contents == nil || len(contents.deletedKeys) != 1 {
+		t.Errorf("contents of the transaction in flight: %+v", contents)
 	}
-	if f.persister.endCommit(commit.ID) != nil {
-		t.Error("a transaction ends twice")
+	if f.persister.removeInFlight(commit.ID) != nil {
+		t.Error("the transaction is still in flight")
 	}
 }
--- a/internal/scheduler/reconciliation_test.go
+++ b/internal/scheduler/reconciliation_test.go
@@ -286,7 +286,7 @@
 	if len(h.releases) != 1 || h.releases[0][0] != "n-1" || len(h.startCommands()) > 0 {
 		t.Fatalf("after its lease: released %v, started %v", h.releases, h.startCommands())
 	}
-	h.scheduler.Released(h.clock(), h.releases[0], ReleaseDone)
+	h.scheduler.ReleaseEnded(h.clock(), h.releases[0], ReleaseDone)
 	h.advance(time.Second, "n-2")
 	if len(h.startCommands()) != 1 {
 		t.Fatalf("after the release: started %v", h.startCommands())
@@ -394,7 +394,7 @@
 			h.calls = nil
 			calls += len(h.releases) + len(h.provisionRequests)
 			for _, names := range h.releases {
-				h.scheduler.Released(h.clock(), names, ReleaseDone)
+				h.scheduler.ReleaseEnded(h.clock(), names, ReleaseDone)
 			}
 			h.releases, h.provisionRequests = nil, nil
 		}
--- a/internal/scheduler/replica.go
+++ b/internal/scheduler/replica.go
@@ -9,23 +9,22 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// LiveJob is a job's record as last seen.
+// LiveJob is the record of a live job as last read or watched.
 type LiveJob struct {
 	Record      *records.Job
 	ModRevision uint64
 }
 
-// Replica is a controller's copy of the jobs in the key-value store: all live jobs, and
-// as many of the ended ones as fit. It says what was true at Revision, and is brought up
-// to date by watch replies.
+// Replica is a controller's copy of the jobs in the key-value store: all live jobs, and a cache
+// of ended jobs. It reflects the store at Revision, and watch replies bring it up to date.
 type Replica struct {
 	Loaded   bool
 	Revision uint64
-	Resets   int // how often changes were skipped by a full read
+	Resets   int // number of full reads, each of which skips the changes since the last reply
 	Live     map[string]*LiveJob
-	ended    map[string]*list.Element
-	recency  *list.List // of endedEntry, the most recently used first
-	absent   map[string]bool
+	ended    map[string]*list.Element // cached ended jobs; the elements of recency, by job id
+	recency  *list.List               // of endedEntry, most recently used first
+	absent   map[string]bool          // ids of jobs that don't exist
 }
 
 type endedEntry struct {
@@ -33,40 +32,41 @@
 	record records.EndedJob
 }
 
-// NewReplica makes an empty copy, which knows nothing until Reset.
+// NewReplica returns an empty replica, which is not loaded before Reset.
 func NewReplica() *Replica {
 	return &Replica{Live: map[string]*LiveJob{}, ended: map[string]*list.Element{}, recency: list.New(), absent: map[string]bool{}}
 }
 
-// Reset replaces the live jobs by a full read made at a revision. Ended jobs stay: their
-// records never change. It returns the keys of records that cannot be decoded.
-func (r *Replica) Reset(items []wire.KeyValue, revision uint64) (bad []string) {
+// Reset replaces the live jobs by the items of a full read at the given revision. Cached ended
+// jobs stay, since their records never change. It returns the keys of records that cannot be
+// decoded.
+func (r *Replica) Reset(items []wire.KeyValue, revision uint64) (undecodable []string) {
 	//mutation:reset-clears-absences
-	clear(r.absent) // the changes that were skipped may have made such a job
+	clear(r.absent) // a skipped change may have created such a job
 	r.Resets++
 	r.Live = make(map[string]*LiveJob, len(items))
 	for _, item := range items {
 		record, err := records.DecodeJob(item)
 		if err != nil {
-			bad = append(bad, item.Key)
+			undecodable = append(undecodable, item.Key)
 			continue
 		}
 		r.Live[record.Job.ID] = &LiveJob{Record: record, ModRevision: item.ModRevision}
 	}
 	r.Revision, r.Loaded = revision, true
-	return bad
+	return undecodable
 }
 
-// JobChange names a job that a change touched.
+// JobChange is a change of a live job.
 type JobChange struct {
 	ID   string
 	Live *LiveJob // nil if the job is no longer live
 }
 
-// Apply brings the copy up to date. Events at or before the copy's revision were applied
-// before, from another reply that overtook this one. It returns the live jobs that were
-// touched, and the keys of records that cannot be decoded.
-func (r *Replica) Apply(reply wire.WatchReply) (touched []JobChange, bad []string) {
+// Apply applies the events of a watch reply. It skips events up to Revision: they were already
+// applied from a later reply that arrived first. It returns the changed live jobs, and the keys
+// of records that cannot be decoded.
+func (r *Replica) Apply(reply wire.WatchReply) (changed []JobChange, undecodable []string) {
 	for _, event := range reply.Events {
 		//mutation:change-order
 		if event.ModRevision <= r.Revision {
@@ -76,25 +76,25 @@
 		case strings.HasPrefix(event.Set, records.LiveJobPrefix):
 			change, err := r.applyLiveJob(wire.KeyValue{Key: event.Set, Value: event.Value, ModRevision: event.ModRevision})
 			if err != nil {
-				bad = append(bad, event.Set)
+				undecodable = append(undecodable, event.Set)
 				continue
 			}
-			touched = append(touched, change)
+			changed = append(changed, change)
 		case strings.HasPrefix(event.Set, records.EndedJobPrefix):
 			var record records.EndedJob
 			if err := wire.Unmarshal(event.Value, &record); err != nil {
-				bad = append(bad, event.Set)
+				undecodable = append(undecodable, event.Set)
 				continue
 			}
-			r.RememberEnded(records.IDFromKey(records.EndedJobPrefix, event.Set), record)
+			r.CacheEnded(records.IDFromKey(records.EndedJobPrefix, event.Set), record)
 		case strings.HasPrefix(event.Delete, records.LiveJobPrefix):
 			id := records.IDFromKey(records.LiveJobPrefix, event.Delete)
 			delete(r.Live, id)
-			touched = append(touched, JobChange{id, nil})
+			changed = append(changed, JobChange{id, nil})
 		}
 	}
 	r.Revision = max(r.Revision, reply.Revision)
-	return touched, bad
+	return changed, undecodable
 }
 
 func (r *Replica) applyLiveJob(item wire.KeyValue) (JobChange, error) {
@@ -108,10 +108,12 @@
 	return JobChange{record.Job.ID, live}, nil
 }
 
-// NoteAbsent notes that there is no ended job of the id, by a read that was sent after
-// the copy was brought up to date, with no reset since: the changes that a reset skips may
-// have been the job's whole life. Until a change makes one, there is no live one either.
-func (r *Replica) NoteAbsent(id string) {
+// MarkAbsent caches that no job with the id exists. The caller must have found no ended job in
+// a read that it sent after the replica was brought up to date, and the replica must not have
+// been reset since: a reset skips changes, and the job may have been both created and ended by
+// them. The replica itself shows whether the job is live, and a later change that creates it
+// clears the mark.
+func (r *Replica) MarkAbsent(id string) {
 	if len(r.absent) >= tuning.MaxCachedEndedJobs {
 		clear(r.absent)
 	}
@@ -120,12 +122,12 @@
 	}
 }
 
-// Absent reports whether there is no job of the id, as of the copy's revision.
+// Absent reports whether it is cached that no job with the id exists, as of Revision.
 func (r *Replica) Absent(id string) bool { return r.absent[id] }
 
-// RememberEnded notes how a job ended. The least recently used one is forgotten when
-// there are too many.
-func (r *Replica) RememberEnded(id string, record records.EndedJob) {
+// CacheEnded caches how a job ended. The least recently used entry is dropped when the cache is
+// full.
+func (r *Replica) CacheEnded(id string, record records.EndedJob) {
 	delete(r.absent, id)
 	if element, ok := r.ended[id]; ok {
 		r.recency.MoveToFront(element)
@@ -139,8 +141,8 @@
 	}
 }
 
-// Ended tells how a job ended, if that is remembered.
-func (r *Replica) Ended(id string) (records.EndedJob, bool) {
+// CachedEnded returns how a job ended, if that is cached.
+func (r *Replica) CachedEnded(id string) (records.EndedJob, bool) {
 	element, ok := r.ended[id]
 	if !ok {
 		return records.EndedJob{}, false
--- a/internal/scheduler/scalein.go
+++ b/internal/scheduler/scalein.go
@@ -7,8 +7,8 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// scaleIn releases machines that are broken, lost, too slow to come up or idle, and asks
-// again for releases whose outcome is unknown.
+// scaleIn releases machines that have failed, are unreachable, took too long to boot or are
+// idle, and retries releases whose outcome is unknown.
 func (s *Scheduler) scaleIn() {
 	if !s.autoscaler.mayScaleIn(s.reconciler.Reconciler) {
 		return
@@ -21,28 +21,28 @@
 	}
 }
 
-// mayScaleIn reports whether this process leads for certain, and whether the cloud may be
-// called: not too soon after a release that failed.
+// mayScaleIn reports whether this process certainly holds the leader lease and the cloud may be
+// called now, which it may not soon after a failed release.
 func (a *autoscaler) mayScaleIn(reconciler *reconcile.Reconciler) bool {
 	return a.now.Mono >= a.releaseRetryAt && a.holdsLease() && reconciler.CloudCallReady(a.now.Mono)
 }
 
-// releaseUnneeded starts the release of machines for which there is a reason and gives
-// their names.
+// releaseUnneeded starts the release of machines that have a reason for it, and returns their
+// names.
 func (s *Scheduler) releaseUnneeded() []string {
 	missingZones := s.monitor.zonesMissingHeartbeats(s.cluster.sortedMachines())
-	var headroom *fleetHeadroom // counted only if a machine is idle
+	var headroom *fleetHeadroom // created for the first idle machine
 	var names []string
 	for _, m := range s.cluster.sortedMachines() {
 		if len(names) == tuning.MaxReleaseBatch {
 			break
 		}
 		reason := s.releaseReason(m, missingZones)
-		if reason == "" && s.mayReleaseIdle() && s.autoscaler.idleLongEnough(m) {
+		if reason == "" && s.mayReleaseIdle() && s.autoscaler.idleTimeoutExpired(m) {
 			if headroom == nil {
 				headroom = s.cluster.newFleetHeadroom()
 			}
-			if headroom.removeIfDispensable(m) {
+			if headroom.removeIfUnneeded(m) {
 				reason = ReleaseIdle
 			}
 		}
@@ -54,8 +54,9 @@
 	return names
 }
 
-// startRelease stops all use of a machine whose release is about to be asked for. While
-// the cloud refuses to release it, it is back in use, and this happens again.
+// startRelease stops using a machine whose release is about to be requested. If the cloud
+// refuses the release, the machine is used again, and startRelease is called once more if there
+// is still a reason.
 func (s *Scheduler) startRelease(m *machine, reason ReleaseReason) {
 	log := s.logInfo
 	if m.release.reason == reason {
@@ -74,8 +75,8 @@
 	}
 }
 
-// releasesToRetry gives the names of at most limit machines whose release has to be asked
-// for once more.
+// releasesToRetry returns the names of at most limit machines whose release must be requested
+// again.
 func (c *clusterState) releasesToRetry(limit int) []string {
 	var names []string
 	for _, m := range c.sortedMachines() {
@@ -87,8 +88,8 @@
 	return names
 }
 
-// releaseReason is why a machine has to be released, whatever the headroom; empty if it
-// has not.
+// releaseReason returns why a machine must be released regardless of the headroom, or "" if it
+// need not be.
 func (s *Scheduler) releaseReason(m *machine, missingZones map[string]bool) ReleaseReason {
 	switch {
 	case m.phase == machineReleasing:
@@ -104,14 +105,15 @@
 	}
 }
 
-// bootReleaseReason is why a machine that has not come up has to be released.
+// bootReleaseReason returns why a machine that has not come up must be released, or "" if it
+// need not be.
 func (a *autoscaler) bootReleaseReason(m *machine, bootTime, knownFor time.Duration) ReleaseReason {
 	if m.cloud.failed {
 		return ReleaseBootFailed
 	}
 	bootTimeout := max(tuning.MinBootTimeout, bootTime*time.Duration(100*a.settings.Policy.BootTimeoutFactor)/100)
-	// The grace is for machines that came up before the term or during a pause of this
-	// process: their heartbeats arrive within seconds.
+	// A machine may have come up before the term or during a pause of this process. Its
+	// heartbeats arrive within seconds, which the grace period allows for.
 	if a.now.Mono-m.cloud.provisionedAt > bootTimeout && knownFor > tuning.FirstHeartbeatGrace {
 		//mutation:release-machine-that-never-came-up
 		return ReleaseNeverUp
@@ -119,23 +121,25 @@
 	return ""
 }
 
-// hasFailed reports whether a machine has failed by the cloud's list and sends no heartbeats.
+// hasFailed reports whether the cloud's list shows the machine as failed and it sends no
+// heartbeats.
 func (h *heartbeatMonitor) hasFailed(m *machine) bool {
 	return m.cloud.failed && h.age(m.connectivity.lastHeartbeatAt) > h.settings.HeartbeatInterval*2
 }
 
-// releaseReason is why a machine that is up has to be released by itself, not with its zone.
+// releaseReason returns why a machine that is up must be released for reasons of its own, not
+// of its zone, or "" if it need not be.
 func (h *heartbeatMonitor) releaseReason(m *machine, reconciler *reconcile.Reconciler) ReleaseReason {
 	now, heartbeatAge := h.now.Mono, h.ownHeartbeatAge(m)
 	//mutation:reconciliation-holds-release
 	if m.calls.unansweredSinceHeartbeat >= tuning.UnansweredProbeThreshold && !reconciler.HoldsRelease(now, m.name) && heartbeatAge > h.heartbeatOverdueAfter()+tuning.CommandTimeout*tuning.UnansweredProbeThreshold && len(m.tasks) > 0 {
-		// Until its lease ends, its tasks could start nowhere else; the answer to the
-		// release proves them gone at once.
+		// The machine's tasks can't start elsewhere before its lease ends. The answer to the
+		// release proves earlier that they are gone.
 		return ReleaseProbesUnanswered
 	}
 	if m.cloud.listed && m.cloud.missedLists >= tuning.MissingListThreshold && heartbeatAge > h.settings.HeartbeatInterval*2 {
-		// A machine stays listed until it is gone, but lists may be old: only the
-		// answer to the release is proof.
+		// A machine is listed until it is gone, but lists may be out of date. Only the answer
+		// to the release is proof.
 		return ReleaseNotListed
 	}
 	if m.connectivity.unreachableSince > 0 && h.age(m.connectivity.unreachableSince) > h.settings.WorkerLease {
@@ -150,18 +154,19 @@
 	return ""
 }
 
-// heartbeatOverdueAfter is how old the last heartbeat has to be for the next to be overdue.
+// heartbeatOverdueAfter returns how long after a heartbeat the next one is overdue.
 func (c *termContext) heartbeatOverdueAfter() time.Duration {
 	return c.settings.HeartbeatInterval*5/4 + tuning.HeartbeatGrace
 }
 
-// mayReleaseIdle reports whether nothing that waits may still be placed on idle machines.
+// mayReleaseIdle reports whether idle machines may be released: no placement is due that could
+// use them, and reconciliation doesn't hold them.
 func (s *Scheduler) mayReleaseIdle() bool {
 	return !s.placement.due && !s.reconciler.HoldsIdleReleases()
 }
 
-// idleLongEnough reports whether a machine has been idle for its timeout.
-func (a *autoscaler) idleLongEnough(m *machine) bool {
+// idleTimeoutExpired reports whether a machine has been idle for longer than its timeout.
+func (a *autoscaler) idleTimeoutExpired(m *machine) bool {
 	now := a.now.Mono
 	if m.phase != machineUp || len(m.tasks) > 0 || m.cloud.interruptionAt > 0 {
 		return false
@@ -169,8 +174,8 @@
 	return now-m.connectivity.lastHeartbeatAt < a.settings.HeartbeatInterval*2 && now-max(m.idleSince, m.upAt) > a.idleTimeout(m)
 }
 
-// idleTimeout is how long a machine may be idle: a spot machine longer, by the ratio of
-// the prices.
+// idleTimeout returns how long a machine may be idle. Spot machines may be idle longer, by the
+// ratio of the on-demand price to the spot price.
 func (a *autoscaler) idleTimeout(m *machine) time.Duration {
 	timeout := a.settings.Policy.IdleTimeout
 	if m.spot && m.machineSpec != nil && m.machineSpec.SpotPrice > 0 {
@@ -184,19 +189,19 @@
 
 // Outcomes of a release.
 const (
-	ReleaseUnknown ReleaseResult = iota // carried out, or not, or later
-	ReleaseDone                         // the machines are gone, with all that ran there
-	ReleaseRefused                      // not carried out
+	ReleaseUnknown ReleaseResult = iota // executed, not executed, or to be executed later
+	ReleaseDone                         // the machines are gone, and so are all their tasks
+	ReleaseRefused                      // not executed
 )
 
-// Released takes the outcome of a release. ReleaseDone is the proof that lets the tasks
-// that were there be placed again.
-func (s *Scheduler) Released(now Now, names []string, result ReleaseResult) {
+// ReleaseEnded handles the outcome of a release. ReleaseDone proves that the machines'
+// tasks no longer run, so that they can be placed again.
+func (s *Scheduler) ReleaseEnded(now Now, names []string, result ReleaseResult) {
 	s.now = now
 	//mutation:release-needs-proof
 	if result != ReleaseDone {
 		s.autoscaler.delayReleases()
-		s.cluster.releaseFailed(names, result)
+		s.cluster.handleFailedRelease(names, result)
 		return
 	}
 	for _, name := range names {
@@ -208,12 +213,12 @@
 	}
 }
 
-// delayReleases has nothing released for a while, after a release that failed.
+// delayReleases prevents further releases for a short time after one has failed.
 func (a *autoscaler) delayReleases() { a.releaseRetryAt = a.now.Mono + tuning.CloudRetryDelay }
 
-// releaseFailed puts machines back in use whose release was refused, since they may have
-// recovered meanwhile, and has a release without a known outcome asked for again.
-func (c *clusterState) releaseFailed(names []string, result ReleaseResult) {
+// handleFailedRelease uses machines again whose release was refused, since they may have
+// recovered meanwhile. If the outcome is unknown, the release is retried.
+func (c *clusterState) handleFailedRelease(names []string, result ReleaseResult) {
 	for _, name := range names {
 		m := c.machines[name]
 		switch {
@@ -228,7 +233,7 @@
 	}
 }
 
-// removeMachine ends a machine that is proven gone, and all its attempts with it.
+// removeMachine removes a machine that is proven gone, and fails all its attempts.
 func (s *Scheduler) removeMachine(m *machine) {
 	for _, a := range m.sortedAttempts() {
 		s.observeRecorded(a, reconcile.Absent)
@@ -236,7 +241,7 @@
 		s.handleFailedAttempt(a, causeMachineReleased)
 	}
 	s.reconciler.MachineReleased(s.now.Mono, m.name)
-	s.persister.noteMachineReleased(m)
+	s.persister.requestBatchRewrites(m)
 	delete(s.cluster.machines, m.name)
 	s.cluster.machinesByName = nil
 	s.placement.due = true
--- a/internal/scheduler/scalein_test.go
+++ b/internal/scheduler/scalein_test.go
@@ -11,8 +11,8 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Idle machines that came up before the term have no record. A new leader, who learns of
-// them from the cloud's list, must not take them for machines that never came up.
+// Idle machines that came up before the term have no record. A new leader, which learns of them
+// from the cloud's list, must not release them as machines that never came up.
 func TestIdleMachinesSurviveFailover(t *testing.T) {
 	h := newHarness(t)
 	h.scheduler.MachinesListed(h.clock(), []wire.ListedMachine{{Name: "n-1", Address: "n-1:1", Type: "box", Zone: "a", State: wire.MachineRunning, AgeS: 900}})
@@ -27,7 +27,7 @@
 	}
 }
 
-// The tasks of an unresponsive machine are placed again only after the cloud's answer to its
+// The tasks of an unresponsive machine are placed again only after the cloud has answered its
 // release; a refused release changes nothing.
 func TestTasksOfUnresponsiveMachineRestartAfterItsRelease(t *testing.T) {
 	h := newHarness(t)
@@ -53,9 +53,9 @@
 		t.Fatalf("placed again before the release was answered: %v", starts)
 	}
 
-	// It recovers before the cloud refuses the release, and stays.
+	// The machine recovers before the cloud refuses the release, and is not released.
 	h.heartbeat(unresponsive, h.runningTasks(unresponsive)...)
-	h.scheduler.Released(h.clock(), h.releases[0], ReleaseRefused)
+	h.scheduler.ReleaseEnded(h.clock(), h.releases[0], ReleaseRefused)
 	h.releases = nil
 	h.advance(2*time.Second, others...)
 	if len(h.releases) != 0 {
@@ -66,17 +66,17 @@
 	if len(h.releases) != 1 || len(h.startCommands()) != 0 {
 		t.Fatalf("after a refused release: %v, %v", h.releases, h.startCommands())
 	}
-	h.scheduler.Released(h.clock(), h.releases[0], ReleaseDone)
+	h.scheduler.ReleaseEnded(h.clock(), h.releases[0], ReleaseDone)
 	h.advance(time.Second, others...)
 	if starts := h.startCommands(); len(starts) != 1 {
 		t.Fatalf("not placed again after the release: %v", starts)
 	}
 }
 
-// A machine that misses heartbeats and leaves status probes unanswered is released long
-// before its lease must have ended: till then its tasks could start nowhere else. One that
-// answers the probes stays, and so does one whose probes are still in flight, however often
-// it left others unanswered before its last heartbeat.
+// A machine that misses heartbeats and leaves status probes unanswered is released long before
+// its lease must have expired, since its tasks could not start elsewhere until then. A machine
+// that answers the probes is not released, nor is one whose probes are still in flight, no
+// matter how many it left unanswered before its last heartbeat.
 func TestMachineWithUnansweredProbesIsReleasedEarly(t *testing.T) {
 	h := newHarness(t)
 	machines := []string{"n-1", "n-2", "n-3", "n-4", "n-5", "n-6"}
@@ -113,13 +113,13 @@
 		}
 	}
 	if len(h.releases) != 1 || len(h.releases[0]) != 1 || h.releases[0][0] != unanswering {
-		t.Errorf("released: %v, not only %s", h.releases, unanswering)
+		t.Errorf("released %v, want only %s", h.releases, unanswering)
 	}
 }
 
-// A machine that is being released is kept alive until the release is answered, which may
-// take long: what is cancelled meanwhile, or was just before, is stopped with each reply to
-// a heartbeat all the same.
+// Heartbeat replies keep a machine alive until its release is answered, which may take long.
+// Each reply stops the cancelled tasks, whether they were cancelled before the release or
+// during it.
 func TestReleasingMachineStillStopsCancelledTasks(t *testing.T) {
 	for _, cancelledBefore := range []bool{true, false} {
 		t.Run(fmt.Sprintf("cancelled_before=%v", cancelledBefore), func(t *testing.T) {
@@ -138,12 +138,12 @@
 				h.answerAll(CallLost)
 			}
 			m := h.scheduler.cluster.machines["n-1"]
-			m.cloud.failed = true // by the cloud's list
+			m.cloud.failed = true // as the cloud's list shows it
 			h.advance(2*h.scheduler.settings.HeartbeatInterval + tuning.TickInterval)
 			if m.phase != machineReleasing {
 				t.Fatal("not released")
 			}
-			h.scheduler.Released(h.clock(), []string{"n-1"}, ReleaseUnknown)
+			h.scheduler.ReleaseEnded(h.clock(), []string{"n-1"}, ReleaseUnknown)
 			if !cancelledBefore {
 				cancel()
 			}
@@ -151,15 +151,16 @@
 
 			reply := h.heartbeat("n-1", h.runningTasks("n-1")...)
 			if stopped := stoppedTasks(reply); len(stopped) != 3 {
-				t.Errorf("a reply that keeps 3 cancelled tasks alive stops %d", len(stopped))
+				t.Errorf("reply renews the lease and stops %d of 3 cancelled tasks", len(stopped))
 			}
 		})
 	}
 }
 
-// Each reply that renews the lease of a machine with cancelled tasks carries their stops:
-// right after another stop that may be lost, and where a new leader has had no heartbeat of
-// the machine under its token yet. It may be the last one that arrives.
+// Each reply that renews the lease of a machine with cancelled tasks carries their stops, since
+// it may be the last reply that arrives. That holds right after another stop, which may be
+// lost, and under a new leader that has not yet received a heartbeat of the machine under its
+// token.
 func TestEveryLeaseRenewalStopsCancelledTasks(t *testing.T) {
 	for _, recovered := range []bool{false, true} {
 		t.Run(fmt.Sprintf("recovered=%v", recovered), func(t *testing.T) {
@@ -193,7 +194,7 @@
 	}
 }
 
-// stoppedTasks are the tasks that a reply stops.
+// stoppedTasks returns the tasks that a heartbeat reply stops.
 func stoppedTasks(reply wire.HeartbeatReply) map[string]bool {
 	stopped := map[string]bool{}
 	for _, command := range reply.Commands {
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -10,13 +10,13 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// scaleOut provisions machines for what could not be placed, beyond those that are on
-// their way, and for the headroom that is wanted.
+// scaleOut requests machines for the unplaced tasks that do not fit on machines already being
+// provisioned or booting, and for the wanted headroom.
 func (a *autoscaler) scaleOut(cluster *clusterState, reconciler *reconcile.Reconciler, unplaced []unplacedTasks) {
 	if !a.mayScaleOut(cluster) {
 		return
 	}
-	a.scaledOutAt = a.now.Mono
+	a.lastScaleOutAt = a.now.Mono
 	plan := a.newScaleOutPlan(cluster, reconciler, unplaced)
 	plan.coverUnplaced(unplaced)
 	plan.coverNextService()
@@ -24,28 +24,29 @@
 	plan.sendRequests()
 }
 
-// mayScaleOut reports whether enough is known to provision machines, whether this process
-// leads for certain, and whether the last time was long enough ago.
+// mayScaleOut reports whether the machine types and the cloud's machine list are known, this
+// process certainly holds the leader lease, and the last scale-out was long enough ago.
 func (a *autoscaler) mayScaleOut(cluster *clusterState) bool {
-	if cluster.offerCount() == 0 || !a.listed || !a.holdsLease() {
+	if cluster.offerCount() == 0 || !a.listReceived || !a.holdsLease() {
 		return false
 	}
-	return a.scaledOutAt == 0 || a.now.Mono-a.scaledOutAt >= a.scaleByCPUShare(tuning.MinScaleOutInterval)
+	return a.lastScaleOutAt == 0 || a.now.Mono-a.lastScaleOutAt >= a.scaleByCPUShare(tuning.MinScaleOutInterval)
 }
 
-// scaleOutPlan gathers the requests of one call of scaleOut. What it requests counts as
-// incoming capacity at once, so that no task is provided for twice.
+// scaleOutPlan collects the provisioning requests of one call of scaleOut. A requested machine
+// counts as incoming capacity at once, so that no task gets two machines.
 type scaleOutPlan struct {
 	autoscaler     *autoscaler
 	cluster        *clusterState
 	reconciler     *reconcile.Reconciler
-	incoming       []*capacitySlot // of machines on their way, then of requested ones
+	incoming       []*capacitySlot // of pending and booting machines, then of requested ones
 	machinesByZone map[string]int
-	machineCount   int           // that exist, are on their way or are requested
-	requests       map[offer]int // how many machines to ask for
+	machineCount   int           // existing, pending and requested ones, without those being released
+	requests       map[offer]int // number of machines to request
 }
 
-// newScaleOutPlan counts the machines and the capacity that is on its way.
+// newScaleOutPlan starts a plan with the existing machines, those that are booting or pending,
+// and the capacity that they will bring.
 func (a *autoscaler) newScaleOutPlan(cluster *clusterState, reconciler *reconcile.Reconciler, unplaced []unplacedTasks) *scaleOutPlan {
 	plan := &scaleOutPlan{
 		autoscaler: a, cluster: cluster, reconciler: reconciler,
@@ -69,7 +70,7 @@
 	return plan
 }
 
-// addPending counts the machines of a request without an answer.
+// addPending counts the machines of an unanswered provisioning request.
 func (p *scaleOutPlan) addPending(request *pendingRequest) {
 	machineSpec := p.cluster.specOf(request.offer.machineType)
 	if machineSpec == nil {
@@ -82,8 +83,8 @@
 	p.machineCount += request.count
 }
 
-// requestMachine plans one more machine, the best one for a job or, without one, for
-// headroom. It returns nil if there is none to be had.
+// requestMachine adds one machine to the plan: the best offer for the job or, if job is nil,
+// for headroom. It returns nil if the machine limit is reached or no offer is available.
 func (p *scaleOutPlan) requestMachine(job *job) *capacitySlot {
 	if limit := p.autoscaler.settings.Policy.MaxMachines; limit > 0 && p.machineCount >= limit {
 		return nil
@@ -100,17 +101,17 @@
 	return slot
 }
 
-// coverUnplaced reserves incoming capacity for unplaced tasks and requests machines for
-// the others.
+// coverUnplaced reserves incoming capacity for unplaced tasks and requests machines for the
+// tasks that do not fit there.
 func (p *scaleOutPlan) coverUnplaced(unplaced []unplacedTasks) {
 	minimum := minimumOf(unplaced)
-	full := 0 // slots at the front in which no unplaced task fits any more
+	exhaustedSlots := 0 // leading slots that are too small for any unplaced task
 	for _, waiting := range unplaced {
-		for full < len(p.incoming) && !p.incoming[full].hasAtLeast(minimum) {
-			full++
+		for exhaustedSlots < len(p.incoming) && !p.incoming[exhaustedSlots].hasAtLeast(minimum) {
+			exhaustedSlots++
 		}
 		remaining := waiting.count
-		for _, slot := range p.incoming[full:] {
+		for _, slot := range p.incoming[exhaustedSlots:] {
 			if remaining = slot.reserveUpTo(waiting.job, remaining); remaining == 0 {
 				break
 			}
@@ -119,8 +120,8 @@
 	}
 }
 
-// requestMachinesFor requests machines until all tasks are provided for, or the next
-// machine would help none of them.
+// requestMachinesFor requests machines for a number of tasks of the job, until all of them have
+// capacity or another machine would hold none of them.
 func (p *scaleOutPlan) requestMachinesFor(job *job, tasks int) {
 	for tasks > 0 {
 		slot := p.requestMachine(job)
@@ -135,7 +136,8 @@
 	}
 }
 
-// coverNextService requests a machine if the next service would find no capacity.
+// coverNextService requests a machine if the fleet lacks capacity for the next service (see
+// fleetHeadroom) and no incoming on-demand machine fits a task of it.
 func (p *scaleOutPlan) coverNextService() {
 	headroom := p.cluster.newFleetHeadroom()
 	if headroom.fitsNextService() {
@@ -150,7 +152,7 @@
 	}
 }
 
-// coverHeadroom requests machines up to the headroom of the operators' policy.
+// coverHeadroom requests machines until the fleet has the policy's share of spare CPUs.
 func (p *scaleOutPlan) coverHeadroom() {
 	headroomShare := p.autoscaler.settings.Policy.HeadroomShare
 	if headroomShare <= 0 {
@@ -167,7 +169,8 @@
 	}
 }
 
-// pendingCPUs sums the CPUs of machines that are requested, in this plan or before.
+// pendingCPUs sums the CPUs of the requested machines, both of this plan and of earlier
+// requests without an answer.
 func (p *scaleOutPlan) pendingCPUs() float64 {
 	cpus := 0.0
 	for _, request := range p.autoscaler.pending {
@@ -181,8 +184,8 @@
 	return cpus
 }
 
-// sendRequests sends one request for each offer, as far as the cloud's rate allows; the
-// others are planned anew the next time.
+// sendRequests sends one request per offer, as far as the pace of cloud calls allows. The next
+// scale-out plans the rest anew.
 func (p *scaleOutPlan) sendRequests() {
 	for _, o := range slices.SortedFunc(maps.Keys(p.requests), offer.compare) {
 		if !p.reconciler.TakeCloudCall(p.autoscaler.now.Mono) {
@@ -193,31 +196,32 @@
 	}
 }
 
-// sendProvisionRequest asks the cloud for machines.
+// sendProvisionRequest sends a request for count machines of the offer to the cloud.
 func (a *autoscaler) sendProvisionRequest(o offer, count int) {
-	name := a.addRequest(o, count)
-	a.logInfo("machines requested", "request", name, "type", o.machineType, "zone", o.zone, "spot", o.spot, "count", count)
-	a.effects.Provision = append(a.effects.Provision, ProvisionRequest{wire.ProvisionRequest{RequestID: name, Type: o.machineType, Zone: o.zone, Spot: o.spot, Count: count}})
+	requestID := a.addRequest(o, count)
+	a.logInfo("machines requested", "request", requestID, "type", o.machineType, "zone", o.zone, "spot", o.spot, "count", count)
+	a.effects.Provision = append(a.effects.Provision, ProvisionRequest{wire.ProvisionRequest{RequestID: requestID, Type: o.machineType, Zone: o.zone, Spot: o.spot, Count: count}})
 }
 
-// delayedBoots are the machines that take suspiciously long to come up. They are replaced
-// at once, and released when their boot has timed out. If more are delayed than came up of
-// those provisioned in the same time, boots are slow everywhere: further machines would be
-// as late and scaling out would not end, so that none counts as delayed then.
+// delayedBoots returns the machines that take longer to boot than usual. Replacements for them
+// are requested at once; the machines themselves are released when their boot times out. If
+// there are more delayed machines than machines of the same age that have booted, boots are
+// slow everywhere. Replacements would be just as late and scaling out would not end, so no
+// machine counts as delayed then.
 func (c *clusterState) delayedBoots() map[*machine]bool {
-	delayed, finished := map[*machine]bool{}, 0
+	delayed, booted := map[*machine]bool{}, 0
 	for _, m := range c.machines {
-		usual := c.bootTime(m.machineType)
+		usualBootTime := c.bootTime(m.machineType)
 		age := c.now.Mono - m.cloud.provisionedAt
 		switch {
-		case age < usual*tuning.LateBootPercent/100 || age > 4*usual:
+		case age < usualBootTime*tuning.LateBootPercent/100 || age > 4*usualBootTime:
 		case m.phase == machineBooting && !m.cloud.failed:
 			delayed[m] = true
 		case m.phase == machineUp && m.cloud.provisionedInTerm:
-			finished++
+			booted++
 		}
 	}
-	if len(delayed) > finished {
+	if len(delayed) > booted {
 		return nil
 	}
 	return delayed
@@ -228,13 +232,13 @@
 
 // Outcomes of a provisioning request.
 const (
-	ProvisionUnknown    ProvisionResult = iota // machines may have been provisioned; the list will show them
+	ProvisionUnknown    ProvisionResult = iota // machines may exist; the cloud's list will show them
 	ProvisionDone                              // the named machines were provisioned
-	ProvisionNoCapacity                        // the cloud has no machine of the offer
-	ProvisionRefused                           // not carried out: the cloud failed or limits the rate
+	ProvisionNoCapacity                        // the cloud has no machines of the offer
+	ProvisionRefused                           // not executed: the cloud failed or its rate limit was reached
 )
 
-// String gives the outcome as log lines have it.
+// String returns the outcome as it appears in log lines.
 func (r ProvisionResult) String() string {
 	switch r {
 	case ProvisionDone:
@@ -248,11 +252,11 @@
 	}
 }
 
-// Provisioned takes the outcome of a provisioning request, with the names of the machines
-// if it is ProvisionDone.
-func (s *Scheduler) Provisioned(now Now, name string, result ProvisionResult, machines []string) {
+// ProvisionEnded handles the outcome of a provisioning request. If it is ProvisionDone,
+// machines has the names of the provisioned machines.
+func (s *Scheduler) ProvisionEnded(now Now, requestID string, result ProvisionResult, machines []string) {
 	s.now = now
-	request := s.autoscaler.handleAnswer(name, result, len(machines), s.cluster.offerCount())
+	request := s.autoscaler.completeRequest(requestID, result, len(machines), s.cluster.offerCount())
 	if request == nil {
 		return
 	}
@@ -262,22 +266,23 @@
 	s.placement.due = true
 }
 
-// handleAnswer takes the answer to a request, and leaves its offer alone for a while if
-// that did not bring all machines. It gives nil for a request that is not pending.
-func (a *autoscaler) handleAnswer(name string, result ProvisionResult, machines, offers int) *pendingRequest {
-	request := a.takeRequest(name)
+// completeRequest removes a request that was answered. If it did not bring all machines, its
+// offer is not requested again until a backoff has passed. It returns nil if the request is not
+// pending.
+func (a *autoscaler) completeRequest(requestID string, result ProvisionResult, machineCount, offerCount int) *pendingRequest {
+	request := a.removeRequest(requestID)
 	if request == nil {
 		return nil
 	}
-	if result != ProvisionDone || machines < request.count {
-		a.unavailableUntil[request.offer] = a.now.Mono + a.provisionBackoff(result, offers)
+	if result != ProvisionDone || machineCount < request.count {
+		a.unavailableUntil[request.offer] = a.now.Mono + a.provisionBackoff(result, offerCount)
 	}
-	a.logInfo("machine request answered", "request", name, "result", result.String(), "machines", machines)
+	a.logInfo("machine request answered", "request", requestID, "result", result.String(), "machines", machineCount)
 	return request
 }
 
-// adoptProvisioned adds the machines that a request brought. Some may be up and have sent
-// heartbeats ahead of the answer, and some may have been released already.
+// adoptProvisioned adds the machines that a request provisioned. Some may have sent heartbeats
+// before the answer arrived, and some may already be released.
 func (s *Scheduler) adoptProvisioned(o offer, machines []string) {
 	s.counters.MachinesProvisioned += uint64(len(machines))
 	for _, name := range machines {
@@ -292,22 +297,23 @@
 	}
 }
 
-// provisionBackoff is how long an offer is left alone after a request that did not bring
-// all machines. If the outcome is unknown, the list will show them by then.
-func (a *autoscaler) provisionBackoff(result ProvisionResult, offers int) time.Duration {
+// provisionBackoff returns how long an offer is not requested again after a request that did
+// not bring all machines. After an unknown outcome, the cloud's list shows any provisioned
+// machines by then.
+func (a *autoscaler) provisionBackoff(result ProvisionResult, offerCount int) time.Duration {
 	if result == ProvisionRefused {
 		return 2 * tuning.CloudRetryDelay
 	}
-	return a.capacityBackoff(offers)
+	return a.capacityBackoff(offerCount)
 }
 
-// capacityBackoff is how long an offer that had too few machines is left alone: as short
-// as the cloud's rate allows for all offers together, since after a wave of interruptions
-// there is capacity again within seconds.
-func (a *autoscaler) capacityBackoff(offers int) time.Duration {
+// capacityBackoff returns how long an offer is not requested again after the cloud had too few
+// machines of it. It is as short as the cloud's rate limit allows if all offers are requested
+// again, since capacity returns within seconds after a wave of interruptions.
+func (a *autoscaler) capacityBackoff(offerCount int) time.Duration {
 	if a.settings.CloudRate <= 0 {
 		return tuning.MaxCapacityBackoff
 	}
-	backoff := time.Duration(float64(offers) / (a.settings.CloudRate * tuning.CapacityRetryRateShare) * float64(time.Second))
+	backoff := time.Duration(float64(offerCount) / (a.settings.CloudRate * tuning.CapacityRetryRateShare) * float64(time.Second))
 	return min(max(backoff, tuning.MinCapacityBackoff), tuning.MaxCapacityBackoff)
 }
--- a/internal/scheduler/scaleout_test.go
+++ b/internal/scheduler/scaleout_test.go
@@ -9,11 +9,11 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// What the cloud had none of is asked for again as soon as its rate allows: four offers
-// here, at three tenths of the rate.
+// After the cloud had no capacity of an offer, the backoff is as short as the rate limit allows
+// for requesting all offers again: four offers here, at three tenths of the rate.
 func TestScaleOutRetriesAfterCapacityBackoff(t *testing.T) {
 	for _, tc := range []struct {
-		rate    float64 // requests per second that the cloud takes; 0: not known
+		rate    float64 // the cloud's limit in requests per second; 0: unknown
 		backoff time.Duration
 	}{
 		{0, tuning.MaxCapacityBackoff},
@@ -23,33 +23,33 @@
 	} {
 		t.Run(fmt.Sprintf("rate=%v", tc.rate), func(t *testing.T) {
 			h := newHarness(t)
-			h.scheduler.autoscaler.listed, h.scheduler.settings.CloudRate = true, tc.rate
+			h.scheduler.autoscaler.listReceived, h.scheduler.settings.CloudRate = true, tc.rate
 			h.submit(wire.Job{ID: "run-000001", Tasks: 1, CPUs: 8})
 			if len(h.provisionRequests) == 0 {
 				t.Fatal("no machine was requested")
 			}
 			first := h.provisionRequests[0].Request
 			for _, other := range h.provisionRequests[1:] {
-				h.scheduler.Provisioned(h.clock(), other.Request.RequestID, ProvisionRefused, nil)
+				h.scheduler.ProvisionEnded(h.clock(), other.Request.RequestID, ProvisionRefused, nil)
 			}
 
-			h.scheduler.Provisioned(h.clock(), first.RequestID, ProvisionNoCapacity, nil)
+			h.scheduler.ProvisionEnded(h.clock(), first.RequestID, ProvisionNoCapacity, nil)
 
 			backoff := h.scheduler.autoscaler.unavailableUntil[offer{first.Type, first.Zone, first.Spot}] - h.now
 			if backoff.Round(time.Millisecond) != tc.backoff.Round(time.Millisecond) {
-				t.Errorf("asked for again after %v, not %v", backoff, tc.backoff)
+				t.Errorf("requested again after %v, want %v", backoff, tc.backoff)
 			}
 		})
 	}
 }
 
-// Nothing is released or provisioned by a leader whose lease may have ended: after a pause
-// of minutes it finds that every machine has missed its heartbeats, while its successor
-// works with them. If the lease turns out to hold, as after an outage, the machines did not
-// miss them: they get the time that they would have had, and are released only then.
+// A leader whose lease may have expired releases and provisions nothing: after a pause of
+// minutes, every machine seems to have missed its heartbeats, although a successor works with
+// them. If the lease turns out to hold, as after an outage, a machine is released only if it
+// then misses heartbeats for as long as usual.
 func TestNoScalingAfterLeaseExpiry(t *testing.T) {
 	h := newHarness(t)
-	h.scheduler.autoscaler.listed = true
+	h.scheduler.autoscaler.listReceived = true
 	h.bringUp("n-000001", "n-000002")
 	h.advance(tuning.TickInterval, "n-000001", "n-000002")
 	h.provisionRequests = nil
@@ -70,19 +70,19 @@
 	}
 	h.advance(12*time.Second, "n-000001")
 	if len(h.releases) != 1 || len(h.releases[0]) != 1 || h.releases[0][0] != "n-000002" {
-		t.Errorf("a worker's lease later: released %v", h.releases)
+		t.Errorf("released after a worker lease: %v", h.releases)
 	}
 }
 
-// Machines that should have come up by now are replaced before their boot times out, unless
-// hardly any come up: then boots are slow everywhere, and scaling out further would not end.
-// Those that never come up are released in the end.
+// Machines that are late to boot are replaced before their boot times out, unless hardly any
+// boot: then boots are slow everywhere, and scaling out would not end. Machines that never come
+// up are released when their boot has timed out.
 func TestDelayedBootsAreReplaced(t *testing.T) {
 	const requested = 6 // machines, for six tasks that fill one each
 	for _, tc := range []struct{ up, replaced int }{{5, 1}, {4, 2}, {3, 3}, {2, 0}, {0, 0}} {
 		t.Run(fmt.Sprintf("up=%d", tc.up), func(t *testing.T) {
 			h := newHarness(t)
-			h.scheduler.autoscaler.listed = true
+			h.scheduler.autoscaler.listReceived = true
 			h.scheduler.settings.Policy.HeadroomShare = 0
 			h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 48, CPUsMax: 48}
 			h.submit(wire.Job{ID: "run-000001", Tasks: requested, CPUs: 8, EstimatedRunS: 1000})
@@ -100,14 +100,14 @@
 
 			h.advance(10*time.Second, up...)
 			if provisioned += h.provisionAll(provisioned); provisioned != requested {
-				t.Fatalf("%d machines though the others are not delayed yet", provisioned)
+				t.Fatalf("%d machines although no boot is delayed yet", provisioned)
 			}
 			for range 20 {
 				h.advance(time.Second, up...)
 				provisioned += h.provisionAll(provisioned)
 			}
 			if provisioned-requested != tc.replaced {
-				t.Errorf("%d more were requested, not %d", provisioned-requested, tc.replaced)
+				t.Errorf("%d replacements requested, want %d", provisioned-requested, tc.replaced)
 			}
 
 			h.advance(40*time.Second, up...)
@@ -116,14 +116,14 @@
 				released += len(names)
 			}
 			if released != requested-tc.up {
-				t.Errorf("%d were released, not %d", released, requested-tc.up)
+				t.Errorf("%d machines released, want %d", released, requested-tc.up)
 			}
 		})
 	}
 }
 
-// provisionAll answers the provisioning requests that are in flight with new machines, whose
-// numbers follow the last one, and gives how many there are.
+// provisionAll answers the provisioning requests in flight with new machines, numbered from
+// last+1, and returns how many there are.
 func (h *harness) provisionAll(last int) (count int) {
 	h.t.Helper()
 	for _, request := range h.provisionRequests {
@@ -132,7 +132,7 @@
 			count++
 			names = append(names, machineNumber(last+count))
 		}
-		h.scheduler.Provisioned(h.clock(), request.Request.RequestID, ProvisionDone, names)
+		h.scheduler.ProvisionEnded(h.clock(), request.Request.RequestID, ProvisionDone, names)
 	}
 	h.provisionRequests = nil
 	h.settle()
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -64,7 +64,7 @@
 	//mutation:stop-obsolete-attempts
 	s.stopObsoleteAttempts()
 	for _, id := range slices.Sorted(maps.Keys(s.cluster.jobs)) {
-		s.persister.markDirtyIfComplete(s.cluster.jobs[id])
+		s.persister.markDirtyIfReadyToArchive(s.cluster.jobs[id])
 	}
 	s.logInfo("scheduler started", "term", term, "jobs", len(s.cluster.jobs), "machines", len(s.cluster.machines), "cold", settings.ColdRestart)
 	s.probeRestoredMachines()
--- a/internal/scheduler/simulation_calls_test.go
+++ b/internal/scheduler/simulation_calls_test.go
@@ -29,7 +29,7 @@
 	sim, whileLeading := c.sim, c.whileLeading()
 	done := func(result scheduler.CommitResult, revision uint64, failedKeys []string) {
 		whileLeading(func(s *scheduler.Scheduler) {
-			s.CommitDone(sim.schedulerNow(), commit.ID, result, revision, failedKeys)
+			s.CommitEnded(sim.schedulerNow(), commit.ID, result, revision, failedKeys)
 		})
 	}
 	sim.after(sim.linkDelay()+sim.randomDelay(sim.maxWriteDelayMS), func() {
--- a/internal/scheduler/simulation_cloud_test.go
+++ b/internal/scheduler/simulation_cloud_test.go
@@ -125,7 +125,7 @@
 func (c *simController) provision(request wire.ProvisionRequest) {
 	sim, whileLeading := c.sim, c.whileLeading()
 	answer := func(result scheduler.ProvisionResult, names []string) {
-		whileLeading(func(s *scheduler.Scheduler) { s.Provisioned(sim.schedulerNow(), request.RequestID, result, names) })
+		whileLeading(func(s *scheduler.Scheduler) { s.ProvisionEnded(sim.schedulerNow(), request.RequestID, result, names) })
 	}
 	sim.after(sim.linkDelay(), func() {
 		if sim.cloudDown {
@@ -189,7 +189,7 @@
 func (c *simController) release(names []string) {
 	sim, whileLeading := c.sim, c.whileLeading()
 	answer := func(result scheduler.ReleaseResult) {
-		whileLeading(func(s *scheduler.Scheduler) { s.Released(sim.schedulerNow(), names, result) })
+		whileLeading(func(s *scheduler.Scheduler) { s.ReleaseEnded(sim.schedulerNow(), names, result) })
 	}
 	remove := func() {
 		for _, name := range names {
--- a/internal/scheduler/simulation_controllers_test.go
+++ b/internal/scheduler/simulation_controllers_test.go
@@ -235,7 +235,7 @@
 	if len(unreadable) > 0 {
 		panic(fmt.Sprint("unreadable records: ", unreadable))
 	}
-	c.scheduler.JobsReadAt(askedAt)
+	c.scheduler.DropPendingCancellationsBefore(askedAt)
 	c.scheduler.JobsChanged(c.sim.schedulerNow(), jobChanges)
 	c.settle()
 }
--- a/internal/scheduler/transaction.go
+++ b/internal/scheduler/transaction.go
@@ -6,18 +6,18 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// transaction gathers changes for one compare-and-swap of the leader, up to its limits. It
-// commits only while the leader's key has the revision of this term, so that a leader that
-// has been replaced changes nothing.
+// transaction collects changes, up to several limits, for one compare-and-swap transaction of
+// the leader. It is executed only while the leader's key has the revision of this term, so that
+// a replaced leader can't change anything.
 type transaction struct {
-	request  wire.Txn
-	contents transactionContents
-	bytes    int     // estimate of what its values take
-	maxOps   int     // the key-value store's limit
-	budget   float64 // changes that may be written now
+	request    wire.Txn
+	contents   transactionContents
+	valueBytes int     // estimated size of the values
+	maxOps     int     // the key-value store's limit on changes
+	budget     float64 // changes that the write budget allows now
 }
 
-// transactionContents is what has to be known of a transaction when its outcome arrives.
+// transactionContents lists what a transaction writes, for the handling of its outcome.
 type transactionContents struct {
 	batches     []*assignmentBatch
 	jobWrites   []jobWrite
@@ -31,26 +31,26 @@
 	return t
 }
 
-// canAdd reports whether n more changes are within the limits.
+// canAdd reports whether the transaction stays within its limits with n more changes.
 func (t *transaction) canAdd(n int) bool {
 	//mutation:write-budget
-	return t.opCount()+n <= t.maxOps && t.bytes < tuning.MaxTxnBytes && float64(t.opCount()+n) <= t.budget
+	return t.opCount()+n <= t.maxOps && t.valueBytes < tuning.MaxTxnBytes && float64(t.opCount()+n) <= t.budget
 }
 
-// budgetLeft is how many more changes the write budget allows.
+// budgetLeft returns how many more changes the write budget allows.
 func (t *transaction) budgetLeft() float64 { return t.budget - float64(t.opCount()) }
 
 func (t *transaction) opCount() int { return len(t.request.Then) }
 
-// expect makes the transaction depend on a key's revision; 0: the key is absent.
+// expect makes the transaction conditional on the revision of a key; 0 means that it is absent.
 func (t *transaction) expect(key string, modRevision uint64) {
 	t.request.If = append(t.request.If, wire.Compare{Key: key, ModRevision: modRevision})
 }
 
-// set writes a value of about so many bytes.
+// set adds a write of a value with the given estimated size in bytes.
 func (t *transaction) set(key string, value any, bytes int) {
 	t.request.Then = append(t.request.Then, wire.Op{Set: key, Value: value})
-	t.bytes += bytes
+	t.valueBytes += bytes
 }
 
 func (t *transaction) delete(key string) {
