--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -8,27 +8,26 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// machinePicker hands out machines for the tasks of one job, the one with the least
-// placement cost first.
+// machinePicker chooses machines for the tasks of one job in the order of placement cost, lowest
+// first.
 type machinePicker struct {
 	now        time.Duration
 	costs      costModel
 	job        *job
 	spread     taskSpread
 	candidates candidateHeap
-	// fetchSlotBusy is whether a machine with capacity was left out because it fetches
+	// fetchSlotBusy reports whether a machine with capacity was skipped because it is fetching
 	// another image.
 	fetchSlotBusy bool
 }
 
-// candidate is a machine that may take a task, with the cost that was last computed.
+// candidate is a machine that may run a task, with its last computed placement cost.
 type candidate struct {
 	machine *machine
 	cost    float64
 }
 
-// candidateHeap is a heap of candidates for container/heap, the one with the least cost at
-// the top.
+// candidateHeap implements heap.Interface. The candidate with the lowest cost is at the top.
 type candidateHeap []candidate
 
 func (h candidateHeap) Len() int { return len(h) }
@@ -39,22 +38,22 @@
 
 func (h candidateHeap) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
 
-// Push adds a candidate at the end.
+// Push appends a candidate. It is called by container/heap.
 func (h *candidateHeap) Push(x any) { *h = append(*h, x.(candidate)) }
 
-// Pop removes the last candidate.
+// Pop removes and returns the last candidate. It is called by container/heap.
 func (h *candidateHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-// newMachinePicker chooses among the machines. It notes since when the job waits only
-// because all of them fetch other images.
+// newMachinePicker returns a picker for the job among the machines. If no machine is a candidate,
+// it records since when the job has waited for machines that are fetching other images.
 func (c *clusterState) newMachinePicker(j *job, machines []*machine) *machinePicker {
 	p := &machinePicker{now: c.now.Mono, costs: c.newCostModel(), job: j, spread: j.taskSpread()}
 	for _, m := range machines {
-		if p.admits(m) {
+		if p.isCandidate(m) {
 			p.candidates = append(p.candidates, candidate{m, p.cost(m)})
 		}
 	}
@@ -69,20 +68,20 @@
 	return p
 }
 
-// keepZone leaves the machines of one zone.
-func (p *machinePicker) keepZone(zone string) {
+// restrictToZone drops the candidates outside the zone.
+func (p *machinePicker) restrictToZone(zone string) {
 	p.candidates = slices.DeleteFunc(p.candidates, func(c candidate) bool { return c.machine.zone != zone })
 	heap.Init(&p.candidates)
 }
 
 func (p *machinePicker) cost(m *machine) float64 { return p.costs.cost(p.job, m, p.spread) }
 
-// admits reports whether one more task of the job may go to the machine.
-func (p *machinePicker) admits(m *machine) bool {
+// isCandidate reports whether one more task of the job may be placed on the machine.
+func (p *machinePicker) isCandidate(m *machine) bool {
 	if m.reservedForOther(p.job, p.now) {
 		return false
 	}
-	if !m.hasCapacityFor(p.job) || !p.job.allows(m.offer()) || !p.spread.allowsZone(p.job, m.zone) {
+	if !m.hasCapacityFor(p.job) || !p.job.matchesOffer(m.offer()) || !p.spread.allowsZone(p.job, m.zone) {
 		return false
 	}
 	if !p.job.service && !m.hasImage(p.job.spec.Image) && m.fetchesOtherImage(p.job.spec.Image) && p.waitsForFetchSlot() {
@@ -92,22 +91,23 @@
 	return len(m.tasks)+len(m.exited) < tuning.MaxTasksPerMachine
 }
 
-// waitsForFetchSlot reports whether the job leaves machines alone that fetch another image.
-// Concurrent fetches share the machine's bandwidth: one after the other, the first ends
-// sooner and the last no later. But a job without a task on any machine does not wait for
-// other jobs' fetches for ever.
+// waitsForFetchSlot reports whether the job avoids machines that are fetching another image.
+// Concurrent fetches share the machine's bandwidth. In sequence, the first one ends sooner and
+// the last one no later. The wait of a job without a task on any machine is bounded by
+// tuning.MaxFetchSlotWait.
 func (p *machinePicker) waitsForFetchSlot() bool {
 	since := p.job.waiting.fetchSlotSince
 	//mutation:fetch-wait-bound
 	return p.job.activeCount > 0 || since == 0 || p.now-since < tuning.MaxFetchSlotWait
 }
 
-// best gives the machine with the least cost, or nil. Costs only grow as tasks are placed,
-// so the top of the heap is the least as soon as its cost turns out to be what was noted.
+// best returns the candidate with the lowest cost, or nil if there is none. Costs only grow as
+// tasks are placed, so the top of the heap is the lowest if its cost has not changed since it
+// was computed.
 func (p *machinePicker) best() *machine {
 	for len(p.candidates) > 0 {
 		top := &p.candidates[0]
-		if !p.admits(top.machine) {
+		if !p.isCandidate(top.machine) {
 			heap.Pop(&p.candidates)
 			continue
 		}
@@ -121,7 +121,8 @@
 	return nil
 }
 
-// recordAssignment notes that a task went to the machine that best gave.
+// recordAssignment updates the picker after a task was assigned to the machine that best has just
+// returned.
 func (p *machinePicker) recordAssignment(m *machine) {
 	p.job.waiting.fetchSlotSince = 0
 	p.spread.add(m)
@@ -129,23 +130,23 @@
 	heap.Fix(&p.candidates, 0)
 }
 
-// fitsSomewhere reports whether some machine could take one more task of the job.
+// fitsSomewhere reports whether one more task of the job could be placed on any machine.
 func (c *clusterState) fitsSomewhere(j *job) bool {
 	return c.newMachinePicker(j, c.machinesWithCapacity([]*job{j})).best() != nil
 }
 
-// reserve keeps the machine's free capacity for a job for a while: other jobs below
-// production are not placed there.
+// reserve reserves the machine's free capacity for a job for tuning.PreemptionReservationTTL.
+// Until then, of the other jobs only production is placed there.
 func (m *machine) reserve(j *job, now time.Duration) {
 	m.reservation.jobID, m.reservation.until = j.id, now+tuning.PreemptionReservationTTL
 }
 
-// reservedForOther reports whether the machine is reserved for another job than this.
+// reservedForOther reports whether a reservation for another job keeps this job off the machine.
 func (m *machine) reservedForOther(j *job, now time.Duration) bool {
 	return m.reservation.jobID != "" && m.reservation.jobID != j.id && now < m.reservation.until && !j.isProduction()
 }
 
-// fetchesOtherImage reports whether the machine fetches an image other than this.
+// fetchesOtherImage reports whether the machine is fetching an image other than the named one.
 func (m *machine) fetchesOtherImage(name string) bool {
 	fetching := m.summarize().fetching
 	if _, same := fetching[name]; same {
@@ -154,24 +155,26 @@
 	return len(fetching) > 0
 }
 
-// offer gives the offer of the cloud that the machine is of.
+// offer returns the cloud offer that the machine belongs to.
 func (m *machine) offer() offer { return offer{m.machineType, m.zone, m.spot} }
 
-// allows reports whether the job may use machines of the offer.
-func (j *job) allows(o offer) bool {
+// matchesOffer reports whether the job may use machines of the offer, by zone, machine type and
+// spot pricing.
+func (j *job) matchesOffer(o offer) bool {
 	if o.spot && !j.spec.Spot || j.spec.Zone != "" && j.spec.Zone != o.zone {
 		return false
 	}
 	return j.spec.MachineTypes == nil || slices.Contains(j.spec.MachineTypes, o.machineType)
 }
 
-// taskSpread counts where a job's attempts are, as far as their placement depends on it.
+// taskSpread counts a job's attempts by zone and by machine, where their placement depends on
+// these counts.
 type taskSpread struct {
-	byZone    map[string]int   // nil unless the job has a rule for zones
+	byZone    map[string]int   // nil unless the job has SameZone or SpreadZones set
 	byMachine map[*machine]int // nil unless the job is a service
 }
 
-// taskSpread counts the attempts that the job has.
+// taskSpread counts the job's current attempts.
 func (j *job) taskSpread() taskSpread {
 	spread := taskSpread{byZone: j.attemptsByZone()}
 	if j.service {
@@ -185,7 +188,7 @@
 	return spread
 }
 
-// add counts one more attempt, on the machine.
+// add counts one more attempt on the machine.
 func (t taskSpread) add(m *machine) {
 	if t.byZone != nil {
 		t.byZone[m.zone]++
@@ -195,11 +198,11 @@
 	}
 }
 
-// allowsZone reports whether one more task of the job may go to the zone.
+// allowsZone reports whether one more task of the job may be placed in the zone.
 func (t taskSpread) allowsZone(j *job, zone string) bool { return j.allowsZone(t.byZone, zone) }
 
-// attemptsByZone counts the job's attempts by zone: all that may be there, also those that
-// no worker has listed yet. It is nil for a job without a rule for zones.
+// attemptsByZone counts the job's attempts by zone, including those that no worker has listed
+// yet. The result is nil unless the job has SameZone or SpreadZones set.
 func (j *job) attemptsByZone() map[string]int {
 	if !j.spec.SameZone && !j.spec.SpreadZones {
 		return nil
@@ -214,7 +217,8 @@
 	return byZone
 }
 
-// allowsZone reports whether one more task of the job may go to the zone.
+// allowsZone reports whether one more task of the job may be placed in the zone, given the
+// job's attempts by zone.
 func (j *job) allowsZone(attemptsByZone map[string]int, zone string) bool {
 	if j.spec.SameZone {
 		for other, n := range attemptsByZone {
--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -7,19 +7,19 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// epsilon absorbs rounding in sums of resources.
+// epsilon is the tolerance for rounding errors in sums of resources.
 const epsilon = 1e-6
 
-// missedHeartbeats is after how many heartbeat intervals without one a machine counts as
-// silent.
-const missedHeartbeats = 3
+// missedHeartbeatLimit is the number of heartbeat intervals without a heartbeat after which a
+// machine gets no new tasks.
+const missedHeartbeatLimit = 3
 
-// taskResources is what a task of the job takes.
+// taskResources returns the resources that a task of the job uses.
 func (j *job) taskResources() resources {
 	return resources{j.spec.CPUs, j.spec.GPUs, j.spec.MemoryGB}
 }
 
-// totalResources is what a machine of the type has.
+// totalResources returns the resources of an empty machine of the type.
 func totalResources(machineSpec *wire.MachineType) resources {
 	return resources{machineSpec.CPUs, machineSpec.GPUs, machineSpec.MemoryGB}
 }
@@ -28,13 +28,13 @@
 	return resources{r.cpus + other.cpus, r.gpus + other.gpus, r.memoryGB + other.memoryGB}
 }
 
-// within reports whether no resource exceeds that of the total.
+// within reports whether each resource is at most that of total.
 func (r resources) within(total resources) bool {
 	return r.cpus <= total.cpus+epsilon && r.gpus <= total.gpus+epsilon && r.memoryGB <= total.memoryGB+epsilon
 }
 
-// tasksThatFit is for how many tasks the free resources suffice: a whole number, which is
-// negative if resources are overcommitted, and +Inf for a task that takes nothing.
+// tasksThatFit returns how many tasks fit in the free resources. The result is a whole number. It
+// is negative if resources are overcommitted and +Inf for a task that uses no resources.
 func tasksThatFit(free, task resources) float64 {
 	count := math.Inf(1)
 	if task.cpus > 0 {
@@ -54,14 +54,15 @@
 	return m.used.plus(j.taskResources()).within(totalResources(m.machineSpec))
 }
 
-// missedHeartbeatsAfter is how long after its last heartbeat a machine counts as silent.
-func (c *termContext) missedHeartbeatsAfter() time.Duration {
-	return missedHeartbeats * c.settings.HeartbeatInterval
+// heartbeatTimeout returns the time since its last heartbeat after which a machine gets no new
+// tasks.
+func (c *termContext) heartbeatTimeout() time.Duration {
+	return missedHeartbeatLimit * c.settings.HeartbeatInterval
 }
 
-// schedulable reports whether tasks may be placed on the machine at all. One that left a
-// start unanswered has to show by its fencing token or by an answer that it receives
-// messages again, or else tasks placed there would wait together with that start.
+// schedulable reports whether tasks may be placed on the machine at all. A machine that left a
+// direct call unanswered is excluded until a reply, or a heartbeat with the current fencing token,
+// shows that messages reach it again. Otherwise tasks placed there would be delayed as well.
 func (c *clusterState) schedulable(m *machine) bool {
 	if m.calls.unanswered > 0 && m.fencing.seenToken < c.fencingToken(m) {
 		return false
@@ -70,18 +71,18 @@
 		return false
 	}
 	return m.connectivity.unreachableSince == 0 && m.quarantine.startsPausedUntil <= c.now.Mono &&
-		c.now.Mono-m.connectivity.lastHeartbeatAt < c.missedHeartbeatsAfter()
+		c.now.Mono-m.connectivity.lastHeartbeatAt < c.heartbeatTimeout()
 }
 
-// canHost reports whether tasks of the job may be placed on the machine, apart from its free
-// capacity and from limits on zones.
+// canHost reports whether tasks of the job may be placed on the machine, regardless of its free
+// capacity and of the job's zone rules. A machine with a task of unknown size is excluded.
 func (c *clusterState) canHost(m *machine, j *job) bool {
-	return c.schedulable(m) && !m.summarize().hasUnknownTask && j.allows(m.offer())
+	return c.schedulable(m) && !m.summarize().hasUnknownTask && j.matchesOffer(m.offer())
 }
 
-// machinesWithCapacity gives the machines that may have capacity for one of the jobs' tasks:
-// for the smallest amounts that any of these takes. A full cluster then costs one scan of
-// the machines for each round, and not one for each job.
+// machinesWithCapacity returns the machines that may have capacity for a task of any of the jobs.
+// It compares free CPUs and memory with the smallest amounts that any of the tasks uses. In a full
+// cluster, a round then scans the machines once instead of once for each job.
 func (c *clusterState) machinesWithCapacity(jobs []*job) []*machine {
 	if len(jobs) == 0 {
 		return nil
@@ -92,14 +93,14 @@
 	}
 	var machines []*machine
 	for _, m := range c.sortedMachines() {
-		if m.machineSpec != nil && m.hasAtLeast(smallest) && c.schedulable(m) && !m.summarize().hasUnknownTask {
+		if m.machineSpec != nil && m.hasFree(smallest) && c.schedulable(m) && !m.summarize().hasUnknownTask {
 			machines = append(machines, m)
 		}
 	}
 	return machines
 }
 
-// hasAtLeast reports whether so much is free on the machine, GPUs aside.
-func (m *machine) hasAtLeast(amount resources) bool {
+// hasFree reports whether the machine has the given CPUs and memory free. It ignores GPUs.
+func (m *machine) hasFree(amount resources) bool {
 	return m.used.cpus+amount.cpus <= m.machineSpec.CPUs+epsilon && m.used.memoryGB+amount.memoryGB <= m.machineSpec.MemoryGB+epsilon
 }
--- a/internal/scheduler/capacity_slot.go
+++ b/internal/scheduler/capacity_slot.go
@@ -22,7 +22,7 @@
 
 // reserveTask takes the capacity for one task of the job, if there is enough.
 func (s *capacitySlot) reserveTask(job *job) bool {
-	if !job.allows(offer{s.machineType, s.zone, s.spot}) {
+	if !job.matchesOffer(offer{s.machineType, s.zone, s.spot}) {
 		return false
 	}
 	if s.cpus+epsilon < job.spec.CPUs || s.gpus+epsilon < job.spec.GPUs || s.memoryGB+epsilon < job.spec.MemoryGB {
--- a/internal/scheduler/capacity_test.go
+++ b/internal/scheduler/capacity_test.go
@@ -11,13 +11,13 @@
 		free, task resources
 		want       float64
 	}{
-		{"CPUs bind", resources{7, 0, 100}, resources{cpus: 2, memoryGB: 1}, 3},
-		{"memory binds", resources{100, 0, 7}, resources{cpus: 2, memoryGB: 2}, 3},
-		{"GPUs bind", resources{100, 1, 100}, resources{1, 1, 1}, 1},
+		{"limited by CPUs", resources{7, 0, 100}, resources{cpus: 2, memoryGB: 1}, 3},
+		{"limited by memory", resources{100, 0, 7}, resources{cpus: 2, memoryGB: 2}, 3},
+		{"limited by GPUs", resources{100, 1, 100}, resources{1, 1, 1}, 1},
 		{"no GPUs", resources{100, 0, 100}, resources{1, 1, 1}, 0},
 		{"rounding in sums", resources{cpus: 0.3 - epsilon/100}, resources{cpus: 0.1}, 3},
 		{"overcommitted", resources{-1, 0, 100}, resources{cpus: 2}, -1},
-		{"a task that takes nothing", resources{1, 1, 1}, resources{}, math.Inf(1)},
+		{"a task that uses no resources", resources{1, 1, 1}, resources{}, math.Inf(1)},
 	} {
 		if got := tasksThatFit(tc.free, tc.task); got != tc.want {
 			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
@@ -31,7 +31,7 @@
 		used, task resources
 		want       bool
 	}{
-		{"the rest", resources{6, 1, 12}, resources{2, 1, 4}, true},
+		{"exactly the free resources", resources{6, 1, 12}, resources{2, 1, 4}, true},
 		{"too many CPUs", resources{7, 0, 0}, resources{2, 0, 0}, false},
 		{"too many GPUs", resources{0, 2, 0}, resources{0, 1, 0}, false},
 		{"too much memory", resources{0, 0, 13}, resources{0, 0, 4}, false},
--- a/internal/scheduler/deadline.go
+++ b/internal/scheduler/deadline.go
@@ -11,18 +11,19 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// minTaskDurationS is the shortest duration that a task is planned with, in seconds.
+// minTaskDurationS is the shortest task duration that is used for planning, in seconds.
 const minTaskDurationS = 0.1
 
-// Objective is a service-level objective: by when jobs of a class should be complete.
+// Objective is a service-level objective for the completion time of the jobs of a class.
 type Objective struct {
-	DeadlineMultiples []float64 // multiples of the owner's deadline that count
-	WithinS           float64   // seconds from the submission; 0: no such objective
+	DeadlineMultiples []float64 // factors of the owner's deadline, each for one deadline; below 1 counts as 1
+	WithinS           float64   // a deadline in seconds from the submission; 0: none
 }
 
-// deadlinesOf gives by when a job should be complete, in seconds from its submission and
-// in order: by its owner's deadline, or by what the objective makes of that. A job that
-// misses one may still meet the next. Without any, the job has no deadline.
+// deadlinesOf returns the job's deadlines in ascending order, in seconds from its submission. If
+// the objective has neither DeadlineMultiples nor WithinS, the owner's deadline is the only one.
+// WithinS does not apply to services. A job that misses one deadline may still meet the next. The
+// result is empty for a job without a deadline.
 func (o Objective) deadlinesOf(j *wire.Job) []float64 {
 	var deadlines []float64
 	if j.DeadlineS != nil && len(o.DeadlineMultiples) == 0 && o.WithinS == 0 {
@@ -40,8 +41,8 @@
 	return slices.Compact(deadlines)
 }
 
-// taskDuration is how long a task of the job takes to run, in seconds: its owner's
-// estimate, which is often wrong, until enough tasks were observed.
+// taskDuration returns the expected run time of a task of the job, in seconds. It is the
+// owner's estimate, which is often wrong, until enough tasks have completed to use their mean.
 func (j *job) taskDuration() float64 {
 	if j.runtimes.completed < tuning.MinRuntimeSamples {
 		return max(j.spec.EstimatedRunS, minTaskDurationS)
@@ -49,36 +50,36 @@
 	return max(minTaskDurationS, j.runtimes.totalS/float64(j.runtimes.completed))
 }
 
-// remainingWork is what is left of the job, in CPU seconds. A task that runs for longer
-// than expected counts with a tenth of the expected duration.
-func (j *job) remainingWork(now time.Duration) float64 {
+// remainingCPUSeconds returns the expected work left in the job, in CPU seconds. A running task
+// counts with at least a tenth of the expected duration, even if it is overdue.
+func (j *job) remainingCPUSeconds(now time.Duration) float64 {
 	duration := j.taskDuration()
-	sum := float64(j.pendingTasks()) * duration
+	seconds := float64(j.pendingTasks()) * duration
 	for _, attempts := range j.active {
 		for _, a := range attempts {
-			left := duration
+			remaining := duration
 			if a.runningAt > 0 {
-				left = max(0.1*duration, duration-(now-a.runningAt).Seconds())
+				remaining = max(0.1*duration, duration-(now-a.runningAt).Seconds())
 			}
-			sum += left
+			seconds += remaining
 		}
 	}
-	return sum * max(j.spec.CPUs, 0.1)
+	return seconds * max(j.spec.CPUs, 0.1)
 }
 
-// secondsToDeadline is in how many seconds the job should be complete: by the first of its
-// deadlines that it can meet, or by the last.
+// secondsToDeadline returns the seconds until the first deadline that the job can still meet,
+// or until its last deadline if it misses them all. The result is negative after the deadline.
 func (j *job) secondsToDeadline(now time.Duration) float64 {
 	deadline := j.plan.deadlines[min(j.plan.feasible, len(j.plan.deadlines)-1)]
 	return deadline - (now - j.createdAt).Seconds()
 }
 
-// missesAllDeadlines reports whether the job misses all its deadlines, by the last plan.
+// missesAllDeadlines reports whether the job misses all its deadlines according to the last plan.
 func (j *job) missesAllDeadlines() bool {
 	return len(j.plan.deadlines) > 0 && j.plan.feasible >= len(j.plan.deadlines)
 }
 
-// hasTightDeadline reports whether a task of the job that started anew now would miss the
+// hasTightDeadline reports whether a task of the job that was restarted now would miss the first
 // deadline that the job can still meet.
 func (j *job) hasTightDeadline(now time.Duration) bool {
 	return len(j.plan.deadlines) > 0 && !j.missesAllDeadlines() &&
@@ -87,30 +88,32 @@
 
 // deadlinePlanner decides which jobs can still meet which of their deadlines.
 //
-// It takes jobs in the order of their deadlines; when one would be late, it gives up the
-// largest taken so far, which keeps as many jobs on time as possible (the Moore-Hodgson
-// algorithm, with first each team's quota and then the whole cluster as the one machine).
-// The jobs that were given up are tried with their next deadline, in the next tier, beside
-// those that were kept. A job that misses its last deadline gets the capacity that the
-// others leave.
+// It uses the Moore-Hodgson algorithm, which keeps as many jobs on time as possible: it adds
+// jobs in the order of their deadlines, and when one would be late, it gives up the deadline of
+// the largest job added so far. The single machine of the algorithm is first each team's quota
+// and then the whole cluster.
+//
+// Planning proceeds in tiers. Jobs whose deadline was given up are planned with their next
+// deadline in the next tier, together with the jobs that kept theirs. A job that misses its
+// last deadline gets the capacity that the other jobs leave.
 type deadlinePlanner struct {
 	now         time.Duration
 	teams       map[string]TeamQuota
-	serviceCPUs map[string]float64 // of services, by team
-	totalCPUs   float64            // that jobs with deadlines can use
+	serviceCPUs map[string]float64 // CPUs of all tasks of the services, by team
+	totalCPUs   float64            // CPUs that jobs with deadlines can use
 	jobs        []plannedJob
-	tiers       int // the most deadlines that any job has
+	tiers       int // largest number of deadlines of a job
 }
 
 // plannedJob is a job with deadlines in a plan.
 type plannedJob struct {
 	job         *job
-	work        float64 // in CPU seconds
-	secondsLeft float64 // to the deadline of the tier
-	committed   bool    // to a deadline of an earlier tier: not to be given up
+	work        float64 // remaining CPU seconds
+	secondsLeft float64 // until the deadline that the job is planned with
+	committed   bool    // an earlier tier kept the job's deadline, so it is not given up
 }
 
-// planDeadlines finds out for each job the first deadline that it can still meet.
+// planDeadlines determines for each job the first deadline that it can still meet.
 func (c *clusterState) planDeadlines() {
 	planner := deadlinePlanner{now: c.now.Mono, teams: c.settings.Teams, serviceCPUs: map[string]float64{}}
 	planner.addJobs(c.jobs)
@@ -123,7 +126,7 @@
 	}
 }
 
-// addJobs adds the jobs that have deadlines, and counts what services take.
+// addJobs adds the jobs that have deadlines and sums up the CPUs of services by team.
 func (p *deadlinePlanner) addJobs(jobs map[string]*job) {
 	for _, j := range jobs {
 		j.plan.feasible = 0
@@ -132,21 +135,21 @@
 		case j.service:
 			p.serviceCPUs[j.spec.Team] += float64(j.spec.Tasks) * j.spec.CPUs
 		case len(j.plan.deadlines) > 0 && !j.likelyInvalid(p.now):
-			p.jobs = append(p.jobs, plannedJob{job: j, work: j.remainingWork(p.now)})
+			p.jobs = append(p.jobs, plannedJob{job: j, work: j.remainingCPUSeconds(p.now)})
 			p.tiers = max(p.tiers, len(j.plan.deadlines))
 		}
 	}
 }
 
-// largestJob is the one with the most work left, whose tasks stand for all in what fits on
-// a machine.
+// largestJob returns the job with the most remaining work. The size of its tasks is used for
+// all jobs when the usable capacity of the machines is computed.
 func (p *deadlinePlanner) largestJob() *job {
 	return slices.MaxFunc(p.jobs, func(a, b plannedJob) int {
 		return cmp.Or(cmp.Compare(a.work, b.work), strings.Compare(b.job.id, a.job.id))
 	}).job
 }
 
-// planTier plans with each job's first deadline that was not given up in an earlier tier.
+// planTier plans each job with its first deadline that no earlier tier has given up.
 func (p *deadlinePlanner) planTier(tier int) {
 	jobsByTeam := map[string][]*plannedJob{}
 	for i := range p.jobs {
@@ -161,13 +164,13 @@
 	}
 	var onTime []*plannedJob
 	for team, jobs := range jobsByTeam {
-		onTime = append(onTime, keepMostOnTime(jobs, p.cpusOf(team))...)
+		onTime = append(onTime, keepMostOnTime(jobs, p.teamCPUs(team))...)
 	}
 	keepMostOnTime(onTime, p.totalCPUs)
 }
 
-// cpusOf is how many CPUs a team's jobs with deadlines can use.
-func (p *deadlinePlanner) cpusOf(team string) float64 {
+// teamCPUs returns how many CPUs a team's jobs with deadlines can use.
+func (p *deadlinePlanner) teamCPUs(team string) float64 {
 	quota, ok := p.teams[team]
 	if !ok || quota.CPUsMax <= 0 {
 		return p.totalCPUs
@@ -175,8 +178,8 @@
 	return max(1, min(p.totalCPUs, quota.CPUsMax-p.serviceCPUs[team]))
 }
 
-// keepMostOnTime moves jobs to their next deadline until the others are on time with so
-// many CPUs, and returns these others.
+// keepMostOnTime gives up the current deadlines of jobs until the other jobs can be on time with
+// the given number of CPUs. It returns those other jobs.
 func keepMostOnTime(jobs []*plannedJob, cpus float64) []*plannedJob {
 	slices.SortFunc(jobs, func(a, b *plannedJob) int {
 		return cmp.Or(cmp.Compare(a.secondsLeft, b.secondsLeft), strings.Compare(a.job.id, b.job.id))
@@ -203,7 +206,7 @@
 	return onTime
 }
 
-// minSeconds is how long the job takes if it has all CPUs to itself.
+// minSeconds returns how long the job takes if it has all of the CPUs to itself.
 func (p *plannedJob) minSeconds(cpus float64) float64 {
 	seconds := p.work / cpus
 	if p.job.pendingTasks() > 0 {
@@ -214,8 +217,8 @@
 
 func (p *plannedJob) giveUpDeadline() { p.job.plan.feasible++ }
 
-// largestUncommitted gives the index of the job with the most work among those that may
-// be given up, the first of several, or -1 if there is none.
+// largestUncommitted returns the index of the uncommitted job with the most work, the first one
+// of equals, or -1 if there is none.
 func largestUncommitted(jobs []*plannedJob) int {
 	largest := -1
 	for i, planned := range jobs {
@@ -226,9 +229,9 @@
 	return largest
 }
 
-// arrayCapacity is how many CPUs array jobs with tasks like those of j can use: on machines
-// that are up or booting, beside what services leave there. A machine with a service on it
-// may have no capacity for a large task.
+// arrayCapacity returns how many CPUs array jobs with tasks of the same size as those of j can
+// use. It counts the machines that have capacity now or soon, less what services use there. A
+// machine that runs a service may have no capacity for a large task.
 func (c *clusterState) arrayCapacity(j *job) float64 {
 	sum := 0.0
 	for _, m := range c.machines {
@@ -240,7 +243,7 @@
 			free.cpus -= summary.serviceCPUs
 			free.memoryGB -= summary.serviceMemoryGB
 		}
-		// Whether there are GPUs is left to placement.
+		// GPUs are ignored here; placement checks them.
 		tasks := tasksThatFit(free, resources{cpus: j.spec.CPUs, memoryGB: j.spec.MemoryGB})
 		if tasks > 0 && !math.IsInf(tasks, 1) {
 			sum += tasks * j.spec.CPUs
@@ -249,10 +252,12 @@
 	return sum
 }
 
-// countsForPlanning reports whether the machine has capacity now or soon.
+// countsForPlanning reports whether the machine offers capacity now or soon: it is booting, or
+// up with a recent heartbeat, and the cloud has reported neither a failure nor a coming spot
+// interruption.
 func (c *clusterState) countsForPlanning(m *machine) bool {
 	if m.machineSpec == nil || m.cloud.failed || m.cloud.interruptionAt > 0 || m.phase == machineReleasing {
 		return false
 	}
-	return m.phase != machineUp || c.now.Mono-m.connectivity.lastHeartbeatAt <= c.missedHeartbeatsAfter()
+	return m.phase != machineUp || c.now.Mono-m.connectivity.lastHeartbeatAt <= c.heartbeatTimeout()
 }
--- a/internal/scheduler/deadline_test.go
+++ b/internal/scheduler/deadline_test.go
@@ -8,8 +8,8 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// The objective of a job's class decides by when the job should be complete: by its owner's
-// deadline, by multiples of that, or within a time of its own.
+// The objective of a job's class determines the job's deadlines: the owner's deadline, multiples
+// of it, or a fixed time after the submission.
 func TestDeadlinesFollowObjectives(t *testing.T) {
 	owner := 100.0
 	for _, tc := range []struct {
@@ -34,8 +34,8 @@
 	}
 }
 
-// With one more job than can be on time, the largest misses its deadline, and not the small
-// ones.
+// If one of the jobs cannot be on time, the largest one misses its deadline instead of any of the
+// small ones.
 func TestDeadlinePlanKeepsMostJobsOnTime(t *testing.T) {
 	h := newHarness(t)
 	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 8, CPUsMax: 1000}
@@ -50,7 +50,7 @@
 			t.Errorf("%s misses %d deadlines, want %d", id, got, want)
 		}
 	}
-	// A job that misses its first deadline may meet the next, if all others stay on time.
+	// The job that misses its first deadline meets the next one, while all others stay on time.
 	h.scheduler.settings.Objectives = map[string]Objective{"": {DeadlineMultiples: []float64{1, 2}}}
 	for _, j := range h.scheduler.cluster.jobs {
 		j.plan.deadlines = h.scheduler.settings.Objectives[j.spec.Class].deadlinesOf(&j.spec)
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -9,26 +9,26 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// placeGang assigns all n waiting members of a gang, or none. If they have to be in one
-// zone, it tries each: the best machine for the first member may be in a zone without
-// capacity for the others.
+// placeGang assigns all n waiting members of a gang or none, and reports whether it assigned
+// them. For a gang that must be in a single zone, it tries each zone, since the best machine for
+// the first member may be in a zone without capacity for the others.
 func (r *placementRound) placeGang(j *job, n int) bool {
 	//mutation:gang-zone-choice
 	if !j.spec.SameZone || j.activeCount > 0 {
-		return r.placeGangIn(anyZone, j, n)
+		return r.placeGangInZone(anyZone, j, n)
 	}
 	for _, zone := range r.zonesWithCapacity() {
-		if r.placeGangIn(zone, j, n) {
+		if r.placeGangInZone(zone, j, n) {
 			return true
 		}
 	}
 	return false
 }
 
-// anyZone stands for all zones together.
+// anyZone is the argument of placeGangInZone for a gang that is not restricted to one zone.
 const anyZone = ""
 
-// zonesWithCapacity lists the zones of the round's machines.
+// zonesWithCapacity returns the zones of the round's machines, sorted by name.
 func (r *placementRound) zonesWithCapacity() []string {
 	zones := map[string]bool{}
 	for _, m := range r.machines {
@@ -37,14 +37,15 @@
 	return slices.Sorted(maps.Keys(zones))
 }
 
-// placeGangIn assigns all n waiting members in the zone, or none.
-func (r *placementRound) placeGangIn(zone string, j *job, n int) bool {
+// placeGangInZone assigns all n waiting members in the zone or none, and reports whether it
+// assigned them.
+func (r *placementRound) placeGangInZone(zone string, j *job, n int) bool {
 	if r.dispatcher.attemptNumbersLeft() < n {
 		return false
 	}
 	picker := r.newMachinePicker(j)
 	if zone != anyZone {
-		picker.keepZone(zone)
+		picker.restrictToZone(zone)
 	}
 	var members []*attempt
 	for range n {
@@ -69,19 +70,19 @@
 	return true
 }
 
-// undoAssignments takes back assignments that were not queued to be recorded.
+// undoAssignments removes attempts whose assignments were not yet queued to be recorded.
 func (r *placementRound) undoAssignments(attempts []*attempt) {
 	for _, a := range attempts {
 		r.scheduler.detach(a)
 	}
-	r.scheduler.placement.due = false // detach asks for a round, but nothing has changed
+	r.scheduler.placement.due = false // detach makes a round due, but nothing has changed
 }
 
-// zoneCapacity counts by zone for how many tasks there is capacity.
+// zoneCapacity holds the number of tasks that fit in each zone.
 type zoneCapacity map[string]int
 
-// largest gives the zone with the most capacity, the first by name of several.
-func (z zoneCapacity) largest() string {
+// largestZone returns the zone with the most capacity. Ties go to the first zone by name.
+func (z zoneCapacity) largestZone() string {
 	largest := ""
 	for _, zone := range slices.Sorted(maps.Keys(z)) {
 		if largest == "" || z[zone] > z[largest] {
@@ -91,10 +92,11 @@
 	return largest
 }
 
-// reserveForGang keeps machines free of other work, production apart, until a starved gang
-// of n fits on them as a whole. It would never fit by itself where smaller tasks take each
-// slot that becomes free. If the machines would not suffice even when empty, it reserves
-// none: they would be emptied in vain.
+// reserveForGang reserves machines for the n waiting members of a starved gang, so that no new
+// tasks except production are placed there until the whole gang fits. Without reservations,
+// smaller tasks would take all capacity as it becomes free. If the gang would not fit even after
+// the tasks that gangSlots ignores have ended, no machine is reserved, since reservations would
+// only leave capacity idle.
 func (r *placementRound) reserveForGang(j *job, n int) {
 	var machines []*machine
 	capacity := zoneCapacity{}
@@ -107,7 +109,7 @@
 			capacity[m.zone] += slots
 		}
 	}
-	zone := capacity.largest()
+	zone := capacity.largestZone()
 	fitting := 0
 	for other, slots := range capacity {
 		if other == zone || !j.spec.SameZone {
@@ -118,7 +120,7 @@
 	if fitting < n {
 		return
 	}
-	// The emptiest machines are free soonest.
+	// Machines that use the fewest CPUs are expected to become free first.
 	slices.SortStableFunc(machines, func(a, b *machine) int { return cmp.Compare(a.used.cpus, b.used.cpus) })
 	reserved := zoneCapacity{}
 	for _, m := range machines {
@@ -135,8 +137,8 @@
 	}
 }
 
-// gangSlots is how many members of the gang the machine could run if all but services and
-// work of higher priority ended there. GPUs don't count.
+// gangSlots returns how many members of the gang the machine could run if only services and
+// higher-priority tasks remained there. It ignores GPUs.
 func (m *machine) gangSlots(j *job) int {
 	free := totalResources(m.machineSpec)
 	for _, a := range m.tasks {
@@ -148,11 +150,11 @@
 	return int(max(0, min(slots, wire.MaxTasks)))
 }
 
-// hostableTasks is how many of n waiting tasks of the job could go to the machines that
-// there are if all but production made way. For tasks that need machines yet to be
-// provisioned, no quota is reserved and nothing is preempted. For a while the job waits for
-// machines that may be on their way, and all n count.
-func (r *placementRound) hostableTasks(j *job, n int) int {
+// maxTasksAfterPreemption returns how many of n waiting tasks of the job would fit on the existing
+// machines if only production tasks remained there. No quota is reserved and nothing is preempted
+// for tasks that need machines yet to be provisioned. Until the job has waited for
+// tuning.ReservationTTL, the result is n, since machines may be about to come up.
+func (r *placementRound) maxTasksAfterPreemption(j *job, n int) int {
 	//mutation:reservation-wait-bound
 	if r.now.Mono-j.waiting.since < tuning.ReservationTTL {
 		return n
@@ -163,24 +165,24 @@
 		if !r.cluster.canHost(m, j) || !j.allowsZone(attemptsByZone, m.zone) {
 			continue
 		}
-		slots := m.productionSlots(j, n)
+		slots := m.slotsAfterPreemption(j, n)
 		if slots == 0 {
 			continue
 		}
 		capacity[m.zone] = min(n, capacity[m.zone]+slots)
-		if capacity.tasksOf(j, attemptsByZone) >= n {
-			return n // mostly after a few machines: hundreds of jobs may ask in each round
+		if capacity.maxTasksOf(j, attemptsByZone) >= n {
+			return n // usually after a few machines; hundreds of jobs may need this in each round
 		}
 	}
 	if j.spec.Gang() {
-		return 0 // it runs as a whole or not at all
+		return 0 // a gang runs as a whole or not at all
 	}
-	return capacity.tasksOf(j, attemptsByZone)
+	return capacity.maxTasksOf(j, attemptsByZone)
 }
 
-// productionSlots is how many tasks of the job, n at the most, the machine could run if all
-// but production and the job itself ended there.
-func (m *machine) productionSlots(j *job, n int) int {
+// slotsAfterPreemption returns how many more tasks of the job, up to n, the machine could run if
+// only production tasks and the job's own tasks remained there.
+func (m *machine) slotsAfterPreemption(j *job, n int) int {
 	free := totalResources(m.machineSpec)
 	for _, a := range m.tasks {
 		if a.job.isProduction() || a.job == j {
@@ -190,8 +192,9 @@
 	return int(max(0, min(tasksThatFit(free, j.taskResources()), float64(n))))
 }
 
-// tasksOf is how many tasks of the job the capacity suffices for under its rules for zones.
-func (z zoneCapacity) tasksOf(j *job, attemptsByZone map[string]int) int {
+// maxTasksOf returns how many more tasks of the job fit in the capacity under the job's zone
+// rules.
+func (z zoneCapacity) maxTasksOf(j *job, attemptsByZone map[string]int) int {
 	most, sum := 0, 0
 	for zone, slots := range z {
 		most = max(most, slots)
--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -62,7 +62,7 @@
 	if m.cloud.failed || m.cloud.interruptionAt > 0 || m.connectivity.unreachableSince > 0 {
 		return false
 	}
-	return service.allows(m.offer())
+	return service.matchesOffer(m.offer())
 }
 
 // tasksBesideEqualPriority is how many tasks of the service fit beside those of its own
--- a/internal/scheduler/offer.go
+++ b/internal/scheduler/offer.go
@@ -77,7 +77,7 @@
 
 // allowsOffer reports whether a task of the job could run on a machine of the offer.
 func (j *job) allowsOffer(o offer, machineSpec *wire.MachineType, attemptsByZone map[string]int) bool {
-	return machineSpec.Fits(&j.spec) && j.allows(o) && j.allowsZone(attemptsByZone, o.zone)
+	return machineSpec.Fits(&j.spec) && j.matchesOffer(o) && j.allowsZone(attemptsByZone, o.zone)
 }
 
 // tasksPerMachine is how many tasks of the job fit on one empty machine of the type.
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -7,109 +7,115 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// placementState says when the next placement round is due. A job that failed is in
-// backingOff for as long as its retry time keeps it from placement.
+// placementState tracks when the next placement round is due and which jobs wait out a retry
+// backoff.
 type placementState struct {
 	*termContext
 
-	due         bool // something changed that a round may act on
-	lastRoundAt time.Duration
-	rounds      uint64
-	backingOff  map[*job]bool // jobs that wait out a delay after failed attempts
+	due         bool          // a change since the last round may allow a placement
+	lastRoundAt time.Duration // Mono time at which the last round began
+	rounds      uint64        // rounds in this term
+	backingOff  map[*job]bool // jobs that are not placed before their retry time
 }
 
-// backOff keeps a job that has failed once more from placement for a while.
+// backOff counts a failed attempt of a job and delays the job's next placement.
 func (p *placementState) backOff(j *job) {
 	j.retry.countFailure(p.now.Mono, p.settings.Policy)
 	p.backingOff[j] = true
 }
 
-// unplacedTasks is how many tasks of a job found no machine in a round.
+// unplacedTasks counts the tasks of a job that the team's quota allows but for which a round
+// found no machine.
 type unplacedTasks struct {
 	job   *job
 	count int
 }
 
 // placementRound is one pass over the jobs with tasks to place, in the order of the
-// scheduling queue. For each job it finds out how many tasks its team's quota allows,
-// assigns them to the machines with the least cost, preempts other work where that is
-// allowed, and notes why the rest waits.
+// scheduling queue. For each job it computes how many tasks the team's quota allows, assigns
+// them to the machines with the lowest placement cost, preempts attempts of other jobs where
+// that is allowed, and records why the remaining tasks wait.
 //
-// It applies each decision at once, since the next one depends on it: an assignment takes
-// capacity and quota, and a preempted attempt that was never sent frees both. It changes
-// the cluster only through assign, undoAssignments, preempt and machine.reserve.
+// It applies each decision immediately, because later decisions depend on it: an assignment
+// uses capacity and quota, and preempting an attempt whose start was never sent frees both.
+// It changes the cluster only through assign, undoAssignments, preempt and machine.reserve.
 type placementRound struct {
 	*termContext
 	cluster    *clusterState
 	dispatcher *dispatcher
 	persister  *persister
 	reconciler *termReconciler
-	scheduler  *Scheduler // sees to what follows from stops and ends of attempts
+	scheduler  *Scheduler // stops and detaches attempts
 
-	totalCPUs float64    // of the cluster
-	machines  []*machine // with capacity for the smallest task that waits
+	totalCPUs float64    // CPUs of the cluster
+	machines  []*machine // machines with capacity for the smallest waiting task
 
-	// Limits on what the round does, and what of them is left.
-	agedShareCPUs      float64 // that aged jobs may take ahead of others
-	preemptionSearches int     // those for production apart
-	gangReserved       bool    // machines were reserved for a gang
-	idlePreemptable    bool    // idle work is on machines
+	// State of the limits on what one round does.
+	agedShareCPUs      float64 // CPUs that aged jobs may still take ahead of other jobs
+	preemptionSearches int     // searches made so far for jobs below production priority
+	gangReserved       bool    // machines were reserved for a gang in this round
+	idlePreemptable    bool    // attempts of idle-priority jobs are on machines
 
-	quota       quotaReservations
-	claimedCPUs map[*machine]float64 // that preemption frees and that were promised to a job
+	quotaReservations quotaReservations
+	claimedCPUs       map[*machine]float64 // CPUs that are being freed on a machine and are promised to a job
 
-	// unconfirmedCapacity is the largest free capacity on machines without a heartbeat in
-	// this term; computed when it is first needed. See mayFitUnconfirmed.
+	// unconfirmedCapacity is the largest free capacity, by offer, on machines whose tasks are
+	// not confirmed by a heartbeat in this term. It is computed on first use. See
+	// mayFitUnconfirmed.
 	unconfirmedCapacity map[offer]*capacitySlot
 
-	secondPass []*job // aged jobs that get what others left
-	unplaced   []unplacedTasks
+	leftoverJobs []*job // aged jobs to process again in leftoverPass
+	unplaced     []unplacedTasks
 }
 
-// placementPass tells the first visit to a job in a round from the second.
+// placementPass is the pass of a round over its jobs.
 type placementPass int
 
 const (
-	// mainPass visits all waiting jobs; aged ones get their share of the cluster.
+	// mainPass processes all waiting jobs. Aged jobs are limited to their share of the cluster.
 	mainPass placementPass = iota
-	// leftoverPass visits aged jobs again, for the capacity that others have left.
+	// leftoverPass processes aged jobs again, without that limit, on the capacity left by
+	// mainPass.
 	leftoverPass
 )
 
-// jobDemand is what a round may do for a job.
+// jobDemand holds how many tasks of a job wait and how many of them a round may place.
 type jobDemand struct {
-	job           *job
-	pass          placementPass
-	waiting       int // tasks to place
-	hostable      int // of these, the most that machines could take if lower work made way
-	quotaHeadroom int // tasks that the team's limit allows
-	limit         int // tasks to place now
+	job          *job
+	pass         placementPass
+	waitingTasks int // tasks that wait and may be tried now
+	// maxAfterPreemption is how many of the waiting tasks would fit on machines after
+	// preemption. It is computed for production jobs and gangs; for others, it is waitingTasks.
+	// See maxTasksAfterPreemption.
+	maxAfterPreemption int
+	quotaHeadroom      int // tasks that the team's quota limit allows
+	limit              int // tasks to place in this pass
 
-	limitedByAgedShare bool // the limit is lower for the share of aged jobs
+	limitedByAgedShare bool // the share of aged jobs has lowered limit
 }
 
-// placePending assigns waiting tasks to machines, and gives those that found none.
+// placePending runs a placement round and returns the tasks for which it found no machine.
 func (s *Scheduler) placePending() []unplacedTasks {
 	s.placement.due = false
 	_, totalCPUs := s.cluster.cpuUsage()
 	queue := s.cluster.schedulingQueue(totalCPUs)
 	round := s.newPlacementRound(queue, totalCPUs)
 	for _, j := range queue {
-		round.visit(j, mainPass)
+		round.processJob(j, mainPass)
 	}
-	for _, j := range round.secondPass {
-		round.visit(j, leftoverPass)
+	for _, j := range round.leftoverJobs {
+		round.processJob(j, leftoverPass)
 	}
 	return round.unplaced
 }
 
-// newPlacementRound prepares a round over the queue.
+// newPlacementRound prepares a round over the jobs of the queue.
 func (s *Scheduler) newPlacementRound(queue []*job, totalCPUs float64) *placementRound {
 	r := &placementRound{
 		termContext: s.termContext, cluster: &s.cluster, dispatcher: &s.dispatcher, persister: &s.persister, reconciler: &s.reconciler, scheduler: s,
 		totalCPUs: totalCPUs, machines: s.cluster.machinesWithCapacity(queue),
-		agedShareCPUs: totalCPUs * tuning.AgedShare,
-		quota:         newQuotaReservations(), claimedCPUs: map[*machine]float64{},
+		agedShareCPUs:     totalCPUs * tuning.AgedShare,
+		quotaReservations: newQuotaReservations(), claimedCPUs: map[*machine]float64{},
 	}
 	for _, j := range s.cluster.jobs {
 		if j.rank == idleRank && j.activeCount > 0 {
@@ -124,33 +130,34 @@
 	return r
 }
 
-// visit does for one job what can be done now.
-func (r *placementRound) visit(j *job, pass placementPass) {
+// processJob places the waiting tasks of one job as far as possible, or records why they wait.
+func (r *placementRound) processJob(j *job, pass placementPass) {
 	if j.pendingTasks() == 0 {
 		return
 	}
 	if j.waiting.since == 0 {
 		j.waiting.since = r.now.Mono
 	}
-	if reason := r.heldBack(j); reason != NotWaiting {
+	if reason := r.holdReason(j); reason != NotWaiting {
 		j.waiting.reason = reason
 		return
 	}
-	demand := r.newDemand(j, pass)
+	demand := r.computeDemand(j, pass)
 	if j.spec.Gang() && j.hasStoppingAttempt() {
 		j.waiting.reason = WaitForGangStop
 		return
 	}
-	if j.spec.Gang() && demand.limit < demand.waiting {
+	if j.spec.Gang() && demand.limit < demand.waitingTasks {
 		j.waiting.reason = WaitForQuota
-		r.quota.set(j, demand.hostable)
+		r.quotaReservations.set(j, demand.maxAfterPreemption)
 		return
 	}
 	r.place(demand)
 }
 
-// heldBack is why nothing of the job may be placed, whatever machines and quota there are.
-func (r *placementRound) heldBack(j *job) WaitReason {
+// holdReason returns why no task of the job may be placed regardless of free capacity and
+// quota, or NotWaiting.
+func (r *placementRound) holdReason(j *job) WaitReason {
 	if r.persister.mayBeInUnreadableRecord(j) {
 		return WaitForRecords
 	}
@@ -164,8 +171,8 @@
 	return NotWaiting
 }
 
-// placeableTasks is how many tasks of the job wait and may be tried. A job that was likely
-// submitted with a mistake is tried with one task at a time.
+// placeableTasks returns how many waiting tasks of the job may be tried now. A job that is
+// likely invalid runs one task at a time.
 func (r *placementRound) placeableTasks(j *job) int {
 	waiting := j.pendingTasks()
 	if !j.spec.Gang() && j.likelyInvalid(r.now.Mono) {
@@ -174,27 +181,28 @@
 	return waiting
 }
 
-// newDemand finds out how many tasks of the job may be placed. A production job for which
-// its team's quota does not suffice preempts other work of its team.
-func (r *placementRound) newDemand(j *job, pass placementPass) jobDemand {
-	d := jobDemand{job: j, pass: pass, waiting: r.placeableTasks(j)}
-	r.quota.set(j, 0) // what it reserved for itself is its own to use
-	d.quotaHeadroom = r.cluster.quotaHeadroom(j, r.quota.byTeam[j.spec.Team])
-	d.hostable = d.waiting
+// computeDemand determines how many tasks of the job may be placed. If the team's quota does
+// not allow all tasks of a production job that would fit on machines, it preempts lower-priority
+// attempts of the team.
+func (r *placementRound) computeDemand(j *job, pass placementPass) jobDemand {
+	d := jobDemand{job: j, pass: pass, waitingTasks: r.placeableTasks(j)}
+	r.quotaReservations.set(j, 0) // the job may use the quota that it has reserved
+	d.quotaHeadroom = r.cluster.quotaHeadroom(j, r.quotaReservations.byTeam[j.spec.Team])
+	d.maxAfterPreemption = d.waitingTasks
 	if j.isProduction() || j.spec.Gang() {
-		d.hostable = r.hostableTasks(j, d.waiting)
+		d.maxAfterPreemption = r.maxTasksAfterPreemption(j, d.waitingTasks)
 	}
-	if d.quotaHeadroom < d.hostable {
-		r.preemptWithinTeam(j, d.hostable)
+	if d.quotaHeadroom < d.maxAfterPreemption {
+		r.preemptWithinTeam(j, d.maxAfterPreemption)
 	}
-	d.limit = min(d.waiting, d.quotaHeadroom)
-	r.limitAheadOfOthers(&d)
+	d.limit = min(d.waitingTasks, d.quotaHeadroom)
+	r.limitStarvedAndAged(&d)
 	return d
 }
 
-// limitAheadOfOthers lowers the limit of a job that the queue has put ahead of others. A gang
-// runs as a whole or not at all.
-func (r *placementRound) limitAheadOfOthers(d *jobDemand) {
+// limitStarvedAndAged lowers the limit of a starved or aged job, which the queue has put ahead
+// of other jobs. Gangs are exempt, since all members of a gang are placed together.
+func (r *placementRound) limitStarvedAndAged(d *jobDemand) {
 	j := d.job
 	switch {
 	case j.spec.Gang() || d.limit == 0:
@@ -208,55 +216,57 @@
 	}
 }
 
-// place assigns up to the limit of the job's tasks, and sees to those that are left.
+// place assigns up to limit tasks of the job. For the remaining tasks it reserves quota,
+// preempts other attempts where allowed, and records why they wait.
 func (r *placementRound) place(d jobDemand) {
 	j := d.job
 	placed := r.assignTasks(d)
 	r.logPlacement(j, placed)
-	// Only for tasks that machines could take: else the team's other work would wait beside
-	// free capacity for as long as there is no machine for this job.
-	r.quota.set(j, max(0, d.hostable-placed))
+	// Quota is reserved only for tasks that could run on existing machines. Otherwise the
+	// team's other jobs would wait despite free capacity until this job gets a machine.
+	r.quotaReservations.set(j, max(0, d.maxAfterPreemption-placed))
 	withoutMachine := d.limit - placed
 	//mutation:aged-share-is-no-bound
 	if d.limitedByAgedShare && withoutMachine == 0 {
-		// The share is what aged jobs get ahead of others, and no upper bound. Otherwise a
-		// task larger than the share would wait beside empty machines for ever.
-		r.secondPass = append(r.secondPass, j)
+		// The share limits what aged jobs get ahead of other jobs, not their total. Otherwise
+		// a task larger than the share would never run, even on empty machines.
+		r.leftoverJobs = append(r.leftoverJobs, j)
 		return
 	}
 	switch {
 	case withoutMachine > 0:
 		j.waiting.reason = WaitForCapacity
 		//mutation:preempt-only-if-some-fit
-		if d.pass == mainPass && d.hostable > 0 {
+		if d.pass == mainPass && d.maxAfterPreemption > 0 {
 			r.preemptFor(j, withoutMachine)
 		}
-		r.unplaced = append(r.unplaced, unplacedTasks{j, min(d.waiting, d.quotaHeadroom) - placed})
-	case d.waiting > placed:
+		r.unplaced = append(r.unplaced, unplacedTasks{j, min(d.waitingTasks, d.quotaHeadroom) - placed})
+	case d.waitingTasks > placed:
 		j.waiting.reason = WaitForQuota
 	default:
 		j.waiting.reason = NotWaiting
 	}
 }
 
-// assignTasks assigns up to the limit of the job's tasks, and gives how many it did.
+// assignTasks assigns up to limit tasks of the job and returns how many it assigned. A gang is
+// assigned as a whole or not at all.
 func (r *placementRound) assignTasks(d jobDemand) int {
 	j := d.job
 	if !j.spec.Gang() {
 		return r.assignIndependentTasks(j, d.limit)
 	}
-	if r.placeGang(j, d.waiting) {
-		return d.waiting
+	if r.placeGang(j, d.waitingTasks) {
+		return d.waitingTasks
 	}
 	if j.standing.prioritized && !r.gangReserved {
 		r.gangReserved = true
-		r.reserveForGang(j, d.waiting)
+		r.reserveForGang(j, d.waitingTasks)
 	}
 	return 0
 }
 
-// assignIndependentTasks assigns up to n tasks of the job, each for itself, and gives how
-// many it did.
+// assignIndependentTasks assigns up to n tasks of a job that is not a gang and returns how many
+// it assigned.
 func (r *placementRound) assignIndependentTasks(j *job, n int) int {
 	if n == 0 {
 		return 0
@@ -284,17 +294,18 @@
 	return r.cluster.newMachinePicker(j, r.machines)
 }
 
-// assign makes a new attempt of a task on the machine. No start is sent before the
-// assignment is recorded, for which it has to be queued.
+// assign creates an attempt of a task on the machine. The caller queues the assignment to be
+// recorded; the start is sent only after that.
 func (r *placementRound) assign(j *job, index int, m *machine) *attempt {
 	a := r.dispatcher.newAttempt(j, index, m)
 	r.cluster.attach(a)
 	return a
 }
 
-// waitsForWarmMachine reports whether a production service had better wait a moment for
-// capacity on a machine that has its image than fetch it on m. It preempts lower work
-// there: that takes some tens of milliseconds, and a fetch takes seconds.
+// waitsForWarmMachine reports whether a task of a production service should wait for capacity
+// on a machine that has its image instead of being placed on m, which would have to fetch the
+// image. It preempts lower-priority attempts on such a machine: a stop takes tens of
+// milliseconds, a fetch takes seconds.
 func (r *placementRound) waitsForWarmMachine(j *job, m *machine, picker *machinePicker) bool {
 	if !j.service || !j.isProduction() || m.hasImage(j.spec.Image) || m.fetchSeconds(j) < tuning.MinFetchForPreemptionS {
 		return false
@@ -302,13 +313,13 @@
 	if r.now.Mono-j.waiting.since > tuning.MaxWarmCapacityWait {
 		return false
 	}
-	// Only where the task would then really go, or capacity would be freed in vain in round
-	// after round.
+	// Only machines that cost less than m are considered, since the picker would not choose any
+	// other: every round would preempt attempts there without placing the task.
 	return r.preemptOnWarmMachine(j, picker.cost(m))
 }
 
-// logPlacement logs a job's first placement and the one that leaves nothing waiting; those
-// in between are logged for debugging, task by task.
+// logPlacement logs the first placement of a job in this term and each placement that leaves no
+// task waiting. The placements in between appear only as debug messages for each task.
 func (r *placementRound) logPlacement(j *job, placed int) {
 	if placed == 0 || j.placedOnce && j.pendingTasks() > 0 {
 		return
--- a/internal/scheduler/placement_cost_test.go
+++ b/internal/scheduler/placement_cost_test.go
@@ -9,7 +9,7 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Each situation has a cost of its own, beside that of the free CPUs.
+// Each condition contributes its own cost, in addition to the cost of free CPUs.
 func TestPlacementCost(t *testing.T) {
 	const now = time.Hour
 	withImage := machine{images: []cachedImage{{"img", 2}}}
@@ -35,20 +35,20 @@
 		spread       taskSpread
 		want         float64
 	}{
-		{name: "nothing to lose", job: array, machine: withImage, want: 0},
+		{name: "image on the machine", job: array, machine: withImage, want: 0},
 		{name: "image to fetch at 0.5 GB/s", job: array, want: 4},
-		{name: "image to fetch after another", job: array, machine: fetching("other"), want: 8},
+		{name: "image to fetch while another is being fetched", job: array, machine: fetching("other"), want: 8},
 		{name: "image that is being fetched", job: array, machine: fetching("img", "other"), want: 2},
 		{name: "image of a service that is being fetched", job: service, machine: fetching("img", "other"), want: 8},
 		{name: "quarantined machine", job: array, machine: machine{images: withImage.images, quarantine: quarantineState{until: now + 1}}, want: quarantineCost},
-		{name: "machine on which the job failed", job: failed, machine: withImage, want: failedMachineCost},
+		{name: "machine on which a task of the job failed", job: failed, machine: withImage, want: failedMachineCost},
 		{name: "replicas in the zone", job: service, machine: withImage, spread: taskSpread{byZone: map[string]int{"a": 2}}, want: 2 * replicaZoneCost},
-		{name: "other services on the machine", job: service, machine: withServices, want: 3 * otherServiceCost},
-		{name: "other services on the machine where price counts", job: service, minimizeCost: true, machine: withServices, want: 0},
-		{name: "machine without services where price counts", job: service, minimizeCost: true, machine: withImage, want: emptyMachineCost},
+		{name: "other services on the machine", job: service, machine: withServices, want: 3 * serviceTaskCost},
+		{name: "other services on the machine when minimizing cost", job: service, minimizeCost: true, machine: withServices, want: 0},
+		{name: "machine without services when minimizing cost", job: service, minimizeCost: true, machine: withImage, want: firstServiceCost},
 		{name: "service on a spot machine", job: service, machine: spot, want: serviceSpotCost},
 		{name: "array on a spot machine", job: array, machine: spot, want: 10 * tuning.ExpectedSpotLoss},
-		{name: "array on a spot machine where price counts", job: array, minimizeCost: true, machine: spot, want: -spotDiscount},
+		{name: "array on a spot machine when minimizing cost", job: array, minimizeCost: true, machine: spot, want: -spotDiscount},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			m := tc.machine
@@ -62,7 +62,8 @@
 	}
 }
 
-// Replicas of a service on the same machine cost more than those in the same zone.
+// Another replica on the same machine costs replicaCost more than one on another machine in the
+// same zone.
 func TestReplicasAreSpreadOverMachines(t *testing.T) {
 	j := &job{service: true, spec: wire.Job{CPUs: 1}}
 	spec := &wire.MachineType{CPUs: 8}
@@ -71,7 +72,7 @@
 	spread.add(occupied)
 	costs := costModel{}
 	if difference := costs.cost(j, occupied, spread) - costs.cost(j, free, spread); math.Abs(difference-replicaCost) > epsilon {
-		t.Errorf("a replica costs %v, want %v", difference, replicaCost)
+		t.Errorf("a second replica on the machine costs %v more, want %v", difference, replicaCost)
 	}
 }
 
@@ -83,7 +84,7 @@
 	for _, minimizeCost := range []bool{false, true} {
 		costs := costModel{minimizeCost: minimizeCost}
 		if full, free := costs.cost(j, half, taskSpread{}), costs.cost(j, empty, taskSpread{}); full >= free {
-			t.Errorf("price counts: %v: half full %v, empty %v", minimizeCost, full, free)
+			t.Errorf("minimizing cost: %v: a half-full machine costs %v, an empty one %v", minimizeCost, full, free)
 		}
 	}
 }
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -12,9 +12,9 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Under lasting overload the largest job, whose deadline the plan gives up first, starts
-// within four minutes and finishes, and so does a gang that fits only on machines that are
-// reserved for it.
+// Under lasting overload, the largest job, whose deadline the plan gives up first, starts within
+// four minutes and finishes within 15 minutes. So does a gang that fits only on machines that
+// are reserved for it.
 func TestLargestJobsFinishUnderOverload(t *testing.T) {
 	for seed := range uint64(3) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -29,14 +29,14 @@
 			if n == 40 {
 				h.submit(wire.Job{ID: "run-900001", Tasks: 2, CPUs: 8, EstimatedRunS: 8, DeadlineS: &deadline, Shape: wire.ShapeGang})
 			}
-			if rng.IntN(2) == 0 { // about two and a half times the capacity
+			if rng.IntN(2) == 0 { // the load is about two and a half times the capacity
 				h.submit(wire.Job{ID: fmt.Sprintf("run-%06d", n), Tasks: 2 + rng.IntN(9), CPUs: 2, EstimatedRunS: 8, DeadlineS: &deadline})
 			}
 			workers.step()
 		}
 		for _, id := range []string{"run-900000", "run-900001"} {
 			if at, ok := workers.firstStartAfter[id]; !ok || at > 240*time.Second {
-				t.Fatalf("%s starts after %v", id, at)
+				t.Fatalf("%s started after %v (0s: never), want within 4 minutes", id, at)
 			}
 			if j := h.scheduler.cluster.jobs[id]; j != nil {
 				t.Fatalf("%s: %d of %d done after 15 minutes", id, j.progress.doneCount, j.spec.Tasks)
@@ -45,8 +45,9 @@
 	}
 }
 
-// Idle work of a guest team is established within four minutes in a cluster that work within
-// other teams' guarantees keeps full. Starts that are preempted within seconds don't count.
+// An idle-priority job of a team without a guarantee is established within four minutes while
+// jobs within another team's guarantee keep the cluster full. Starts that are preempted within
+// seconds don't count. Once the starvation bound has passed, the team uses at most 4 CPUs.
 func TestIdleGuestJobIsEstablishedUnderLoad(t *testing.T) {
 	h := newHarness(t)
 	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, CPUsMax: 1000}
@@ -65,16 +66,16 @@
 		}
 		workers.step()
 		if cpus := h.scheduler.cluster.usageOf("guest").CPUs; h.now > workers.startedAt+tuning.ArrayStarvationBound+10*time.Second && cpus > 4 {
-			t.Fatalf("the guest uses %v of 24 CPUs that others are guaranteed", cpus)
+			t.Fatalf("the guest team uses %v of 24 CPUs that are guaranteed to another team", cpus)
 		}
 	}
 	if at, ok := workers.establishedAfter["run-900000"]; !ok || at > 240*time.Second {
-		t.Errorf("the guest's job is established after %v", at)
+		t.Errorf("the guest team's job was established after %v (0s: never), want within 4 minutes", at)
 	}
 }
 
-// A service whose replicas failed on three machines over time, and run on others, does not
-// count as invalid: its missing replicas are placed at once.
+// A service whose replicas failed on three machines over time, and run on other machines, does
+// not count as invalid. Its missing replicas are placed without waiting for each other.
 func TestServiceSurvivesFaultyMachines(t *testing.T) {
 	h := newHarness(t)
 	faulty := map[string]bool{}
@@ -98,19 +99,19 @@
 		}
 		faulty[m] = false
 		if j := h.scheduler.cluster.jobs["run-000001"]; j.activeCount != 6 && j.retry.at <= h.now {
-			t.Errorf("after failures on %d machines %d of 6 replicas are placed", i+1, j.activeCount)
+			t.Errorf("after failures on %d machines, %d of 6 replicas are placed", i+1, j.activeCount)
 		}
 	}
 	for range 40 {
 		workers.step()
 	}
 	if n := h.scheduler.cluster.jobs["run-000001"].runningCount; n != 6 {
-		t.Errorf("%d of 6 replicas run: %+v", n, h.scheduler.View().Job(h.clock(), "run-000001"))
+		t.Errorf("%d of 6 replicas are running: %+v", n, h.scheduler.View().Job(h.clock(), "run-000001"))
 	}
 }
 
-// The first tasks that a starved job gets ahead of others are no upper bound: with capacity
-// for the whole job, all of it runs at once.
+// The number of tasks that a starved job gets ahead of other jobs does not limit the job: with
+// capacity for all its tasks, all of them are placed at once.
 func TestStarvedJobIsNotCappedWhereCapacityIsFree(t *testing.T) {
 	h := newHarness(t)
 	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, CPUsMax: 1000}
@@ -124,13 +125,13 @@
 		workers.step()
 	}
 	if n := h.scheduler.cluster.jobs["run-000002"].activeCount; n != 20 {
-		t.Errorf("%d of 20 tasks run where there is capacity for all", n)
+		t.Errorf("%d of 20 tasks are placed although there is capacity for all", n)
 	}
 }
 
-// A job that was submitted with a mistake fails on every machine: it is tried with one task
-// at a time, does not count against machines and does not delay others. A faulty machine is
-// quarantined, since several jobs fail there that succeed elsewhere.
+// An invalid job fails on every machine. It runs one task at a time, causes no quarantine of
+// machines and does not delay other jobs. A faulty machine is quarantined, since several jobs
+// fail there that succeed elsewhere.
 func TestInvalidJobsAreThrottledAndFaultyMachinesQuarantined(t *testing.T) {
 	h := newHarness(t)
 	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, CPUsMax: 1000}
@@ -164,16 +165,16 @@
 	}
 	for _, m := range h.scheduler.cluster.machines {
 		if m.quarantine.until > h.now {
-			t.Errorf("%s is quarantined", m.name)
+			t.Errorf("%s is quarantined because of invalid jobs", m.name)
 		}
 	}
 	for id, at := range submittedAfter {
 		if started, ok := workers.firstStartAfter[id]; !ok || h.scheduler.cluster.jobs[id] != nil || started-at > 2*time.Second {
-			t.Errorf("%s, submitted at %v, started at %v", id, at, started)
+			t.Errorf("%s, submitted at %v, started at %v or is unfinished", id, at, started)
 		}
 	}
 	if !h.scheduler.cluster.jobs["run-000001"].likelyInvalid(h.scheduler.now.Mono) {
-		t.Error("a job that fails everywhere does not count as invalid")
+		t.Error("a job that fails on every machine does not count as invalid")
 	}
 	faulty = true
 	for n := range 8 {
@@ -189,8 +190,8 @@
 	}
 }
 
-// Under its team's limit, a production service preempts lower work of its own team, and no
-// other work takes that quota meanwhile.
+// A production service whose team is at its quota limit preempts lower-priority tasks of its own
+// team, and no other job takes the freed quota.
 func TestProductionPreemptsWithinItsTeamLimit(t *testing.T) {
 	h := newHarness(t)
 	h.bringUp("n-1", "n-2", "n-3")
@@ -206,14 +207,14 @@
 		h.settle()
 	}
 	if j := h.scheduler.cluster.jobs["run-000002"]; j.runningCount != 2 {
-		t.Fatalf("%d of 2 replicas run", j.runningCount)
+		t.Fatalf("%d of 2 replicas are running", j.runningCount)
 	}
 	if h.scheduler.counters.Preempted != 2 || h.scheduler.cluster.usageOf("red").CPUs > 16 {
 		t.Fatalf("%d preemptions, the team uses %v CPUs", h.scheduler.counters.Preempted, h.scheduler.cluster.usageOf("red").CPUs)
 	}
 }
 
-// A gang is placed as a whole or not at all, and stopped as a whole when one member fails.
+// A gang is placed as a whole or not at all, and all members are stopped when one fails.
 func TestGangIsPlacedAndStoppedAsAWhole(t *testing.T) {
 	h := newHarness(t)
 	h.bringUp("n-1")
@@ -240,6 +241,6 @@
 		}
 	}
 	if remaining != 0 {
-		t.Fatalf("%d members go on without the failed one", remaining)
+		t.Fatalf("%d members were not stopped after another member failed", remaining)
 	}
 }
--- a/internal/scheduler/placement_wait_test.go
+++ b/internal/scheduler/placement_wait_test.go
@@ -10,12 +10,12 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// maxWaitBesideCapacity is how long a job may wait at the most while a machine has capacity
-// for it and its team is under its limit.
+// maxWaitBesideCapacity is the longest time that a job may wait while a machine has capacity for
+// it and its team is under its quota limit.
 const maxWaitBesideCapacity = 90 * time.Second
 
-// A job that has missed all its deadlines finishes where no other job needs the capacity,
-// however large its tasks are compared with the share that aged jobs get ahead of others.
+// A job that misses all its deadlines finishes if no other job needs the capacity, even if its
+// tasks are larger than the share that aged jobs get ahead of other jobs.
 func TestAgedJobShareIsNoUpperBound(t *testing.T) {
 	for seed := range uint64(3) {
 		rng := rand.New(rand.NewPCG(seed, 21))
@@ -30,13 +30,14 @@
 			workers.step()
 		}
 		if j := h.scheduler.cluster.jobs["run-000001"]; j != nil {
-			t.Errorf("seed %d: %d of %d tasks done, %d on machines: %s", seed, j.progress.doneCount, j.spec.Tasks, j.activeCount, j.waiting.reason)
+			t.Errorf("seed %d: %d of %d tasks done, %d placed; wait reason: %s", seed, j.progress.doneCount, j.spec.Tasks, j.activeCount, j.waiting.reason)
 		}
 	}
 }
 
-// Two jobs for which tasks on the same machine were preempted do not take its reservation
-// from each other for ever, where a stop takes longer than the interval of their searches.
+// Jobs for which tasks on the same machine are preempted do not keep replacing each other's
+// reservation of the machine, even if a stop takes longer than the interval between preemption
+// searches.
 func TestPreemptedCapacityIsUsed(t *testing.T) {
 	for seed := range uint64(5) {
 		rng := rand.New(rand.NewPCG(seed, 22))
@@ -55,14 +56,14 @@
 		}
 		for id, j := range h.scheduler.cluster.jobs {
 			if j.rank != idleRank && j.activeCount == 0 {
-				t.Errorf("seed %d: %s waits beside free capacity: %s", seed, id, j.waiting.reason)
+				t.Errorf("seed %d: %s waits despite free capacity: %s", seed, id, j.waiting.reason)
 			}
 		}
 	}
 }
 
-// A lost start is sent again before its job has waited for long, however far off the job's
-// deadline is, on which the dispatch budget depends.
+// A lost start is retried within half a minute, however far away the job's deadline is. The
+// dispatch budget depends on the deadline, so a distant deadline must not delay retries.
 func TestLostStartIsRetriedInTime(t *testing.T) {
 	for _, deadline := range []float64{60, 900, 4000, 100_000} {
 		h := newHarness(t)
@@ -75,11 +76,11 @@
 				h.advance(time.Second, "n-1")
 			}
 			if wait := h.now - last; wait > maxWaitBesideCapacity/3 {
-				t.Errorf("deadline in %v s: retried after %v, having been lost %d times", deadline, wait, lost)
+				t.Errorf("deadline in %v s: start retried after %v; lost %d times before", deadline, wait, lost)
 				break
 			}
 			if h.scheduler.cluster.jobs["run-000001"].activeCount == 0 {
-				break // abandoned, and to be placed again
+				break // the attempt was abandoned, and the task waits to be placed again
 			}
 			lost++
 			h.startsInReplies = nil
@@ -90,8 +91,8 @@
 	}
 }
 
-// A production job whose zone has no machine reserves no quota, and its team's other work
-// goes on.
+// A production job whose zone has no machine stops reserving quota, and its team's other jobs
+// continue to run.
 func TestUnplaceableProductionReservesNoQuota(t *testing.T) {
 	h := newHarness(t)
 	workers := newFakeWorkers(h, func(string, string) (time.Duration, string) { return 20 * time.Second, wire.CauseDone })
@@ -101,7 +102,7 @@
 		workers.step()
 	}
 	if j := h.scheduler.cluster.jobs["run-000002"]; j != nil && j.progress.doneCount == 0 && j.runningCount == 0 {
-		t.Errorf("no task runs: %s", j.waiting.reason)
+		t.Errorf("no task of the other job is running; wait reason: %s", j.waiting.reason)
 	}
 	preempted := h.scheduler.counters.Preempted
 	for h.now < workers.startedAt+3*maxWaitBesideCapacity {
@@ -111,12 +112,12 @@
 		t.Errorf("%d of %d tasks done", j.progress.doneCount, j.spec.Tasks)
 	}
 	if n := h.scheduler.counters.Preempted - preempted; n > 0 {
-		t.Errorf("%d of its tasks were preempted for a job that cannot start", n)
+		t.Errorf("%d tasks were preempted for a job that cannot start", n)
 	}
 }
 
-// A machine fetches images of different jobs one after the other, but no job waits for long
-// for others' fetches.
+// A machine fetches the images of different jobs one after another, but the time that a job waits
+// for the fetches of other jobs is bounded.
 func TestWaitForOtherImageFetchesIsBounded(t *testing.T) {
 	for seed := range uint64(3) {
 		rng := rand.New(rand.NewPCG(seed, 23))
@@ -132,13 +133,13 @@
 		}
 		for id, j := range h.scheduler.cluster.jobs {
 			if j.activeCount == 0 {
-				t.Errorf("seed %d: %s waits: %s", seed, id, j.waiting.reason)
+				t.Errorf("seed %d: %s has no placed task: %s", seed, id, j.waiting.reason)
 			}
 		}
 	}
 }
 
-// A gang that does not fit on all machines together reserves none of them.
+// A gang that would not fit even on all machines together reserves none of them.
 func TestGangThatCannotFitReservesNothing(t *testing.T) {
 	h := newHarness(t)
 	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, CPUsMax: 1000}
@@ -152,16 +153,16 @@
 		workers.step()
 	}
 	if j := h.scheduler.cluster.jobs["run-000002"]; j != nil {
-		t.Errorf("%d of 6 tasks done, %d running: %s", j.progress.doneCount, j.runningCount, j.waiting.reason)
+		t.Errorf("%d of 6 tasks done, %d running; wait reason: %s", j.progress.doneCount, j.runningCount, j.waiting.reason)
 	}
 }
 
-// A gang that has to be in one zone goes to the zone with capacity for all of it.
+// A gang that must be in a single zone is placed in the zone with capacity for all its members.
 func TestGangIsPlacedInTheZoneThatFitsIt(t *testing.T) {
 	for _, zone := range []string{"a", "b"} {
 		h := newHarness(t)
 		h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, CPUsMax: 1000}
-		names := []string{"n-1", "n-6", "n-7"} // those after n-5 are in zone b
+		names := []string{"n-1", "n-6", "n-7"} // machines after n-5 are in zone b
 		if zone == "a" {
 			names = []string{"n-1", "n-2", "n-6"}
 		}
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -9,14 +9,15 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Costs of a preemption, in CPU seconds.
+// Costs of having to fetch an image before the task can start on freed capacity, in CPU seconds
+// per second of fetching.
 const (
-	fetchPreemptionCost        = 2.0  // for each second that the image is fetched first: what is preempted is only late
-	fetchServicePreemptionCost = 50.0 // the same for a service, which is down for that time
+	fetchWeight        = 2.0  // a task that is not part of a service is only delayed
+	serviceFetchWeight = 50.0 // a service is down while the image is fetched
 )
 
-// preemptWithinTeam preempts lower work of the production job's own team until the team's
-// limit allows n tasks of the job.
+// preemptWithinTeam preempts lower-priority attempts of the production job's own team until the
+// team's quota limit allows n more tasks of the job.
 func (r *placementRound) preemptWithinTeam(j *job, n int) {
 	if !r.settings.Policy.Preempt || !j.isProduction() || r.reconciler.HoldsTeamLimits() {
 		return
@@ -29,8 +30,8 @@
 		}
 		for _, a := range other.sortedAttempts() {
 			if a.stop.requested {
-				shortfall.removeTask(&other.spec) // freed soon
-			} else if other.rank > j.rank && !a.startUnderWay() {
+				shortfall.removeTask(&other.spec) // its quota is freed soon
+			} else if other.rank > j.rank && !a.startUnacknowledged() {
 				victims = append(victims, a)
 			}
 		}
@@ -45,12 +46,13 @@
 	}
 }
 
-// compareTeamVictims orders attempts of the job's team by which is preempted first: where the
-// job could then start at once, late jobs, and what was placed last.
+// compareTeamVictims orders attempts of the job's team for preemption. Attempts on machines where
+// the job could start without fetching its image come first, then attempts of jobs that miss more
+// of their deadlines, then those that were placed last.
 func (r *placementRound) compareTeamVictims(j *job, a, b *attempt) int {
 	startsAtOnce := func(a *attempt) bool {
 		m := a.machine
-		return r.cluster.schedulable(m) && j.allows(m.offer()) && m.hasImage(j.spec.Image)
+		return r.cluster.schedulable(m) && j.matchesOffer(m.offer()) && m.hasImage(j.spec.Image)
 	}
 	if c := compareTrueFirst(startsAtOnce(a), startsAtOnce(b)); c != 0 {
 		return c
@@ -62,7 +64,7 @@
 	)
 }
 
-// preemptionCause is what a preemption makes way under.
+// preemptionCause is the limit that a preemption resolves. It appears in the log.
 type preemptionCause string
 
 const (
@@ -70,8 +72,8 @@
 	preemptedForCapacity preemptionCause = "capacity"
 )
 
-// preempt stops an attempt to make way for the job. Except for production, which does not
-// wait for that, the attempt may save a checkpoint first.
+// preempt stops an attempt in favor of the job. An attempt of a job with checkpoints may save one
+// first, unless it is preempted for a production job.
 func (r *placementRound) preempt(victim *attempt, j *job, cause preemptionCause) {
 	r.counters.Preempted++
 	r.logDebug("task preempted", "task", wire.TaskName(victim.ref.jobID, victim.ref.index), "attempt", victim.number,
@@ -83,19 +85,20 @@
 	}
 }
 
-// startUnderWay reports whether a start was sent that the worker has not acknowledged yet,
-// as it soon will.
-func (a *attempt) startUnderWay() bool { return a.start.sent && !a.start.acknowledged }
+// startUnacknowledged reports whether a start was sent that the worker has not acknowledged yet.
+// Such an attempt is not preempted, since the acknowledgment is expected soon.
+func (a *attempt) startUnacknowledged() bool { return a.start.sent && !a.start.acknowledged }
 
-// mayPreempt reports whether the rules allow preempting the attempt for the job: work of
-// lower priority, and, for a job within its team's guarantee, what another team has beyond
-// its own.
+// mayPreempt reports whether the attempt may be preempted for the job. The attempt must have a
+// lower priority, or, for a job within its team's guarantee, must belong to what another team
+// uses beyond that team's guarantee. Attempts with an unacknowledged start, attempts that are
+// being stopped and, except for a production job, attempts of starved jobs are excluded.
 func (c *clusterState) mayPreempt(j *job, a *attempt) bool {
 	victim := a.job
-	if victim == nil || victim == j || a.stop.requested || a.startUnderWay() {
+	if victim == nil || victim == j || a.stop.requested || a.startUnacknowledged() {
 		return false
 	}
-	if a.ofStarvedJob() && !j.isProduction() {
+	if a.belongsToStarvedJob() && !j.isProduction() {
 		return false
 	}
 	if victim.rank > j.rank {
@@ -107,44 +110,47 @@
 	return c.exceedsGuarantee(victim)
 }
 
-// exceedsGuarantee reports whether the job's team keeps its guarantee without one of the
-// job's tasks.
+// exceedsGuarantee reports whether the job's team would still use at least its guarantee after
+// losing one of the job's tasks.
 func (c *clusterState) exceedsGuarantee(j *job) bool {
 	guarantee, usage := c.settings.Teams[j.spec.Team], c.usageOf(j.spec.Team)
 	return usage.CPUs-j.spec.CPUs >= guarantee.CPUs-epsilon ||
 		j.spec.GPUs > 0 && usage.GPUs-j.spec.GPUs >= guarantee.GPUs-epsilon
 }
 
-// preemptionScope is which work may be preempted for a job.
+// preemptionScope determines which attempts may be preempted for a job.
 type preemptionScope int
 
 const (
 	preemptNothing preemptionScope = iota
-	preemptIdle                    // only idle work
-	preemptLower                   // all that mayPreempt allows
+	preemptIdle                    // only attempts of idle-priority jobs
+	preemptAllowed                 // all attempts that mayPreempt allows
 )
 
-// preemptFor preempts other work for up to n tasks of the job, one task a machine.
+// preemptFor preempts other attempts for up to n tasks of the job, for at most one task per
+// machine.
 func (r *placementRound) preemptFor(j *job, n int) {
 	r.searchPreemptions(j, n, math.Inf(1))
 }
 
-// preemptOnWarmMachine preempts other work for one task of the job on a machine that has
-// its image and costs less than maxCost, and reports whether there is such a machine.
+// preemptOnWarmMachine preempts other attempts for one task of the job on a machine that has the
+// job's image and a placement cost below maxCost. It reports whether capacity was found on such
+// a machine.
 func (r *placementRound) preemptOnWarmMachine(j *job, maxCost float64) bool {
 	return r.searchPreemptions(j, 1, maxCost) > 0
 }
 
-// searchPreemptions preempts other work for up to n tasks of the job, and gives for how many
-// it did or there will be capacity anyway. With a finite maxCost, it considers only machines
-// that have the image and cost less.
+// searchPreemptions finds capacity for up to n tasks of the job, in capacity that is already being
+// freed and by preempting other attempts, and returns for how many tasks it found capacity. With
+// a finite maxCost, it considers only machines that have the job's image and a lower placement
+// cost.
 func (r *placementRound) searchPreemptions(j *job, n int, maxCost float64) int {
 	//mutation:preemption-counts-unconfirmed-capacity
 	if !r.settings.Policy.Preempt || r.mayFitUnconfirmed(j) {
 		return 0
 	}
 	scope := r.preemptionScope(j)
-	if scope == preemptNothing || !r.takePreemptionSearch(j) {
+	if scope == preemptNothing || !r.allowPreemptionSearch(j) {
 		return 0
 	}
 	search := &preemptionSearch{
@@ -158,12 +164,14 @@
 	return search.found
 }
 
-// preemptionScope is which work makes way for the job. Idle work does so at once, also for
-// jobs beyond their team's guarantee. Other work does so only for jobs within it, and after
-// a while: capacity may become free by itself, and what is preempted loses its progress.
+// preemptionScope returns which attempts may be preempted for the job. For production, that is
+// always everything that mayPreempt allows. For other jobs, idle-priority attempts may be preempted
+// at once. Other attempts may be preempted only for jobs within their team's guarantee, after half of
+// the guaranteed start time: capacity may become free by then, and a preempted attempt loses its
+// progress.
 func (r *placementRound) preemptionScope(j *job) preemptionScope {
 	if j.isProduction() || j.standing.withinGuarantee && r.now.Mono-j.createdAt >= r.settings.GuaranteedStartWithin/2 {
-		return preemptLower
+		return preemptAllowed
 	}
 	if j.rank >= idleRank || !r.idlePreemptable {
 		return preemptNothing
@@ -171,14 +179,16 @@
 	return preemptIdle
 }
 
-// takePreemptionSearch reports whether a search may be made for the job now. Each looks at
-// every task of the cluster; for jobs below production, their number is limited.
-func (r *placementRound) takePreemptionSearch(j *job) bool {
+// allowPreemptionSearch reports whether a preemption search may run for the job now, and counts
+// it. A search examines every task of the cluster, so jobs below production are limited to
+// tuning.PreemptionJobsPerRound searches per round and one per tuning.MinPreemptionInterval for
+// each job.
+func (r *placementRound) allowPreemptionSearch(j *job) bool {
 	if j.isProduction() {
 		return true
 	}
-	lately := j.waiting.preemptionTriedAt > 0 && r.now.Mono-j.waiting.preemptionTriedAt < tuning.MinPreemptionInterval
-	if lately || r.preemptionSearches >= tuning.PreemptionJobsPerRound {
+	searchedRecently := j.waiting.preemptionTriedAt > 0 && r.now.Mono-j.waiting.preemptionTriedAt < tuning.MinPreemptionInterval
+	if searchedRecently || r.preemptionSearches >= tuning.PreemptionJobsPerRound {
 		return false
 	}
 	r.preemptionSearches++
@@ -191,9 +201,9 @@
 	round   *placementRound
 	job     *job
 	wanted  int // tasks that need capacity
-	found   int // tasks that capacity was found for
+	found   int // tasks for which capacity was found
 	scope   preemptionScope
-	maxCost float64 // if finite, machines have to have the image and cost less
+	maxCost float64 // if finite, only machines with the image and a lower placement cost qualify
 	costs   costModel
 	spread  taskSpread
 }
@@ -205,19 +215,19 @@
 	cost    float64 // in CPU seconds
 }
 
-// pendingCapacity is what will be in use on a machine once the attempts that are being
-// stopped there are gone.
-type pendingCapacity struct {
+// projectedUsage holds the resources that will be in use on a machine once the attempts that are
+// being stopped there have ended.
+type projectedUsage struct {
 	machine *machine
 	used    resources
 }
 
-func (c *pendingCapacity) fits(j *job) bool {
-	return c.used.plus(j.taskResources()).within(totalResources(c.machine.machineSpec))
+func (u *projectedUsage) fits(j *job) bool {
+	return u.used.plus(j.taskResources()).within(totalResources(u.machine.machineSpec))
 }
 
-// collectOptions goes through the machines, claims capacity that is being freed already, and
-// collects where preemption would free more, until there is enough.
+// collectOptions claims capacity that is already being freed and returns the machines where
+// preemption would free more. It returns nil as soon as the claimed capacity suffices.
 func (p *preemptionSearch) collectOptions() []preemptionOption {
 	var options []preemptionOption
 	for _, m := range p.round.cluster.sortedMachines() {
@@ -227,22 +237,22 @@
 		if !p.eligible(m) {
 			continue
 		}
-		pending, victims := p.inspect(m)
-		for p.found < p.wanted && pending.fits(p.job) && p.spread.allowsZone(p.job, m.zone) {
-			p.claim(m)
-			pending.used.addTask(&p.job.spec)
+		projected, victims := p.usageAndVictims(m)
+		for p.found < p.wanted && projected.fits(p.job) && p.spread.allowsZone(p.job, m.zone) {
+			p.claimSlot(m)
+			projected.used.addTask(&p.job.spec)
 		}
 		if len(victims) == 0 {
 			continue
 		}
-		if option, ok := p.cheapestOption(pending, victims); ok {
+		if option, ok := p.cheapestOption(projected, victims); ok {
 			options = append(options, option)
 		}
 	}
 	return options
 }
 
-// eligible reports whether a task of the job could go to the machine if it were empty.
+// eligible reports whether a task of the job could be placed on the machine if it were empty.
 func (p *preemptionSearch) eligible(m *machine) bool {
 	if m.machineSpec == nil || !m.machineSpec.Fits(&p.job.spec) {
 		return false
@@ -253,30 +263,32 @@
 	return p.round.cluster.canHost(m, p.job) && p.spread.allowsZone(p.job, m.zone) && m.quarantine.until <= p.round.now.Mono
 }
 
-// inspect gives the machine's capacity once the stops under way have ended, and the
-// attempts that may be preempted there. Capacity that another job has claimed is in use.
-func (p *preemptionSearch) inspect(m *machine) (*pendingCapacity, []*attempt) {
+// usageAndVictims returns the projected usage of the machine and the attempts that may be preempted
+// there. Capacity that was claimed earlier in the round counts as used. Only its CPUs are known;
+// its memory is estimated by this job's ratio of memory to CPUs.
+func (p *preemptionSearch) usageAndVictims(m *machine) (*projectedUsage, []*attempt) {
 	claimed := p.round.claimedCPUs[m]
-	pending := &pendingCapacity{m, m.used.plus(resources{
+	projected := &projectedUsage{m, m.used.plus(resources{
 		cpus:     claimed,
 		memoryGB: claimed * p.job.spec.MemoryGB / max(p.job.spec.CPUs, epsilon),
 	})}
 	var victims []*attempt
 	for _, a := range m.tasks {
 		if a.stop.requested && a.job != nil {
-			pending.used.removeTask(&a.job.spec)
+			projected.used.removeTask(&a.job.spec)
 		} else if p.round.cluster.mayPreempt(p.job, a) && (p.scope != preemptIdle || a.job.rank == idleRank) {
 			victims = append(victims, a)
 		}
 	}
-	return pending, victims
+	return projected, victims
 }
 
-// claim keeps capacity for one task on the machine.
-func (p *preemptionSearch) claim(m *machine) {
+// claimSlot claims capacity for one task of the job on the machine.
+func (p *preemptionSearch) claimSlot(m *machine) {
 	p.round.claimedCPUs[m] += p.job.spec.CPUs
-	// A reservation for another job stays. If two jobs took it from each other, each would
-	// find the machine reserved for the other once the capacity is free.
+	// A valid reservation for another job is kept, except against production. If two jobs
+	// replaced each other's reservations, each would find the machine reserved for the other
+	// when the capacity becomes free.
 	//mutation:reservation-is-kept
 	if m.reservation.jobID == p.job.id || m.reservation.until <= p.round.now.Mono || p.job.isProduction() {
 		m.reserve(p.job, p.round.now.Mono)
@@ -285,37 +297,39 @@
 	p.found++
 }
 
-// cheapestOption chooses the attempts to preempt for one task, those that lose least first.
-func (p *preemptionSearch) cheapestOption(pending *pendingCapacity, victims []*attempt) (preemptionOption, bool) {
+// cheapestOption chooses the attempts to preempt for one task of the job, in the order of
+// compareVictims. It reports whether preempting them frees enough capacity.
+func (p *preemptionSearch) cheapestOption(projected *projectedUsage, victims []*attempt) (preemptionOption, bool) {
 	slices.SortFunc(victims, p.compareVictims)
-	option := preemptionOption{machine: pending.machine, cost: p.fetchCost(pending.machine)}
+	option := preemptionOption{machine: projected.machine, cost: p.fetchCost(projected.machine)}
 	count := 0
-	for count < len(victims) && !pending.fits(p.job) {
-		pending.used.removeTask(&victims[count].job.spec)
+	for count < len(victims) && !projected.fits(p.job) {
+		projected.used.removeTask(&victims[count].job.spec)
 		option.cost += p.stopCost(victims[count])
 		count++
 	}
 	option.victims = victims[:count]
-	return option, count > 0 && pending.fits(p.job)
+	return option, count > 0 && projected.fits(p.job)
 }
 
-// fetchCost is what it costs that the machine has to fetch the job's image.
+// fetchCost returns the cost of fetching the job's image on the machine, in CPU seconds.
 func (p *preemptionSearch) fetchCost(m *machine) float64 {
-	weight := fetchPreemptionCost
+	weight := fetchWeight
 	switch {
 	case m.hasImage(p.job.spec.Image):
 		return 0
 	case p.job.service:
-		weight = fetchServicePreemptionCost
+		weight = serviceFetchWeight
 	}
-	return weight * p.job.spec.ImageGB / max(m.machineSpec.FetchGBPerS, minFetchRate)
+	return weight * p.job.spec.ImageGB / max(m.machineSpec.FetchGBPerS, minFetchGBPerS)
 }
 
-// compareVictims orders attempts by which is preempted first: not those of starved jobs, of
-// the lowest priority, of jobs that are late already, without a tight deadline, and those
-// that were placed last, which lose least.
+// compareVictims orders attempts for preemption: attempts of starved jobs come last. The others are
+// ordered by priority, lowest first, then by the number of deadlines that their jobs miss, most
+// first. Attempts of jobs without a tight deadline come next, then those that were placed last,
+// which lose the least progress.
 func (p *preemptionSearch) compareVictims(a, b *attempt) int {
-	if c := compareTrueFirst(b.ofStarvedJob(), a.ofStarvedJob()); c != 0 {
+	if c := compareTrueFirst(b.belongsToStarvedJob(), a.belongsToStarvedJob()); c != 0 {
 		return c
 	}
 	if c := cmp.Or(cmp.Compare(b.job.rank, a.job.rank), cmp.Compare(b.job.plan.feasible, a.job.plan.feasible)); c != 0 {
@@ -327,7 +341,8 @@
 	return cmp.Or(cmp.Compare(b.placedAt, a.placedAt), cmp.Compare(b.number, a.number))
 }
 
-// stopCost is what is lost with the attempt, in CPU seconds.
+// stopCost returns the cost of preempting the attempt, in CPU seconds: the work that is lost, and
+// a surcharge if the job would then miss a deadline.
 func (p *preemptionSearch) stopCost(a *attempt) float64 {
 	lost := (p.round.now.Mono - a.placedAt).Seconds() * max(1, a.job.spec.CPUs)
 	switch {
@@ -339,7 +354,7 @@
 	return lost
 }
 
-// execute carries out the options that cost least, for the tasks that still need capacity.
+// execute carries out the cheapest options for the tasks that still need capacity.
 func (p *preemptionSearch) execute(options []preemptionOption) {
 	slices.SortStableFunc(options, func(a, b preemptionOption) int { return cmp.Compare(a.cost, b.cost) })
 	for _, option := range options {
@@ -349,7 +364,7 @@
 		if !p.spread.allowsZone(p.job, option.machine.zone) {
 			continue
 		}
-		p.claim(option.machine)
+		p.claimSlot(option.machine)
 		for _, victim := range option.victims {
 			p.round.preempt(victim, p.job, preemptedForCapacity)
 		}
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -9,10 +9,10 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Ranks between production and idle.
+// Ranks of the priorities between production and idle.
 const urgentRank, normalRank = 1, 2
 
-// Each attempt is preempted before the next.
+// compareVictims orders each attempt before the next one in the list.
 func TestPreemptionOrder(t *testing.T) {
 	const now = time.Hour
 	late := func(j *job) { j.plan = deadlinePlan{deadlines: []float64{60}, feasible: 1} }
@@ -47,8 +47,8 @@
 	}
 }
 
-// Work makes way for what has a higher priority, and, beyond its team's guarantee, for what
-// is within that of another team.
+// An attempt may be preempted for a job of higher priority and, if its team exceeds its
+// guarantee, for a job within the guarantee of another team.
 func TestMayPreempt(t *testing.T) {
 	guaranteed := jobStanding{withinGuarantee: true}
 	for _, tc := range []struct {
@@ -70,7 +70,7 @@
 			job:  job{rank: normalRank, standing: guaranteed}, victim: job{rank: urgentRank, spec: wire.Job{Team: "blue", CPUs: 2}, standing: guaranteed},
 		},
 		{
-			name: "what another team needs for its guarantee",
+			name: "needed to fill another team's guarantee",
 			job:  job{rank: normalRank, standing: guaranteed}, victim: job{rank: urgentRank, spec: wire.Job{Team: "blue", CPUs: 3}},
 		},
 		{
@@ -83,7 +83,7 @@
 		},
 		{name: "starved job, for urgent work", job: job{rank: urgentRank}, victim: job{rank: idleRank, standing: jobStanding{starved: true}}},
 		{name: "starved job, for production", job: job{rank: productionRank}, victim: job{rank: idleRank, standing: jobStanding{starved: true}}, want: true},
-		{name: "start under way", job: job{rank: urgentRank}, victim: job{rank: normalRank}, start: startState{sent: true}},
+		{name: "unacknowledged start", job: job{rank: urgentRank}, victim: job{rank: normalRank}, start: startState{sent: true}},
 		{name: "acknowledged start", job: job{rank: urgentRank}, victim: job{rank: normalRank}, start: startState{sent: true, acknowledged: true}, want: true},
 		{name: "being stopped", job: job{rank: urgentRank}, victim: job{rank: normalRank}, stop: stopRequest{requested: true}},
 	} {
@@ -96,7 +96,8 @@
 	}
 }
 
-// Idle work makes way at once; other work for jobs within their guarantee, after a while.
+// Idle-priority attempts may be preempted at once, other attempts only for production and for jobs
+// that have waited within their team's guarantee.
 func TestPreemptionScope(t *testing.T) {
 	within := jobStanding{withinGuarantee: true}
 	const now = time.Hour
@@ -106,11 +107,11 @@
 		idlePreemptable bool
 		want            preemptionScope
 	}{
-		{"production", job{rank: productionRank, createdAt: now}, false, preemptLower},
+		{"production", job{rank: productionRank, createdAt: now}, false, preemptAllowed},
 		{"within its guarantee, just submitted", job{rank: normalRank, createdAt: now, standing: within}, true, preemptIdle},
-		{"within its guarantee, for a while", job{rank: normalRank, standing: within}, false, preemptLower},
+		{"within its guarantee, submitted long ago", job{rank: normalRank, standing: within}, false, preemptAllowed},
 		{"beyond its guarantee", job{rank: normalRank}, true, preemptIdle},
-		{"beyond its guarantee, without idle work", job{rank: normalRank}, false, preemptNothing},
+		{"beyond its guarantee, without idle attempts", job{rank: normalRank}, false, preemptNothing},
 		{"idle", job{rank: idleRank}, true, preemptNothing},
 	} {
 		context := &termContext{now: Now{Mono: now}, settings: Settings{GuaranteedStartWithin: 10 * time.Second}}
@@ -121,7 +122,7 @@
 	}
 }
 
-// An option has no more victims than one task needs, those first that lose least.
+// An option has no more victims than one task needs, chosen in the order of compareVictims.
 func TestCheapestOptionStopsNoMoreThanNeeded(t *testing.T) {
 	m := &machine{name: "n-1", images: []cachedImage{{"img", 1}}, machineSpec: &wire.MachineType{CPUs: 8, MemoryGB: 8}, used: resources{cpus: 8}}
 	var victims []*attempt
@@ -129,12 +130,12 @@
 		victims = append(victims, &attempt{machine: m, number: uint64(i), job: &job{rank: rank, spec: wire.Job{CPUs: 2}}})
 	}
 	search := &preemptionSearch{round: &placementRound{termContext: &termContext{}}, job: &job{spec: wire.Job{CPUs: 3, Image: "img"}}}
-	option, ok := search.cheapestOption(&pendingCapacity{m, m.used}, slices.Clone(victims))
+	option, ok := search.cheapestOption(&projectedUsage{m, m.used}, slices.Clone(victims))
 	if want := []*attempt{victims[3], victims[1]}; !ok || !slices.Equal(option.victims, want) {
 		t.Errorf("%v, %d victims", ok, len(option.victims))
 	}
 	search.job.spec.CPUs = 9
-	if _, ok := search.cheapestOption(&pendingCapacity{m, m.used}, slices.Clone(victims)); ok {
-		t.Error("a task that is larger than the machine fits")
+	if _, ok := search.cheapestOption(&projectedUsage{m, m.used}, slices.Clone(victims)); ok {
+		t.Error("an option was found for a task that is larger than the machine")
 	}
 }
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -11,10 +11,10 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Ranks are priorities in their order, the highest first.
+// Ranks of the highest and the lowest priority. The highest priority has rank 0.
 var (
 	productionRank = wire.PriorityOrder(wire.PriorityProduction)
-	idleRank       = wire.PriorityOrder(wire.PriorityIdle) // work for capacity that is free
+	idleRank       = wire.PriorityOrder(wire.PriorityIdle) // runs on capacity that no other job needs
 )
 
 // isOpen reports whether tasks of the job may still be placed.
@@ -23,9 +23,9 @@
 // isProduction reports whether the job has the highest priority.
 func (j *job) isProduction() bool { return j.rank == productionRank }
 
-// schedulingQueue gives the jobs with tasks to place in the order in which a placement
-// round takes them, see compareQueueOrder. It brings their standing and their deadline
-// plan up to date first.
+// schedulingQueue updates the standing and the deadline plans of all open jobs. It returns the
+// jobs with tasks to place in the order in which a placement round processes them; see
+// compareQueueOrder.
 func (c *clusterState) schedulingQueue(totalCPUs float64) []*job {
 	var waiting []*job
 	for _, j := range c.jobs {
@@ -49,9 +49,9 @@
 	return waiting
 }
 
-// compareQueueOrder orders waiting jobs: production first, then the first tasks of starved
-// jobs, then the share of aged jobs, then by deadline feasibility, guarantee, priority and
-// the time to the deadline.
+// compareQueueOrder orders waiting jobs: production jobs first, then starved jobs that are owed
+// their first tasks, then aged jobs. The others follow by the first deadline that they can
+// meet, team guarantee, priority, time to the deadline, age and ID.
 func compareQueueOrder(a, b *job) int {
 	if c := compareTrueFirst(a.isProduction(), b.isProduction()); c != 0 {
 		return c
@@ -62,8 +62,8 @@
 	if c := compareTrueFirst(a.standing.aged, b.standing.aged); c != 0 {
 		return c
 	}
-	// A job that can still be on time goes before one that is late already, even if that
-	// one is within its guarantee: it has missed the guaranteed start too.
+	// A job that can still be on time precedes a job that is already late, even if the late job
+	// is within its team's guarantee: it has also missed the guaranteed start time.
 	if c := cmp.Compare(a.deadlineClass(), b.deadlineClass()); c != 0 {
 		return c
 	}
@@ -86,27 +86,28 @@
 	return 1
 }
 
-// updateStarvation finds out whether the job is starved. A starved job gets its first tasks
-// ahead of all but production: deadline planning sacrifices the largest job first, and
-// under lasting overload it would do so in every round.
+// updateStarvation determines whether the job is starved. The first tasks of a starved job are
+// placed ahead of all jobs but production: deadline planning gives up the deadline of the
+// largest job first, and under lasting overload it would do so in every round.
 func (j *job) updateStarvation(now time.Duration, totalCPUs float64) {
 	j.standing.starved = !j.service && now-j.createdAt > tuning.ArrayStarvationBound && !j.isEstablished(now) && !j.likelyInvalid(now)
 	//mutation:starved-jobs-first
 	j.standing.prioritized = j.standing.starved && j.starvedTaskAllowance(totalCPUs) > 0
 }
 
-// updateUrgency sets what follows from the deadline plan. A job that misses all its
-// deadlines ages, and then gets a share of the cluster: it has to finish all the same.
+// updateUrgency sets whether the job is aged, and its slack, from the deadline plan. A job that
+// misses all its deadlines counts as aged some time after its submission and then gets a share
+// of the cluster, so that it still finishes.
 func (j *job) updateUrgency(now time.Duration) {
 	j.standing.aged = !j.service && j.missesAllDeadlines() && now-j.createdAt > tuning.AgedAfter
-	j.plan.slackS = math.Inf(1) // without a deadline, after those that have one
+	j.plan.slackS = math.Inf(1) // jobs without a deadline follow those that have one
 	if len(j.plan.deadlines) > 0 {
 		j.plan.slackS = j.secondsToDeadline(now)
 	}
 }
 
-// updateGuarantees finds out which jobs are within their team's guarantee: it covers the
-// team's oldest jobs, each with all tasks that are not done.
+// updateGuarantees determines which jobs are within their team's guarantee. The guarantee is
+// used up by the team's jobs from oldest to newest, each with all its unfinished tasks.
 func (c *clusterState) updateGuarantees() {
 	jobsByTeam := map[string][]*job{}
 	for _, j := range c.jobs {
@@ -129,10 +130,10 @@
 	}
 }
 
-// likelyInvalid reports whether the job seems to be submitted with a mistake: it has failed
-// on several machines, no task of it was ever established, and none runs for longer than
-// failures take to show. On a faulty machine other jobs fail too, while the tasks of a
-// valid job succeed elsewhere.
+// likelyInvalid reports whether the job fails because of an error in the job rather than
+// faulty machines: it has failed on several machines, none of its tasks was ever established,
+// and none has been running for clearly longer than the failed tasks ran. On a faulty machine
+// other jobs fail too, while the tasks of a valid job succeed elsewhere.
 func (j *job) likelyInvalid(now time.Duration) bool {
 	if len(j.retry.failedMachines) < tuning.FaultyJobMachineThreshold || j.isEstablished(now) {
 		return false
@@ -140,9 +141,9 @@
 	return j.longestRun(now) <= 2*j.retry.longestFailedRun+tuning.FailureRuntimeMargin
 }
 
-// isEstablished reports whether a task of the job was completed or has run for long enough
-// to count as started for good. Idle work of a guest team that is preempted within seconds
-// of each start would otherwise never count as starved.
+// isEstablished reports whether a task of the job has completed or has run for at least
+// tuning.EstablishedAfter. Shorter runs don't count: otherwise an idle job of a team without a
+// guarantee whose tasks are preempted within seconds of each start would never be starved.
 func (j *job) isEstablished(now time.Duration) bool {
 	if j.standing.established || j.progress.doneCount > 0 {
 		return true
@@ -151,8 +152,8 @@
 	return j.standing.established
 }
 
-// longestRun is for how long the job's longest-running task has run, without those that
-// are being stopped; 0 if none runs.
+// longestRun returns how long the job's longest-running task has been running, or 0 if none
+// runs. Tasks that are being stopped don't count.
 func (j *job) longestRun(now time.Duration) time.Duration {
 	longest := time.Duration(0)
 	for _, attempts := range j.active {
@@ -165,8 +166,9 @@
 	return longest
 }
 
-// starvedTaskAllowance is how many more tasks the job gets ahead of others while it is
-// starved: a part of the job, and, beyond its team's guarantee, of the cluster.
+// starvedTaskAllowance returns how many more tasks the job gets ahead of other jobs while it is
+// starved. The allowance is a fraction of the job's tasks; for a job beyond its team's
+// guarantee, it is also bounded by a fraction of the cluster's CPUs.
 func (j *job) starvedTaskAllowance(totalCPUs float64) int {
 	allowance := max(1, j.spec.Tasks/tuning.StarvedArrayDivisor)
 	if !j.standing.withinGuarantee && j.spec.CPUs > 0 {
@@ -175,12 +177,12 @@
 	return max(0, allowance-j.activeCount)
 }
 
-// ofStarvedJob reports whether the attempt is of a starved job, which keeps what it got
-// ahead of others until it is established.
-func (a *attempt) ofStarvedJob() bool { return a.job != nil && a.job.standing.starved }
+// belongsToStarvedJob reports whether the attempt's job is starved. Only production preempts
+// such attempts, until the job is established.
+func (a *attempt) belongsToStarvedJob() bool { return a.job != nil && a.job.standing.starved }
 
-// deadlineClass orders jobs by the first deadline that they can still meet, and those that
-// are equal in that by whether they are within their team's guarantee.
+// deadlineClass returns a sort key, lowest first: the index of the first deadline that the job
+// can still meet, then whether the job is within its team's guarantee.
 func (j *job) deadlineClass() int {
 	class := 2 * j.plan.feasible
 	if !j.standing.withinGuarantee {
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// Each job goes before the next: what comes first in compareQueueOrder decides.
+// Each job precedes the next one in the queue, by the first criterion of compareQueueOrder in
+// which they differ.
 func TestQueueOrder(t *testing.T) {
 	queued := func(id string, rank int, change func(*job)) *job {
 		j := &job{id: id, rank: rank, standing: jobStanding{withinGuarantee: true}, plan: deadlinePlan{slackS: 60}}
@@ -23,10 +24,10 @@
 		queued("starved", normalRank, func(j *job) { j.standing.prioritized, j.plan.feasible = true, 1 }),
 		queued("aged", normalRank, func(j *job) { j.standing.aged, j.plan.feasible = true, 1 }),
 		queued("urgent", urgentRank, nil),
-		queued("less time", normalRank, func(j *job) { j.plan.slackS = 10 }),
+		queued("less time to the deadline", normalRank, func(j *job) { j.plan.slackS = 10 }),
 		queued("older", normalRank, func(j *job) { j.createdAt = -time.Second }),
-		queued("usual, a", normalRank, nil),
-		queued("usual, b", normalRank, nil),
+		queued("same criteria, a", normalRank, nil),
+		queued("same criteria, b", normalRank, nil),
 		queued("beyond its guarantee", urgentRank, func(j *job) { j.standing.withinGuarantee = false }),
 		queued("late", urgentRank, func(j *job) { j.plan.feasible = 1 }),
 		queued("late and beyond its guarantee", urgentRank, func(j *job) {
@@ -42,7 +43,7 @@
 	}
 }
 
-// The guarantee of a team covers its oldest jobs, as far as it goes.
+// The guarantee of a team covers its oldest jobs until it is used up.
 func TestGuaranteeCoversTheOldestJobs(t *testing.T) {
 	s := newEmptyScheduler(Now{}, Settings{Teams: map[string]TeamQuota{"red": {CPUs: 8, CPUsMax: 100}}}, 1)
 	for i, id := range []string{"run-000003", "run-000001", "run-000002"} {
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -6,33 +6,34 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// quotaReservations is what waiting production jobs reserve of their teams' limits for a
-// round. Without it, work of lower priority would take the quota that it was preempted
-// for, and be preempted again.
+// quotaReservations tracks the quota that waiting production jobs reserve within their teams'
+// limits for one round. Without reservations, lower-priority jobs would take the quota that was
+// freed by preempting them, and would be preempted again.
 type quotaReservations struct {
-	byTeam map[string]TeamQuota // CPUs and GPUs
-	tasks  map[*job]int         // for how many tasks each job has reserved
+	byTeam map[string]TeamQuota // reserved CPUs and GPUs; the Max fields are unused
+	tasks  map[*job]int         // number of tasks that each job has reserved quota for
 }
 
 func newQuotaReservations() quotaReservations {
 	return quotaReservations{byTeam: map[string]TeamQuota{}, tasks: map[*job]int{}}
 }
 
-// set has a production job reserve for so many tasks, in place of what it had reserved.
+// set replaces the reservation of a production job by one for the given number of tasks. It does
+// nothing for other jobs.
 func (q quotaReservations) set(j *job, tasks int) {
 	if !j.isProduction() {
 		return
 	}
-	more := float64(tasks - q.tasks[j])
+	added := float64(tasks - q.tasks[j])
 	reserved := q.byTeam[j.spec.Team]
-	reserved.CPUs += more * j.spec.CPUs
-	reserved.GPUs += more * j.spec.GPUs
+	reserved.CPUs += added * j.spec.CPUs
+	reserved.GPUs += added * j.spec.GPUs
 	q.byTeam[j.spec.Team], q.tasks[j] = reserved, tasks
 }
 
-// quotaHeadroom is how many more tasks of the job its team's limit allows, beside what is
-// reserved. All attempts that may be on a machine count against the limit: also those that
-// save a checkpoint, and those whose start is not known to have failed.
+// quotaHeadroom returns how many more tasks of the job its team's limit allows, given the
+// reserved quota. All attempts that may be on a machine count against the limit, including those
+// that are saving a checkpoint and those whose start is not known to have failed.
 func (c *clusterState) quotaHeadroom(j *job, reserved TeamQuota) int {
 	limit, ok := c.settings.Teams[j.spec.Team]
 	if !ok {
@@ -49,7 +50,8 @@
 	return int(max(0, min(count, wire.MaxTasks)))
 }
 
-// quotaShortfall is what so many tasks of the job would take beyond its team's limit.
+// quotaShortfall returns by how much the given number of additional tasks of the job would exceed
+// its team's limit. A resource within the limit is 0 or negative.
 func (c *clusterState) quotaShortfall(j *job, tasks int) resources {
 	limit, usage := c.settings.Teams[j.spec.Team], c.usageOf(j.spec.Team)
 	return resources{
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -6,7 +6,7 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// What a job reserves replaces what it had reserved; only production jobs reserve any.
+// A new reservation of a job replaces its previous one, and only production jobs reserve quota.
 func TestQuotaReservations(t *testing.T) {
 	production := &job{rank: productionRank, spec: wire.Job{Team: "red", CPUs: 2, GPUs: 1}}
 	other := &job{rank: productionRank, spec: wire.Job{Team: "red", CPUs: 4}}
@@ -30,7 +30,7 @@
 	}
 }
 
-// The headroom is what the limit leaves beside usage and reservations, in whole tasks.
+// The headroom is the team's limit less usage and reservations, in whole tasks.
 func TestQuotaHeadroom(t *testing.T) {
 	for _, tc := range []struct {
 		name            string
@@ -39,11 +39,11 @@
 		want            int
 	}{
 		{"all of the limit", wire.Job{CPUs: 3}, TeamQuota{}, TeamQuota{}, 5},
-		{"beside usage", wire.Job{CPUs: 3}, TeamQuota{CPUs: 5}, TeamQuota{}, 3},
-		{"beside reservations", wire.Job{CPUs: 3}, TeamQuota{CPUs: 5}, TeamQuota{CPUs: 5}, 2},
+		{"less usage", wire.Job{CPUs: 3}, TeamQuota{CPUs: 5}, TeamQuota{}, 3},
+		{"less usage and reservations", wire.Job{CPUs: 3}, TeamQuota{CPUs: 5}, TeamQuota{CPUs: 5}, 2},
 		{"over the limit", wire.Job{CPUs: 3}, TeamQuota{CPUs: 20}, TeamQuota{}, 0},
-		{"GPUs bind", wire.Job{CPUs: 1, GPUs: 1}, TeamQuota{}, TeamQuota{GPUs: 1}, 3},
-		{"tasks that take nothing", wire.Job{}, TeamQuota{}, TeamQuota{}, wire.MaxTasks},
+		{"limited by GPUs", wire.Job{CPUs: 1, GPUs: 1}, TeamQuota{}, TeamQuota{GPUs: 1}, 3},
+		{"tasks that use no resources", wire.Job{}, TeamQuota{}, TeamQuota{}, wire.MaxTasks},
 	} {
 		s := newEmptyScheduler(Now{}, Settings{Teams: map[string]TeamQuota{"red": {CPUsMax: 16, GPUsMax: 4}}}, 1)
 		usage := s.cluster.usageOf("red")
@@ -54,6 +54,6 @@
 		}
 	}
 	if got := newEmptyScheduler(Now{}, Settings{}, 1).cluster.quotaHeadroom(&job{spec: wire.Job{Team: "unknown", CPUs: 1}}, TeamQuota{}); got != 0 {
-		t.Errorf("a team without quota settings: %d", got)
+		t.Errorf("a team without quota settings: %d, want 0", got)
 	}
 }
--- a/internal/scheduler/reconciliation.go
+++ b/internal/scheduler/reconciliation.go
@@ -102,7 +102,7 @@
 
 // mayAdoptOn reports whether the job allows the machine beside its other tasks.
 func (j *job) mayAdoptOn(m *machine) bool {
-	return j.allows(m.offer()) && j.allowsZone(j.attemptsByZone(), m.zone)
+	return j.matchesOffer(m.offer()) && j.allowsZone(j.attemptsByZone(), m.zone)
 }
 
 // observeRecorded takes the first observation of an attempt that a record names, and stops
--- a/internal/scheduler/zone_partition.go
+++ b/internal/scheduler/zone_partition.go
@@ -156,7 +156,7 @@
 	allowed := map[string]bool{}
 	for _, machineSpec := range c.machineTypes {
 		for _, zone := range machineSpec.Zones {
-			allowed[zone] = j.allows(offer{machineType: machineSpec.Name, zone: zone})
+			allowed[zone] = j.matchesOffer(offer{machineType: machineSpec.Name, zone: zone})
 		}
 	}
 	return allowed
