--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -64,7 +64,7 @@
 	if m.cloud.failed || m.cloud.interruptionAt > 0 || m.connectivity.unreachableSince > 0 {
 		return false
 	}
-	return service.allows(m.offer())
+	return service.matchesOffer(m.offer())
 }
 
 // serviceTaskCapacity returns how many tasks of the service fit on the machine beside its tasks
