--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,7 +1,7 @@
 // Package scheduler decides what runs where. It is a state machine without I/O,
 // goroutines, clock or randomness of its own: inputs come in with the time at which they
 // came, and what is to be sent, written and answered comes out as Effects. Use it by
-// calling New once a term has begun, an input method (Heartbeat, JobsChanged, CommitDone,
+// calling New once a term has begun, an input method (Heartbeat, JobsChanged, CommitEnded,
 // Tick, ...) for each event, then Settle, and TakeEffects for what follows.
 //
 // The guarantees rest on three rules. A task's assignment is durable before any start is
