--- a/cmd/yarrowgap/queries.go
+++ b/cmd/yarrowgap/queries.go
@@ -111,7 +111,7 @@
 
 func printFailures(w io.Writer, failures []scheduler.Failure) {
 	for _, failure := range failures {
-		at := time.UnixMilli(failure.At).UTC().Format(time.RFC3339)
+		at := time.UnixMilli(failure.AtMilli).UTC().Format(time.RFC3339)
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", at, failure.Task, failure.Machine, failure.Cause)
 	}
 }
--- a/internal/scheduler/absence_proof.go
+++ b/internal/scheduler/absence_proof.go
@@ -7,7 +7,7 @@
 // provenAbsent reports whether an attempt that the heartbeat does not list is neither on the
 // machine nor can be started there by anything that was sent before. An attempt leaves the
 // scheduler's state on this proof alone, or with its machine.
-func (d *dispatcher) provenAbsent(a *attempt, heartbeat *wire.Heartbeat, via exchange) bool {
+func (d *dispatcher) provenAbsent(a *attempt, heartbeat *wire.Heartbeat, via exchangeInitiator) bool {
 	start := &a.start
 	// The worker has not seen the token under which it refuses the start.
 	//mutation:absence-needs-fencing-token
--- a/internal/scheduler/absence_proof_test.go
+++ b/internal/scheduler/absence_proof_test.go
@@ -28,7 +28,7 @@
 		for _, c := range []struct {
 			name   string
 			change func(a *attempt, r *wire.Heartbeat)
-			via    exchange
+			via    exchangeInitiator
 			absent bool
 		}{
 			{"nothing speaks against it", func(*attempt, *wire.Heartbeat) {}, workerInitiated, true},
--- a/internal/scheduler/attempt_outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -9,35 +9,35 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Causes of failed attempts beside those that workers report.
+// Causes of failed attempts that the leader determines itself; workers report other causes.
 const (
-	causeLost            = "lost"         // the worker no longer lists it
-	causeMachineReleased = "machine gone" // its machine was released
-	causeAckTimeout      = "ack timeout"  // no worker acknowledged its start in time
+	causeLost            = "lost"         // the worker no longer lists the attempt
+	causeMachineReleased = "machine gone" // the attempt's machine was released
+	causeAckTimeout      = "ack timeout"  // no worker acknowledged the start in time
 )
 
-// Failure is a failed attempt, kept for operators to ask about.
+// Failure describes a failed attempt, for the list that operators query.
 type Failure struct {
 	Task    string `cbor:"task" json:"task"`
 	Attempt uint64 `cbor:"attempt" json:"attempt"`
 	Machine string `cbor:"machine" json:"machine"`
 	Cause   string `cbor:"cause" json:"cause"`
-	At      int64  `cbor:"at_ms" json:"at_ms"`
+	AtMilli int64  `cbor:"at_ms" json:"at_ms"` // Unix time in milliseconds
 }
 
-// handleExit takes the end of an attached attempt, as its worker lists it.
+// handleExit handles the end of an attached attempt as its worker lists it.
 func (s *Scheduler) handleExit(a *attempt, status *wire.TaskStatus) {
 	a.start.acknowledged = true
 	s.reconciler.reportDeferredVerdict(a)
 	if status.Cause == wire.CauseDone {
-		s.observeRecorded(a, reconcile.Completed)
+		s.reconcileRecordedAttempt(a, reconcile.Completed)
 		//mutation:keep-attempt-until-saved
 		a.keepAssignmentUntilSaved()
 	} else {
-		s.observeRecorded(a, reconcile.Ended)
+		s.reconcileRecordedAttempt(a, reconcile.Ended)
 	}
 	if a.job != nil && (a.state != "" || status.Cause == wire.CauseDone) {
-		a.machine.addImage(a.job.spec.Image, a.job.spec.ImageGB) // it was fetched
+		a.machine.addImage(a.job.spec.Image, a.job.spec.ImageGB) // the image was fetched
 	}
 	s.detach(a)
 	if status.Cause == wire.CauseDone {
@@ -60,7 +60,8 @@
 	s.markTaskDone(j, a.ref.index)
 }
 
-// handleFailedAttempt decides what follows a detached attempt that did not complete.
+// handleFailedAttempt records a detached attempt that did not complete, and applies the
+// consequences for its job and its machine.
 func (s *Scheduler) handleFailedAttempt(a *attempt, cause string) {
 	if cause != wire.CauseStopped {
 		s.cluster.addFailure(Failure{a.ref.String(), a.number, a.machine.name, cause, s.now.Wall})
@@ -91,27 +92,27 @@
 func (c *clusterState) logFailedAttempt(a *attempt, cause string) {
 	log := c.logInfo
 	if cause == wire.CauseNoCapacity {
-		log = c.logDebug // it is placed again at once
+		log = c.logDebug // the task is placed again at once
 	}
 	log("attempt ended", "task", a.ref.String(), "attempt", a.number, "machine", a.machine.name, "cause", cause)
 }
 
-// stopGang stops a gang of which a member has failed. The others would wait for that one
-// in vain; the gang is queued again as a whole.
+// stopGang stops all members of a gang after one has failed, since the others would wait for it
+// in vain. The gang is queued again as a whole.
 func (s *Scheduler) stopGang(j *job) {
 	for _, member := range j.sortedAttempts() {
 		s.stopNow(member, StopGangMemberEnded)
 	}
 }
 
-// handleTaskError takes the failure of a task that ended with an error of its own.
+// handleTaskError handles an attempt whose task ended with an error.
 func (s *Scheduler) handleTaskError(a *attempt) {
 	j := a.job
 	if a.runningAt > 0 {
-		ran := s.now.Mono - a.runningAt
-		j.retry.longestFailedRun = max(j.retry.longestFailedRun, ran)
-		if ran >= tuning.EstablishedAfter {
-			// It worked for long: earlier failures are no sign of an invalid job.
+		runTime := s.now.Mono - a.runningAt
+		j.retry.longestFailedRun = max(j.retry.longestFailedRun, runTime)
+		if runTime >= tuning.EstablishedAfter {
+			// A long run shows that the job is valid, despite earlier failures.
 			j.standing.established, j.retry.failures = true, 0
 		}
 	}
@@ -120,10 +121,10 @@
 	s.cluster.attributeFailure(a.machine, j)
 }
 
-// attributeFailure tells faulty machines from jobs that are invalid, by which of them
-// fail where: a machine on which several jobs fail is quarantined, and a job that fails
-// wherever it runs says nothing about machines. Those that it was held against before
-// are acquitted.
+// attributeFailure attributes a task error to a faulty machine or to an invalid job. A machine
+// on which several jobs fail is quarantined. A job that fails wherever it runs is likely
+// invalid: its failures count against no machine, and earlier ones are no longer held against
+// any.
 func (c *clusterState) attributeFailure(m *machine, j *job) {
 	if j.likelyInvalid(c.now.Mono) {
 		c.acquitMachines(j)
@@ -139,9 +140,9 @@
 	m.quarantine.until = c.now.Mono + tuning.QuarantineDuration
 }
 
-// handleAbsence takes an attached attempt that is proven not to be on its machine.
+// handleAbsence handles an attached attempt that is proven to be absent from its machine.
 func (s *Scheduler) handleAbsence(a *attempt) {
-	s.observeRecorded(a, reconcile.Absent)
+	s.reconcileRecordedAttempt(a, reconcile.Absent)
 	switch {
 	case a.start.acknowledged:
 		// The worker's lease has expired, or the machine has lost the task otherwise.
@@ -154,7 +155,7 @@
 	case a.start.firstSentAt == 0:
 		s.detach(a) // recorded by an earlier leader, and never started
 	default:
-		// The start was not executed. It is the one kind of command that is sent again.
+		// The start was not executed. It is sent again, now or when its retry is due.
 		a.start.replySequence = 0
 		if a.retry.nextAt <= s.now.Mono {
 			s.dispatcher.sendDue(a.machine)
@@ -162,7 +163,8 @@
 	}
 }
 
-// markTaskDone counts a task as done. That is durable only once the job's record says so.
+// markTaskDone counts a task as done. The completion is durable only after the job's record has
+// been written.
 func (s *Scheduler) markTaskDone(j *job, index int) {
 	//mutation:done-counted-once
 	if index >= j.spec.Tasks || j.progress.done.Has(index) || j.service {
@@ -179,46 +181,46 @@
 	s.persister.markDirtyIfComplete(j)
 }
 
-// drainMachine stops tasks that had better start again elsewhere before the cloud takes
-// a spot machine. What can write a checkpoint does so. What cannot loses as much by a
-// stop now as by the end of the machine: it runs on while it may complete in the time
-// left, or while it fits nowhere else. Shortly before the end everything is stopped,
-// since an exit in a heartbeat lets the task start elsewhere at once, and without one
-// only the machine's release does.
+// drainMachine stops those tasks on a spot machine that should restart elsewhere before the
+// cloud reclaims it. Tasks that can save a checkpoint in time are stopped with one. Other tasks
+// lose as much progress by a stop now as by the interruption, so they keep running if they may
+// complete in the time left or fit nowhere else. Shortly before the interruption all tasks are
+// stopped: an exit listed in a heartbeat lets a task start elsewhere at once, and without one it
+// has to wait for the machine's release.
 func (s *Scheduler) drainMachine(m *machine) {
-	left := m.cloud.interruptionAt - s.now.Mono
+	timeLeft := m.cloud.interruptionAt - s.now.Mono
 	for _, a := range m.sortedAttempts() {
 		if a.job == nil || a.stop.requested {
 			continue
 		}
 		switch {
-		case a.job.canCheckpointWithin(left):
+		case a.job.canCheckpointWithin(timeLeft):
 			s.stopAfterCheckpoint(a, StopSpotInterruption)
-		case !s.cluster.mayRunUntilInterruption(a, left):
+		case !s.cluster.mayRunUntilInterruption(a, timeLeft):
 			s.stopNow(a, StopSpotInterruption)
 		}
 	}
 }
 
-// canCheckpointWithin reports whether a task of the job can save its progress in the time
-// left, but for a second that its stop may take to arrive.
-func (j *job) canCheckpointWithin(left time.Duration) bool {
-	return j.spec.CheckpointIntervalS > 0 && j.spec.CheckpointSaveS < left.Seconds()-1
+// canCheckpointWithin reports whether a task of the job can save a checkpoint within timeLeft,
+// less one second for the stop to arrive.
+func (j *job) canCheckpointWithin(timeLeft time.Duration) bool {
+	return j.spec.CheckpointIntervalS > 0 && j.spec.CheckpointSaveS < timeLeft.Seconds()-1
 }
 
-// mayRunUntilInterruption reports whether nothing is gained by a stop before the cloud
-// takes the attempt's machine.
-func (c *clusterState) mayRunUntilInterruption(a *attempt, left time.Duration) bool {
+// mayRunUntilInterruption reports whether nothing is gained by stopping the attempt before the
+// cloud reclaims its machine.
+func (c *clusterState) mayRunUntilInterruption(a *attempt, timeLeft time.Duration) bool {
 	j := a.job
-	if a.state != wire.TaskRunning || j.service || left.Seconds() <= tuning.MinDrainTimeS {
+	if a.state != wire.TaskRunning || j.service || timeLeft.Seconds() <= tuning.MinDrainTimeS {
 		return false
 	}
 	remainingS := j.taskDuration() - (c.now.Mono - a.runningAt).Seconds()
-	return remainingS <= left.Seconds() || !c.fitsSomewhereCached(j)
+	return remainingS <= timeLeft.Seconds() || !c.fitsSomewhereCached(j)
 }
 
-// fitsSomewhereCached remembers what fitsSomewhere says for a moment: many tasks ask at
-// once.
+// fitsSomewhereCached caches the result of fitsSomewhere for tuning.FreeCapacityMemory, since
+// many tasks of a job are checked at the same time.
 func (c *clusterState) fitsSomewhereCached(j *job) bool {
 	if j.headroom.checkedAt == 0 || c.now.Mono-j.headroom.checkedAt > tuning.FreeCapacityMemory {
 		j.headroom.checkedAt, j.headroom.available = c.now.Mono, c.fitsSomewhere(j)
--- a/internal/scheduler/directcall.go
+++ b/internal/scheduler/directcall.go
@@ -9,12 +9,12 @@
 // commandCall is a direct call that is in flight.
 type commandCall struct {
 	machine        *machine
-	fencingCounter uint64     // of the token that it was sent under
-	starts         []*attempt // whose start it carries
-	statusProbe    bool       // it carries no commands
+	fencingCounter uint64     // of the fencing token that the call was sent under
+	starts         []*attempt // attempts whose starts the call carries
+	statusProbe    bool       // the call carries no commands
 }
 
-// sendCommands makes a direct call to a machine, with commands or as a status probe.
+// sendCommands makes a direct call to a machine. A call without commands is a status probe.
 func (d *dispatcher) sendCommands(m *machine, commands []wire.Command, starts []*attempt) {
 	d.nextEffectID++
 	d.calls[d.nextEffectID] = &commandCall{machine: m, fencingCounter: m.fencing.counter, starts: starts, statusProbe: len(commands) == 0}
@@ -26,7 +26,7 @@
 	})
 }
 
-// endCall takes a call out of those in flight; nil if it is not one of them.
+// endCall removes a call from those in flight and returns it; nil if the call is not in flight.
 func (d *dispatcher) endCall(id uint64) *commandCall {
 	call := d.calls[id]
 	if call == nil {
@@ -43,17 +43,17 @@
 	return call
 }
 
-// CallResult says what became of a direct call.
+// CallResult is the outcome of a direct call.
 type CallResult int
 
-// Outcomes of a direct call: see worker.Outcome.
+// Outcomes of a direct call; see worker.Outcome.
 const (
-	CallLost     CallResult = iota // no answer: executed, or not, or later
+	CallLost     CallResult = iota // no answer: the commands may have been executed, or may be later
 	CallExecuted                   // the commands were executed
 	CallRefused                    // no command was executed
 )
 
-// CallDone takes the outcome of a direct call, and the heartbeat in its reply.
+// CallDone handles the outcome of a direct call, and the heartbeat in its reply if there is one.
 func (s *Scheduler) CallDone(now Now, id uint64, result CallResult, heartbeat *wire.Heartbeat) {
 	s.now = now
 	call := s.dispatcher.endCall(id)
@@ -79,12 +79,12 @@
 		s.handleDirectReply(m, heartbeat)
 	}
 	if m.calls.again && result != CallLost {
-		s.dispatcher.sendAgain(m, len(s.cluster.machines))
+		s.dispatcher.sendDeferredCommands(m, len(s.cluster.machines))
 	}
 	m.calls.again = false
 }
 
-// countResult counts the calls in a row that got no answer.
+// countResult counts the consecutive calls without an answer.
 func (c *callStatus) countResult(result CallResult) {
 	if result != CallLost {
 		c.unanswered, c.unansweredSinceHeartbeat = 0, 0
@@ -94,8 +94,9 @@
 	c.unansweredSinceHeartbeat++
 }
 
-// handleLostCall deals with a call whose commands may have been executed, or may be yet:
-// its starts stay possible until a heartbeat under a higher token shows otherwise.
+// handleLostCall handles a call without an answer, whose commands may have been executed or may
+// be executed later. Its starts count as possibly executed until a heartbeat under a higher
+// fencing token proves otherwise.
 func (d *dispatcher) handleLostCall(call *commandCall) {
 	m := call.machine
 	if len(call.starts) > 0 && m.fencing.counter == call.fencingCounter {
@@ -105,51 +106,52 @@
 		a.start.requiredFence = m.fencing.counter
 		d.logDebug("start call unanswered", "task", a.ref.String(), "attempt", a.number, "machine", m.name)
 	}
-	m.resendStops()
+	m.markStopsDue()
 }
 
-// handleRefusedCall deals with a call whose commands were not executed, for the worker has
-// seen a higher token or has another incarnation: all of it is due again.
+// handleRefusedCall handles a call whose commands were not executed because the worker has seen
+// a higher fencing token or has another incarnation. All of the commands are due again.
 func (d *dispatcher) handleRefusedCall(call *commandCall, seenToken uint64) {
 	m := call.machine
 	for _, a := range call.starts {
 		if !a.start.acknowledged {
-			a.retry.undo(d.now.Mono)
+			a.retry.undoDispatch(d.now.Mono)
 		}
 	}
-	m.resendStops()
+	m.markStopsDue()
 	if seenToken > d.fencingToken(m) {
 		m.fencing.counter = counterOf(seenToken)
 	}
 	m.calls.again = true
 }
 
-// undo takes back a dispatch that is known not to have been executed.
-func (r *dispatchRetry) undo(now time.Duration) {
+// undoDispatch reverts the retry state after a dispatch that is known not to have been executed.
+func (r *dispatchRetry) undoDispatch(now time.Duration) {
 	r.nextAt = now
 	r.count = max(0, r.count-1)
 }
 
-// resendStops makes all stops that were sent to the machine due again.
-func (m *machine) resendStops() {
+// markStopsDue makes all stops that were sent to the machine due again.
+func (m *machine) markStopsDue() {
 	for _, a := range m.tasks {
 		a.stop.sentAt = 0
 	}
 }
 
-// handleDirectReply takes the heartbeat in the reply to a direct call.
+// handleDirectReply handles the heartbeat in the reply to a direct call.
 func (s *Scheduler) handleDirectReply(m *machine, heartbeat *wire.Heartbeat) {
 	//mutation:direct-reply-counts-as-heartbeat
 	s.markHeartbeatReceived(m)
-	m.connectivity.unreachableSince = 0 // what was sent to it just now got through
+	m.connectivity.unreachableSince = 0 // the machine has just answered a call
 	//mutation:direct-reply-sequence
 	if m.heartbeats.precedes(heartbeat) {
 		s.applyHeartbeat(m, heartbeat, leaderInitiated)
 	}
 }
 
-// sendAgain sends what has fallen due while a call to the machine was in flight.
-func (d *dispatcher) sendAgain(m *machine, fleetSize int) {
+// sendDeferredCommands sends the commands that became due while a call to the machine was in
+// flight.
+func (d *dispatcher) sendDeferredCommands(m *machine, fleetSize int) {
 	m.calls.again = false
 	d.sendDue(m)
 	if !m.confirmed {
--- a/internal/scheduler/dispatch.go
+++ b/internal/scheduler/dispatch.go
@@ -11,19 +11,19 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// dispatcher owns the way of commands to the workers: the direct calls that are in flight,
-// the machines that commands are due for, the status probes, and the numbers of attempts,
-// none of which is ever used twice. A machine has at most one call in flight; what falls due
-// meanwhile is sent when the call is done. No start is sent before its assignment is
-// durable, nor before the worker has forgotten earlier attempts of its task.
+// dispatcher sends commands to the workers. It owns the direct calls in flight, the set of
+// machines with commands due, the status probes, and the attempt numbers, none of which is ever
+// used twice. A machine has at most one call in flight; commands that become due meanwhile are
+// sent when the call ends. A start is sent only after its assignment is durable and the worker
+// has forgotten earlier attempts of the task.
 type dispatcher struct {
 	*termContext
 
-	reconciler        *reconcile.Reconciler // counts what is sent
-	calls             map[uint64]*commandCall
-	probes            statusProbes
-	machinesDue       map[string]bool // by name; commands for them are sent at the end of the input
-	lastAttemptNumber uint64          // in this term
+	reconciler        *reconcile.Reconciler   // counts the operations that are sent
+	calls             map[uint64]*commandCall // in flight, by effect ID
+	probes            statusProbeLimiter
+	machinesDue       map[string]bool // by name; see markDue
+	lastAttemptNumber uint64          // counter of the last attempt number in this term
 }
 
 func newDispatcher(context *termContext, reconciler *reconcile.Reconciler) dispatcher {
@@ -32,19 +32,19 @@
 		reconciler:  reconciler,
 		calls:       map[uint64]*commandCall{},
 		machinesDue: map[string]bool{},
-		probes:      statusProbes{rate: tokenBucket{tokens: tuning.MinConcurrentStatusProbes, refilledAt: context.now.Mono}},
+		probes:      statusProbeLimiter{budget: tokenBucket{tokens: tuning.MinConcurrentStatusProbes, refilledAt: context.now.Mono}},
 	}
 }
 
-// markDue has what is due for a machine sent at the end of the input, so that all of it
-// shares one call.
+// markDue marks a machine whose due commands are sent after the current input is handled, so
+// that all of them share one call.
 func (d *dispatcher) markDue(m *machine) { d.machinesDue[m.name] = true }
 
-// isDue reports whether commands for the machine are sent at the end of the input.
+// isDue reports whether the machine is marked by markDue.
 func (d *dispatcher) isDue(m *machine) bool { return d.machinesDue[m.name] }
 
-// takeDue yields the names of the machines that commands are due for, in order. Each stays
-// marked until its turn, so that no status probe goes to it before its commands.
+// takeDue yields the names of the machines marked by markDue, in order. Each stays marked until
+// its turn, so that no status probe is sent to it before its commands.
 func (d *dispatcher) takeDue() iter.Seq[string] {
 	return func(yield func(string) bool) {
 		for _, name := range slices.Sorted(maps.Keys(d.machinesDue)) {
@@ -56,18 +56,20 @@
 	}
 }
 
-// exchange says who opened the connection by which commands and a heartbeat pass.
-type exchange int
+// exchangeInitiator is the side that opened the connection over which a heartbeat and commands
+// are exchanged.
+type exchangeInitiator int
 
 const (
-	// workerInitiated is a heartbeat that the worker sent by itself. Commands go in the
+	// workerInitiated means that the worker sent a heartbeat on its own. The commands go in the
 	// reply, which renews the worker's lease.
-	workerInitiated exchange = iota
-	// leaderInitiated is a direct call with commands. The heartbeat comes in its reply.
+	workerInitiated exchangeInitiator = iota
+	// leaderInitiated means that the leader sent commands in a direct call. The heartbeat comes
+	// in its reply.
 	leaderInitiated
 )
 
-// heartbeatCommands gathers the commands for the reply to a heartbeat.
+// heartbeatCommands returns the commands for the reply to a heartbeat.
 func (d *dispatcher) heartbeatCommands(m *machine, heartbeat *wire.Heartbeat, jobs map[string]*job) []wire.Command {
 	//mutation:stops-before-confirmation
 	commands := d.dueStops(m, workerInitiated)
@@ -88,9 +90,9 @@
 	return append(commands, forgets...)
 }
 
-// fenceBeforeForget raises the fencing token in the reply that forgets attempts. A duplicate
-// of a start that was executed may still arrive, and after the forget the worker would take
-// it for a new one; under the higher token it refuses it.
+// fenceBeforeForget raises the fencing token of a reply that makes the worker forget attempts. A
+// duplicate of a start that was executed may still arrive, and a worker that has forgotten the
+// attempt would execute it again; under the higher token it refuses the duplicate.
 func (m *machine) fenceBeforeForget(replySequence uint64) {
 	m.fencing.raise()
 	for _, a := range m.tasks {
@@ -100,8 +102,8 @@
 	}
 }
 
-// sendDue sends a machine what is due for it by a direct call. While another call to it is
-// in flight, this is done when that one has ended.
+// sendDue sends a machine its due commands in a direct call. If another call to the machine is
+// in flight, they are sent after that call has ended.
 func (d *dispatcher) sendDue(m *machine) {
 	if m.phase != machineUp || m.address == "" {
 		return
@@ -127,11 +129,11 @@
 	d.sendCommands(m, commands, starts)
 }
 
-// dueStops gathers the stops that are due and notes that they are sent.
-func (d *dispatcher) dueStops(m *machine, via exchange) []wire.Command {
+// dueStops returns the stops that are due, and records them as sent.
+func (d *dispatcher) dueStops(m *machine, initiator exchangeInitiator) []wire.Command {
 	var due []*attempt
 	for _, a := range m.tasks {
-		if a.stopIsDue(d.now.Mono, via) {
+		if a.stopIsDue(d.now.Mono, initiator) {
 			due = append(due, a)
 		}
 	}
@@ -148,17 +150,17 @@
 	return commands
 }
 
-// stopIsDue reports whether a stop of the attempt has to be sent now. The reply to a
-// heartbeat renews the worker's lease, so it repeats the stops of cancelled tasks each time:
-// the last one may have been lost, and if nothing reaches the machine from now on, they run
-// for a whole lease.
-func (a *attempt) stopIsDue(now time.Duration, via exchange) bool {
+// stopIsDue reports whether the attempt's stop must be sent now. The reply to a heartbeat renews
+// the worker's lease, so each reply repeats the stops of cancelled tasks: the last stop may have
+// been lost, and if nothing reaches the machine after this reply, the tasks run for a whole
+// lease.
+func (a *attempt) stopIsDue(now time.Duration, initiator exchangeInitiator) bool {
 	//mutation:renewal-repeats-stops
 	return a.stop.requested && a.start.sent &&
-		(a.stop.sentAt == 0 || now-a.stop.sentAt >= tuning.StopResendInterval || via == workerInitiated && a.job != nil && a.job.cancelled)
+		(a.stop.sentAt == 0 || now-a.stop.sentAt >= tuning.StopResendInterval || initiator == workerInitiated && a.job != nil && a.job.cancelled)
 }
 
-// stopGraceS is how long a stopped attempt has to save its checkpoint, in seconds.
+// stopGraceS returns the time that a stopped attempt has to save its checkpoint, in seconds.
 func (a *attempt) stopGraceS() float64 {
 	if !a.stop.checkpoint || a.job == nil {
 		return 0
@@ -166,15 +168,16 @@
 	return a.job.spec.CheckpointSaveS + 1
 }
 
-// takeUnexpectedStops gives the stops of attempts that this leader does not keep track of.
-// Each is given once: the next heartbeat asks for it again if it is needed.
+// takeUnexpectedStops removes and returns the queued stops of attempts that this leader does not
+// track. Each is sent once: if the worker still lists the attempt in its next heartbeat, the
+// stop is queued again.
 func (m *machine) takeUnexpectedStops() []wire.Command {
 	stops := m.unexpectedStops
 	m.unexpectedStops = nil
 	return stops
 }
 
-// dueStarts gathers the attempts whose start has to be sent now, for the first time or again.
+// dueStarts returns the attempts whose start must be sent now, for the first time or again.
 func (d *dispatcher) dueStarts(m *machine) []*attempt {
 	if !m.confirmed || m.phase != machineUp {
 		return nil
@@ -189,26 +192,27 @@
 	return due
 }
 
-// startIsDue reports whether the attempt's start may and has to be sent now.
+// startIsDue reports whether the attempt's start is due and allowed to be sent now.
 func (a *attempt) startIsDue(now time.Duration) bool {
 	//mutation:start-after-record
 	if !a.assignment.durable || a.stop.requested || a.start.acknowledged || a.start.callInFlight || a.retry.nextAt > now || a.job == nil || a.job.cancelled {
 		return false
 	}
 	if a.start.sent && a.start.firstSentAt == 0 {
-		return false // sent by an earlier leader: it has to be proven absent first
+		return false // sent by an earlier leader: the attempt must be proven absent first
 	}
 	//mutation:start-after-forget
 	if ended, listed := a.machine.exited[a.ref]; listed && ended.attempt != a.number {
-		// An ended attempt of the same task has to be forgotten first, under a higher
-		// token: else a late duplicate of its start could be taken for a new one once
-		// this attempt has replaced it.
+		// The worker must first forget the ended attempt of the same task, under a higher
+		// fencing token. Otherwise it could execute a late duplicate of that attempt's start
+		// after this attempt has replaced it.
 		return false
 	}
 	return true
 }
 
-// dueForgets gathers the ended attempts that the worker need not list any longer.
+// dueForgets returns the commands to forget ended attempts that the worker no longer needs to
+// list.
 func (d *dispatcher) dueForgets(m *machine, jobs map[string]*job) []wire.Command {
 	var commands []wire.Command
 	for ref, ended := range m.exited {
@@ -223,9 +227,9 @@
 	return commands
 }
 
-// mayForget reports whether nothing depends any longer on the worker's list of an ended
-// attempt. Of a completed task it is the only evidence until that is durable. The job is nil
-// if it is not live.
+// mayForget reports whether nothing depends any longer on the worker listing an ended attempt.
+// For a completed task, the list is the only evidence until the completion is durable. j is nil
+// if the job is not live.
 func (m *machine) mayForget(ref taskRef, ended taskExit, j *job) bool {
 	if a := m.tasks[ref]; a != nil && a.number == ended.attempt {
 		return false
@@ -245,7 +249,8 @@
 	return wire.Command{Verb: wire.VerbStop, Task: ref.String(), Attempt: number, GracePeriodS: &graceS}
 }
 
-// countOperation counts the first operation of its kind on an attempt.
+// countOperation counts an operation on an attempt while reconciliation is not settled. It is
+// called only for the first operation of each kind on the attempt.
 func (d *dispatcher) countOperation(kind reconcile.OperationKind, a *attempt) {
 	if d.reconciler.Phase() == reconcile.Settled {
 		return
--- a/internal/scheduler/dispatch_test.go
+++ b/internal/scheduler/dispatch_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestEndedCallFreesItsMachineAndItsStarts(t *testing.T) {
+func TestEndCallClearsInFlightState(t *testing.T) {
 	d := newDispatcher(&termContext{}, nil)
 	m := &machine{calls: callStatus{inFlight: true}}
 	a := &attempt{machine: m, start: startState{callInFlight: true}}
@@ -36,11 +36,11 @@
 		t.Errorf("%d probes in flight after the only one has ended", d.probes.inFlight)
 	}
 	if d.endCall(1) != nil {
-		t.Error("a call ends twice")
+		t.Error("a call was ended twice")
 	}
 }
 
-func TestStartIsSentOnlyWhenItMayBe(t *testing.T) {
+func TestDueStartsRequireAllConditions(t *testing.T) {
 	ref := taskRef{"run-000001", 0}
 	for _, c := range []struct {
 		name   string
@@ -49,7 +49,7 @@
 	}{
 		{"recorded and never sent", func(*attempt) {}, true},
 		{"not recorded", func(a *attempt) { a.assignment.durable = false }, false},
-		{"to be stopped", func(a *attempt) { a.stop.requested = true }, false},
+		{"its stop is requested", func(a *attempt) { a.stop.requested = true }, false},
 		{"acknowledged", func(a *attempt) { a.start.acknowledged = true }, false},
 		{"in a call that is in flight", func(a *attempt) { a.start.callInFlight = true }, false},
 		{"its retry is not due", func(a *attempt) { a.retry.nextAt = 2 * time.Minute }, false},
@@ -75,15 +75,15 @@
 }
 
 func TestStatusProbeLimitGrowsWithFleet(t *testing.T) {
-	const least, most = tuning.MinConcurrentStatusProbes, tuning.MaxConcurrentStatusProbes
+	const minProbes, maxProbes = tuning.MinConcurrentStatusProbes, tuning.MaxConcurrentStatusProbes
 	for _, c := range []struct {
 		fleetSize, unanswered, want int
 	}{
-		{1, 0, least},
-		{(least + 3) * tuning.MachinesPerStatusProbe, 0, least + 3},
-		{2 * most * tuning.MachinesPerStatusProbe, 0, most},
-		{1, 1, least / 2},
-		{2 * most * tuning.MachinesPerStatusProbe, 2, most / 2},
+		{1, 0, minProbes},
+		{(minProbes + 3) * tuning.MachinesPerStatusProbe, 0, minProbes + 3},
+		{2 * maxProbes * tuning.MachinesPerStatusProbe, 0, maxProbes},
+		{1, 1, minProbes / 2},
+		{2 * maxProbes * tuning.MachinesPerStatusProbe, 2, maxProbes / 2},
 	} {
 		d := newDispatcher(&termContext{}, nil)
 		if got := d.statusProbeLimit(&machine{calls: callStatus{unanswered: c.unanswered}}, c.fleetSize); got != c.want {
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestCallOutcomeDecidesWhatIsSentAgain(t *testing.T) {
+func TestCallOutcomeDecidesResends(t *testing.T) {
 	newCall := func() (dispatcher, *commandCall, *attempt) {
 		d := newDispatcher(&termContext{term: 7, now: Now{Mono: time.Minute}}, nil)
 		m := &machine{tasks: map[taskRef]*attempt{}, fencing: fencingState{counter: 3}}
@@ -104,14 +104,14 @@
 	d, call, a := newCall()
 	d.handleLostCall(call)
 	if a.machine.fencing.counter != 4 || a.start.requiredFence != 4 || a.retry.nextAt != time.Hour {
-		t.Errorf("a lost call: token's counter %d, required %d, retry at %v", a.machine.fencing.counter, a.start.requiredFence, a.retry.nextAt)
+		t.Errorf("a lost call: fencing counter %d, required %d, retry at %v", a.machine.fencing.counter, a.start.requiredFence, a.retry.nextAt)
 	}
 	if a.stop.sentAt != 0 {
 		t.Error("a lost call's stops are not sent again")
 	}
 	call.fencingCounter = 2 // the token was raised since
 	if d.handleLostCall(call); a.machine.fencing.counter != 4 {
-		t.Errorf("raised to %d though a higher token is out already", a.machine.fencing.counter)
+		t.Errorf("raised to %d although a higher token is already in use", a.machine.fencing.counter)
 	}
 
 	d, call, a = newCall()
@@ -121,6 +121,6 @@
 	}
 	d.handleRefusedCall(call, newFencingToken(7, 2))
 	if a.machine.fencing.counter != 9 {
-		t.Errorf("lowered to %d", a.machine.fencing.counter)
+		t.Errorf("fencing counter lowered to %d", a.machine.fencing.counter)
 	}
 }
--- a/internal/scheduler/fencing_test.go
+++ b/internal/scheduler/fencing_test.go
@@ -8,18 +8,18 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// The attempt numbers and fencing tokens of a term never reach those of the next: a leader
-// whose counters are nearly used up resigns, and until then it makes no attempt without a
-// number of its own.
+// The attempt numbers and fencing tokens of a term never reach those of the next term: a leader
+// whose counters are nearly used up resigns, and until then it creates no attempt without a
+// unique number.
 func TestFencingCountersStayWithinTerm(t *testing.T) {
 	resigns := func(h *harness) bool {
 		h.now += tuning.TickInterval
 		h.scheduler.Tick(h.clock())
 		return h.scheduler.TakeEffects().Resign != ""
 	}
-	most := float64(maxCounter)
-	for _, used := range []float64{0, most * tuning.MaxFencingCounterUse, most*tuning.MaxFencingCounterUse + 1, most} {
-		want := used > most*tuning.MaxFencingCounterUse
+	maxValue := float64(maxCounter)
+	for _, used := range []float64{0, maxValue * tuning.MaxFencingCounterUse, maxValue*tuning.MaxFencingCounterUse + 1, maxValue} {
+		want := used > maxValue*tuning.MaxFencingCounterUse
 		h := newHarness(t)
 		h.bringUp("n-1")
 		h.scheduler.dispatcher.lastAttemptNumber = uint64(used)
@@ -41,7 +41,7 @@
 	h.submit(wire.Job{ID: "run-000002", Tasks: 3, CPUs: 1, Shape: wire.ShapeGang, Team: "blue"})
 	h.now += time.Second
 	if s := h.startCommands(); len(s) != 2 || s[0].Attempt == s[1].Attempt || TermOf(s[0].Attempt) != harnessTerm || TermOf(s[1].Attempt) != harnessTerm {
-		t.Errorf("starts at the end of the numbers: %+v", s)
+		t.Errorf("starts with two attempt numbers left: %+v", s)
 	}
 	m := h.scheduler.cluster.machines["n-1"]
 	m.fencing.counter = maxCounter
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -6,8 +6,8 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Heartbeat takes a worker's heartbeat and gives the reply to it. ok is false if this leader
-// may not answer any longer.
+// Heartbeat handles a worker's heartbeat and returns the reply. ok is false if the heartbeat
+// carries a fencing token of a later term; the reply must not be sent then.
 func (s *Scheduler) Heartbeat(now Now, heartbeat *wire.Heartbeat) (reply wire.HeartbeatReply, ok bool) {
 	s.now = now
 	if s.dispatcher.supersededBy(heartbeat) {
@@ -15,7 +15,7 @@
 	}
 	//mutation:heartbeat-of-released-machine
 	if s.cluster.released[heartbeat.Machine] {
-		// A late duplicate from a machine that was released.
+		// A late duplicate of a heartbeat from a machine that was released.
 		return wire.HeartbeatReply{FencingToken: newFencingToken(s.term, 0)}, true
 	}
 	m := s.findOrAdoptMachine(heartbeat)
@@ -23,41 +23,43 @@
 		return s.replyWhileReleasing(m, heartbeat), true
 	}
 	commands := []wire.Command{}
-	// A duplicate of an earlier heartbeat, however late it comes, says nothing of the
-	// machine's present state and changes nothing.
+	// A duplicate of an earlier heartbeat does not describe the machine's current state, however
+	// late it arrives, and is not applied.
 	//mutation:heartbeat-sequence
 	if m.heartbeats.precedes(heartbeat) {
 		commands = s.handleNewHeartbeat(m, heartbeat)
 	}
 	if !m.confirmed || heartbeat.FencingToken < s.fencingToken(m) && m.awaitsAcknowledgement() {
-		// Its next heartbeat, under the present token, comes sooner if it is probed.
+		// A status probe brings a heartbeat under the current fencing token sooner.
 		s.dispatcher.probeStatus(m, len(s.cluster.machines))
 	}
 	return wire.HeartbeatReply{FencingToken: s.fencingToken(m), Commands: commands}, true
 }
 
-// handleNewHeartbeat takes a heartbeat that is newer than all before, and gives the commands
-// for its reply.
+// handleNewHeartbeat applies a heartbeat that is newer than all earlier ones, and returns the
+// commands for the reply.
 func (s *Scheduler) handleNewHeartbeat(m *machine, heartbeat *wire.Heartbeat) []wire.Command {
 	s.dispatcher.watchReplyDelivery(m, heartbeat)
 	m.connectivity.heartbeatAnsweredAt = s.now.Mono
 	s.markHeartbeatReceived(m)
 	m.calls.unansweredSinceHeartbeat = 0
-	delete(s.monitor.zoneHeartbeatAt, m.zone) // what followers received of the zone matters no more
+	delete(s.monitor.zoneLastSeenAt, m.zone) // older than this heartbeat
 	s.applyHeartbeat(m, heartbeat, workerInitiated)
 	return s.dispatcher.heartbeatCommands(m, heartbeat, s.cluster.jobs)
 }
 
-// replyWhileReleasing answers a machine whose release the cloud has yet to answer. Its tasks
-// count until then. Its lease is renewed, so that it goes on if the release fails, and is not
-// released again then for missed heartbeats.
+// replyWhileReleasing answers a machine whose release the cloud has not answered yet. Its
+// attempts stay attached until then. The reply renews the worker's lease, so that the machine
+// keeps working if the release fails; the heartbeat is recorded, so that the machine is not
+// released again for missed heartbeats.
 func (s *Scheduler) replyWhileReleasing(m *machine, heartbeat *wire.Heartbeat) wire.HeartbeatReply {
 	reply := wire.HeartbeatReply{FencingToken: s.fencingToken(m), Commands: []wire.Command{}}
 	if m.heartbeats.precedes(heartbeat) {
 		s.markHeartbeatReceived(m)
 		m.calls.unansweredSinceHeartbeat = 0
-		// A renewed lease has to bring stops with it: where releases go unanswered for
-		// long, cancelled tasks would run on here past their bound.
+		// The reply renews the worker's lease, so it also carries the stops that are due: if the
+		// cloud takes long to answer the release, cancelled tasks would otherwise run past the
+		// cancellation bound.
 		//mutation:stops-while-releasing
 		reply.Commands = s.dispatcher.dueStops(m, workerInitiated)
 	}
@@ -69,14 +71,14 @@
 	return heartbeat.NewerThan(o.incarnation, o.sequence)
 }
 
-// markHeartbeatReceived notes that the machine is alive and that a worker reaches this leader.
+// markHeartbeatReceived records that the machine is alive and that a worker reaches this leader.
 func (s *Scheduler) markHeartbeatReceived(m *machine) {
 	s.monitor.lastHeartbeatAt = s.now.Mono
 	m.connectivity.lastHeartbeatAt = s.now.Mono
 }
 
-// awaitsAcknowledgement reports whether the machine has yet to list an attempt whose start
-// was sent.
+// awaitsAcknowledgement reports whether a start was sent to the machine that its worker has not
+// acknowledged yet.
 func (m *machine) awaitsAcknowledgement() bool {
 	for _, a := range m.tasks {
 		if a.start.sent && !a.start.acknowledged {
@@ -86,8 +88,8 @@
 	return false
 }
 
-// findOrAdoptMachine finds the machine that a heartbeat comes from. One that neither the
-// cloud's list nor a record has shown is adopted.
+// findOrAdoptMachine returns the machine that sent the heartbeat. A machine that appeared
+// neither in the cloud's list nor in a record is added.
 func (s *Scheduler) findOrAdoptMachine(heartbeat *wire.Heartbeat) *machine {
 	m := s.cluster.machines[heartbeat.Machine]
 	if m == nil {
@@ -107,8 +109,8 @@
 		"boot_s", (s.now.Mono - m.cloud.provisionedAt).Seconds())
 }
 
-// applyHeartbeat brings what is known of a machine up to date.
-func (s *Scheduler) applyHeartbeat(m *machine, heartbeat *wire.Heartbeat, via exchange) {
+// applyHeartbeat updates the state of a machine and of its attempts from a heartbeat.
+func (s *Scheduler) applyHeartbeat(m *machine, heartbeat *wire.Heartbeat, initiator exchangeInitiator) {
 	m.heartbeats = heartbeatOrder{
 		incarnation: heartbeat.Incarnation, sequence: heartbeat.Sequence,
 		underTerm: TermOf(heartbeat.FencingToken) == s.term,
@@ -117,9 +119,9 @@
 	s.applySpotInterruption(m, heartbeat)
 	listed := make(map[taskRef]bool, len(heartbeat.Tasks))
 	s.applyTaskList(m, heartbeat.Tasks, listed)
-	s.applyAbsences(m, heartbeat, via, listed)
-	// A worker that has seen no token is new, if its machine was provisioned in this term:
-	// of another it may be a late duplicate of its first heartbeat.
+	s.applyAbsences(m, heartbeat, initiator, listed)
+	// A worker without a fencing token is new if its machine was provisioned in this term. From
+	// any other machine, the heartbeat may be a late duplicate of the worker's first one.
 	//mutation:confirm-only-own-new-machines
 	if !m.confirmed && (m.heartbeats.underTerm || len(m.tasks) == 0 && heartbeat.FencingToken == 0 && m.cloud.provisionedInTerm) {
 		m.confirmed = true
@@ -128,16 +130,16 @@
 	}
 }
 
-// applySpotInterruption takes the cloud's notice that it will take the machine away.
+// applySpotInterruption handles the cloud's notice that it will reclaim a spot machine.
 func (s *Scheduler) applySpotInterruption(m *machine, heartbeat *wire.Heartbeat) {
 	if heartbeat.InterruptionInS == nil {
 		return
 	}
-	at := s.now.Mono + time.Duration(*heartbeat.InterruptionInS*float64(time.Second))
+	interruptionAt := s.now.Mono + time.Duration(*heartbeat.InterruptionInS*float64(time.Second))
 	if m.cloud.interruptionAt == 0 {
 		s.logInfo("spot interruption announced", "machine", m.name, "in_s", *heartbeat.InterruptionInS, "tasks", len(m.tasks))
-		m.cloud.interruptionAt = at
+		m.cloud.interruptionAt = interruptionAt
 		s.drainMachine(m)
 	}
-	m.cloud.interruptionAt = at
+	m.cloud.interruptionAt = interruptionAt
 }
--- a/internal/scheduler/heartbeat_test.go
+++ b/internal/scheduler/heartbeat_test.go
@@ -11,8 +11,8 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Heartbeats that contradict themselves, each other and all that was ever placed leave the
-// sums of the cluster's state right, and end neither the process nor leadership.
+// Heartbeats that contradict themselves, each other and every placement keep the aggregates of
+// the cluster state consistent, and end neither the process nor its leadership.
 func TestContradictoryHeartbeatsKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		h := newHarness(t)
@@ -36,7 +36,7 @@
 				FencingToken: rapid.SampledFrom([]uint64{0, 7, h.scheduler.term << tuning.FencingBits, h.scheduler.term<<tuning.FencingBits | 9, 1<<64 - 1}).Draw(r, "token"),
 				Tasks:        rapid.SliceOfN(task, 0, 6).Draw(r, "tasks")}
 			h.now += time.Duration(rapid.IntRange(1, 3000).Draw(r, "ms")) * time.Millisecond
-			h.heartbeat("n-4") // a sound one: a leader without heartbeats resigns
+			h.heartbeat("n-4") // a valid heartbeat: a leader that receives none resigns
 			if rapid.Bool().Draw(r, "direct") && len(h.calls) > 0 {
 				c := h.calls[0]
 				h.calls = h.calls[1:]
@@ -53,45 +53,45 @@
 	})
 }
 
-// Nothing is started before a record has it, and nothing at all while the key-value store
-// takes no writes.
+// No start is sent before its assignment is recorded, and so none while the key-value store
+// refuses writes.
 func TestNoDispatchBeforeAssignmentIsRecorded(t *testing.T) {
 	h := newHarness(t)
 	h.bringUp("n-1")
 	h.refuseCommits = true
 	h.submit(wire.Job{ID: "run-000001", Tasks: 2, CPUs: 1})
 	h.advance(3*time.Second, "n-1")
-	if s := h.startCommands(); len(s) != 0 {
-		t.Fatalf("started without a record: %v", s)
+	if starts := h.startCommands(); len(starts) != 0 {
+		t.Fatalf("started without a record: %v", starts)
 	}
 	h.refuseCommits = false
 	h.advance(time.Second, "n-1")
-	if s, n := h.startCommands(), h.recordedAttempts(); len(s) != 2 || n != 2 {
-		t.Fatalf("%d starts, %d recorded", len(s), n)
+	if starts, n := h.startCommands(), h.recordedAttempts(); len(starts) != 2 || n != 2 {
+		t.Fatalf("%d starts, %d recorded", len(starts), n)
 	}
 }
 
-// A start that is not acknowledged is sent again, with the same attempt, at growing
-// intervals, until the deadline for it; then it is stopped under a higher fencing token, and
-// placed again only when a heartbeat under that token proves it absent.
+// A start that is not acknowledged is sent again for the same attempt, at growing intervals,
+// until its deadline. Then the attempt is stopped under a higher fencing token, and the task is
+// placed again only when a heartbeat under that token proves the attempt absent.
 func TestUnacknowledgedDispatchIsRetriedThenFenced(t *testing.T) {
 	h := newHarness(t)
 	h.bringUp("n-1")
-	due := 30.0
-	h.submit(wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1, DeadlineS: &due})
+	deadlineS := 30.0
+	h.submit(wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1, DeadlineS: &deadlineS})
 	first := h.startCommands()[0]
-	begun := h.now
-	var at []time.Duration
-	token := uint64(0)
-	for h.now < begun+60*time.Second && h.scheduler.counters.DispatchGiveUps == 0 {
+	dispatchStartedAt := h.now
+	var dispatchedAt []time.Duration
+	startToken := uint64(0)
+	for h.now < dispatchStartedAt+60*time.Second && h.scheduler.counters.DispatchGiveUps == 0 {
 		for _, c := range h.calls {
-			for _, o := range c.Body.Commands {
-				if o.Verb == wire.VerbRun {
-					if o.Attempt != first.Attempt {
-						t.Fatalf("retry with another attempt: %v", o)
+			for _, command := range c.Body.Commands {
+				if command.Verb == wire.VerbRun {
+					if command.Attempt != first.Attempt {
+						t.Fatalf("retry with another attempt: %v", command)
 					}
-					at = append(at, h.now-begun)
-					token = c.Body.FencingToken
+					dispatchedAt = append(dispatchedAt, h.now-dispatchStartedAt)
+					startToken = c.Body.FencingToken
 				}
 			}
 		}
@@ -102,79 +102,80 @@
 		h.scheduler.Tick(h.clock())
 		h.settle()
 	}
-	if len(at) < 3 || len(at) > tuning.DispatchRetryCount+1 {
-		t.Fatalf("dispatches at %v", at)
+	if len(dispatchedAt) < 3 || len(dispatchedAt) > tuning.DispatchRetryCount+1 {
+		t.Fatalf("dispatches at %v", dispatchedAt)
 	}
-	for i := 2; i < len(at); i++ {
-		if at[i]-at[i-1] < at[i-1]-at[i-2] {
-			t.Fatalf("dispatches at %v do not slow down", at)
+	for i := 2; i < len(dispatchedAt); i++ {
+		if dispatchedAt[i]-dispatchedAt[i-1] < dispatchedAt[i-1]-dispatchedAt[i-2] {
+			t.Fatalf("dispatches at %v do not slow down", dispatchedAt)
 		}
 	}
-	if last := at[len(at)-1]; last > 30*time.Second || h.now-begun < 30*time.Second {
-		t.Fatalf("last dispatch after %v, given up after %v, budget 30 s", last, h.now-begun)
+	if last := dispatchedAt[len(dispatchedAt)-1]; last > 30*time.Second || h.now-dispatchStartedAt < 30*time.Second {
+		t.Fatalf("last dispatch after %v, given up after %v, budget 30 s", last, h.now-dispatchStartedAt)
 	}
 	stopped := false
 	for _, c := range h.calls {
-		for _, o := range c.Body.Commands {
-			stopped = stopped || o.Verb == wire.VerbStop && o.Attempt == first.Attempt && c.Body.FencingToken > token
+		for _, command := range c.Body.Commands {
+			stopped = stopped || command.Verb == wire.VerbStop && command.Attempt == first.Attempt && c.Body.FencingToken > startToken
 		}
 	}
 	if !stopped {
 		t.Fatalf("no stop under a higher token: %+v", h.calls)
 	}
 	h.answerAll(CallLost)
-	h.heartbeatWithToken("n-1", token) // does not list it, but under the token before
+	h.heartbeatWithToken("n-1", startToken) // does not list the attempt, but has the earlier token
 	if len(h.scheduler.cluster.machines["n-1"].tasks) != 1 {
 		t.Fatal("removed without a proof of absence")
 	}
 	h.heartbeat("n-1")
 	h.advance(time.Second, "n-1")
-	s := h.startCommands()
-	if len(s) != 1 || s[0].Attempt <= first.Attempt {
-		t.Fatalf("not placed again with a higher attempt: %v", s)
+	starts := h.startCommands()
+	if len(starts) != 1 || starts[0].Attempt <= first.Attempt {
+		t.Fatalf("not placed again with a higher attempt: %v", starts)
 	}
 }
 
-// A heartbeat that overtakes the reply which carried a start proves nothing.
+// The reply to a direct call may overtake the heartbeat reply that carried a start, so it does
+// not prove that the attempt is absent.
 func TestOvertakenReplyDoesNotProveAbsence(t *testing.T) {
 	h := newHarness(t)
 	h.bringUp("n-1")
 	h.submit(wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1})
 	a := h.scheduler.cluster.jobs["run-000001"].active[0][0]
 	a.start.callInFlight, a.start.acknowledged, a.start.replySequence, a.start.incarnation = false, false, h.sequences["n-1"]+1, 1
-	direct := h.newHeartbeat("n-1", h.fencingToken("n-1"))
-	direct.Sequence = a.start.replySequence + 1
-	if h.scheduler.dispatcher.provenAbsent(a, direct, leaderInitiated) {
-		t.Error("the reply to a direct call counts as proof against a start in a heartbeat's reply")
+	directReply := h.newHeartbeat("n-1", h.fencingToken("n-1"))
+	directReply.Sequence = a.start.replySequence + 1
+	if h.scheduler.dispatcher.provenAbsent(a, directReply, leaderInitiated) {
+		t.Error("the reply to a direct call counts as proof of absence for a start in a heartbeat reply")
 	}
-	if !h.scheduler.dispatcher.provenAbsent(a, direct, workerInitiated) {
+	if !h.scheduler.dispatcher.provenAbsent(a, directReply, workerInitiated) {
 		t.Error("the next heartbeat does not count as proof")
 	}
 }
 
-// The worker is told to forget a done task only when that is durable, and always under a
-// higher token than the start had.
+// The worker is told to forget a completed task only after the completion is durable, and always
+// under a higher fencing token than that of the start.
 func TestForgetOnlyAfterDurableCompletion(t *testing.T) {
 	h := newHarness(t)
 	h.bringUp("n-1")
 	h.submit(wire.Job{ID: "run-000001", Tasks: 2, CPUs: 1})
-	s := h.startCommands()
+	starts := h.startCommands()
 	token := h.calls[0].Body.FencingToken
 	h.answerAll(CallExecuted)
 	h.refuseCommits = true
-	forgets := func(r wire.HeartbeatReply) (n int) {
-		for _, o := range r.Commands {
-			if o.Verb == wire.VerbForget {
+	countForgets := func(reply wire.HeartbeatReply) (n int) {
+		for _, command := range reply.Commands {
+			if command.Verb == wire.VerbForget {
 				n++
 			}
 		}
 		return n
 	}
-	tasks := []wire.TaskStatus{exitedReport(s[0], wire.CauseDone), runningReport(s[1])}
+	tasks := []wire.TaskStatus{exitedReport(starts[0], wire.CauseDone), runningReport(starts[1])}
 	for range 3 {
 		h.now += time.Second
-		if r := h.heartbeat("n-1", tasks...); forgets(r) != 0 {
-			t.Fatal("forgotten before it is durable")
+		if r := h.heartbeat("n-1", tasks...); countForgets(r) != 0 {
+			t.Fatal("forgotten before the completion is durable")
 		}
 	}
 	h.refuseCommits = false
@@ -182,77 +183,77 @@
 	h.scheduler.Tick(h.clock())
 	h.settle()
 	r := h.heartbeat("n-1", tasks...)
-	if forgets(r) != 1 || r.FencingToken <= token {
+	if countForgets(r) != 1 || r.FencingToken <= token {
 		t.Fatalf("%+v after a start under %d", r, token)
 	}
 }
 
-// A new attempt is not sent to a machine that still lists an ended one of the same task: a
-// late duplicate of the earlier start could run beside it elsewhere.
+// No new attempt is sent to a machine that still lists an ended attempt of the same task:
+// otherwise a late duplicate of the earlier start could run as well.
 func TestNoDispatchBesideEndedAttempt(t *testing.T) {
 	h := newHarness(t)
 	h.bringUp("n-1")
 	h.submit(wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1})
-	s := h.startCommands()
+	starts := h.startCommands()
 	h.answerAll(CallExecuted)
-	h.heartbeat("n-1", exitedReport(s[0], wire.CauseError))
+	h.heartbeat("n-1", exitedReport(starts[0], wire.CauseError))
 	h.now += 2 * time.Second
 	h.scheduler.Tick(h.clock())
 	h.settle()
-	h.heartbeat("n-1", exitedReport(s[0], wire.CauseError))
-	if again := h.startCommands(); len(again) != 0 {
-		t.Fatalf("sent beside the ended attempt: %v", again)
+	h.heartbeat("n-1", exitedReport(starts[0], wire.CauseError))
+	if newStarts := h.startCommands(); len(newStarts) != 0 {
+		t.Fatalf("sent beside the ended attempt: %v", newStarts)
 	}
 	h.now += time.Second
 	h.heartbeat("n-1")
 	h.advance(time.Second, "n-1")
-	if again := h.startCommands(); len(again) != 1 || again[0].Attempt == s[0].Attempt {
-		t.Fatalf("not sent after the old one was forgotten: %v\n%+v\n%+v", again, h.scheduler.View().Job(h.clock(), "run-000001"), h.scheduler.View().Machines(h.clock(), "", 9))
+	if newStarts := h.startCommands(); len(newStarts) != 1 || newStarts[0].Attempt == starts[0].Attempt {
+		t.Fatalf("not sent after the ended attempt was forgotten: %v\n%+v\n%+v", newStarts, h.scheduler.View().Job(h.clock(), "run-000001"), h.scheduler.View().Machines(h.clock(), "", 9))
 	}
 }
 
-// A job that fails wherever it runs is retried at growing intervals and puts no machine in
-// quarantine; a machine on which unrelated jobs fail goes there.
+// A job that fails wherever it runs is retried at growing intervals, and no machine is
+// quarantined for it. A machine on which unrelated jobs fail is quarantined.
 func TestFailingJobBacksOffAndFaultyMachineIsQuarantined(t *testing.T) {
 	h := newHarness(t)
 	h.bringUp("n-1")
 	h.submit(wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1})
-	tries := 0
-	for begun := h.now; h.now < begun+60*time.Second; {
-		s := h.startCommands()
-		tries += len(s)
+	attempts := 0
+	for startedAt := h.now; h.now < startedAt+60*time.Second; {
+		starts := h.startCommands()
+		attempts += len(starts)
 		h.answerAll(CallExecuted)
-		if len(s) > 0 {
-			h.heartbeat("n-1", exitedReport(s[0], wire.CauseError))
+		if len(starts) > 0 {
+			h.heartbeat("n-1", exitedReport(starts[0], wire.CauseError))
 		}
 		h.advance(tuning.TickInterval, "n-1")
 	}
-	if tries < 4 || tries > 10 {
-		t.Errorf("%d attempts in a minute", tries)
+	if attempts < 4 || attempts > 10 {
+		t.Errorf("%d attempts in a minute", attempts)
 	}
 	if h.scheduler.cluster.machines["n-1"].quarantine.until > h.now {
-		t.Error("one failing job put its machine in quarantine")
+		t.Error("one failing job quarantined its machine")
 	}
 	h.submit(wire.Job{ID: "run-000002", Tasks: 1, CPUs: 1})
 	for _, c := range h.calls {
-		for _, o := range c.Body.Commands {
-			if o.Task == "run-000002/0" {
+		for _, command := range c.Body.Commands {
+			if command.Task == "run-000002/0" {
 				h.answer(c, CallExecuted)
-				h.heartbeat("n-1", exitedReport(o, wire.CauseError))
+				h.heartbeat("n-1", exitedReport(command, wire.CauseError))
 			}
 		}
 	}
 	if h.scheduler.cluster.machines["n-1"].quarantine.until <= h.now {
-		t.Error("two unrelated failing jobs did not put it in quarantine")
+		t.Error("two unrelated failing jobs did not quarantine the machine")
 	}
 	if f := h.scheduler.View().Failures(0, 1); len(f) != 1 || f[0].Task != "run-000002/0" || f[0].Cause != wire.CauseError {
 		t.Errorf("failures: %+v", f)
 	}
 }
 
-// A machine whose heartbeats arrive while nothing reaches it gets no new work; what was
-// placed there counts until it is proven absent, and the machine is released. Else every
-// start that goes there would wait until its deadline.
+// A machine whose heartbeats arrive but which nothing reaches gets no new work and is released.
+// Its attempts count until they are proven absent. Otherwise every start that is placed there
+// would wait until its deadline.
 func TestUnreachableMachineGetsNoWorkAndIsReleased(t *testing.T) {
 	h := newHarness(t)
 	h.bringUp("n-1")
@@ -260,8 +261,8 @@
 	h.heartbeat("n-1")
 	h.submit(wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1})
 	staleToken := h.fencingToken("n-1")
-	runUnreachable := func(t time.Duration, others ...string) {
-		for end := h.now + t; h.now < end; {
+	runUnreachable := func(duration time.Duration, others ...string) {
+		for end := h.now + duration; h.now < end; {
 			for _, c := range h.calls {
 				if c.Machine == "n-1" {
 					h.scheduler.CallDone(h.clock(), c.ID, CallLost, nil)
@@ -305,8 +306,8 @@
 	}
 }
 
-// A machine that does not answer a start gets no more until it shows that commands reach it,
-// though a heartbeat has just arrived.
+// A machine that does not answer a start gets no further work until it shows that commands reach
+// it, even if a heartbeat has just arrived.
 func TestNoNewWorkAfterUnansweredDispatch(t *testing.T) {
 	h := newHarness(t)
 	h.bringUp("n-1")
@@ -318,14 +319,14 @@
 	if n := len(h.scheduler.cluster.machines["n-1"].tasks); n != 1 {
 		t.Fatalf("%d tasks on a machine that did not answer", n)
 	}
-	h.advance(time.Second, "n-1") // under the token that it got meanwhile
+	h.advance(time.Second, "n-1") // under the token that the worker received meanwhile
 	if n := len(h.scheduler.cluster.machines["n-1"].tasks); n != 2 {
-		t.Fatalf("%d tasks on a machine that is reached", n)
+		t.Fatalf("%d tasks on a reachable machine", n)
 	}
 }
 
-// A worker's incarnation that ends although its heartbeats were answered shows that the
-// replies are lost; its answer to a direct call shows that it is reached.
+// If a worker's incarnation ends although its heartbeats were answered, the replies are being
+// lost. The worker's answer to a direct call shows that it is reachable.
 func TestLeaseExpiryDespiteRepliesMarksMachineUnreachable(t *testing.T) {
 	h := newHarness(t)
 	h.bringUp("n-1")
@@ -335,7 +336,7 @@
 	r.Incarnation = 2
 	h.scheduler.Heartbeat(h.clock(), r)
 	if m := h.scheduler.cluster.machines["n-1"]; m.connectivity.unreachableSince == 0 || h.scheduler.cluster.schedulable(m) {
-		t.Fatal("usable though replies to it are lost")
+		t.Fatal("schedulable although replies to it are lost")
 	}
 	h.scheduler.Tick(h.clock())
 	h.settle()
@@ -346,16 +347,16 @@
 	answer.Incarnation = 2
 	h.scheduler.CallDone(h.clock(), h.calls[0].ID, CallExecuted, answer)
 	if m := h.scheduler.cluster.machines["n-1"]; m.connectivity.unreachableSince != 0 {
-		t.Error("still taken for unreachable")
+		t.Error("still marked as unreachable")
 	}
 }
 
-// Duplicates of heartbeats that come late prove nothing, change nothing, do not show that the
-// machine is alive, get no starts, and bring no released machine back.
+// Late duplicates of heartbeats prove no absence, change no state, do not show that the machine
+// is alive, get no starts, and do not bring a released machine back.
 func TestDuplicateLateHeartbeatsAreIgnored(t *testing.T) {
 	h := newHarness(t)
 	h.bringUp("n-1", "n-2")
-	early := h.newHeartbeat("n-1", h.fencingToken("n-1")) // before anything was placed
+	earlyHeartbeat := h.newHeartbeat("n-1", h.fencingToken("n-1")) // before anything was placed
 	h.submit(wire.Job{ID: "run-000001", Tasks: 1, CPUs: 8})
 	h.answerAll(CallExecuted)
 	var m *machine
@@ -364,44 +365,44 @@
 			m = x
 		}
 	}
-	early.Machine, early.Address = m.name, m.address
+	earlyHeartbeat.Machine, earlyHeartbeat.Address = m.name, m.address
 	h.heartbeat(m.name, h.runningTasks(m.name)...)
-	heard, anyHeard, session := m.connectivity.lastHeartbeatAt, h.scheduler.monitor.lastHeartbeatAt, m.heartbeats.incarnation
+	lastHeartbeatAt, fleetLastHeartbeatAt, incarnation := m.connectivity.lastHeartbeatAt, h.scheduler.monitor.lastHeartbeatAt, m.heartbeats.incarnation
 	h.now += 5 * time.Second
-	for _, copy := range []*wire.Heartbeat{early, {Machine: m.name, Address: m.address, Type: "box", Zone: "a", Incarnation: 0, Sequence: 99, FencingToken: early.FencingToken}} {
-		reply, ok := h.scheduler.Heartbeat(h.clock(), copy)
-		if !ok || len(reply.Commands) != 0 || len(m.tasks) != 1 || m.connectivity.lastHeartbeatAt != heard || h.scheduler.monitor.lastHeartbeatAt != anyHeard || m.heartbeats.incarnation != session {
-			t.Errorf("a late duplicate: %+v, %d tasks, last heartbeat at %v then %v", reply, len(m.tasks), heard, m.connectivity.lastHeartbeatAt)
+	for _, duplicate := range []*wire.Heartbeat{earlyHeartbeat, {Machine: m.name, Address: m.address, Type: "box", Zone: "a", Incarnation: 0, Sequence: 99, FencingToken: earlyHeartbeat.FencingToken}} {
+		reply, ok := h.scheduler.Heartbeat(h.clock(), duplicate)
+		if !ok || len(reply.Commands) != 0 || len(m.tasks) != 1 || m.connectivity.lastHeartbeatAt != lastHeartbeatAt || h.scheduler.monitor.lastHeartbeatAt != fleetLastHeartbeatAt || m.heartbeats.incarnation != incarnation {
+			t.Errorf("a late duplicate: %+v, %d tasks, last heartbeat at %v then %v", reply, len(m.tasks), lastHeartbeatAt, m.connectivity.lastHeartbeatAt)
 		}
 	}
 	h.scheduler.Released(h.clock(), []string{m.name}, ReleaseDone)
-	if h.scheduler.Heartbeat(h.clock(), early); h.scheduler.cluster.machines[m.name] != nil {
-		t.Error("a released machine is adopted for a late duplicate")
+	if h.scheduler.Heartbeat(h.clock(), earlyHeartbeat); h.scheduler.cluster.machines[m.name] != nil {
+		t.Error("a released machine was adopted because of a late duplicate")
 	}
-	// To a new leader it is the first from that machine, which may be there; but nothing
-	// is placed on it, and it is released when nothing follows.
-	e := newHarness(t)
+	// To a new leader the duplicate is the machine's first heartbeat, and the machine may exist.
+	// Nothing is placed on it, and it is released when no other heartbeat follows.
+	newLeader := newHarness(t)
 	for i, token := range []uint64{0, (harnessTerm - 1) << tuning.FencingBits} {
-		first := *early
+		first := *earlyHeartbeat
 		first.FencingToken = token
 		first.Machine = []string{"n-3", "n-4"}[i]
-		e.scheduler.Heartbeat(e.clock(), &first)
+		newLeader.scheduler.Heartbeat(newLeader.clock(), &first)
 	}
-	e.bringUp("n-6")
-	e.submit(wire.Job{ID: "run-000002", Tasks: 20, CPUs: 1})
-	e.advance(3*e.scheduler.settings.WorkerLease, "n-6")
+	newLeader.bringUp("n-6")
+	newLeader.submit(wire.Job{ID: "run-000002", Tasks: 20, CPUs: 1})
+	newLeader.advance(3*newLeader.scheduler.settings.WorkerLease, "n-6")
 	for _, name := range []string{"n-3", "n-4"} {
-		if x := e.scheduler.cluster.machines[name]; x != nil && len(x.tasks) > 0 {
-			t.Errorf("placed on %s for a late duplicate", name)
+		if x := newLeader.scheduler.cluster.machines[name]; x != nil && len(x.tasks) > 0 {
+			t.Errorf("placed on %s because of a late duplicate", name)
 		}
 	}
-	if len(e.releases) == 0 {
+	if len(newLeader.releases) == 0 {
 		t.Error("never released")
 	}
 }
 
-// On a machine whose interruption is announced, what may complete in time runs on; what may
-// not is moved if there is capacity elsewhere; shortly before the end everything is stopped.
+// After a spot interruption is announced, tasks that may complete in time keep running, others
+// are moved if there is capacity elsewhere, and shortly before the interruption all are stopped.
 func TestSpotInterruptionDrainsMachine(t *testing.T) {
 	h := newHarness(t)
 	h.bringUp("n-1")
@@ -412,10 +413,10 @@
 	for _, a := range h.scheduler.cluster.machines["n-1"].sortedAttempts() {
 		tasks = append(tasks, runningReport(wire.Command{Task: wire.TaskName(a.ref.jobID, a.ref.index), Attempt: a.number}))
 	}
-	notice := func(left float64) map[string]bool {
-		r := h.newHeartbeat("n-1", h.fencingToken("n-1"), tasks...)
-		r.InterruptionInS = &left
-		h.scheduler.Heartbeat(h.clock(), r)
+	announceInterruption := func(secondsLeft float64) map[string]bool {
+		heartbeat := h.newHeartbeat("n-1", h.fencingToken("n-1"), tasks...)
+		heartbeat.InterruptionInS = &secondsLeft
+		h.scheduler.Heartbeat(h.clock(), heartbeat)
 		h.scheduler.Tick(h.clock())
 		h.settle()
 		stopped := map[string]bool{}
@@ -424,15 +425,15 @@
 		}
 		return stopped
 	}
-	if s := notice(15); s["run-000001"] || s["run-000002"] {
-		t.Errorf("stopped without capacity elsewhere: %v", s)
+	if stopped := announceInterruption(15); stopped["run-000001"] || stopped["run-000002"] {
+		t.Errorf("stopped without capacity elsewhere: %v", stopped)
 	}
 	h.now += 2 * tuning.FreeCapacityMemory
 	h.bringUp("n-2")
-	if s := notice(14); s["run-000001"] || !s["run-000002"] {
-		t.Errorf("with capacity elsewhere: %v", s)
+	if stopped := announceInterruption(14); stopped["run-000001"] || !stopped["run-000002"] {
+		t.Errorf("with capacity elsewhere: %v", stopped)
 	}
-	if s := notice(1); !s["run-000001"] {
-		t.Errorf("not stopped before the end: %v", s)
+	if stopped := announceInterruption(1); !stopped["run-000001"] {
+		t.Errorf("not stopped shortly before the interruption: %v", stopped)
 	}
 }
--- a/internal/scheduler/machinescan.go
+++ b/internal/scheduler/machinescan.go
@@ -12,7 +12,7 @@
 // status probe left.
 func (s *Scheduler) scanMachines() {
 	list := s.cluster.sortedMachines()
-	first, _ := slices.BinarySearchFunc(list, s.dispatcher.probes.takeNextMachine(), func(m *machine, name string) int { return strings.Compare(m.name, name) })
+	first, _ := slices.BinarySearchFunc(list, s.dispatcher.probes.takeFirstPostponed(), func(m *machine, name string) int { return strings.Compare(m.name, name) })
 	for i := range list {
 		//mutation:status-probe-rotation
 		s.scanMachine(list[(first+i)%len(list)])
--- a/internal/scheduler/monitor.go
+++ b/internal/scheduler/monitor.go
@@ -6,60 +6,60 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// heartbeatMonitor owns when heartbeats of the fleet and of zones as a whole came and
-// stopped to come, how long this leader has been isolated, when this process was paused,
-// and when ticks last scanned all machines.
+// heartbeatMonitor tracks the last heartbeats of the fleet and of whole zones, how long this
+// leader has been isolated, when this process was paused, and when ticks last scanned all
+// machines.
 //
-// What a pause delays counts as missed by nobody: see age. The time without any heartbeat
-// counts from tick to tick, so that the first heartbeat ends it.
+// Heartbeats that a pause of this process delays do not count as missed: see timeSinceSeen. The
+// isolated time grows from tick to tick, so that the first heartbeat resets it.
 type heartbeatMonitor struct {
 	*termContext
 
-	lastHeartbeatAt time.Duration            // of any machine
-	zoneHeartbeatAt map[string]time.Duration // before this term, see ZoneLastSeen
-	zoneMissingAt   map[string]time.Duration // when a whole zone last missed its heartbeats
-	isolatedFor     time.Duration            // for how long ticks have found no new heartbeat
-	tickedAt        time.Duration
-	scannedAt       time.Duration // when a tick last scanned all machines
-	resumedAt       time.Duration // when this process last resumed after a pause
-	loadLoggedAt    time.Duration
+	lastHeartbeatAt   time.Duration            // from any machine
+	zoneLastSeenAt    map[string]time.Duration // by zone, before this term: see ZoneLastSeen
+	zonePartitionedAt map[string]time.Duration // by zone, when most heartbeats were last overdue
+	isolatedFor       time.Duration            // time over which ticks have found no new heartbeat
+	lastTickAt        time.Duration
+	lastScanAt        time.Duration // when a tick last scanned all machines
+	resumedAt         time.Duration // when this process last resumed after a pause
+	loadLoggedAt      time.Duration
 }
 
 func newHeartbeatMonitor(context *termContext) heartbeatMonitor {
 	return heartbeatMonitor{
 		termContext:     context,
-		lastHeartbeatAt: context.now.Mono, tickedAt: context.now.Mono,
-		zoneHeartbeatAt: map[string]time.Duration{}, zoneMissingAt: map[string]time.Duration{},
+		lastHeartbeatAt: context.now.Mono, lastTickAt: context.now.Mono,
+		zoneLastSeenAt: map[string]time.Duration{}, zonePartitionedAt: map[string]time.Duration{},
 	}
 }
 
-// notePause notes that the process was paused since the last tick, if it was. A tick that
-// is merely late is no pause.
-func (h *heartbeatMonitor) notePause() {
-	if gap := h.now.Mono - h.tickedAt; gap > tuning.ProcessPauseThreshold {
+// detectPause detects a pause of the process by the time since the last tick. A gap of up to
+// tuning.ProcessPauseThreshold is only a late tick.
+func (h *heartbeatMonitor) detectPause() {
+	if gap := h.now.Mono - h.lastTickAt; gap > tuning.ProcessPauseThreshold {
 		h.resumedAt = h.now.Mono
 		h.logInfo("process paused", "paused_s", gap.Seconds())
 	}
 }
 
-// age is how long ago a machine was last seen, less what went by before the process
-// resumed after a pause: heartbeats that did not come meanwhile have yet to be read, or
-// went to another controller.
-func (h *heartbeatMonitor) age(seenAt time.Duration) time.Duration {
+// timeSinceSeen returns the time since a machine was last seen, or since the process last
+// resumed after a pause if that is shorter: heartbeats that were sent during the pause have yet
+// to be read, or went to another controller.
+func (h *heartbeatMonitor) timeSinceSeen(seenAt time.Duration) time.Duration {
 	return h.now.Mono - max(seenAt, h.resumedAt)
 }
 
-// beginScan reports whether a scan of all machines is due, and notes that it begins.
-func (h *heartbeatMonitor) beginScan(machines int) bool {
-	interval := h.scaleByCPUShare(time.Duration(machines) * tuning.ScanIntervalPerMachine)
-	if h.now.Mono-h.scannedAt < interval {
+// beginScan reports whether a scan of all machines is due, and if so records that it begins.
+func (h *heartbeatMonitor) beginScan(machineCount int) bool {
+	interval := h.scaleByCPUShare(time.Duration(machineCount) * tuning.ScanIntervalPerMachine)
+	if h.now.Mono-h.lastScanAt < interval {
 		return false
 	}
-	h.scannedAt = h.now.Mono
+	h.lastScanAt = h.now.Mono
 	return true
 }
 
-// beginLoadLog reports whether the load is to be logged, and notes that it is.
+// beginLoadLog reports whether the load is due to be logged, and if so records the time.
 func (h *heartbeatMonitor) beginLoadLog() bool {
 	if h.now.Mono-h.loadLoggedAt < tuning.LoadLogInterval {
 		return false
@@ -68,27 +68,28 @@
 	return true
 }
 
-// countIsolation adds the time since the last tick, unless a heartbeat has come since. Of a
-// pause it counts little: what came meanwhile has yet to be read.
-func (h *heartbeatMonitor) countIsolation() {
-	if h.lastHeartbeatAt > h.tickedAt {
+// updateIsolation adds the time since the last tick to isolatedFor, or resets it if a heartbeat
+// has arrived since. A tick adds at most two tick intervals: after a longer pause, heartbeats
+// that arrived meanwhile have yet to be read.
+func (h *heartbeatMonitor) updateIsolation() {
+	if h.lastHeartbeatAt > h.lastTickAt {
 		h.isolatedFor = 0
 	} else {
-		h.isolatedFor += min(h.now.Mono-h.tickedAt, 2*tuning.TickInterval)
+		h.isolatedFor += min(h.now.Mono-h.lastTickAt, 2*tuning.TickInterval)
 	}
-	h.tickedAt = h.now.Mono
+	h.lastTickAt = h.now.Mono
 }
 
-// resignIfIsolated gives up leadership when no worker reaches this process any more.
-// Hundreds of machines send heartbeats within any second, so that few seconds tell. To wait
-// for several long heartbeat intervals would cost the workers their leases, since the other
-// controllers forward their heartbeats here all the while. A few machines may just be
-// between two heartbeats.
+// resignIfIsolated resigns leadership when no worker reaches this process any more. In a large
+// fleet hundreds of machines send heartbeats every second, so a few seconds without any are
+// sufficient evidence. Waiting for several long heartbeat intervals would cost the workers their
+// leases, since the other controllers keep forwarding their heartbeats to this process. A small
+// fleet gets more time, since its machines may just be between two heartbeats.
 func (h *heartbeatMonitor) resignIfIsolated(upMachines int) {
-	h.countIsolation()
+	h.updateIsolation()
 	if upMachines == 0 {
-		// Else the first machine that the cloud lists, after a restart without records,
-		// would find this process isolated for long.
+		// Time without machines must not count as isolation: otherwise this process would resign
+		// as soon as the cloud lists the first machine after a restart without records.
 		//mutation:isolation-clock-reset
 		h.isolatedFor = 0
 		return
--- a/internal/scheduler/reconciliation.go
+++ b/internal/scheduler/reconciliation.go
@@ -6,19 +6,19 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// termReconciler is the reconciler with what ties it to this term's attempts: it gathers the
-// evidence on them, reports the differences, and counts what is done about them.
+// termReconciler connects the reconciler with this term's attempts: it gathers the evidence on
+// them, reports the differences, and counts the operations that resolve them.
 //
-// Once an attempt is restored from the records, it alone changes attempt.reconciliation. An
-// attempt is reported once, and each stop that a difference asked for is awaited until the
-// attempt is gone.
+// After an attempt is restored from the records, only termReconciler changes
+// attempt.reconciliation. Each attempt is reported once, and each stop that a difference
+// requires is awaited until the attempt is gone.
 type termReconciler struct {
 	*termContext
 	*reconcile.Reconciler
 	cluster *clusterState // read only
 }
 
-// reconcileConfig is what the term's reconciliation depends on.
+// reconcileConfig returns the configuration of the term's reconciler.
 func (s Settings) reconcileConfig() reconcile.Config {
 	return reconcile.Config{
 		//mutation:reconciliation-enabled
@@ -27,7 +27,7 @@
 	}
 }
 
-// ControllerSurvived takes note that a controller was up when the last leader ended.
+// ControllerSurvived records that a controller was running when the last leader's term ended.
 func (s *Scheduler) ControllerSurvived() { s.reconciler.ControllerSurvived() }
 
 // flushEvents moves the reconciler's events into the effects.
@@ -46,33 +46,33 @@
 	}
 }
 
-// evidenceFor gathers what is known of an attempt from before the term.
+// evidenceFor returns the evidence on an attempt from before this term.
 func (r *termReconciler) evidenceFor(a *attempt, observation reconcile.Observation) reconcile.Evidence {
-	e := reconcile.Evidence{Observation: observation, Recorded: a.reconciliation.class == reconcile.MissingUnproven}
+	evidence := reconcile.Evidence{Observation: observation, Recorded: a.reconciliation.class == reconcile.MissingUnproven}
 	j := a.job
 	if j == nil {
-		return e
+		return evidence
 	}
 	//mutation:recovered-attempt-of-cancelled-job
-	e.JobIsLive = !j.cancelled && !j.archived
+	evidence.JobIsLive = !j.cancelled && !j.archived
 	//mutation:recovered-attempt-of-done-task
-	e.TaskIsDone = j.progress.done.Has(a.ref.index)
+	evidence.TaskIsDone = j.progress.done.Has(a.ref.index)
 	//mutation:recovered-attempt-duplicate
-	e.HasDuplicate = a.hasConflictingAttempt(e)
-	if !e.Recorded && observation == reconcile.Active {
+	evidence.HasDuplicate = a.hasConflictingAttempt(evidence)
+	if !evidence.Recorded && observation == reconcile.Active {
 		//mutation:unrecorded-attempt-placement
-		e.MachineAllowed = j.mayAdoptOn(a.machine)
+		evidence.MachineAllowed = j.allowsAdoptionOn(a.machine)
 		//mutation:unrecorded-attempt-over-limit
-		e.OverQuota = r.cluster.quotaHeadroom(j, TeamQuota{}) < 1
+		evidence.OverQuota = r.cluster.quotaHeadroom(j, TeamQuota{}) < 1
 	}
-	return e
+	return evidence
 }
 
-// hasConflictingAttempt reports whether another attempt of the task has the better claim.
-// Of two recorded ones, the first that a heartbeat lists stays. One that is not recorded
-// is stopped beside them, whatever became of them.
-func (a *attempt) hasConflictingAttempt(e reconcile.Evidence) bool {
-	if e.Recorded && e.Observation == reconcile.Active {
+// hasConflictingAttempt reports whether another attempt of the task takes precedence. Of two
+// recorded attempts, the first that a heartbeat lists is kept. An unrecorded attempt gives way
+// to any other attempt, whatever is known about the latter.
+func (a *attempt) hasConflictingAttempt(evidence reconcile.Evidence) bool {
+	if evidence.Recorded && evidence.Observation == reconcile.Active {
 		return a.hasListedDuplicate()
 	}
 	return a.mayHaveDuplicate()
@@ -88,8 +88,8 @@
 	return false
 }
 
-// hasListedDuplicate reports whether a worker has listed another attempt of the task, and
-// that one is not being stopped.
+// hasListedDuplicate reports whether a worker has listed another attempt of the task that is not
+// being stopped.
 func (a *attempt) hasListedDuplicate() bool {
 	for _, other := range a.job.active[a.ref.index] {
 		//mutation:first-reported-duplicate-stays
@@ -100,22 +100,23 @@
 	return false
 }
 
-// mayAdoptOn reports whether the job allows the machine beside its other tasks.
-func (j *job) mayAdoptOn(m *machine) bool {
+// allowsAdoptionOn reports whether the job allows the machine, given the zones of its other
+// attempts.
+func (j *job) allowsAdoptionOn(m *machine) bool {
 	return j.allows(m.offer()) && j.allowsZone(j.attemptsByZone(), m.zone)
 }
 
-// observeRecorded takes the first observation of an attempt that a record names, and stops
-// the attempt if it must not go on.
-func (s *Scheduler) observeRecorded(a *attempt, observation reconcile.Observation) {
-	if verdict := s.reconciler.classifyRecorded(a, observation); verdict.Action == reconcile.Stop {
+// reconcileRecordedAttempt classifies a recorded attempt by its first observation, and stops the
+// attempt if the verdict requires that.
+func (s *Scheduler) reconcileRecordedAttempt(a *attempt, observation reconcile.Observation) {
+	if verdict := s.reconciler.classifyRecordedAttempt(a, observation); verdict.Action == reconcile.Stop {
 		s.stopNow(a, stopReasonOf(verdict.Class))
 	}
 }
 
-// classifyRecorded takes the first observation of an attempt that a record names, and gives
-// the difference that it shows; reconcile.None if there is none.
-func (r *termReconciler) classifyRecorded(a *attempt, observation reconcile.Observation) reconcile.Verdict {
+// classifyRecordedAttempt classifies a recorded attempt by its first observation and reports the
+// difference that it shows. The verdict has class reconcile.None if there is no difference.
+func (r *termReconciler) classifyRecordedAttempt(a *attempt, observation reconcile.Observation) reconcile.Verdict {
 	if a.reconciliation.class != reconcile.MissingUnproven {
 		return reconcile.Verdict{}
 	}
@@ -134,18 +135,20 @@
 	return verdict
 }
 
-// confirmActive takes an attempt that a heartbeat lists as active. It is proof to the
-// reconciliation only under this term's token: a copy of an earlier heartbeat may list
-// what is long gone. The attempt counts from its first listing all the same.
-func (s *Scheduler) confirmActive(a *attempt) {
+// confirmListedAttempt reconciles an attempt that a heartbeat lists as active. Only a heartbeat
+// under this term's fencing token is proof for the reconciliation: a duplicate of an earlier one
+// may list attempts that are long gone. Outside the reconciliation, the attempt counts from its
+// first listing.
+func (s *Scheduler) confirmListedAttempt(a *attempt) {
 	if !a.machine.heartbeats.underTerm {
 		return
 	}
-	s.observeRecorded(a, reconcile.Active)
+	s.reconcileRecordedAttempt(a, reconcile.Active)
 	s.reconciler.reportDeferredVerdict(a)
 }
 
-// deferVerdict keeps the verdict on an unexpected attempt until it is confirmed or ends.
+// deferVerdict keeps the verdict on an unexpected attempt until the attempt is confirmed or
+// ends.
 func (r *termReconciler) deferVerdict(a *attempt, verdict reconcile.Verdict) {
 	a.reconciliation.deferredVerdict = verdict
 	if r.fromEarlierTerm(a.number) {
@@ -153,7 +156,8 @@
 	}
 }
 
-// reportDeferredVerdict reports an unexpected attempt that is confirmed or has ended.
+// reportDeferredVerdict reports the verdict on an unexpected attempt that is confirmed or has
+// ended.
 func (r *termReconciler) reportDeferredVerdict(a *attempt) {
 	verdict := a.reconciliation.deferredVerdict
 	if verdict.Class == reconcile.None {
@@ -163,21 +167,21 @@
 	r.reportDifference(a, newDifference(a.machine, a.ref, a.number, verdict))
 }
 
-// stopObsoleteAttempts stops what is over by the records alone: attempts whose job has
-// ended, or was cancelled without all of its attempts being stopped. No watch shows these
-// again.
+// stopObsoleteAttempts stops attempts that are obsolete according to the records alone: their
+// job has ended, or was cancelled and not all of its attempts were stopped. No watch event
+// reports these jobs again.
 func (s *Scheduler) stopObsoleteAttempts() {
 	sortAttempts(s.cluster.obsoleteAttempts)
 	for _, a := range s.cluster.obsoleteAttempts {
 		if a.attached() {
-			s.observeRecorded(a, reconcile.Unreported)
+			s.reconcileRecordedAttempt(a, reconcile.Unreported)
 		}
 	}
 	s.cluster.obsoleteAttempts = nil
 }
 
-// reportDifference hands a difference to the reconciler if its attempt, a, is from before
-// the term.
+// reportDifference adds a difference to the reconciler if its attempt, a, is from an earlier
+// term.
 func (r *termReconciler) reportDifference(a *attempt, difference reconcile.Difference) {
 	if !r.fromEarlierTerm(a.number) {
 		return
@@ -202,7 +206,7 @@
 	return number>>tuning.FencingBits != c.term
 }
 
-// countStopProven takes note that an attempt is gone, if a difference asked for its stop.
+// countStopProven records that an attempt whose stop a difference required is gone.
 func (r *termReconciler) countStopProven(a *attempt) {
 	if a.reconciliation.awaitsStop {
 		a.reconciliation.awaitsStop = false
@@ -210,9 +214,9 @@
 	}
 }
 
-// classifyUnknownExit takes the end of an attempt that is not attached, as a worker lists
-// it. One that is neither recorded nor needed is no difference: its worker only has to
-// forget it.
+// classifyUnknownExit handles an exit that a worker lists of an attempt that is not attached. An
+// attempt that is neither recorded nor needed is no difference: its worker only has to forget
+// it.
 func (r *termReconciler) classifyUnknownExit(m *machine, ref taskRef, status *wire.TaskStatus) {
 	if status.Cause != wire.CauseDone || !r.fromEarlierTerm(status.Attempt) {
 		return
@@ -227,8 +231,8 @@
 	}
 }
 
-// reportSuperseded takes an attempt that runs where another attempt of its task is to
-// start.
+// reportSuperseded reports an attempt on a machine on which another attempt of its task was
+// placed.
 func (r *termReconciler) reportSuperseded(m *machine, ref taskRef, status *wire.TaskStatus) {
 	if r.fromEarlierTerm(status.Attempt) {
 		verdict := reconcile.Verdict{Class: reconcile.Superseded, Action: reconcile.Stop}
--- a/internal/scheduler/reconciliation_test.go
+++ b/internal/scheduler/reconciliation_test.go
@@ -15,7 +15,7 @@
 
 const restartedJobID = "run-000001"
 
-// coldRestart is the setting of the first leader after all controllers were down.
+// coldRestart changes the settings to those of the first leader after all controllers were down.
 func coldRestart(s *Settings) { s.Policy.ReconcileRestarts, s.ColdRestart = true, true }
 
 func liveJobs(jobs ...wire.Job) map[string]*LiveJob {
@@ -30,7 +30,8 @@
 	return live
 }
 
-// assignmentRecord is a record of one attempt of the restarted job's first task.
+// assignmentRecord returns the stored record of a machine with one attempt of the restarted
+// job's first task.
 func assignmentRecord(t *testing.T, machine string, attempt uint64) wire.KeyValue {
 	t.Helper()
 	return machineRecordItem(t, machine, records.LegacyMachine{Type: "box", Zone: "a", Address: machine + ":1",
@@ -45,7 +46,8 @@
 	return r
 }
 
-// stopsSentTo lists the attempts that a reply and the calls to a machine stop.
+// stopsSentTo returns the attempts that a heartbeat reply and the calls in flight to a machine
+// stop.
 func (h *harness) stopsSentTo(machine string, reply wire.HeartbeatReply) (attempts []uint64) {
 	commands := slices.Clone(reply.Commands)
 	for _, c := range h.calls {
@@ -71,9 +73,9 @@
 	})
 }
 
-// A task completes, and the controllers end before it is durably done. The next leader does
-// not start it again on another machine before the one that ran it has sent a heartbeat.
-// The assignment is dropped once the task is durably done.
+// A task completes, and the controllers end before the completion is durable. The next leader
+// does not start the task on another machine before the machine that ran it has sent a
+// heartbeat. The assignment record is removed once the completion is durable.
 func TestCompletedTaskKeepsAssignmentUntilSaved(t *testing.T) {
 	h := newHarness(t)
 	h.bringUp("n-1")
@@ -89,18 +91,18 @@
 	if n := h.recordedAttempts(); n != 2 {
 		t.Fatalf("%d attempts are recorded before the task is durably done, not 2", n)
 	}
-	next := newHarness(t)
-	next.startTerm(h.scheduler.settings, harnessTerm+10, live, slices.Collect(maps.Values(h.items)), []wire.MachineType{*h.scheduler.cluster.machineTypes["box"]})
-	next.bringUp("n-3")
-	next.advance(2*time.Second, "n-3")
-	if s := next.startCommands(); len(s) > 0 {
+	nextLeader := newHarness(t)
+	nextLeader.startTerm(h.scheduler.settings, harnessTerm+10, live, slices.Collect(maps.Values(h.items)), []wire.MachineType{*h.scheduler.cluster.machineTypes["box"]})
+	nextLeader.bringUp("n-3")
+	nextLeader.advance(2*time.Second, "n-3")
+	if s := nextLeader.startCommands(); len(s) > 0 {
 		t.Errorf("started again: %+v", s)
 	}
-	next.answerAll(CallLost)
-	next.heartbeat("n-1", exitedReport(first, wire.CauseDone))
-	next.heartbeat("n-1", exitedReport(first, wire.CauseDone))
-	if j := next.scheduler.cluster.jobs[restartedJobID]; j.progress.doneCount != 1 || next.differenceClasses()[reconcile.FinishedUnrecorded.String()] != 1 {
-		t.Errorf("%d done, classes %v", j.progress.doneCount, next.differenceClasses())
+	nextLeader.answerAll(CallLost)
+	nextLeader.heartbeat("n-1", exitedReport(first, wire.CauseDone))
+	nextLeader.heartbeat("n-1", exitedReport(first, wire.CauseDone))
+	if j := nextLeader.scheduler.cluster.jobs[restartedJobID]; j.progress.doneCount != 1 || nextLeader.differenceClasses()[reconcile.FinishedUnrecorded.String()] != 1 {
+		t.Errorf("%d done, classes %v", j.progress.doneCount, nextLeader.differenceClasses())
 	}
 	h.advance(tuning.DoneFlushDelay+2*time.Second, "n-2")
 	if n := h.recordedAttempts(); n != 1 {
@@ -108,8 +110,8 @@
 	}
 }
 
-// A worker lists a task that no record names. It is adopted where that violates no rule,
-// else stopped; and no second attempt starts before it is proven to be gone.
+// A worker lists an attempt that no record names. The attempt is adopted if that violates no
+// rule, and stopped otherwise. No second attempt starts before it is proven to be gone.
 func TestUnrecordedTaskIsAdoptedOrStopped(t *testing.T) {
 	const attempt = 7
 	for _, tc := range []struct {
@@ -154,21 +156,22 @@
 				t.Errorf("classes: %v", h.differenceClasses())
 			}
 			if !tc.stopped && h.recordedAttempts() != 1 {
-				t.Errorf("adopted without a record: %d", h.recordedAttempts())
+				t.Errorf("adopted, but %d attempts are recorded, not 1", h.recordedAttempts())
 			}
 			h.bringUp("n-3")
 			h.heartbeat("n-1", taskReport(attempt, wire.TaskRunning))
 			h.advance(time.Second, "n-3")
 			for _, s := range h.startCommands() {
 				if s.Task == restartedJobID+"/0" {
-					t.Errorf("started beside it: %+v", s)
+					t.Errorf("started beside the listed attempt: %+v", s)
 				}
 			}
 		})
 	}
 }
 
-// Of two workers that list the same recorded task, the first keeps it.
+// If two workers list recorded attempts of the same task, the attempt that is listed first is
+// kept.
 func TestFirstOfTwoReportedAttemptsIsKept(t *testing.T) {
 	h := newHarnessWith(t, harnessConfig{
 		live:    liveJobs(wire.Job{ID: restartedJobID, Tasks: 1, CPUs: 1}),
@@ -186,8 +189,8 @@
 	}
 }
 
-// An attempt of a job that has ended is stopped, and takes capacity of the machine no
-// longer than it takes to stop.
+// An attempt of a job that has ended is stopped, and uses capacity of its machine only until it
+// has stopped.
 func TestAttemptOfEndedJobIsStopped(t *testing.T) {
 	h := newHarnessWith(t, harnessConfig{records: []wire.KeyValue{assignmentRecord(t, "n-1", 5)}, change: coldRestart})
 	if stops := h.stopsSentTo("n-1", wire.HeartbeatReply{}); !slices.Equal(stops, []uint64{5}) {
@@ -204,8 +207,8 @@
 	}
 }
 
-// Nothing is provisioned or preempted for what may fit on unconfirmed machines; after the
-// bound, or without the setting, it is.
+// Nothing is provisioned or preempted for tasks that may fit on unconfirmed machines. This ends
+// after the bound on collecting heartbeats, and does not apply if reconciliation is disabled.
 func TestNoScaleOutOrPreemptionForUnconfirmedCapacity(t *testing.T) {
 	for i := range 4 {
 		enabled, recorded := i%2 == 0, i/2 == 0
@@ -225,7 +228,7 @@
 		stops := h.stopsSentTo("n-1", h.heartbeat("n-1", idle...))
 		h.scheduler.Tick(h.clock())
 		h.settle()
-		if held := len(stops) == 0 && len(h.provisionRequests) == 0; held != enabled {
+		if withheld := len(stops) == 0 && len(h.provisionRequests) == 0; withheld != enabled {
 			t.Errorf("recorded %v, with reconciliation %v: stops %v, provisioning requests %d", recorded, enabled, stops, len(h.provisionRequests))
 		}
 		for end := h.now + h.scheduler.reconciler.Config().CollectBound(); h.now < end; {
@@ -234,13 +237,13 @@
 			h.calls = nil
 		}
 		if m := h.scheduler.cluster.machines["n-1"]; len(h.provisionRequests) == 0 && !slices.ContainsFunc(m.sortedAttempts(), func(a *attempt) bool { return a.stop.requested }) {
-			t.Errorf("with reconciliation %v: still held after the bound", enabled)
+			t.Errorf("with reconciliation %v: neither provisioned nor preempted after the bound", enabled)
 		}
 	}
 }
 
-// restartWithLateMachine begins a term after a cold restart, in which n-1, with the
-// restarted job's task, has yet to send a heartbeat.
+// restartWithLateMachine begins a term after a cold restart. Machine n-1, which has the
+// restarted job's task, has not sent a heartbeat yet.
 func restartWithLateMachine(t *testing.T, reconcileRestarts bool) *harness {
 	t.Helper()
 	h := newHarnessWith(t, harnessConfig{
@@ -253,36 +256,39 @@
 	return h
 }
 
-// stayLate lets time pass in which n-1 answers nothing.
-func (h *harness) stayLate(wait time.Duration) {
+// advanceWithoutLateMachine lets time pass in which n-1 neither sends heartbeats nor answers
+// calls.
+func (h *harness) advanceWithoutLateMachine(wait time.Duration) {
 	for end := h.now + wait; h.now < end; {
 		h.advance(tuning.TickInterval, "n-2")
 		h.answerAll(CallLost)
 	}
 }
 
-// longLate is how long a machine is late that is released without reconciliation.
-const longLate = 10 * time.Second
+// heartbeatDelay is how late the heartbeat of n-1 is: without reconciliation, the machine is
+// released within this time.
+const heartbeatDelay = 10 * time.Second
 
-// A machine that is late after a cold restart keeps its work for as long as its lease may
-// last; then it is released, and what ran there starts elsewhere on that proof alone.
+// A machine whose heartbeat is late after a cold restart keeps its tasks for as long as its
+// lease may last. Then it is released, and only the successful release proves that its tasks may
+// start elsewhere.
 func TestLateMachineKeepsWorkUntilLeaseExpiry(t *testing.T) {
 	h := restartWithLateMachine(t, false)
-	if h.stayLate(longLate); len(h.releases) == 0 {
-		t.Error("kept without the setting: the test shows nothing")
+	if h.advanceWithoutLateMachine(heartbeatDelay); len(h.releases) == 0 {
+		t.Error("not released although reconciliation is disabled: the test proves nothing")
 	}
 
 	h = restartWithLateMachine(t, true)
-	newer := h.newHeartbeat("n-1", (harnessTerm+3)<<tuning.FencingBits)
-	if _, ok := h.scheduler.Heartbeat(h.clock(), newer); ok || h.scheduler.TakeEffects().Resign == "" {
-		t.Error("under a newer token: did not resign")
+	laterTermHeartbeat := h.newHeartbeat("n-1", (harnessTerm+3)<<tuning.FencingBits)
+	if _, ok := h.scheduler.Heartbeat(h.clock(), laterTermHeartbeat); ok || h.scheduler.TakeEffects().Resign == "" {
+		t.Error("did not resign on a fencing token of a later term")
 	}
 
 	h = restartWithLateMachine(t, true)
-	if h.stayLate(longLate); len(h.releases) > 0 {
+	if h.advanceWithoutLateMachine(heartbeatDelay); len(h.releases) > 0 {
 		t.Fatalf("released %v while its lease may last", h.releases)
 	}
-	h.stayLate(h.scheduler.settings.WorkerLease - longLate)
+	h.advanceWithoutLateMachine(h.scheduler.settings.WorkerLease - heartbeatDelay)
 	if len(h.releases) != 1 || h.releases[0][0] != "n-1" || len(h.startCommands()) > 0 {
 		t.Fatalf("after its lease: released %v, started %v", h.releases, h.startCommands())
 	}
@@ -293,17 +299,17 @@
 	}
 	h.calls = nil
 	if reply := h.heartbeat("n-1", taskReport(5, wire.TaskRunning)); len(reply.Commands) > 0 || h.scheduler.cluster.machines["n-1"] != nil {
-		t.Errorf("minutes later: commands %v", reply.Commands)
+		t.Errorf("a heartbeat after the release: commands %v, or the machine was adopted again", reply.Commands)
 	}
 }
 
-// What a late machine's first heartbeat lists decides whether its task starts again.
+// The first heartbeat of a late machine decides whether its task starts again.
 func TestLateMachineKeepsWorkUntilItsHeartbeat(t *testing.T) {
 	for _, tc := range []struct {
-		name    string
-		view    func(*wire.Heartbeat)
-		started bool
-		class   reconcile.Class
+		name            string
+		changeHeartbeat func(*wire.Heartbeat)
+		started         bool
+		class           reconcile.Class
 	}{
 		{"with the same incarnation", func(r *wire.Heartbeat) { r.Tasks = []wire.TaskStatus{taskReport(5, wire.TaskRunning)} }, false, reconcile.Confirmed},
 		{"with its task finished", func(r *wire.Heartbeat) { r.Tasks = []wire.TaskStatus{taskReport(5, wire.TaskExited)} }, false, reconcile.FinishedUnrecorded},
@@ -311,12 +317,12 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := restartWithLateMachine(t, true)
-			h.stayLate(longLate)
+			h.advanceWithoutLateMachine(heartbeatDelay)
 			if len(h.releases)+len(h.startCommands()) > 0 {
 				t.Fatalf("released %v, started %v while its lease may last", h.releases, h.startCommands())
 			}
 			r := h.newHeartbeat("n-1", h.fencingToken("n-1"))
-			tc.view(r)
+			tc.changeHeartbeat(r)
 			if _, ok := h.scheduler.Heartbeat(h.clock(), r); !ok {
 				t.Fatal("not answered")
 			}
@@ -333,8 +339,8 @@
 	}
 }
 
-// After a task without a record was listed, others of jobs from before the term wait for
-// the unconfirmed machines; jobs that were submitted since do not.
+// After a worker has listed an attempt without a record, other tasks of jobs from before the
+// term wait for the unconfirmed machines. Jobs submitted during the term do not wait.
 func TestUnrecordedTaskHoldsRecoveredWork(t *testing.T) {
 	h := newHarnessWith(t, harnessConfig{
 		live:    liveJobs(wire.Job{ID: restartedJobID, Tasks: 3, CPUs: 1}),
@@ -359,8 +365,8 @@
 	}
 }
 
-// Half of the machines are gone: they are released and replaced at a pace that the cloud
-// takes.
+// Half of the machines are gone after a cold restart. They are released and replaced at a rate
+// that the cloud accepts.
 func TestCloudCallsArePacedDuringReconciliation(t *testing.T) {
 	const machines, rate, seconds = 1200, 1.0, 6
 	for _, enabled := range []bool{false, true} {
@@ -386,8 +392,8 @@
 		calls := 0
 		for range seconds * int(time.Second/tuning.TickInterval) {
 			h.now += tuning.TickInterval
-			for _, it := range list {
-				h.scheduler.monitor.lastHeartbeatAt, h.scheduler.cluster.machines[it.Name].connectivity.lastHeartbeatAt = h.now, h.now
+			for _, listed := range list {
+				h.scheduler.monitor.lastHeartbeatAt, h.scheduler.cluster.machines[listed.Name].connectivity.lastHeartbeatAt = h.now, h.now
 			}
 			h.scheduler.Tick(h.clock())
 			h.settle()
@@ -398,15 +404,15 @@
 			}
 			h.releases, h.provisionRequests = nil, nil
 		}
-		most := (seconds+1)/2 + tuning.ReconcileCloudBurst // at half of the rate
-		if paced := calls <= most; paced != enabled || calls < 6 {
-			t.Errorf("with reconciliation %v: %d calls to the cloud in %d s, paced at most %d", enabled, calls, seconds, most)
+		maxPacedCalls := (seconds+1)/2 + tuning.ReconcileCloudBurst // at half of the cloud rate
+		if paced := calls <= maxPacedCalls; paced != enabled || calls < 6 {
+			t.Errorf("with reconciliation %v: %d calls to the cloud in %d s, paced at most %d", enabled, calls, seconds, maxPacedCalls)
 		}
 	}
 }
 
-// Time in which no machine was up has no missed heartbeats: the first machine that the
-// cloud lists, after a restart without records, does not make the leader resign.
+// Time in which no machine is up does not count as isolation: the first machine that the cloud
+// lists after a restart without records does not make the leader resign.
 func TestNoIsolationBeforeFirstMachine(t *testing.T) {
 	h := newHarness(t)
 	h.advance(30 * time.Second)
@@ -416,42 +422,42 @@
 	h.scheduler.MachinesListed(h.clock(), list)
 	h.advance(time.Second) // the harness fails if the leader resigns
 	if h.scheduler.cluster.upMachineCount() != 1 {
-		t.Error("the machine is not up: the test shows nothing")
+		t.Error("the machine is not up: the test proves nothing")
 	}
 }
 
-// 6000 machines with six tasks each through a start, a failover and a burst: what is sent,
-// written and read is in proportion to what there is to do.
+// A fleet of 6000 machines with six tasks each goes through a start, a failover and a burst of
+// jobs. The direct calls, writes and record pages stay in proportion to the work.
 func TestCostOfSixThousandMachines(t *testing.T) {
 	if testing.Short() {
-		t.Skip("half a minute")
+		t.Skip("takes half a minute")
 	}
 	const machines, tasks = 6000, 6 * 6000
 	f := newFleetHarness(t, machines)
-	within := func(what string, got, most int) {
+	expectAtMost := func(name string, got, limit int) {
 		t.Helper()
-		if got > most {
-			t.Errorf("%s: %d, at most %d", what, got, most)
+		if got > limit {
+			t.Errorf("%s: %d, at most %d", name, got, limit)
 		}
 	}
 	// A batch holds dozens of attempts and is deleted once.
-	within("direct calls to fill the fleet", f.directCalls, 2*machines+tasks/2)
-	within("changes to fill the fleet", f.writes, tasks/10)
-	within("pages of records", len(f.items)/tuning.StorePageSize+1, 4)
+	expectAtMost("direct calls to fill the fleet", f.directCalls, 2*machines+tasks/2)
+	expectAtMost("changes to fill the fleet", f.writes, tasks/10)
+	expectAtMost("pages of records", len(f.items)/tuning.StorePageSize+1, 4)
 
 	f.directCalls, f.statusProbes, f.writes = 0, 0, 0
 	f.startTerm(900)
 	f.now += tuning.TickInterval
 	f.heartbeatAll()
-	within("questions after the election", f.statusProbes, machines)
-	within("direct calls after the election", f.directCalls, machines)
-	within("changes after the election", f.writes, machines/100)
+	expectAtMost("status probes after the election", f.statusProbes, machines)
+	expectAtMost("direct calls after the election", f.directCalls, machines)
+	expectAtMost("changes after the election", f.writes, machines/100)
 	status := f.scheduler.View().ReconciliationStatus(f.clock())
 	if status.Classes[reconcile.Confirmed.String()] != tasks || status.Unconfirmed != 0 {
 		t.Errorf("recovered: %+v", status)
 	}
-	if orders := status.Operations[reconcile.StartOperation.String()].Total + status.Operations[reconcile.StopOperation.String()].Total; orders != 0 {
-		t.Errorf("%d starts and stops in a reconciliation without differences", orders)
+	if operations := status.Operations[reconcile.StartOperation.String()].Total + status.Operations[reconcile.StopOperation.String()].Total; operations != 0 {
+		t.Errorf("%d starts and stops in a reconciliation without differences", operations)
 	}
 
 	f.directCalls, f.writes = 0, 0
@@ -463,8 +469,8 @@
 		f.now += 100 * time.Millisecond
 		f.settle()
 	}
-	within("direct calls of a burst", f.directCalls, burst+machines/10)
-	within("changes of a burst", f.writes, burst/10)
+	expectAtMost("direct calls of a burst", f.directCalls, burst+machines/10)
+	expectAtMost("changes of a burst", f.writes, burst/10)
 	if err := f.scheduler.Audit(); err != nil {
 		t.Error(err)
 	}
--- a/internal/scheduler/reply_delivery.go
+++ b/internal/scheduler/reply_delivery.go
@@ -4,19 +4,19 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// unreachableReason says what shows that nothing which this leader sends reaches a machine
-// whose heartbeats arrive.
+// unreachableReason is the evidence that nothing this leader sends reaches a machine whose
+// heartbeats arrive.
 type unreachableReason string
 
 const (
-	startNotAcknowledged      unreachableReason = "start not acknowledged"
-	leaseExpiredThoughRenewed unreachableReason = "lease expired although heartbeats were answered"
+	startNotAcknowledged       unreachableReason = "start not acknowledged"
+	leaseExpiredDespiteReplies unreachableReason = "lease expired although heartbeats were answered"
 )
 
-// watchReplyDelivery watches whether replies reach the worker. A new incarnation although the
-// one before was answered within its lease shows that they do not. Such a machine gets no new
-// work, and is released unless a token that it has seen since, or its answer to a direct
-// call, shows that it is reached.
+// watchReplyDelivery checks whether replies reach the worker. A new incarnation although the
+// previous one was answered within its lease shows that they do not. Such a machine gets no new
+// work, and is released unless a newer fencing token in a heartbeat, or an answer to a direct
+// call, shows that it is reachable.
 func (d *dispatcher) watchReplyDelivery(m *machine, heartbeat *wire.Heartbeat) {
 	lease, answeredAt := d.settings.WorkerLease, m.connectivity.heartbeatAnsweredAt
 	newIncarnation := m.heartbeats.incarnation > 0 && heartbeat.Incarnation > m.heartbeats.incarnation
@@ -25,9 +25,9 @@
 	switch {
 	case newIncarnation && answeredWithinLease && ledForLease:
 		//mutation:lost-incarnation-marks-unreachable
-		d.markUnreachable(m, leaseExpiredThoughRenewed)
+		d.markUnreachable(m, leaseExpiredDespiteReplies)
 	case TermOf(heartbeat.FencingToken) == d.term && heartbeat.FencingToken > m.fencing.seenToken:
-		m.connectivity.unreachableSince = 0 // it has seen a token that is new since its last heartbeat
+		m.connectivity.unreachableSince = 0 // the worker has received a newer token
 	}
 }
 
--- a/internal/scheduler/scalein.go
+++ b/internal/scheduler/scalein.go
@@ -94,7 +94,7 @@
 	case m.phase == machineReleasing:
 		return ""
 	case m.phase == machineBooting:
-		return s.autoscaler.bootReleaseReason(m, s.cluster.bootTime(m.machineType), s.monitor.age(m.knownAt))
+		return s.autoscaler.bootReleaseReason(m, s.cluster.bootTime(m.machineType), s.monitor.timeSinceSeen(m.knownAt))
 	case s.monitor.hasFailed(m):
 		return ReleaseFailed
 	case missingZones[m.zone]:
@@ -121,12 +121,12 @@
 
 // hasFailed reports whether a machine has failed by the cloud's list and sends no heartbeats.
 func (h *heartbeatMonitor) hasFailed(m *machine) bool {
-	return m.cloud.failed && h.age(m.connectivity.lastHeartbeatAt) > h.settings.HeartbeatInterval*2
+	return m.cloud.failed && h.timeSinceSeen(m.connectivity.lastHeartbeatAt) > h.settings.HeartbeatInterval*2
 }
 
 // releaseReason is why a machine that is up has to be released by itself, not with its zone.
 func (h *heartbeatMonitor) releaseReason(m *machine, reconciler *reconcile.Reconciler) ReleaseReason {
-	now, heartbeatAge := h.now.Mono, h.ownHeartbeatAge(m)
+	now, heartbeatAge := h.now.Mono, h.heartbeatAgeSinceZonePartition(m)
 	//mutation:reconciliation-holds-release
 	if m.calls.unansweredSinceHeartbeat >= tuning.UnansweredProbeThreshold && !reconciler.HoldsRelease(now, m.name) && heartbeatAge > h.heartbeatOverdueAfter()+tuning.CommandTimeout*tuning.UnansweredProbeThreshold && len(m.tasks) > 0 {
 		// Until its lease ends, its tasks could start nowhere else; the answer to the
@@ -138,7 +138,7 @@
 		// answer to the release is proof.
 		return ReleaseNotListed
 	}
-	if m.connectivity.unreachableSince > 0 && h.age(m.connectivity.unreachableSince) > h.settings.WorkerLease {
+	if m.connectivity.unreachableSince > 0 && h.timeSinceSeen(m.connectivity.unreachableSince) > h.settings.WorkerLease {
 		return ReleaseUnreachable
 	}
 	if heartbeatAge > h.settings.WorkerLease-tuning.EarlyReleaseMargin {
@@ -231,7 +231,7 @@
 // removeMachine ends a machine that is proven gone, and all its attempts with it.
 func (s *Scheduler) removeMachine(m *machine) {
 	for _, a := range m.sortedAttempts() {
-		s.observeRecorded(a, reconcile.Absent)
+		s.reconcileRecordedAttempt(a, reconcile.Absent)
 		s.detach(a)
 		s.handleFailedAttempt(a, causeMachineReleased)
 	}
--- a/internal/scheduler/statusprobe.go
+++ b/internal/scheduler/statusprobe.go
@@ -5,46 +5,47 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// maxProbeBackoffDoublings bounds how often the interval between status probes of a machine
-// that does not answer doubles.
+// maxProbeBackoffDoublings limits how often the probe interval of a machine that does not answer
+// doubles.
 const maxProbeBackoffDoublings = 3
 
-// statusProbes limits how many status probes are in flight and how fast they are sent: each
+// statusProbeLimiter limits the number of status probes in flight and their rate: each probe
 // costs a connection, and a new leader has thousands of machines to probe.
-type statusProbes struct {
+type statusProbeLimiter struct {
 	inFlight int
-	rate     tokenBucket // used only while the process has a small share of a core
-	// nextMachine is the first machine whose probe was put off since the last scan; empty
-	// if none was. The next scan begins there, so that every machine has its turn.
-	nextMachine string
+	budget   tokenBucket // rate limit; used only if isCPULimited
+	// firstPostponed is the first machine whose probe was postponed since the last scan; empty
+	// if there is none. The next scan begins with it, so that every machine gets its turn.
+	firstPostponed string
 }
 
-// putOff notes that a machine could not be probed now.
-func (p *statusProbes) putOff(m *machine) {
-	if p.nextMachine == "" {
-		p.nextMachine = m.name
+// postpone records that a machine could not be probed now.
+func (p *statusProbeLimiter) postpone(m *machine) {
+	if p.firstPostponed == "" {
+		p.firstPostponed = m.name
 	}
 }
 
-// takeNextMachine gives the name with which the next scan begins.
-func (p *statusProbes) takeNextMachine() string {
-	next := p.nextMachine
-	p.nextMachine = ""
+// takeFirstPostponed returns and clears the name of the machine with which the next scan begins.
+func (p *statusProbeLimiter) takeFirstPostponed() string {
+	next := p.firstPostponed
+	p.firstPostponed = ""
 	return next
 }
 
-// probeStatus asks a machine for a heartbeat under this term's fencing token, by a call
-// without commands. If no probe may be sent now, the next scan begins with this machine.
+// probeStatus requests a heartbeat under the current fencing token from a machine, by a direct
+// call without commands. If the limits allow no probe now, the probe is postponed to the next
+// scan.
 func (d *dispatcher) probeStatus(m *machine, fleetSize int) {
 	if m.phase != machineUp || m.address == "" || m.calls.inFlight || d.isDue(m) {
-		return // what is due for the machine will bring a heartbeat too
+		return // a call that is in flight or due brings a heartbeat as well
 	}
-	if d.probedLately(m) || d.heartbeatExpectedSoon(m) {
+	if d.probedRecently(m) || d.heartbeatExpectedSoon(m) {
 		return
 	}
 	probes := &d.probes
 	if probes.inFlight >= d.statusProbeLimit(m, fleetSize) || !d.takeProbeBudget() {
-		probes.putOff(m)
+		probes.postpone(m)
 		return
 	}
 	m.calls.probedAt = d.now.Mono
@@ -52,16 +53,16 @@
 	d.sendCommands(m, []wire.Command{}, nil)
 }
 
-// probedLately reports whether it is too early for another probe of the machine.
-func (d *dispatcher) probedLately(m *machine) bool {
+// probedRecently reports whether it is too early for another probe of the machine.
+func (d *dispatcher) probedRecently(m *machine) bool {
 	interval := tuning.MinStatusProbeInterval << min(m.calls.unanswered, maxProbeBackoffDoublings)
 	return m.calls.probedAt > 0 && d.now.Mono-m.calls.probedAt < interval
 }
 
-// statusProbeLimit is how many probes may be in flight when this machine is probed. Machines
-// that did not answer the last call get at most half of the limit: each occupies a place
-// until its call times out, and in a partitioned zone there are hundreds of them, while
-// others would answer at once. The limit grows with the fleet, the number of all machines.
+// statusProbeLimit returns how many probes may be in flight when this machine is probed. The
+// limit grows with fleetSize, the number of all machines. For a machine that did not answer its
+// last call it is halved: such a probe occupies a slot until the call times out, and in a
+// partitioned zone there are hundreds of them, while other machines would answer at once.
 func (d *dispatcher) statusProbeLimit(m *machine, fleetSize int) int {
 	limit := max(tuning.MinConcurrentStatusProbes, min(fleetSize/tuning.MachinesPerStatusProbe, tuning.MaxConcurrentStatusProbes))
 	if m.calls.unanswered > 0 {
@@ -70,26 +71,28 @@
 	return limit
 }
 
-// takeProbeBudget takes one probe from what a small share of a core leaves for them.
+// takeProbeBudget takes one probe from the rate budget and reports whether there was one. The
+// rate is limited only if the process has a small CPU share.
 func (d *dispatcher) takeProbeBudget() bool {
 	//mutation:status-probe-budget
 	if !d.isCPULimited() {
 		return true
 	}
-	rate := &d.probes.rate
-	rate.refill(d.now.Mono, tuning.MaxStatusProbeRate*d.settings.CPUShare, tuning.MinConcurrentStatusProbes)
-	return rate.take(1)
+	budget := &d.probes.budget
+	budget.refill(d.now.Mono, tuning.MaxStatusProbeRate*d.settings.CPUShare, tuning.MinConcurrentStatusProbes)
+	return budget.take(1)
 }
 
-// isCPULimited reports whether the process has so small a share of a core that work which
-// can wait is spread out.
+// isCPULimited reports whether the process has so small a share of a core that deferrable work
+// is spread over time.
 func (c *termContext) isCPULimited() bool {
 	return c.settings.CPUShare > 0 && c.settings.CPUShare < tuning.ReferenceCPUShare
 }
 
-// heartbeatExpectedSoon reports whether the machine's next heartbeat will come before a
-// probe would help: its last one has just been answered, with a fencing token that is new
-// to it.
+// heartbeatExpectedSoon reports whether the machine's next heartbeat is expected before a probe
+// would help: its last one has just been answered with a fencing token that is new to the
+// worker, which makes it send the next one early. Probes are saved this way only if the process
+// has a small CPU share.
 func (d *dispatcher) heartbeatExpectedSoon(m *machine) bool {
 	answeredAt := m.connectivity.heartbeatAnsweredAt
 	//mutation:no-status-probe-before-heartbeat
--- a/internal/scheduler/statusprobe_test.go
+++ b/internal/scheduler/statusprobe_test.go
@@ -9,8 +9,8 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Machines that do not answer leave status probes to those that were not probed yet, and are
-// probed less and less often.
+// Machines that do not answer leave status probes to machines that were not probed yet, and are
+// probed at growing intervals.
 func TestStatusProbesAreBounded(t *testing.T) {
 	const machines = 3 * tuning.MinConcurrentStatusProbes
 	h := newHarness(t)
@@ -58,12 +58,12 @@
 	h.scheduler.MachinesListed(h.clock(), listed(machines, machines+1))
 	h.settle()
 	if last := h.calls[len(h.calls)-1].Machine; last != machineNumber(machines) {
-		t.Errorf("the new machine waits; probed last: %s", last)
+		t.Errorf("the new machine was not probed; the last probe went to %s", last)
 	}
 }
 
-// With a small CPU share, a new leader of hundreds of machines probes them no faster than
-// the share allows, probes each in time, and none that is about to send a heartbeat.
+// With a small CPU share, a new leader of hundreds of machines probes them no faster than the
+// share allows, but reaches all of them in time.
 func TestStatusProbesAreSpacedByCPUShare(t *testing.T) {
 	const machines, share = 600, 0.072
 	f := newFleetHarness(t, machines)
@@ -82,8 +82,8 @@
 		f.scheduler.Tick(f.clock())
 		f.now += tuning.TickInterval / 2
 		f.settle()
-		if most := tuning.MinConcurrentStatusProbes + (f.now-startedAt).Seconds()*rate + 1; float64(f.statusProbes) > most {
-			t.Fatalf("%d machines probed after %v, over %.0f", f.statusProbes, f.now-startedAt, most)
+		if maxProbes := tuning.MinConcurrentStatusProbes + (f.now-startedAt).Seconds()*rate + 1; float64(f.statusProbes) > maxProbes {
+			t.Fatalf("%d machines probed after %v, over %.0f", f.statusProbes, f.now-startedAt, maxProbes)
 		}
 	}
 	for _, m := range f.scheduler.cluster.machines {
@@ -93,8 +93,8 @@
 	}
 }
 
-// A worker to which the leader's token is new sends a heartbeat at once: it is probed only if
-// it does not.
+// A worker that receives a new fencing token sends a heartbeat at once. It is probed only if
+// that heartbeat does not arrive.
 func TestNoStatusProbeWhereHeartbeatIsExpectedSoon(t *testing.T) {
 	f := newFleetHarness(t, 40)
 	f.cpuShare = 0.072
@@ -102,9 +102,9 @@
 	f.settle()
 	m := f.scheduler.cluster.machines[f.machineNames[len(f.machineNames)-1]]
 	if m.confirmed {
-		t.Fatal("probed before, though there are more machines than status probes")
+		t.Fatal("probed already, although there are more machines than status probes")
 	}
-	f.now += time.Second // there are status probes again
+	f.now += time.Second // the rate limit allows status probes again
 	callsBefore := f.directCalls
 
 	if _, ok := f.scheduler.Heartbeat(f.clock(), f.newHeartbeat(m.name)); !ok || m.calls.inFlight {
@@ -114,6 +114,6 @@
 	f.scheduler.Settle(f.clock())
 	f.scheduler.dispatcher.probeStatus(m, len(f.scheduler.cluster.machines))
 	if !m.calls.inFlight || f.directCalls != callsBefore {
-		t.Error("not probed though its heartbeat did not come")
+		t.Error("not probed although its heartbeat did not arrive")
 	}
 }
--- a/internal/scheduler/tasklist.go
+++ b/internal/scheduler/tasklist.go
@@ -5,8 +5,9 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// applyTaskList takes the attempts that a heartbeat lists, and marks the tasks whose tracked
-// attempt is accounted for by it. The caller makes the map, which then needs no allocation.
+// applyTaskList applies the attempts that a heartbeat lists. It sets listed for each task with
+// an active attempt and for each whose tracked attempt has exited. The caller creates the map,
+// which saves an allocation.
 func (s *Scheduler) applyTaskList(m *machine, tasks []wire.TaskStatus, listed map[taskRef]bool) {
 	exited := make(map[taskRef]taskExit, len(m.exited))
 	for i := range tasks {
@@ -24,8 +25,8 @@
 	m.exited = exited
 }
 
-// applyExit takes a listed attempt that has ended, and reports whether it is the one that is
-// tracked of the task.
+// applyExit handles a listed attempt that has ended, and reports whether it is the attempt of
+// its task that is tracked on this machine.
 func (s *Scheduler) applyExit(m *machine, ref taskRef, status *wire.TaskStatus) bool {
 	a := m.tasks[ref]
 	if a != nil && a.number == status.Attempt {
@@ -39,12 +40,13 @@
 	return false
 }
 
-// applyActive takes a listed attempt that fetches, runs or saves.
+// applyActive handles a listed attempt that has not ended: it is fetching its image, running or
+// saving a checkpoint.
 func (s *Scheduler) applyActive(m *machine, ref taskRef, status *wire.TaskStatus) {
 	a := m.tasks[ref]
 	if a != nil && a.number != status.Attempt {
-		// Another attempt of this task is here, which has to go before the tracked one
-		// can start.
+		// The machine runs another attempt of this task, which must be gone before the tracked
+		// one can start.
 		s.handleUnexpectedAttempt(m, ref, status)
 		return
 	}
@@ -57,14 +59,14 @@
 	}
 }
 
-// handleUnexpectedAttempt deals with an attempt that is on the worker and was not placed
-// there in this term. If nothing else has the task, it is adopted; otherwise it is stopped,
-// and counts until it is gone.
+// handleUnexpectedAttempt handles an attempt that its worker lists and that this leader does not
+// track there. The attempt is adopted if no other attempt of the task takes precedence and its
+// job may run there. Otherwise it is stopped, and uses capacity of the machine until it is gone.
 func (s *Scheduler) handleUnexpectedAttempt(m *machine, ref taskRef, status *wire.TaskStatus) {
 	if tracked := m.tasks[ref]; tracked != nil {
 		if tracked.start.sent && !tracked.start.acknowledged {
-			// The worker refuses the start while the other attempt is there. The
-			// tracked one stays so, and the other has to go.
+			// The worker refuses the tracked attempt's start while the unexpected one is there.
+			// The tracked attempt is kept, and the unexpected one is stopped.
 			s.reconciler.reportSuperseded(m, ref, status)
 			m.queueUnexpectedStop(stopCommand(ref, status.Attempt, 0))
 			return
@@ -88,10 +90,10 @@
 	s.stopNow(a, stopReasonOf(verdict.Class))
 }
 
-// updateTaskState takes the state of an attempt that is on the machine.
+// updateTaskState applies the state that a worker lists for a tracked attempt.
 func (s *Scheduler) updateTaskState(a *attempt, status *wire.TaskStatus) {
 	s.acknowledgeStart(a)
-	s.confirmActive(a)
+	s.confirmListedAttempt(a)
 	if a.state == status.State {
 		return
 	}
@@ -104,7 +106,7 @@
 	}
 }
 
-// acknowledgeStart takes note that the worker has listed the attempt.
+// acknowledgeStart records that the worker has listed the attempt, which acknowledges its start.
 func (s *Scheduler) acknowledgeStart(a *attempt) {
 	if a.start.acknowledged {
 		return
@@ -115,11 +117,12 @@
 	}
 }
 
-// applyAbsences takes what a heartbeat does not list: what it proves absent is gone.
-func (s *Scheduler) applyAbsences(m *machine, heartbeat *wire.Heartbeat, via exchange, listed map[taskRef]bool) {
+// applyAbsences handles the tracked attempts that a heartbeat does not list and proves to be
+// absent.
+func (s *Scheduler) applyAbsences(m *machine, heartbeat *wire.Heartbeat, initiator exchangeInitiator, listed map[taskRef]bool) {
 	var absent []*attempt
 	for _, a := range m.tasks {
-		if !listed[a.ref] && s.dispatcher.provenAbsent(a, heartbeat, via) {
+		if !listed[a.ref] && s.dispatcher.provenAbsent(a, heartbeat, initiator) {
 			absent = append(absent, a)
 		}
 	}
--- a/internal/scheduler/tick.go
+++ b/internal/scheduler/tick.go
@@ -13,12 +13,12 @@
 // Tick does what falls due as time passes.
 func (s *Scheduler) Tick(now Now) {
 	s.now = now
-	s.monitor.notePause()
+	s.monitor.detectPause()
 	scan := s.monitor.beginScan(len(s.cluster.machines))
 	if scan {
 		s.scanMachines()
 		//mutation:counter-check
-		s.dispatcher.watchCounterLimits(s.cluster.machines)
+		s.dispatcher.resignIfCountersNearLimit(s.cluster.machines)
 	}
 	s.monitor.resignIfIsolated(s.cluster.upMachineCount())
 	if scan {
--- a/internal/scheduler/tick_test.go
+++ b/internal/scheduler/tick_test.go
@@ -60,7 +60,7 @@
 	}
 	for range 400 {
 		f.now += 5 * time.Millisecond
-		lastRoundAt, scannedAt, scaledOutAt := f.scheduler.placement.lastRoundAt, f.scheduler.monitor.scannedAt, f.scheduler.autoscaler.scaledOutAt
+		lastRoundAt, scannedAt, scaledOutAt := f.scheduler.placement.lastRoundAt, f.scheduler.monitor.lastScanAt, f.scheduler.autoscaler.scaledOutAt
 		f.refreshHeartbeats()
 		f.scheduler.placement.due = true
 		f.scheduler.Tick(f.clock())
@@ -68,7 +68,7 @@
 		if f.scheduler.placement.lastRoundAt != lastRoundAt {
 			counts.rounds++
 		}
-		if f.scheduler.monitor.scannedAt != scannedAt {
+		if f.scheduler.monitor.lastScanAt != scannedAt {
 			counts.scans++
 		}
 		if f.scheduler.autoscaler.scaledOutAt != scaledOutAt {
--- a/internal/scheduler/unconfirmed_capacity.go
+++ b/internal/scheduler/unconfirmed_capacity.go
@@ -7,8 +7,8 @@
 	"github.com/yarrowgap/yarrowgap/internal/reconcile"
 )
 
-// eachUnconfirmedMachine visits the machines that may turn out to have free capacity once
-// they are confirmed, with what is free there by the records.
+// eachUnconfirmedMachine calls visit for each machine that may prove to have free capacity once
+// it is confirmed, with the capacity that is free there according to the records.
 func (c *clusterState) eachUnconfirmedMachine(reconciler *reconcile.Reconciler, visit func(m *machine, free capacitySlot)) {
 	if !reconciler.AwaitsCapacity() {
 		return
@@ -20,8 +20,8 @@
 	}
 }
 
-// mayHaveUnconfirmedCapacity reports whether a heartbeat of the machine may yet show that
-// it has free capacity.
+// mayHaveUnconfirmedCapacity reports whether a heartbeat of the machine may still show that it
+// has free capacity.
 func (m *machine) mayHaveUnconfirmedCapacity(reconciler *reconcile.Reconciler) bool {
 	if m.confirmed || m.phase == machineReleasing || m.machineSpec == nil || m.cloud.failed || m.cloud.interruptionAt > 0 {
 		return false
@@ -29,14 +29,14 @@
 	return reconciler.MayHaveCapacity(m.name, m.calls.unanswered)
 }
 
-// unconfirmedCapacity sums up the free capacity of machines that are up and not confirmed
-// yet, by offer: nothing is provisioned for what fits there. Machines that have less than
-// the least amounts are left out. A slot for each machine would be more exact, and would
+// unconfirmedCapacity sums up, by offer, the free capacity of machines that are up and not
+// confirmed yet. Nothing is provisioned for tasks that fit there. Machines with less free
+// capacity than minimum are left out. One slot for each machine would be more exact, but would
 // cost a new leader of thousands of machines much of a small CPU share.
-func (c *clusterState) unconfirmedCapacity(reconciler *reconcile.Reconciler, least resourceMinimum) []*capacitySlot {
+func (c *clusterState) unconfirmedCapacity(reconciler *reconcile.Reconciler, minimum resourceMinimum) []*capacitySlot {
 	sums := map[offer]*capacitySlot{}
 	c.eachUnconfirmedMachine(reconciler, func(m *machine, free capacitySlot) {
-		if m.phase != machineUp || !free.hasAtLeast(least) {
+		if m.phase != machineUp || !free.hasAtLeast(minimum) {
 			return
 		}
 		key := offer{m.machineType, m.zone, m.spot}
@@ -53,8 +53,8 @@
 	return slots
 }
 
-// mayFitUnconfirmed reports whether a task of the job may fit on a machine that is not
-// confirmed yet, so that nothing is preempted for it meanwhile.
+// mayFitUnconfirmed reports whether a task of the job may fit on a machine that is not confirmed
+// yet. Until it is confirmed, nothing is preempted for the task.
 func (r *placementRound) mayFitUnconfirmed(j *job) bool {
 	if !r.reconciler.AwaitsCapacity() {
 		return false
@@ -71,8 +71,8 @@
 	return false
 }
 
-// largestUnconfirmedCapacity gives the largest free amount of each resource on a machine
-// that is not confirmed yet, by offer.
+// largestUnconfirmedCapacity returns, by offer, the largest free amount of each resource on any
+// machine that is not confirmed yet.
 func (c *clusterState) largestUnconfirmedCapacity(reconciler *reconcile.Reconciler) map[offer]*capacitySlot {
 	largest := map[offer]*capacitySlot{}
 	c.eachUnconfirmedMachine(reconciler, func(m *machine, free capacitySlot) {
--- a/internal/scheduler/zone_partition.go
+++ b/internal/scheduler/zone_partition.go
@@ -6,23 +6,25 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// ZoneLastSeen tells a new leader when its process last reached a peer in a zone.
-func (s *Scheduler) ZoneLastSeen(zone string, at time.Duration) {
-	s.monitor.zoneHeartbeatAt[zone] = max(at, s.monitor.zoneHeartbeatAt[zone])
+// ZoneLastSeen tells a new leader when its process last reached a peer in a zone before this
+// term.
+func (s *Scheduler) ZoneLastSeen(zone string, seenAt time.Duration) {
+	s.monitor.zoneLastSeenAt[zone] = max(seenAt, s.monitor.zoneLastSeenAt[zone])
 }
 
 // zoneCounts counts the machines of a zone that are up.
 type zoneCounts struct {
 	machines int
-	missed   int // last heartbeat over an interval ago
-	overdue  int // next heartbeat overdue
+	missed   int // machines whose last heartbeat is over one interval old
+	overdue  int // machines whose next heartbeat is overdue
 }
 
-// zonesMissingHeartbeats are the zones with several machines of which most miss their
-// heartbeats now. That is the network, and a controller inside may keep the workers' leases
-// alive. Not all have to miss them: the cloud's list still brings up machines there that
-// were booting. Of machines that send heartbeats, few had their last one a whole interval
-// ago, so this tells long before any of them would be released by itself.
+// zonesMissingHeartbeats returns the zones with more than one machine of which most miss their
+// heartbeats now. That indicates a network partition, and a controller inside the zone may keep
+// the workers' leases alive. Most machines are enough, since the cloud's list still marks
+// booting machines there as up. Of machines that send heartbeats, few had their last one a whole
+// interval ago, so a partition is detected long before any of its machines would be released on
+// its own.
 func (h *heartbeatMonitor) zonesMissingHeartbeats(machines []*machine) map[string]bool {
 	zones := map[string]*zoneCounts{}
 	for _, m := range machines {
@@ -37,8 +39,8 @@
 			continue
 		}
 		missing[zone] = true
-		if float64(counts.overdue) >= threshold { // not just between two heartbeats
-			h.zoneMissingAt[zone] = h.now.Mono
+		if float64(counts.overdue) >= threshold { // the machines are not just between two heartbeats
+			h.zonePartitionedAt[zone] = h.now.Mono
 		}
 	}
 	return missing
@@ -60,44 +62,46 @@
 	}
 }
 
-// zoneReleaseReason is why a machine of a zone that misses its heartbeats has to be
-// released; empty if it has not.
+// zoneReleaseReason returns why a machine of a zone that misses its heartbeats must be released;
+// empty if it is kept.
 func (s *Scheduler) zoneReleaseReason(m *machine) ReleaseReason {
 	heartbeatAge := s.monitor.zoneHeartbeatAge(m)
 	switch {
 	case heartbeatAge > s.monitor.zonePartitionLimit():
 		return ReleaseZoneMissing
-	case heartbeatAge > s.monitor.zoneReleaseDelay() && s.canMoveElsewhere(m):
+	case heartbeatAge > s.monitor.zoneReleaseDelay() && s.tasksCanMoveElsewhere(m):
 		return ReleaseZoneTasksMovable
 	}
 	return ""
 }
 
-// zoneHeartbeatAge is the age of a machine's last heartbeat, or of the last one from its
-// zone that followers had before this term if that is longer ago.
+// zoneHeartbeatAge returns the age of a machine's last heartbeat, or the time since this process
+// last reached the zone before this term if that is longer.
 func (h *heartbeatMonitor) zoneHeartbeatAge(m *machine) time.Duration {
-	age := h.age(m.connectivity.lastHeartbeatAt)
-	if at, ok := h.zoneHeartbeatAt[m.zone]; ok {
-		age = max(age, h.now.Mono-at)
+	age := h.timeSinceSeen(m.connectivity.lastHeartbeatAt)
+	if seenAt, ok := h.zoneLastSeenAt[m.zone]; ok {
+		age = max(age, h.now.Mono-seenAt)
 	}
 	return age
 }
 
-// ownHeartbeatAge is how long a machine has missed heartbeats by itself. After a partition,
-// heartbeats of a zone's machines come back one by one: what the zone missed does not count.
-func (h *heartbeatMonitor) ownHeartbeatAge(m *machine) time.Duration {
-	return min(h.age(m.connectivity.lastHeartbeatAt), h.now.Mono-h.zoneMissingAt[m.zone])
+// heartbeatAgeSinceZonePartition returns how long a machine has missed heartbeats on its own.
+// The time in which its whole zone missed them does not count, since the machines' heartbeats
+// return one by one after a partition.
+func (h *heartbeatMonitor) heartbeatAgeSinceZonePartition(m *machine) time.Duration {
+	return min(h.timeSinceSeen(m.connectivity.lastHeartbeatAt), h.now.Mono-h.zonePartitionedAt[m.zone])
 }
 
-// zonePartitionLimit is how long a partitioned zone keeps its machines in any case.
+// zonePartitionLimit returns how long machines of a partitioned zone are kept at most.
 func (h *heartbeatMonitor) zonePartitionLimit() time.Duration {
 	return time.Duration(float64(h.settings.WorkerLease) * tuning.ZonePartitionLeases)
 }
 
-// zoneReleaseDelay is how long a zone may miss its heartbeats before machines are released
-// whose tasks can move. A controller inside may keep the workers' leases alive, but not for
-// longer than the bound on cancellations allows. Shortly before that, tasks had better
-// start elsewhere than end there with nobody to place them again.
+// zoneReleaseDelay returns how long a zone may miss its heartbeats before those of its machines
+// are released whose tasks can move. A controller inside the zone may keep the workers' leases
+// alive, but not for longer than the cancellation bound allows. Shortly before that, starting
+// the tasks elsewhere is better than having them end in the zone, where no leader can place them
+// again.
 func (h *heartbeatMonitor) zoneReleaseDelay() time.Duration {
 	delay := h.zonePartitionLimit()
 	if h.settings.CancellationBound > 0 {
@@ -106,13 +110,14 @@
 	return max(delay, h.settings.WorkerLease-tuning.EarlyReleaseMargin)
 }
 
-// canMoveElsewhere reports whether most of what runs on a machine could start in another
-// zone if the machine were released. Replicas whose job may have no more tasks elsewhere,
-// as with two zones of which each may have half, are back sooner with the zone: their
-// machines are there then, with their images, while new ones would have to boot first.
-func (s *Scheduler) canMoveElsewhere(m *machine) bool {
+// tasksCanMoveElsewhere reports whether at least half of a machine's service replicas could
+// start in another zone if the machine were released. For a machine without services, it reports
+// whether tasks of one of its jobs fit elsewhere. Replicas whose job allows no more tasks in the
+// other zones, for example with two zones of which each may have half, are back sooner with the
+// zone: its machines still exist and have the images, while new ones would have to boot first.
+func (s *Scheduler) tasksCanMoveElsewhere(m *machine) bool {
 	services, movable := 0, 0.0
-	var other *job
+	var sampleJob *job
 	for _, a := range m.tasks {
 		j := a.job
 		switch {
@@ -120,17 +125,18 @@
 		case j.service:
 			services++
 			movable += s.cluster.movableShare(j, m.zone)
-		case other == nil || j.id < other.id:
-			other = j
+		case sampleJob == nil || j.id < sampleJob.id:
+			sampleJob = j
 		}
 	}
 	if services > 0 {
 		return 2*movable >= float64(services)
 	}
-	return other != nil && s.cluster.fitsSomewhereCached(other)
+	return sampleJob != nil && s.cluster.fitsSomewhereCached(sampleJob)
 }
 
-// movableShare is the share of a job's tasks in a zone that its spread allows in the others.
+// movableShare returns the share of a job's tasks in a zone that its spread limit allows in the
+// other zones.
 func (c *clusterState) movableShare(j *job, zone string) float64 {
 	if j.spec.Zone != "" || j.spec.SameZone {
 		return 0
@@ -142,17 +148,17 @@
 		}
 	}
 	allowed := 0
-	for other, allows := range c.zonesAllowed(j) {
-		if allows && other != zone {
-			allowed += max(0, j.spec.MaxTasksPerZone()-activeByZone[other])
+	for otherZone, isAllowed := range c.allowedZones(j) {
+		if isAllowed && otherZone != zone {
+			allowed += max(0, j.spec.MaxTasksPerZone()-activeByZone[otherZone])
 		}
 	}
 	return min(1, float64(allowed)/float64(max(1, activeByZone[zone])))
 }
 
-// zonesAllowed tells for each zone of the cloud whether the job may use ordinary machines
-// there. Where a zone's machine types differ in that, the type visited last decides.
-func (c *clusterState) zonesAllowed(j *job) map[string]bool {
+// allowedZones returns for each zone of the cloud whether the job may use on-demand machines
+// there. If this differs between the zone's machine types, the type visited last decides.
+func (c *clusterState) allowedZones(j *job) map[string]bool {
 	allowed := map[string]bool{}
 	for _, machineSpec := range c.machineTypes {
 		for _, zone := range machineSpec.Zones {
--- a/internal/scheduler/zone_partition_test.go
+++ b/internal/scheduler/zone_partition_test.go
@@ -8,21 +8,21 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Of a zone that misses its heartbeats as a whole, machines whose replicas may have no more
-// capacity elsewhere are kept for longer: they are there, with their images, when the zone
-// is back. A new leader counts from when its process last saw the zone.
+// In a zone that misses its heartbeats as a whole, machines whose replicas cannot run elsewhere
+// are kept for longer: they still exist and have their images when the zone is reachable again.
+// A new leader counts from when its process last reached the zone.
 func TestPartitionedZoneKeepsMachinesWhoseTasksCannotMove(t *testing.T) {
 	for _, tc := range []struct {
-		name          string
-		spread        bool          // the replicas may not all be in one zone
-		seenBefore    time.Duration // before the partition, by the process; 0: never
-		heartbeatSeen bool          // in the term
-		least, most   time.Duration // until the first release
+		name                           string
+		spread                         bool          // the replicas may not all be in one zone
+		seenBeforePartition            time.Duration // time since this process last reached the zone; 0: never
+		heartbeatInTerm                bool          // the zone sent a heartbeat in this term
+		earliestRelease, latestRelease time.Duration // bounds on the time until the first release
 	}{
-		{name: "replicas_that_can_move", least: 21 * time.Second, most: 24 * time.Second},
-		{name: "replicas_that_cannot_move", spread: true, least: 29 * time.Second, most: 32 * time.Second},
-		{name: "seen_10s_before_the_term", seenBefore: 10 * time.Second, most: 14 * time.Second},
-		{name: "seen_in_the_term", seenBefore: 10 * time.Second, heartbeatSeen: true, least: 21 * time.Second, most: 2 * time.Minute},
+		{name: "replicas_that_can_move", earliestRelease: 21 * time.Second, latestRelease: 24 * time.Second},
+		{name: "replicas_that_cannot_move", spread: true, earliestRelease: 29 * time.Second, latestRelease: 32 * time.Second},
+		{name: "seen_10s_before_the_term", seenBeforePartition: 10 * time.Second, latestRelease: 14 * time.Second},
+		{name: "seen_in_the_term", seenBeforePartition: 10 * time.Second, heartbeatInTerm: true, earliestRelease: 21 * time.Second, latestRelease: 2 * time.Minute},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t)
@@ -34,10 +34,10 @@
 			if machines["n-6"].tasks == nil || len(machines["n-6"].tasks)+len(machines["n-7"].tasks) != 2 {
 				t.Fatal("the replicas are not spread")
 			}
-			if tc.seenBefore > 0 {
-				h.scheduler.ZoneLastSeen("b", h.now-tc.seenBefore)
+			if tc.seenBeforePartition > 0 {
+				h.scheduler.ZoneLastSeen("b", h.now-tc.seenBeforePartition)
 			}
-			if tc.heartbeatSeen {
+			if tc.heartbeatInTerm {
 				h.heartbeat("n-6", h.runningTasks("n-6")...)
 			}
 
@@ -46,15 +46,15 @@
 				h.advance(tuning.TickInterval, "n-1", "n-2")
 				h.answerAll(CallLost)
 			}
-			if after := h.now - partitionedAt; after < tc.least || after > tc.most {
-				t.Errorf("released after %v, not between %v and %v", after, tc.least, tc.most)
+			if after := h.now - partitionedAt; after < tc.earliestRelease || after > tc.latestRelease {
+				t.Errorf("released after %v, not between %v and %v", after, tc.earliestRelease, tc.latestRelease)
 			}
 		})
 	}
 }
 
-// When a zone is back, heartbeats of its machines come one by one: those that are a little
-// later are not released meanwhile.
+// After a partition, the heartbeats of a zone's machines return one by one. Machines whose
+// heartbeats return a little later than others are not released meanwhile.
 func TestMachinesOfRecoveredZoneAreNotReleased(t *testing.T) {
 	h := newHarness(t)
 	h.bringUp("n-1", "n-2", "n-6", "n-7", "n-8")
@@ -89,11 +89,11 @@
 	}
 }
 
-// A zone whose machines all miss their heartbeats but for a new one is partitioned, not
-// dead: its machines are not released with what runs there.
+// A zone in which all machines but a new one miss their heartbeats counts as partitioned: its
+// machines and their tasks are kept until the partition limit.
 func TestPartitionedZoneWithNewMachineIsKept(t *testing.T) {
 	h := newHarness(t)
-	h.bringUp("n-1", "n-2", "n-6", "n-7", "n-8") // from n-6 on in zone b
+	h.bringUp("n-1", "n-2", "n-6", "n-7", "n-8") // n-6 and higher are in zone b
 	lease := h.scheduler.settings.WorkerLease
 
 	h.advance(lease-time.Second, "n-1", "n-2")
