--- a/internal/scheduler/scalein.go
+++ b/internal/scheduler/scalein.go
@@ -95,7 +95,7 @@
 	case m.phase == machineReleasing:
 		return ""
 	case m.phase == machineBooting:
-		return s.autoscaler.bootReleaseReason(m, s.cluster.bootTime(m.machineType), s.monitor.age(m.knownAt))
+		return s.autoscaler.bootReleaseReason(m, s.cluster.bootTime(m.machineType), s.monitor.timeSinceSeen(m.knownAt))
 	case s.monitor.hasFailed(m):
 		return ReleaseFailed
 	case missingZones[m.zone]:
@@ -124,13 +124,13 @@
 // hasFailed reports whether the cloud's list shows the machine as failed and it sends no
 // heartbeats.
 func (h *heartbeatMonitor) hasFailed(m *machine) bool {
-	return m.cloud.failed && h.age(m.connectivity.lastHeartbeatAt) > h.settings.HeartbeatInterval*2
+	return m.cloud.failed && h.timeSinceSeen(m.connectivity.lastHeartbeatAt) > h.settings.HeartbeatInterval*2
 }
 
 // releaseReason returns why a machine that is up must be released for reasons of its own, not
 // of its zone, or "" if it need not be.
 func (h *heartbeatMonitor) releaseReason(m *machine, reconciler *reconcile.Reconciler) ReleaseReason {
-	now, heartbeatAge := h.now.Mono, h.ownHeartbeatAge(m)
+	now, heartbeatAge := h.now.Mono, h.heartbeatAgeSinceZonePartition(m)
 	//mutation:reconciliation-holds-release
 	if m.calls.unansweredSinceHeartbeat >= tuning.UnansweredProbeThreshold && !reconciler.HoldsRelease(now, m.name) && heartbeatAge > h.heartbeatOverdueAfter()+tuning.CommandTimeout*tuning.UnansweredProbeThreshold && len(m.tasks) > 0 {
 		// The machine's tasks can't start elsewhere before its lease ends. The answer to the
@@ -142,7 +142,7 @@
 		// to the release is proof.
 		return ReleaseNotListed
 	}
-	if m.connectivity.unreachableSince > 0 && h.age(m.connectivity.unreachableSince) > h.settings.WorkerLease {
+	if m.connectivity.unreachableSince > 0 && h.timeSinceSeen(m.connectivity.unreachableSince) > h.settings.WorkerLease {
 		return ReleaseUnreachable
 	}
 	if heartbeatAge > h.settings.WorkerLease-tuning.EarlyReleaseMargin {
@@ -236,7 +236,7 @@
 // removeMachine removes a machine that is proven gone, and fails all its attempts.
 func (s *Scheduler) removeMachine(m *machine) {
 	for _, a := range m.sortedAttempts() {
-		s.observeRecorded(a, reconcile.Absent)
+		s.reconcileRecordedAttempt(a, reconcile.Absent)
 		s.detach(a)
 		s.handleFailedAttempt(a, causeMachineReleased)
 	}
