--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -93,7 +93,7 @@
 	//mutation:recovery-applies-own-cancellations
 	sched.Cancelled(c.now(), c.cancellations.confirmed.ids)
 	sched.ObserveAckLatency = func(latency time.Duration) { observe(c.metrics.startToAck, latency) }
-	sched.LeaseHeldUntil(c.leadership.leaseHeldUntil.Sub(c.startedAt))
+	sched.ExtendLease(c.leadership.leaseHeldUntil.Sub(c.startedAt))
 	for _, p := range c.membership.peers {
 		if !p.lastHeardAt.IsZero() {
 			sched.ZoneLastSeen(p.Zone, p.lastHeardAt.Sub(c.startedAt))
--- a/internal/controller/scheduler_settings.go
+++ b/internal/controller/scheduler_settings.go
@@ -48,8 +48,8 @@
 	quotas := make(map[string]scheduler.TeamQuota, len(teams))
 	for _, team := range teams {
 		quotas[team.Name] = scheduler.TeamQuota{
-			CPUs: team.GuaranteedCPUs, CPUsMax: team.MaxCPUs,
-			GPUs: team.GuaranteedGPUs, GPUsMax: team.MaxGPUs,
+			CPUs: team.GuaranteedCPUs, MaxCPUs: team.MaxCPUs,
+			GPUs: team.GuaranteedGPUs, MaxGPUs: team.MaxGPUs,
 		}
 	}
 	return quotas
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -115,7 +115,7 @@
 		}
 		c.leadership.leaseHeldUntil = sentAt.Add(leaderLeaseTTL(c.cfg))
 		if c.leadership.leading() {
-			c.leadership.scheduler.LeaseHeldUntil(c.leadership.leaseHeldUntil.Sub(c.startedAt))
+			c.leadership.scheduler.ExtendLease(c.leadership.leaseHeldUntil.Sub(c.startedAt))
 		}
 	})
 }
--- a/internal/restartsim/cluster.go
+++ b/internal/restartsim/cluster.go
@@ -107,7 +107,7 @@
 func newSettings(plan Plan) scheduler.Settings {
 	teams := map[string]scheduler.TeamQuota{}
 	for team := range teamCount {
-		teams[teamName(team)] = scheduler.TeamQuota{CPUs: teamGuaranteeCPUs, CPUsMax: teamLimitCPUs}
+		teams[teamName(team)] = scheduler.TeamQuota{CPUs: teamGuaranteeCPUs, MaxCPUs: teamLimitCPUs}
 	}
 	operators := policy.Defaults(policy.CostInsensitive)
 	operators.HeadroomShare = 0
--- a/internal/restartsim/controller.go
+++ b/internal/restartsim/controller.go
@@ -22,7 +22,7 @@
 	settings.ColdRestart = true
 	bitmaps, batches := c.readAll(records.BitmapPrefix), c.readAll(records.BatchPrefix)
 	c.scheduler = scheduler.New(c.schedulerNow(), settings, reply.Revision, c.replica, bitmaps, batches, []wire.MachineType{c.machineType})
-	c.scheduler.LeaseHeldUntil(c.now + storeLeaseExtension)
+	c.scheduler.ExtendLease(c.now + storeLeaseExtension)
 	c.applyEffects()
 }
 
@@ -53,7 +53,7 @@
 	if c.scheduler == nil {
 		return
 	}
-	c.scheduler.LeaseHeldUntil(c.now + storeLeaseExtension)
+	c.scheduler.ExtendLease(c.now + storeLeaseExtension)
 	c.scheduler.Tick(c.schedulerNow())
 	c.applyEffects()
 }
--- a/internal/scheduler/absence_proof.go
+++ b/internal/scheduler/absence_proof.go
@@ -11,16 +11,16 @@
 	start := &a.start
 	// The worker has not seen the token under which it refuses the start.
 	//mutation:absence-needs-fencing-token
-	mayPassFencing := heartbeat.FencingToken < newFencingToken(d.term, start.requiredFence)
+	mayPassFencing := heartbeat.FencingToken < newFencingToken(d.term, start.requiredFencingCounter)
 	// Commands to an earlier incarnation are dropped.
 	isForEarlierIncarnation := start.incarnation != 0 && heartbeat.Incarnation > start.incarnation
 	// A direct call may be executed after the heartbeat was sent.
 	//mutation:absence-needs-finished-call
-	mayComeInCall := start.callInFlight
+	mayArriveInDirectCall := start.callInFlight
 	// Only the worker's next heartbeat shows that the reply to the last one was executed or
 	// dropped: the reply to a direct call may overtake it.
 	//mutation:absence-needs-next-heartbeat
-	mayComeInReply := start.replySequence != 0 && !(via == workerInitiated && heartbeat.Sequence > start.replySequence)
+	mayArriveInHeartbeatReply := start.replySequence != 0 && !(via == workerInitiated && heartbeat.Sequence > start.replySequence)
 
 	switch {
 	case start.acknowledged:
@@ -30,5 +30,5 @@
 	case isForEarlierIncarnation:
 		return true
 	}
-	return !mayComeInCall && !mayComeInReply
+	return !mayArriveInDirectCall && !mayArriveInHeartbeatReply
 }
--- a/internal/scheduler/absence_proof_test.go
+++ b/internal/scheduler/absence_proof_test.go
@@ -20,7 +20,7 @@
 		d := newDispatcher(&termContext{term: term}, nil)
 		// A start of this term that is sent and not listed, and the heartbeat that proves it absent.
 		start := func() *attempt {
-			return &attempt{start: startState{sent: true, incarnation: session, requiredFence: fence, replySequence: tick}}
+			return &attempt{start: startState{sent: true, incarnation: session, requiredFencingCounter: fence, replySequence: tick}}
 		}
 		report := func() *wire.Heartbeat {
 			return &wire.Heartbeat{Incarnation: session, Sequence: tick + 1 + rng.Uint64N(5), FencingToken: term<<tuning.FencingBits | fence + rng.Uint64N(3)}
--- a/internal/scheduler/assignmentrestore.go
+++ b/internal/scheduler/assignmentrestore.go
@@ -85,7 +85,7 @@
 		m.phase, m.upAt = machineUp, s.now.Mono
 		// It sent heartbeats in an earlier term, so the cloud lists it, but for the lag
 		// of the list; a few more lists make up for that.
-		m.cloud.listed, m.cloud.missedLists = true, -tuning.MissingListThreshold
+		m.cloud.listedInTerm, m.cloud.consecutiveMissedLists = true, -tuning.MissingListThreshold
 		s.reconciler.ExpectMachine(recorded.name)
 	}
 	for _, name := range recorded.images {
--- a/internal/scheduler/assignments_test.go
+++ b/internal/scheduler/assignments_test.go
@@ -18,7 +18,7 @@
 // batches is written again before they are deleted, and nothing is left in the end.
 func TestAssignmentBatchesAreCompactedAndDeleted(t *testing.T) {
 	h := newHarness(t)
-	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 8, CPUsMax: 1000}
+	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 8, MaxCPUs: 1000}
 	var names []string
 	for i := range 20 {
 		names = append(names, fmt.Sprintf("n-%02d", i))
--- a/internal/scheduler/attempt.go
+++ b/internal/scheduler/attempt.go
@@ -46,13 +46,13 @@
 // startState is what is known of an attempt's latest start, and what has to be known
 // before the start counts as not executed. See provenAbsent.
 type startState struct {
-	sent          bool   // it has been or may have been sent
-	acknowledged  bool   // the worker has listed the attempt
-	incarnation   uint64 // of the worker to which it was sent
-	replySequence uint64 // of the heartbeat in whose reply it went; 0: in none
-	requiredFence uint64 // fencing counter below which it may still be executed late
-	callInFlight  bool   // a direct call with it
-	firstSentAt   time.Duration
+	sent                   bool   // it has been or may have been sent
+	acknowledged           bool   // the worker has listed the attempt
+	incarnation            uint64 // of the worker to which it was sent
+	replySequence          uint64 // of the heartbeat in whose reply it went; 0: in none
+	requiredFencingCounter uint64 // fencing counter below which it may still be executed late
+	callInFlight           bool   // a direct call with it
+	firstSentAt            time.Duration
 }
 
 // dispatchRetry plans when a start that is not acknowledged is sent again.
@@ -75,7 +75,7 @@
 type reconciliationState struct {
 	class           reconcile.Class
 	deferredVerdict reconcile.Verdict // on an unexpected one, until a heartbeat under this term's token lists it
-	awaitsStop      bool              // a difference asked for its stop
+	awaitsStopProof bool              // a difference asked for its stop
 }
 
 // attached reports whether the attempt counts as being on its machine.
@@ -142,7 +142,7 @@
 		// show that it is not.
 		//mutation:stop-raises-fencing-token
 		a.machine.fencing.raise()
-		a.start.requiredFence = a.machine.fencing.counter
+		a.start.requiredFencingCounter = a.machine.fencing.counter
 	}
 	//mutation:stop-is-sent-at-once
 	s.dispatcher.markDue(a.machine) // with all other stops of this input
--- a/internal/scheduler/attempt_outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -112,7 +112,7 @@
 		j.retry.longestFailedRun = max(j.retry.longestFailedRun, ran)
 		if ran >= tuning.EstablishedAfter {
 			// It worked for long: earlier failures are no sign of an invalid job.
-			j.standing.established, j.retry.failures = true, 0
+			j.queueStatus.established, j.retry.failures = true, 0
 		}
 	}
 	j.retry.failedMachines[a.machine.name] = true
@@ -126,7 +126,7 @@
 // are acquitted.
 func (c *clusterState) attributeFailure(m *machine, j *job) {
 	if j.likelyInvalid(c.now.Mono) {
-		c.acquitMachines(j)
+		c.clearJobFailures(j)
 		return
 	}
 	m.quarantine.failedJobs[j.id] = true
--- a/internal/scheduler/autoscaler.go
+++ b/internal/scheduler/autoscaler.go
@@ -89,7 +89,7 @@
 	s.now = now
 	s.autoscaler.listed, s.autoscaler.listedAt = true, now.Mono
 	for _, m := range s.cluster.machines {
-		m.cloud.missedLists++
+		m.cloud.consecutiveMissedLists++
 	}
 	for i := range list {
 		if listed := &list[i]; !s.cluster.released[listed.Name] {
@@ -106,11 +106,11 @@
 	if m == nil {
 		m = s.adoptListed(listed)
 	}
-	m.cloud.missedLists, m.cloud.listed = 0, true
+	m.cloud.consecutiveMissedLists, m.cloud.listedInTerm = 0, true
 	if m.address == "" {
 		m.address = listed.Address
 	}
-	if m.phase == machineBooting && listed.State == wire.MachineRunning && now-m.knownAt > s.settings.HeartbeatInterval {
+	if m.phase == machineBooting && listed.State == wire.MachineRunning && now-m.firstKnownAt > s.settings.HeartbeatInterval {
 		// It came up before this term, or its first heartbeat went to another controller.
 		s.markUp(m)
 		s.dispatcher.probeStatus(m, len(s.cluster.machines))
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -101,7 +101,7 @@
 		}
 		b.ResetTimer()
 		for range b.N {
-			f.now += f.scheduler.placement.interval(len(f.scheduler.cluster.machines))
+			f.now += f.scheduler.placement.minRoundInterval(len(f.scheduler.cluster.machines))
 			f.scheduler.now = f.clock()
 			f.scheduler.autoscaler.scaledOutAt = 0
 			f.scheduler.autoscaler.scaleOut(&f.scheduler.cluster, f.scheduler.reconciler.Reconciler, f.scheduler.placePending())
--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -63,7 +63,7 @@
 // start unanswered has to show by its fencing token or by an answer that it receives
 // messages again, or else tasks placed there would wait together with that start.
 func (c *clusterState) schedulable(m *machine) bool {
-	if m.calls.unanswered > 0 && m.fencing.seenToken < c.fencingToken(m) {
+	if m.directCalls.consecutiveUnanswered > 0 && m.fencing.highestSeenToken < c.fencingToken(m) {
 		return false
 	}
 	if m.phase != machineUp || !m.confirmed || m.machineSpec == nil || m.cloud.failed || m.cloud.interruptionAt != 0 {
--- a/internal/scheduler/cluster.go
+++ b/internal/scheduler/cluster.go
@@ -9,82 +9,83 @@
 )
 
 // clusterState owns the machines, the live jobs and the attempts that may be on machines,
-// with the sums over them, and answers what follows from these alone: which machines have
-// capacity, what quotas allow, in which order jobs wait, which deadlines can be met, and
-// which of machines and jobs are at fault for failures.
+// with the totals over them. It computes whatever depends on these alone: which machines have
+// capacity, what quotas allow, the order in which jobs wait, which deadlines can be met, and
+// whether a machine or a job is the cause of failures.
 //
-// Only attach and detach, setState of attempts and the methods of jobProgress count up or
-// down, and keep this invariant: the resources in use on a machine and by a team, and a
-// job's active and running tasks, are the sums over attached attempts. An attempt stays
-// attached until it is proven to be gone.
+// Only attach, detach, attempt.setState and the methods of jobProgress change the totals. They
+// keep this invariant: the resources in use on a machine and by a team, and a job's numbers of
+// active and running tasks, are the sums over the attached attempts. An attempt stays attached
+// until it is proven to be gone.
 type clusterState struct {
 	*termContext
 
-	machines       map[string]*machine
-	machinesByName []*machine // in that order; nil after a machine was added or removed
-	machineTypes   map[string]*wire.MachineType
-	jobs           map[string]*job
-	usage          map[string]*teamUsage // by team
-	released       map[string]bool       // machines released in this term; names are never reused
-	failures       []Failure             // the latest failed attempts
+	machines            map[string]*machine
+	machinesInNameOrder []*machine // cache of sortedMachines; nil after a machine was added or removed
+	machineTypes        map[string]*wire.MachineType
+	jobs                map[string]*job
+	usage               map[string]*teamUsage // by team name
+	released            map[string]bool       // machines released in this term; names are never reused
+	failures            []Failure             // the latest failed attempts, the newest last
 
-	// obsoleteAttempts are recorded attempts whose job had ended or was cancelled when
-	// the term began, until they are stopped.
+	// obsoleteAttempts are recorded attempts whose job had ended or was cancelled when the
+	// term began. The list is cleared once their stop is requested.
 	obsoleteAttempts []*attempt
 }
 
-// teamUsage is what a team's attempts take.
+// teamUsage is the amount of resources that a team's attempts occupy.
 type teamUsage struct {
 	CPUs, GPUs float64
 }
 
-// resources is an amount of what machines have and tasks take.
+// resources is an amount of CPUs, GPUs and memory.
 type resources struct {
 	cpus, gpus, memoryGB float64
 }
 
-// addTask adds what one task of a job takes.
+// addTask adds the resources of one task of a job.
 func (r *resources) addTask(spec *wire.Job) {
 	r.cpus += spec.CPUs
 	r.gpus += spec.GPUs
 	r.memoryGB += spec.MemoryGB
 }
 
-// removeTask subtracts what one task of a job takes.
+// removeTask subtracts the resources of one task of a job.
 func (r *resources) removeTask(spec *wire.Job) {
 	r.cpus -= spec.CPUs
 	r.gpus -= spec.GPUs
 	r.memoryGB -= spec.MemoryGB
 }
 
-// addMachine adds a machine that this term did not know of.
+// addMachine adds a machine that was not known in this term.
 func (c *clusterState) addMachine(name, machineType, zone string, spot bool, address string) *machine {
 	m := &machine{
 		name: name, machineType: machineType, zone: zone, spot: spot, address: address,
-		machineSpec: c.machineTypes[machineType],
-		knownAt:     c.now.Mono, idleSince: c.now.Mono,
+		machineSpec:  c.machineTypes[machineType],
+		firstKnownAt: c.now.Mono, idleSince: c.now.Mono,
 		cloud: cloudStatus{provisionedAt: c.now.Mono}, connectivity: connectivity{lastHeartbeatAt: c.now.Mono},
 		quarantine: quarantineState{failedJobs: map[string]bool{}},
 		tasks:      map[taskRef]*attempt{}, exited: map[taskRef]taskExit{}, batches: map[*assignmentBatch]bool{},
 	}
 	c.machines[name] = m
-	c.machinesByName = nil
+	c.machinesInNameOrder = nil
 	return m
 }
 
-// sortedMachines gives the machines by name. The slice is not to be changed.
+// sortedMachines returns the machines in the order of their names. The caller must not modify
+// the slice.
 func (c *clusterState) sortedMachines() []*machine {
-	if c.machinesByName == nil {
-		c.machinesByName = make([]*machine, 0, len(c.machines))
+	if c.machinesInNameOrder == nil {
+		c.machinesInNameOrder = make([]*machine, 0, len(c.machines))
 		for _, m := range c.machines {
-			c.machinesByName = append(c.machinesByName, m)
+			c.machinesInNameOrder = append(c.machinesInNameOrder, m)
 		}
-		slices.SortFunc(c.machinesByName, func(a, b *machine) int { return cmp.Compare(a.name, b.name) })
+		slices.SortFunc(c.machinesInNameOrder, func(a, b *machine) int { return cmp.Compare(a.name, b.name) })
 	}
-	return c.machinesByName
+	return c.machinesInNameOrder
 }
 
-// usageOf gives what a team uses. It may be changed by attach and detach alone.
+// usageOf returns a team's usage. Only attach and detach may modify it.
 func (c *clusterState) usageOf(team string) *teamUsage {
 	usage := c.usage[team]
 	if usage == nil {
@@ -94,7 +95,7 @@
 	return usage
 }
 
-// attach counts an attempt as being on its machine.
+// attach adds an attempt to its machine and job, and counts its resources as in use.
 func (c *clusterState) attach(a *attempt) {
 	a.machine.tasks[a.ref] = a
 	a.machine.taskSummary = nil
@@ -109,8 +110,7 @@
 	usage.GPUs += j.spec.GPUs
 }
 
-// detach takes back what attach has counted. An ended job is forgotten with its last
-// attempt.
+// detach reverts attach. An archived job is removed together with its last attempt.
 func (c *clusterState) detach(a *attempt) {
 	c.detachFromMachine(a)
 	j := a.job
@@ -132,7 +132,7 @@
 	m.taskSummary = nil
 	if len(m.tasks) == 0 {
 		m.idleSince = c.now.Mono
-		m.used = resources{} // without the rounding errors of sums
+		m.used = resources{} // discards accumulated rounding errors
 		return
 	}
 	if a.job != nil {
@@ -140,7 +140,8 @@
 	}
 }
 
-// addFailure lists a failed attempt. Of too many, the older half is dropped.
+// addFailure adds a failed attempt to the list. When the list exceeds its maximum length, its
+// older half is dropped.
 func (c *clusterState) addFailure(failure Failure) {
 	c.failures = append(c.failures, failure)
 	if len(c.failures) > tuning.MaxListedFailures {
@@ -148,8 +149,10 @@
 	}
 }
 
-// acquitMachines no longer holds an invalid job's failures against machines.
-func (c *clusterState) acquitMachines(j *job) {
+// clearJobFailures removes an invalid job from the failed jobs that count against machines,
+// since the machines did not cause its failures. A machine that falls below the quarantine
+// threshold leaves quarantine.
+func (c *clusterState) clearJobFailures(j *job) {
 	for name := range j.retry.failedMachines {
 		m := c.machines[name]
 		if m == nil || !m.quarantine.failedJobs[j.id] {
--- a/internal/scheduler/combined_faults_placement_test.go
+++ b/internal/scheduler/combined_faults_placement_test.go
@@ -369,7 +369,7 @@
 	for seed := range uint64(6) {
 		sim := newSimulation(seed)
 		sim.lossRate, sim.delayRate = 0.02, 0.02
-		sim.settings.Teams = map[string]scheduler.TeamQuota{"red": {CPUs: 12, CPUsMax: 24}, "blue": {CPUs: 12, CPUsMax: 24}}
+		sim.settings.Teams = map[string]scheduler.TeamQuota{"red": {CPUs: 12, MaxCPUs: 24}, "blue": {CPUs: 12, MaxCPUs: 24}}
 		sim.submitZonalJobs(110 * time.Second)
 		for i := range 6 {
 			sim.after(time.Duration(10+15*i)*time.Second+sim.randomDuration(0, 3000), sim.disturbZone)
--- a/internal/scheduler/deadline.go
+++ b/internal/scheduler/deadline.go
@@ -169,10 +169,10 @@
 // cpusOf is how many CPUs a team's jobs with deadlines can use.
 func (p *deadlinePlanner) cpusOf(team string) float64 {
 	quota, ok := p.teams[team]
-	if !ok || quota.CPUsMax <= 0 {
+	if !ok || quota.MaxCPUs <= 0 {
 		return p.totalCPUs
 	}
-	return max(1, min(p.totalCPUs, quota.CPUsMax-p.serviceCPUs[team]))
+	return max(1, min(p.totalCPUs, quota.MaxCPUs-p.serviceCPUs[team]))
 }
 
 // keepMostOnTime moves jobs to their next deadline until the others are on time with so
--- a/internal/scheduler/deadline_test.go
+++ b/internal/scheduler/deadline_test.go
@@ -38,7 +38,7 @@
 // ones.
 func TestDeadlinePlanKeepsMostJobsOnTime(t *testing.T) {
 	h := newHarness(t)
-	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 8, CPUsMax: 1000}
+	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 8, MaxCPUs: 1000}
 	h.bringUp("n-1") // 8 CPUs
 	deadline := 25.0
 	for i, tasks := range []int{4, 16, 4, 4} {
--- a/internal/scheduler/directcall.go
+++ b/internal/scheduler/directcall.go
@@ -18,7 +18,7 @@
 func (d *dispatcher) sendCommands(m *machine, commands []wire.Command, starts []*attempt) {
 	d.nextEffectID++
 	d.calls[d.nextEffectID] = &commandCall{machine: m, fencingCounter: m.fencing.counter, starts: starts, statusProbe: len(commands) == 0}
-	m.calls.inFlight = true
+	m.directCalls.inFlight = true
 	d.effects.DirectCalls = append(d.effects.DirectCalls, DirectCall{
 		ID: d.nextEffectID, Machine: m.name, Addr: m.address,
 		//mutation:direct-call-incarnation
@@ -33,7 +33,7 @@
 		return nil
 	}
 	delete(d.calls, id)
-	call.machine.calls.inFlight = false
+	call.machine.directCalls.inFlight = false
 	if call.statusProbe {
 		d.probes.inFlight--
 	}
@@ -68,7 +68,7 @@
 	if heartbeat != nil && heartbeat.Machine != m.name {
 		result, heartbeat = CallLost, nil // another machine has this address now
 	}
-	m.calls.countResult(result)
+	m.directCalls.countResult(result)
 	switch result {
 	case CallLost:
 		s.dispatcher.handleLostCall(call)
@@ -78,19 +78,19 @@
 	if heartbeat != nil && m.phase == machineUp {
 		s.handleDirectReply(m, heartbeat)
 	}
-	if m.calls.again && result != CallLost {
+	if m.directCalls.resendWhenDone && result != CallLost {
 		s.dispatcher.sendAgain(m, len(s.cluster.machines))
 	}
-	m.calls.again = false
+	m.directCalls.resendWhenDone = false
 }
 
 // countResult counts the calls in a row that got no answer.
-func (c *callStatus) countResult(result CallResult) {
+func (c *directCallState) countResult(result CallResult) {
 	if result != CallLost {
-		c.unanswered, c.unansweredSinceHeartbeat = 0, 0
+		c.consecutiveUnanswered, c.unansweredSinceHeartbeat = 0, 0
 		return
 	}
-	c.unanswered++
+	c.consecutiveUnanswered++
 	c.unansweredSinceHeartbeat++
 }
 
@@ -102,7 +102,7 @@
 		m.fencing.raise()
 	}
 	for _, a := range call.starts {
-		a.start.requiredFence = m.fencing.counter
+		a.start.requiredFencingCounter = m.fencing.counter
 		d.logDebug("start call unanswered", "task", a.ref.String(), "attempt", a.number, "machine", m.name)
 	}
 	m.resendStops()
@@ -121,7 +121,7 @@
 	if seenToken > d.fencingToken(m) {
 		m.fencing.counter = counterOf(seenToken)
 	}
-	m.calls.again = true
+	m.directCalls.resendWhenDone = true
 }
 
 // undo takes back a dispatch that is known not to have been executed.
@@ -150,10 +150,10 @@
 
 // sendAgain sends what has fallen due while a call to the machine was in flight.
 func (d *dispatcher) sendAgain(m *machine, fleetSize int) {
-	m.calls.again = false
+	m.directCalls.resendWhenDone = false
 	d.sendDue(m)
 	if !m.confirmed {
-		m.calls.probedAt = 0
+		m.directCalls.probedAt = 0
 		d.probeStatus(m, fleetSize)
 	}
 }
--- a/internal/scheduler/dispatch.go
+++ b/internal/scheduler/dispatch.go
@@ -82,7 +82,7 @@
 	}
 	forgets := d.dueForgets(m, jobs)
 	//mutation:forget-raises-fencing-token
-	if len(forgets) > 0 && m.fencing.usedDirectly {
+	if len(forgets) > 0 && m.fencing.sentStartsDirectly {
 		m.fenceBeforeForget(heartbeat.Sequence)
 	}
 	return append(commands, forgets...)
@@ -95,7 +95,7 @@
 	m.fencing.raise()
 	for _, a := range m.tasks {
 		if a.start.sent && !a.start.acknowledged && a.start.replySequence != replySequence {
-			a.start.requiredFence = m.fencing.counter
+			a.start.requiredFencingCounter = m.fencing.counter
 		}
 	}
 }
@@ -106,8 +106,8 @@
 	if m.phase != machineUp || m.address == "" {
 		return
 	}
-	if m.calls.inFlight {
-		m.calls.again = true
+	if m.directCalls.inFlight {
+		m.directCalls.resendWhenDone = true
 		return
 	}
 	commands := d.dueStops(m, leaderInitiated)
@@ -122,7 +122,7 @@
 		return
 	}
 	if len(starts) > 0 {
-		m.fencing.usedDirectly = true
+		m.fencing.sentStartsDirectly = true
 	}
 	d.sendCommands(m, commands, starts)
 }
--- a/internal/scheduler/dispatch_test.go
+++ b/internal/scheduler/dispatch_test.go
@@ -23,14 +23,14 @@
 
 func TestEndedCallFreesItsMachineAndItsStarts(t *testing.T) {
 	d := newDispatcher(&termContext{}, nil)
-	m := &machine{calls: callStatus{inFlight: true}}
+	m := &machine{directCalls: directCallState{inFlight: true}}
 	a := &attempt{machine: m, start: startState{callInFlight: true}}
 	d.calls[1] = &commandCall{machine: m, starts: []*attempt{a}}
 	d.calls[2] = &commandCall{machine: &machine{}, statusProbe: true}
 	d.probes.inFlight = 1
 
-	if call := d.endCall(1); call == nil || m.calls.inFlight || a.start.callInFlight || d.probes.inFlight != 1 {
-		t.Errorf("after a call with a start: %+v, %+v, %d probes in flight", m.calls, a.start, d.probes.inFlight)
+	if call := d.endCall(1); call == nil || m.directCalls.inFlight || a.start.callInFlight || d.probes.inFlight != 1 {
+		t.Errorf("after a call with a start: %+v, %+v, %d probes in flight", m.directCalls, a.start, d.probes.inFlight)
 	}
 	if d.endCall(2); d.probes.inFlight != 0 {
 		t.Errorf("%d probes in flight after the only one has ended", d.probes.inFlight)
@@ -86,7 +86,7 @@
 		{2 * most * tuning.MachinesPerStatusProbe, 2, most / 2},
 	} {
 		d := newDispatcher(&termContext{}, nil)
-		if got := d.statusProbeLimit(&machine{calls: callStatus{unanswered: c.unanswered}}, c.fleetSize); got != c.want {
+		if got := d.statusProbeLimit(&machine{directCalls: directCallState{consecutiveUnanswered: c.unanswered}}, c.fleetSize); got != c.want {
 			t.Errorf("%d machines, %d calls unanswered: %d, want %d", c.fleetSize, c.unanswered, got, c.want)
 		}
 	}
@@ -103,8 +103,8 @@
 
 	d, call, a := newCall()
 	d.handleLostCall(call)
-	if a.machine.fencing.counter != 4 || a.start.requiredFence != 4 || a.retry.nextAt != time.Hour {
-		t.Errorf("a lost call: token's counter %d, required %d, retry at %v", a.machine.fencing.counter, a.start.requiredFence, a.retry.nextAt)
+	if a.machine.fencing.counter != 4 || a.start.requiredFencingCounter != 4 || a.retry.nextAt != time.Hour {
+		t.Errorf("a lost call: token's counter %d, required %d, retry at %v", a.machine.fencing.counter, a.start.requiredFencingCounter, a.retry.nextAt)
 	}
 	if a.stop.sentAt != 0 {
 		t.Error("a lost call's stops are not sent again")
@@ -116,8 +116,8 @@
 
 	d, call, a = newCall()
 	d.handleRefusedCall(call, newFencingToken(7, 9))
-	if a.machine.fencing.counter != 9 || a.retry.count != 0 || a.retry.nextAt != time.Minute || a.stop.sentAt != 0 || !a.machine.calls.again {
-		t.Errorf("a refused call: %+v, %+v, %+v", a.machine.fencing, a.retry, a.machine.calls)
+	if a.machine.fencing.counter != 9 || a.retry.count != 0 || a.retry.nextAt != time.Minute || a.stop.sentAt != 0 || !a.machine.directCalls.resendWhenDone {
+		t.Errorf("a refused call: %+v, %+v, %+v", a.machine.fencing, a.retry, a.machine.directCalls)
 	}
 	d.handleRefusedCall(call, newFencingToken(7, 2))
 	if a.machine.fencing.counter != 9 {
--- a/internal/scheduler/export_test.go
+++ b/internal/scheduler/export_test.go
@@ -72,7 +72,7 @@
 	for _, index := range j.indices.freed {
 		freed[index] = true
 	}
-	for index := range min(j.spec.Tasks, j.indices.next) {
+	for index := range min(j.spec.Tasks, j.indices.nextUnused) {
 		if !j.progress.done.Has(index) && len(j.active[index]) == 0 && !freed[index] {
 			return fmt.Errorf("%s/%d is neither done, nor active, nor waiting", j.id, index)
 		}
--- a/internal/scheduler/fencing.go
+++ b/internal/scheduler/fencing.go
@@ -29,7 +29,7 @@
 func (f *fencingState) raise() {
 	//mutation:fencing-counter-raised
 	f.counter = min(f.counter+1, maxCounter) // watchCounterLimits ends the term long before
-	f.usedDirectly = false
+	f.sentStartsDirectly = false
 }
 
 // newAttempt makes an attempt under a number that was never used. Numbers begin with the
--- a/internal/scheduler/fleet_harness_test.go
+++ b/internal/scheduler/fleet_harness_test.go
@@ -38,7 +38,7 @@
 func fleetSettings() Settings {
 	teams := map[string]TeamQuota{}
 	for i := range fleetTeams {
-		teams[fmt.Sprintf("team-%02d", i)] = TeamQuota{CPUs: 1500, CPUsMax: 100_000}
+		teams[fmt.Sprintf("team-%02d", i)] = TeamQuota{CPUs: 1500, MaxCPUs: 100_000}
 	}
 	return Settings{
 		Teams: teams, HeartbeatInterval: 5 * time.Second, WorkerLease: 26500 * time.Millisecond, CancellationBound: 46500 * time.Millisecond,
@@ -87,7 +87,7 @@
 	settings.CPUShare = f.cpuShare
 	f.scheduler = New(f.clock(), settings, term, replica, nil, storedBatches(f.items), fleetMachineTypes)
 	f.scheduler.autoscaler.listed = true
-	f.scheduler.LeaseHeldUntil(1000 * time.Hour)
+	f.scheduler.ExtendLease(1000 * time.Hour)
 }
 
 // submit submits a job of the next team, unless it names one.
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -52,7 +52,7 @@
 func newHarnessWith(t *testing.T, config harnessConfig) *harness {
 	t.Helper()
 	h := &harness{t: t, now: time.Hour, revision: 100, items: map[string]wire.KeyValue{}, sequences: map[string]uint64{}}
-	quota := TeamQuota{CPUs: 8, CPUsMax: 16}
+	quota := TeamQuota{CPUs: 8, MaxCPUs: 16}
 	settings := Settings{
 		Teams:             map[string]TeamQuota{"red": quota, "blue": quota},
 		HeartbeatInterval: time.Second, WorkerLease: 12 * time.Second, GuaranteedStartWithin: 2 * time.Second,
@@ -75,7 +75,7 @@
 		replica.Live[id] = liveJob
 	}
 	h.scheduler = New(h.clock(), settings, term, replica, nil, storedRecords, types)
-	h.scheduler.LeaseHeldUntil(1000 * time.Hour)
+	h.scheduler.ExtendLease(1000 * time.Hour)
 	h.settle()
 }
 
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -40,9 +40,9 @@
 // for its reply.
 func (s *Scheduler) handleNewHeartbeat(m *machine, heartbeat *wire.Heartbeat) []wire.Command {
 	s.dispatcher.watchReplyDelivery(m, heartbeat)
-	m.connectivity.heartbeatAnsweredAt = s.now.Mono
+	m.connectivity.heartbeatRepliedAt = s.now.Mono
 	s.markHeartbeatReceived(m)
-	m.calls.unansweredSinceHeartbeat = 0
+	m.directCalls.unansweredSinceHeartbeat = 0
 	delete(s.monitor.zoneHeartbeatAt, m.zone) // what followers received of the zone matters no more
 	s.applyHeartbeat(m, heartbeat, workerInitiated)
 	return s.dispatcher.heartbeatCommands(m, heartbeat, s.cluster.jobs)
@@ -55,7 +55,7 @@
 	reply := wire.HeartbeatReply{FencingToken: s.fencingToken(m), Commands: []wire.Command{}}
 	if m.heartbeats.precedes(heartbeat) {
 		s.markHeartbeatReceived(m)
-		m.calls.unansweredSinceHeartbeat = 0
+		m.directCalls.unansweredSinceHeartbeat = 0
 		// A renewed lease has to bring stops with it: where releases go unanswered for
 		// long, cancelled tasks would run on here past their bound.
 		//mutation:stops-while-releasing
@@ -111,9 +111,9 @@
 func (s *Scheduler) applyHeartbeat(m *machine, heartbeat *wire.Heartbeat, via exchange) {
 	m.heartbeats = heartbeatOrder{
 		incarnation: heartbeat.Incarnation, sequence: heartbeat.Sequence,
-		underTerm: TermOf(heartbeat.FencingToken) == s.term,
+		underCurrentTerm: TermOf(heartbeat.FencingToken) == s.term,
 	}
-	m.fencing.seenToken = max(m.fencing.seenToken, heartbeat.FencingToken)
+	m.fencing.highestSeenToken = max(m.fencing.highestSeenToken, heartbeat.FencingToken)
 	s.applySpotInterruption(m, heartbeat)
 	listed := make(map[taskRef]bool, len(heartbeat.Tasks))
 	s.applyTaskList(m, heartbeat.Tasks, listed)
@@ -121,7 +121,7 @@
 	// A worker that has seen no token is new, if its machine was provisioned in this term:
 	// of another it may be a late duplicate of its first heartbeat.
 	//mutation:confirm-only-own-new-machines
-	if !m.confirmed && (m.heartbeats.underTerm || len(m.tasks) == 0 && heartbeat.FencingToken == 0 && m.cloud.provisionedInTerm) {
+	if !m.confirmed && (m.heartbeats.underCurrentTerm || len(m.tasks) == 0 && heartbeat.FencingToken == 0 && m.cloud.provisionedInTerm) {
 		m.confirmed = true
 		s.placement.due = true
 		s.reconciler.ConfirmMachine(s.now.Mono, m.name)
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -30,20 +30,20 @@
 	runningCount    int                // attached attempts that run
 	unsavedAttempts map[int]*attempt   // completed ones whose done bit is not durable yet
 
-	progress jobProgress
-	write    jobWriteState
-	indices  taskIndices
-	retry    retryState
-	waiting  waitState
-	headroom headroomCheck
-	plan     deadlinePlan
-	runtimes observedRuntimes
-	standing jobStanding
+	progress    jobProgress
+	write       jobWriteState
+	indices     taskIndices
+	retry       retryState
+	waiting     waitState
+	headroom    headroomCheck
+	plan        deadlinePlan
+	runtimes    observedRuntimes
+	queueStatus jobQueueStatus
 }
 
 // jobWriteState is that of the writes of a job's records.
 type jobWriteState struct {
-	dirtyAt        time.Duration // since when there is something to write; 0: there is nothing
+	dirtySince     time.Duration // since when there is something to write; 0: there is nothing
 	inFlight       bool
 	blockedUntil   time.Duration
 	chunkRevisions map[int]uint64 // mod revisions of further bitmap chunks
@@ -51,8 +51,8 @@
 
 // taskIndices hands out the indices of tasks to place.
 type taskIndices struct {
-	freed []int // of attempts that have ended
-	next  int   // indices below it have been handed out at least once
+	freed      []int // of attempts that have ended
+	nextUnused int   // indices below it have been handed out at least once
 }
 
 // retryState is that of a job's failed attempts.
@@ -60,7 +60,7 @@
 	failures         int // in a row
 	longestFailedRun time.Duration
 	failedMachines   map[string]bool
-	at               time.Duration // no placement before then
+	notBefore        time.Duration // no placement before then
 }
 
 // maxBackoffDoublings bounds the shift in countFailure: the maximum is reached long before.
@@ -74,7 +74,7 @@
 		delay = min(delay, settings.ErrorBackoff<<r.failures)
 	}
 	r.failures++
-	r.at = now + delay
+	r.notBefore = now + delay
 }
 
 // waitState says since when and why tasks of a job wait.
@@ -108,8 +108,8 @@
 	totalS    float64
 }
 
-// jobStanding is what the last placement round found about a job's place in the queue.
-type jobStanding struct {
+// jobQueueStatus is what the last placement round found about a job's place in the queue.
+type jobQueueStatus struct {
 	established     bool // a task of it has run for long enough to stay; never reset
 	starved         bool // nothing of it has been established for long
 	prioritized     bool // starved, and its first tasks are placed ahead of others
@@ -238,9 +238,9 @@
 			return index, true
 		}
 	}
-	for j.indices.next < j.spec.Tasks {
-		index = j.indices.next
-		j.indices.next++
+	for j.indices.nextUnused < j.spec.Tasks {
+		index = j.indices.nextUnused
+		j.indices.nextUnused++
 		if j.isFree(index) {
 			return index, true
 		}
--- a/internal/scheduler/jobwrite.go
+++ b/internal/scheduler/jobwrite.go
@@ -29,8 +29,8 @@
 
 // markDirty notes that there is something of the job to write.
 func (p *persister) markDirty(j *job) {
-	if j.write.dirtyAt == 0 {
-		j.write.dirtyAt = p.now.Mono
+	if j.write.dirtySince == 0 {
+		j.write.dirtySince = p.now.Mono
 		p.dirtyJobs[j] = true
 	}
 }
@@ -44,7 +44,7 @@
 
 // markClean notes that there is nothing of the job to write.
 func (p *persister) markClean(j *job) {
-	j.write.dirtyAt = 0
+	j.write.dirtySince = 0
 	delete(p.dirtyJobs, j)
 }
 
@@ -53,12 +53,12 @@
 func (p *persister) jobsDueForWrite(minAge time.Duration) []*job {
 	var due []*job
 	for j := range p.dirtyJobs {
-		if j.write.dirtyAt > 0 && !j.write.inFlight && !j.archived && p.now.Mono >= j.write.blockedUntil && p.now.Mono-j.write.dirtyAt >= minAge {
+		if j.write.dirtySince > 0 && !j.write.inFlight && !j.archived && p.now.Mono >= j.write.blockedUntil && p.now.Mono-j.write.dirtySince >= minAge {
 			due = append(due, j)
 		}
 	}
 	slices.SortFunc(due, func(a, b *job) int {
-		return cmp.Or(cmp.Compare(a.write.dirtyAt, b.write.dirtyAt), strings.Compare(a.id, b.id))
+		return cmp.Or(cmp.Compare(a.write.dirtySince, b.write.dirtySince), strings.Compare(a.id, b.id))
 	})
 	return due
 }
--- a/internal/scheduler/load_log.go
+++ b/internal/scheduler/load_log.go
@@ -11,7 +11,7 @@
 func (c *clusterState) logLoad(cancellationLag time.Duration) {
 	for _, name := range slices.Sorted(maps.Keys(c.usage)) {
 		if usage := c.usage[name]; usage.CPUs > 0 {
-			c.logDebug("team usage", "team", name, "cpus_used", usage.CPUs, "cpus_limit", c.settings.Teams[name].CPUsMax)
+			c.logDebug("team usage", "team", name, "cpus_used", usage.CPUs, "cpus_limit", c.settings.Teams[name].MaxCPUs)
 		}
 	}
 	waiting := map[WaitReason]int{}
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -7,38 +7,38 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// machinePhase is how far a machine is on its way from provisioning to release.
+// machinePhase is the phase of a machine's lifecycle.
 type machinePhase int
 
 const (
 	machineBooting   machinePhase = iota // provisioned; its worker has sent no heartbeat yet
 	machineUp                            // its worker has sent a heartbeat
-	machineReleasing                     // its release was asked for; it gets no new work
+	machineReleasing                     // its release was requested; it gets no new tasks
 )
 
 func (p machinePhase) String() string {
 	return [...]string{"booting", "up", "releasing"}[p]
 }
 
-// machine is a machine with a worker, by what this leader knows of it.
+// machine holds what this leader knows about a machine and its worker.
 type machine struct {
 	name, machineType, zone, address string
 	spot                             bool
-	machineSpec                      *wire.MachineType // nil: the cloud has not told of the type
+	machineSpec                      *wire.MachineType // nil: the cloud has not listed the type
 
-	phase     machinePhase
-	knownAt   time.Duration // when this term first knew of it
-	upAt      time.Duration
-	idleSince time.Duration // when it last became empty
-	confirmed bool          // what it runs is known by a heartbeat under this term's token
+	phase        machinePhase
+	firstKnownAt time.Duration // when the machine first became known in this term
+	upAt         time.Duration
+	idleSince    time.Duration // when it last became empty
+	confirmed    bool          // a heartbeat under this term's fencing token has listed its tasks
 
 	tasks           map[taskRef]*attempt
-	exited          map[taskRef]taskExit // ended, listed by the worker and not yet forgotten there
-	unexpectedStops []wire.Command       // stops of attempts that are not among tasks
-	used            resources            // by tasks
+	exited          map[taskRef]taskExit // ended attempts that the worker still lists
+	unexpectedStops []wire.Command       // queued stops of attempts that are not in tasks
+	used            resources            // sum over tasks
 	images          imageCache
-	taskSummary     *taskSummary              // see summarize; nil after tasks or images have changed
-	batches         map[*assignmentBatch]bool // assignment batches that name it
+	taskSummary     *taskSummary              // cache of summarize; nil after tasks or images have changed
+	batches         map[*assignmentBatch]bool // assignment batches that contain attempts on it
 
 	cloud        cloudStatus
 	release      releaseState
@@ -46,83 +46,83 @@
 	reservation  reservation
 	heartbeats   heartbeatOrder
 	fencing      fencingState
-	calls        callStatus
+	directCalls  directCallState
 	connectivity connectivity
 }
 
-// taskExit is the end of an attempt as its worker lists it.
+// taskExit is an ended attempt as its worker lists it.
 type taskExit struct {
-	attempt uint64
-	done    bool
+	attempt uint64 // attempt number
+	done    bool   // it completed its task
 }
 
-// cloudStatus is what the cloud says of a machine.
+// cloudStatus is a machine's status as reported by the cloud.
 type cloudStatus struct {
-	provisionedAt     time.Duration
-	provisionedInTerm bool
-	listed            bool          // the cloud has listed it in this term
-	missedLists       int           // lists since the last one that had it
-	failed            bool          // the cloud says that it has stopped
-	interruptionAt    time.Duration // when the cloud takes the spot machine; 0: not announced
+	provisionedAt          time.Duration
+	provisionedInTerm      bool
+	listedInTerm           bool          // the cloud has listed it in this term
+	consecutiveMissedLists int           // lists since the last one that contained it
+	failed                 bool          // the cloud reports that it has stopped
+	interruptionAt         time.Duration // when the cloud reclaims the spot machine; 0: not announced
 }
 
-// releaseState is that of a release that was asked for.
+// releaseState is the state of a machine's requested release.
 type releaseState struct {
-	reason   ReleaseReason // of the last one, for the log
-	retryDue bool          // it has to be asked for once more
+	reason   ReleaseReason // of the last request, for the log
+	retryDue bool          // the release must be requested again
 }
 
-// quarantineState keeps work away from a machine on which it fails.
+// quarantineState keeps tasks away from a machine on which tasks fail or are refused.
 type quarantineState struct {
-	until             time.Duration
-	startsPausedUntil time.Duration   // after it refused a start
-	failedJobs        map[string]bool // unrelated jobs that failed there
+	until             time.Duration   // end of the quarantine
+	startsPausedUntil time.Duration   // set after the worker refused a start
+	failedJobs        map[string]bool // IDs of unrelated jobs that failed on it
 }
 
-// reservation keeps a machine's free capacity for a job.
+// reservation keeps a machine's free capacity for one job until it expires.
 type reservation struct {
 	jobID string
 	until time.Duration
 }
 
-// heartbeatOrder is the position of a machine's last heartbeat: earlier ones that arrive
-// after it are ignored.
+// heartbeatOrder identifies a machine's last heartbeat in the order of sending. Heartbeats that
+// were sent before it and arrive later are ignored.
 type heartbeatOrder struct {
 	incarnation, sequence uint64
-	underTerm             bool // the last one was sent under this term's token
+	underCurrentTerm      bool // the last heartbeat was sent under this term's fencing token
 }
 
-// fencingState is what is known of the fencing tokens used with a machine.
+// fencingState tracks the fencing tokens that are used with a machine.
 type fencingState struct {
-	counter      uint64 // low bits of the token now used with it
-	usedDirectly bool   // direct calls have sent starts under the present counter
-	seenToken    uint64 // the highest that a heartbeat of it has named
+	counter            uint64 // low bits of the fencing token in use with the machine
+	sentStartsDirectly bool   // a direct call has sent starts under the current counter
+	highestSeenToken   uint64 // the highest token in any of the machine's heartbeats
 }
 
-// callStatus is that of direct calls to a machine, of which one at a time is in flight.
-type callStatus struct {
+// directCallState is the state of the direct calls to a machine. At most one is in flight.
+type directCallState struct {
 	inFlight                 bool
-	again                    bool          // something is due once the call has ended
+	resendWhenDone           bool          // commands are due that are sent when the call in flight ends
 	probedAt                 time.Duration // when the last status probe was sent
-	unanswered               int           // in a row
-	unansweredSinceHeartbeat int
+	consecutiveUnanswered    int           // unanswered calls since the last answered one
+	unansweredSinceHeartbeat int           // unanswered calls since the last heartbeat or answered call
 }
 
-// connectivity says when a machine and this leader last reached each other.
+// connectivity records when a machine and this leader last reached each other.
 type connectivity struct {
-	lastHeartbeatAt     time.Duration // or reply to a direct call
-	heartbeatAnsweredAt time.Duration // when a heartbeat was last replied to
-	// unreachableSince is since when it seems that nothing reaches the machine although
-	// its heartbeats arrive; 0: it is reachable. See watchReplyDelivery.
+	lastHeartbeatAt    time.Duration // last heartbeat, or last reply to a direct call
+	heartbeatRepliedAt time.Duration // when the leader last replied to a heartbeat
+	// unreachableSince is when the leader detected that its replies and calls do not reach the
+	// machine although the machine's heartbeats arrive; 0: reachable. See watchReplyDelivery.
 	unreachableSince time.Duration
 }
 
-// queueUnexpectedStop has a command sent with what is next sent to the machine.
+// queueUnexpectedStop queues a stop that is sent with the next commands to the machine.
 func (m *machine) queueUnexpectedStop(command wire.Command) {
 	m.unexpectedStops = append(m.unexpectedStops, command)
 }
 
-// sortedAttempts gives the machine's attempts in a fixed order.
+// sortedAttempts returns the machine's attempts, sorted by job, task index and number.
 func (m *machine) sortedAttempts() []*attempt {
 	list := make([]*attempt, 0, len(m.tasks))
 	for _, a := range m.tasks {
@@ -132,15 +132,16 @@
 	return list
 }
 
-// imageCache has the images on a machine as far as is known, the most recently used last.
+// imageCache lists the images that are known to be on a machine, the most recently used last.
 type imageCache []cachedImage
 
+// cachedImage is an image in a machine's cache.
 type cachedImage struct {
 	name   string
 	sizeGB float64 // 0: unknown
 }
 
-func (c imageCache) has(name string) bool {
+func (c imageCache) contains(name string) bool {
 	return slices.ContainsFunc(c, func(image cachedImage) bool { return image.name == name })
 }
 
@@ -152,8 +153,9 @@
 	return sum
 }
 
-// withUsed gives the cache after an image was used. An image that is new to it evicts
-// those that were used longest ago, until what is left fits the capacity; 0: unknown.
+// withUsed returns the cache after an image was used. If the image was not in the cache, the
+// least recently used images are evicted until the rest fits the capacity. A capacity of 0 is
+// unknown, and nothing is evicted.
 func (c imageCache) withUsed(image cachedImage, capacityGB float64) imageCache {
 	index := slices.IndexFunc(c, func(known cachedImage) bool { return known.name == image.name })
 	if index >= 0 {
@@ -171,7 +173,7 @@
 	return c
 }
 
-// addImage notes that the machine has an image, as the most recently used.
+// addImage records that the machine has an image, as the most recently used one.
 func (m *machine) addImage(name string, sizeGB float64) {
 	m.taskSummary = nil
 	capacityGB := 0.0
@@ -181,18 +183,19 @@
 	m.images = m.images.withUsed(cachedImage{name, sizeGB}, capacityGB)
 }
 
-// hasImage reports whether the machine needs no fetch for the image.
-func (m *machine) hasImage(name string) bool { return m.images.has(name) }
+// hasImage reports whether the machine has the image and need not fetch it.
+func (m *machine) hasImage(name string) bool { return m.images.contains(name) }
 
-// taskSummary is what placement needs to know of a machine's tasks.
+// taskSummary holds the totals over a machine's tasks that placement needs.
 type taskSummary struct {
-	hasUnknownTask               bool // an attempt's job is not live, and so its size unknown
-	services                     int  // tasks of services, and what they take
+	hasUnknownTask               bool // the job of an attempt is not live, so its resources are unknown
+	services                     int  // number of service tasks
 	serviceCPUs, serviceMemoryGB float64
-	fetching                     map[string]float64 // images being fetched, but for tasks that are stopped
+	fetching                     map[string]float64 // GB by image being fetched, without tasks being stopped
 }
 
-// summarize gives the machine's taskSummary, made anew after its tasks have changed.
+// summarize returns the machine's taskSummary, which is recomputed after its tasks or images have
+// changed.
 func (m *machine) summarize() *taskSummary {
 	if m.taskSummary == nil {
 		m.taskSummary = m.newTaskSummary()
--- a/internal/scheduler/machine_faults_test.go
+++ b/internal/scheduler/machine_faults_test.go
@@ -185,8 +185,8 @@
 	other := h.newHeartbeat("n-2", c.Body.FencingToken)
 	other.Address, other.Sequence = m.address, 1000
 	h.scheduler.CallDone(h.clock(), c.ID, CallExecuted, other)
-	if len(m.tasks) != 1 || m.connectivity.lastHeartbeatAt != heard || m.calls.unansweredSinceHeartbeat == 0 {
-		t.Errorf("%d tasks, last heartbeat at %v then %v, %d unanswered calls", len(m.tasks), heard, m.connectivity.lastHeartbeatAt, m.calls.unansweredSinceHeartbeat)
+	if len(m.tasks) != 1 || m.connectivity.lastHeartbeatAt != heard || m.directCalls.unansweredSinceHeartbeat == 0 {
+		t.Errorf("%d tasks, last heartbeat at %v then %v, %d unanswered calls", len(m.tasks), heard, m.connectivity.lastHeartbeatAt, m.directCalls.unansweredSinceHeartbeat)
 	}
 }
 
@@ -209,7 +209,7 @@
 			m := h.scheduler.cluster.machines["n-1"]
 			tick := m.heartbeats.sequence
 			if c.direct {
-				m.calls.probedAt = 0
+				m.directCalls.probedAt = 0
 				h.scheduler.dispatcher.probeStatus(m, len(h.scheduler.cluster.machines))
 				call := h.scheduler.TakeEffects().DirectCalls[0]
 				h.scheduler.CallDone(h.clock(), call.ID, CallRefused, r)
--- a/internal/scheduler/machine_types.go
+++ b/internal/scheduler/machine_types.go
@@ -9,14 +9,14 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// SetMachineTypes takes the cloud's machine types.
+// SetMachineTypes adds or replaces machine types that the cloud offers.
 func (s *Scheduler) SetMachineTypes(now Now, types []wire.MachineType) {
 	s.now = now
 	s.cluster.setMachineTypes(types)
 }
 
-// setMachineTypes adds to the known machine types, or replaces them, and gives each machine
-// that of its name.
+// setMachineTypes adds or replaces machine types, and updates each machine's reference to its
+// type.
 func (c *clusterState) setMachineTypes(types []wire.MachineType) {
 	for i := range types {
 		machineSpec := types[i]
@@ -27,12 +27,12 @@
 	}
 }
 
-// specOf gives the machine type of that name, or nil.
+// specOf returns the machine type with the given name, or nil if it is unknown.
 func (c *clusterState) specOf(machineType string) *wire.MachineType {
 	return c.machineTypes[machineType]
 }
 
-// sortedMachineTypes gives the cloud's machine types by name.
+// sortedMachineTypes returns the cloud's machine types in the order of their names.
 func (c *clusterState) sortedMachineTypes() []*wire.MachineType {
 	types := make([]*wire.MachineType, 0, len(c.machineTypes))
 	for _, machineSpec := range c.machineTypes {
@@ -42,8 +42,8 @@
 	return types
 }
 
-// offerCount is how many kinds of machines the cloud offers: ordinary and spot machines of
-// each type in each of its zones.
+// offerCount returns the number of the cloud's offers: on-demand and spot machines of each type
+// in each of its zones.
 func (c *clusterState) offerCount() int {
 	offers := 0
 	for _, machineSpec := range c.machineTypes {
@@ -52,7 +52,8 @@
 	return offers
 }
 
-// bootTime is how long machines of the type usually take to come up.
+// bootTime returns how long machines of the type usually take to boot, or
+// tuning.MinBootTimeout if the type is unknown.
 func (c *clusterState) bootTime(machineType string) time.Duration {
 	if machineSpec := c.machineTypes[machineType]; machineSpec != nil {
 		return time.Duration(machineSpec.BootS * float64(time.Second))
--- a/internal/scheduler/machinescan.go
+++ b/internal/scheduler/machinescan.go
@@ -8,8 +8,8 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// scanMachines visits every machine, beginning with those for which the last scan had no
-// status probe left.
+// scanMachines visits every machine. It begins with the first machine that the last scan could
+// not probe because of the limit on status probes.
 func (s *Scheduler) scanMachines() {
 	list := s.cluster.sortedMachines()
 	first, _ := slices.BinarySearchFunc(list, s.dispatcher.probes.takeNextMachine(), func(m *machine, name string) int { return strings.Compare(m.name, name) })
@@ -19,8 +19,9 @@
 	}
 }
 
-// scanMachine sends the commands that are due for a machine, abandons dispatches that it
-// never acknowledged, and probes its status if a heartbeat is overdue.
+// scanMachine sends the commands that are due for a machine, abandons dispatches whose
+// acknowledgement deadline has passed, and probes the machine's status if its heartbeat is
+// overdue, its tasks are unconfirmed, or commands may not have reached it.
 func (s *Scheduler) scanMachine(m *machine) {
 	if m.phase != machineUp {
 		return
@@ -53,13 +54,14 @@
 	}
 	heartbeatAge := s.now.Mono - m.connectivity.lastHeartbeatAt
 	//mutation:status-probe-when-overdue
-	if heartbeatAge > s.heartbeatOverdueAfter() || !m.confirmed || m.connectivity.unreachableSince > 0 || unacknowledged && m.fencing.seenToken < s.fencingToken(m) {
+	if heartbeatAge > s.heartbeatOverdueAfter() || !m.confirmed || m.connectivity.unreachableSince > 0 || unacknowledged && m.fencing.highestSeenToken < s.fencingToken(m) {
 		s.dispatcher.probeStatus(m, len(s.cluster.machines))
 	}
 }
 
-// abandonDispatch gives up an attempt whose start was not acknowledged in time: what may
-// have become of it is stopped, and the task is placed again on proof that it is gone.
+// abandonDispatch gives up an attempt whose start was not acknowledged in time. The attempt is
+// stopped in case it was started, and the task is placed again once the attempt is proven to
+// be gone.
 func (s *Scheduler) abandonDispatch(a *attempt) {
 	task := wire.TaskName(a.ref.jobID, a.ref.index)
 	a.retry.abandoned = true
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -117,7 +117,7 @@
 		}
 	}
 	for _, j := range queue {
-		if j.standing.aged {
+		if j.queueStatus.aged {
 			r.agedShareCPUs -= float64(j.activeCount) * j.spec.CPUs
 		}
 	}
@@ -198,9 +198,9 @@
 	j := d.job
 	switch {
 	case j.spec.Gang() || d.limit == 0:
-	case j.standing.prioritized:
+	case j.queueStatus.prioritized:
 		d.limit = min(d.limit, j.starvedTaskAllowance(r.totalCPUs))
-	case j.standing.aged && d.pass == mainPass:
+	case j.queueStatus.aged && d.pass == mainPass:
 		share := int(max(0, r.agedShareCPUs) / max(j.spec.CPUs, 0.1))
 		d.limitedByAgedShare = share < d.limit
 		d.limit = min(d.limit, share)
@@ -248,7 +248,7 @@
 	if r.placeGang(j, d.waiting) {
 		return d.waiting
 	}
-	if j.standing.prioritized && !r.gangReserved {
+	if j.queueStatus.prioritized && !r.gangReserved {
 		r.gangReserved = true
 		r.reserveForGang(j, d.waiting)
 	}
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -19,7 +19,7 @@
 	for seed := range uint64(3) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		h := newHarness(t)
-		h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 8, CPUsMax: 1000}
+		h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 8, MaxCPUs: 1000}
 		workers := newFakeWorkers(h, func(string, string) (time.Duration, string) {
 			return time.Duration(4+rng.IntN(9)) * time.Second, wire.CauseDone
 		})
@@ -49,8 +49,8 @@
 // other teams' guarantees keeps full. Starts that are preempted within seconds don't count.
 func TestIdleGuestJobIsEstablishedUnderLoad(t *testing.T) {
 	h := newHarness(t)
-	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, CPUsMax: 1000}
-	h.scheduler.settings.Teams["guest"] = TeamQuota{CPUsMax: math.Inf(1)}
+	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, MaxCPUs: 1000}
+	h.scheduler.settings.Teams["guest"] = TeamQuota{MaxCPUs: math.Inf(1)}
 	rng := rand.New(rand.NewPCG(1, 1))
 	workers := newFakeWorkers(h, func(task, _ string) (time.Duration, string) {
 		if strings.HasPrefix(task, "run-900000/") {
@@ -97,7 +97,7 @@
 			workers.step()
 		}
 		faulty[m] = false
-		if j := h.scheduler.cluster.jobs["run-000001"]; j.activeCount != 6 && j.retry.at <= h.now {
+		if j := h.scheduler.cluster.jobs["run-000001"]; j.activeCount != 6 && j.retry.notBefore <= h.now {
 			t.Errorf("after failures on %d machines %d of 6 replicas are placed", i+1, j.activeCount)
 		}
 	}
@@ -113,7 +113,7 @@
 // for the whole job, all of it runs at once.
 func TestStarvedJobIsNotCappedWhereCapacityIsFree(t *testing.T) {
 	h := newHarness(t)
-	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, CPUsMax: 1000}
+	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, MaxCPUs: 1000}
 	workers := newFakeWorkers(h, func(string, string) (time.Duration, string) {
 		return tuning.ArrayStarvationBound + 10*time.Second, wire.CauseDone
 	})
@@ -133,7 +133,7 @@
 // quarantined, since several jobs fail there that succeed elsewhere.
 func TestInvalidJobsAreThrottledAndFaultyMachinesQuarantined(t *testing.T) {
 	h := newHarness(t)
-	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, CPUsMax: 1000}
+	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, MaxCPUs: 1000}
 	faulty := false
 	workers := newFakeWorkers(h, func(task, m string) (time.Duration, string) {
 		if task < "run-000005" || faulty && m == "n-2" {
--- a/internal/scheduler/placement_wait_test.go
+++ b/internal/scheduler/placement_wait_test.go
@@ -20,7 +20,7 @@
 	for seed := range uint64(3) {
 		rng := rand.New(rand.NewPCG(seed, 21))
 		h := newHarness(t)
-		h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 8, CPUsMax: 1000}
+		h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 8, MaxCPUs: 1000}
 		workers := newFakeWorkers(h, func(string, string) (time.Duration, string) {
 			return time.Duration(50+rng.IntN(20)) * time.Second, wire.CauseDone
 		})
@@ -41,7 +41,7 @@
 	for seed := range uint64(5) {
 		rng := rand.New(rand.NewPCG(seed, 22))
 		h := newHarness(t)
-		h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, CPUsMax: 1000}
+		h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, MaxCPUs: 1000}
 		workers := newFakeWorkers(h, func(string, string) (time.Duration, string) { return time.Hour, wire.CauseDone })
 		workers.checkpointTime = time.Duration(1+rng.IntN(4)) * time.Second
 		h.submit(wire.Job{ID: "run-000001", Tasks: 3, CPUs: 8, Priority: wire.PriorityIdle, EstimatedRunS: 60})
@@ -121,7 +121,7 @@
 	for seed := range uint64(3) {
 		rng := rand.New(rand.NewPCG(seed, 23))
 		h := newHarness(t)
-		h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, CPUsMax: 1000}
+		h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, MaxCPUs: 1000}
 		workers := newFakeWorkers(h, func(string, string) (time.Duration, string) { return time.Hour, wire.CauseDone })
 		workers.imageFetchTime = func() time.Duration { return time.Duration(60+rng.IntN(40)) * time.Second }
 		for i := range 12 {
@@ -141,7 +141,7 @@
 // A gang that does not fit on all machines together reserves none of them.
 func TestGangThatCannotFitReservesNothing(t *testing.T) {
 	h := newHarness(t)
-	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, CPUsMax: 1000}
+	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, MaxCPUs: 1000}
 	workers := newFakeWorkers(h, func(string, string) (time.Duration, string) { return 20 * time.Second, wire.CauseDone })
 	h.submit(wire.Job{ID: "run-000001", Tasks: 4, CPUs: 8, Shape: wire.ShapeGang, EstimatedRunS: 20})
 	for h.now < workers.startedAt+tuning.ArrayStarvationBound+5*time.Second {
@@ -160,7 +160,7 @@
 func TestGangIsPlacedInTheZoneThatFitsIt(t *testing.T) {
 	for _, zone := range []string{"a", "b"} {
 		h := newHarness(t)
-		h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, CPUsMax: 1000}
+		h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, MaxCPUs: 1000}
 		names := []string{"n-1", "n-6", "n-7"} // those after n-5 are in zone b
 		if zone == "a" {
 			names = []string{"n-1", "n-2", "n-6"}
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -101,7 +101,7 @@
 	if victim.rank > j.rank {
 		return true
 	}
-	if !j.standing.withinGuarantee || victim.standing.withinGuarantee || victim.spec.Team == j.spec.Team || victim.isProduction() {
+	if !j.queueStatus.withinGuarantee || victim.queueStatus.withinGuarantee || victim.spec.Team == j.spec.Team || victim.isProduction() {
 		return false
 	}
 	return c.exceedsGuarantee(victim)
@@ -162,7 +162,7 @@
 // jobs beyond their team's guarantee. Other work does so only for jobs within it, and after
 // a while: capacity may become free by itself, and what is preempted loses its progress.
 func (r *placementRound) preemptionScope(j *job) preemptionScope {
-	if j.isProduction() || j.standing.withinGuarantee && r.now.Mono-j.createdAt >= r.settings.GuaranteedStartWithin/2 {
+	if j.isProduction() || j.queueStatus.withinGuarantee && r.now.Mono-j.createdAt >= r.settings.GuaranteedStartWithin/2 {
 		return preemptLower
 	}
 	if j.rank >= idleRank || !r.idlePreemptable {
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -35,7 +35,7 @@
 		victim(3, normalRank, time.Second, nil),
 		victim(6, normalRank, 2*time.Second, tight),
 		victim(7, urgentRank, 0, nil),
-		victim(8, idleRank, 0, func(j *job) { j.standing.starved = true }),
+		victim(8, idleRank, 0, func(j *job) { j.queueStatus.starved = true }),
 	}
 	search := &preemptionSearch{round: &placementRound{termContext: &termContext{now: Now{Mono: now}}}}
 	for i, a := range ordered {
@@ -50,7 +50,7 @@
 // Work makes way for what has a higher priority, and, beyond its team's guarantee, for what
 // is within that of another team.
 func TestMayPreempt(t *testing.T) {
-	guaranteed := jobStanding{withinGuarantee: true}
+	guaranteed := jobQueueStatus{withinGuarantee: true}
 	for _, tc := range []struct {
 		name        string
 		job, victim job
@@ -59,19 +59,19 @@
 		want        bool
 	}{
 		{name: "lower priority", job: job{rank: urgentRank}, victim: job{rank: normalRank}, want: true},
-		{name: "same priority and team", job: job{rank: normalRank, standing: guaranteed}, victim: job{rank: normalRank}},
+		{name: "same priority and team", job: job{rank: normalRank, queueStatus: guaranteed}, victim: job{rank: normalRank}},
 		{name: "higher priority", job: job{rank: normalRank}, victim: job{rank: urgentRank}},
 		{
 			name: "beyond another team's guarantee", want: true,
-			job: job{rank: normalRank, standing: guaranteed}, victim: job{rank: urgentRank, spec: wire.Job{Team: "blue", CPUs: 2}},
+			job: job{rank: normalRank, queueStatus: guaranteed}, victim: job{rank: urgentRank, spec: wire.Job{Team: "blue", CPUs: 2}},
 		},
 		{
 			name: "within another team's guarantee",
-			job:  job{rank: normalRank, standing: guaranteed}, victim: job{rank: urgentRank, spec: wire.Job{Team: "blue", CPUs: 2}, standing: guaranteed},
+			job:  job{rank: normalRank, queueStatus: guaranteed}, victim: job{rank: urgentRank, spec: wire.Job{Team: "blue", CPUs: 2}, queueStatus: guaranteed},
 		},
 		{
 			name: "what another team needs for its guarantee",
-			job:  job{rank: normalRank, standing: guaranteed}, victim: job{rank: urgentRank, spec: wire.Job{Team: "blue", CPUs: 3}},
+			job:  job{rank: normalRank, queueStatus: guaranteed}, victim: job{rank: urgentRank, spec: wire.Job{Team: "blue", CPUs: 3}},
 		},
 		{
 			name: "both beyond their guarantees",
@@ -79,15 +79,15 @@
 		},
 		{
 			name: "production",
-			job:  job{rank: normalRank, standing: guaranteed}, victim: job{rank: productionRank, spec: wire.Job{Team: "blue", CPUs: 2}},
+			job:  job{rank: normalRank, queueStatus: guaranteed}, victim: job{rank: productionRank, spec: wire.Job{Team: "blue", CPUs: 2}},
 		},
-		{name: "starved job, for urgent work", job: job{rank: urgentRank}, victim: job{rank: idleRank, standing: jobStanding{starved: true}}},
-		{name: "starved job, for production", job: job{rank: productionRank}, victim: job{rank: idleRank, standing: jobStanding{starved: true}}, want: true},
+		{name: "starved job, for urgent work", job: job{rank: urgentRank}, victim: job{rank: idleRank, queueStatus: jobQueueStatus{starved: true}}},
+		{name: "starved job, for production", job: job{rank: productionRank}, victim: job{rank: idleRank, queueStatus: jobQueueStatus{starved: true}}, want: true},
 		{name: "start under way", job: job{rank: urgentRank}, victim: job{rank: normalRank}, start: startState{sent: true}},
 		{name: "acknowledged start", job: job{rank: urgentRank}, victim: job{rank: normalRank}, start: startState{sent: true, acknowledged: true}, want: true},
 		{name: "being stopped", job: job{rank: urgentRank}, victim: job{rank: normalRank}, stop: stopRequest{requested: true}},
 	} {
-		s := newEmptyScheduler(Now{}, Settings{Teams: map[string]TeamQuota{"blue": {CPUs: 8, CPUsMax: 16}}}, 1)
+		s := newEmptyScheduler(Now{}, Settings{Teams: map[string]TeamQuota{"blue": {CPUs: 8, MaxCPUs: 16}}}, 1)
 		s.cluster.usageOf("blue").CPUs = 10
 		a := &attempt{job: &tc.victim, start: tc.start, stop: tc.stop}
 		if got := s.cluster.mayPreempt(&tc.job, a); got != tc.want {
@@ -98,7 +98,7 @@
 
 // Idle work makes way at once; other work for jobs within their guarantee, after a while.
 func TestPreemptionScope(t *testing.T) {
-	within := jobStanding{withinGuarantee: true}
+	within := jobQueueStatus{withinGuarantee: true}
 	const now = time.Hour
 	for _, tc := range []struct {
 		name            string
@@ -107,8 +107,8 @@
 		want            preemptionScope
 	}{
 		{"production", job{rank: productionRank, createdAt: now}, false, preemptLower},
-		{"within its guarantee, just submitted", job{rank: normalRank, createdAt: now, standing: within}, true, preemptIdle},
-		{"within its guarantee, for a while", job{rank: normalRank, standing: within}, false, preemptLower},
+		{"within its guarantee, just submitted", job{rank: normalRank, createdAt: now, queueStatus: within}, true, preemptIdle},
+		{"within its guarantee, for a while", job{rank: normalRank, queueStatus: within}, false, preemptLower},
 		{"beyond its guarantee", job{rank: normalRank}, true, preemptIdle},
 		{"beyond its guarantee, without idle work", job{rank: normalRank}, false, preemptNothing},
 		{"idle", job{rank: idleRank}, true, preemptNothing},
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -36,7 +36,7 @@
 			continue
 		}
 		j.updateStarvation(c.now.Mono, totalCPUs)
-		if j.pendingTasks() > 0 && c.now.Mono >= j.retry.at {
+		if j.pendingTasks() > 0 && c.now.Mono >= j.retry.notBefore {
 			waiting = append(waiting, j)
 		}
 	}
@@ -56,10 +56,10 @@
 	if c := compareTrueFirst(a.isProduction(), b.isProduction()); c != 0 {
 		return c
 	}
-	if c := compareTrueFirst(a.standing.prioritized, b.standing.prioritized); c != 0 {
+	if c := compareTrueFirst(a.queueStatus.prioritized, b.queueStatus.prioritized); c != 0 {
 		return c
 	}
-	if c := compareTrueFirst(a.standing.aged, b.standing.aged); c != 0 {
+	if c := compareTrueFirst(a.queueStatus.aged, b.queueStatus.aged); c != 0 {
 		return c
 	}
 	// A job that can still be on time goes before one that is late already, even if that
@@ -90,15 +90,15 @@
 // ahead of all but production: deadline planning sacrifices the largest job first, and
 // under lasting overload it would do so in every round.
 func (j *job) updateStarvation(now time.Duration, totalCPUs float64) {
-	j.standing.starved = !j.service && now-j.createdAt > tuning.ArrayStarvationBound && !j.isEstablished(now) && !j.likelyInvalid(now)
+	j.queueStatus.starved = !j.service && now-j.createdAt > tuning.ArrayStarvationBound && !j.isEstablished(now) && !j.likelyInvalid(now)
 	//mutation:starved-jobs-first
-	j.standing.prioritized = j.standing.starved && j.starvedTaskAllowance(totalCPUs) > 0
+	j.queueStatus.prioritized = j.queueStatus.starved && j.starvedTaskAllowance(totalCPUs) > 0
 }
 
 // updateUrgency sets what follows from the deadline plan. A job that misses all its
 // deadlines ages, and then gets a share of the cluster: it has to finish all the same.
 func (j *job) updateUrgency(now time.Duration) {
-	j.standing.aged = !j.service && j.missesAllDeadlines() && now-j.createdAt > tuning.AgedAfter
+	j.queueStatus.aged = !j.service && j.missesAllDeadlines() && now-j.createdAt > tuning.AgedAfter
 	j.plan.slackS = math.Inf(1) // without a deadline, after those that have one
 	if len(j.plan.deadlines) > 0 {
 		j.plan.slackS = j.secondsToDeadline(now)
@@ -124,7 +124,7 @@
 			unfinished := float64(j.spec.Tasks - j.progress.doneCount)
 			cpus += unfinished * j.spec.CPUs
 			gpus += unfinished * j.spec.GPUs
-			j.standing.withinGuarantee = cpus <= guarantee.CPUs+epsilon && gpus <= guarantee.GPUs+epsilon
+			j.queueStatus.withinGuarantee = cpus <= guarantee.CPUs+epsilon && gpus <= guarantee.GPUs+epsilon
 		}
 	}
 }
@@ -144,11 +144,11 @@
 // to count as started for good. Idle work of a guest team that is preempted within seconds
 // of each start would otherwise never count as starved.
 func (j *job) isEstablished(now time.Duration) bool {
-	if j.standing.established || j.progress.doneCount > 0 {
+	if j.queueStatus.established || j.progress.doneCount > 0 {
 		return true
 	}
-	j.standing.established = j.longestRun(now) >= tuning.EstablishedAfter
-	return j.standing.established
+	j.queueStatus.established = j.longestRun(now) >= tuning.EstablishedAfter
+	return j.queueStatus.established
 }
 
 // longestRun is for how long the job's longest-running task has run, without those that
@@ -169,7 +169,7 @@
 // starved: a part of the job, and, beyond its team's guarantee, of the cluster.
 func (j *job) starvedTaskAllowance(totalCPUs float64) int {
 	allowance := max(1, j.spec.Tasks/tuning.StarvedArrayDivisor)
-	if !j.standing.withinGuarantee && j.spec.CPUs > 0 {
+	if !j.queueStatus.withinGuarantee && j.spec.CPUs > 0 {
 		allowance = min(allowance, max(1, int(totalCPUs*tuning.StarvedJobShare/j.spec.CPUs)))
 	}
 	return max(0, allowance-j.activeCount)
@@ -177,13 +177,13 @@
 
 // ofStarvedJob reports whether the attempt is of a starved job, which keeps what it got
 // ahead of others until it is established.
-func (a *attempt) ofStarvedJob() bool { return a.job != nil && a.job.standing.starved }
+func (a *attempt) ofStarvedJob() bool { return a.job != nil && a.job.queueStatus.starved }
 
 // deadlineClass orders jobs by the first deadline that they can still meet, and those that
 // are equal in that by whether they are within their team's guarantee.
 func (j *job) deadlineClass() int {
 	class := 2 * j.plan.feasible
-	if !j.standing.withinGuarantee {
+	if !j.queueStatus.withinGuarantee {
 		class++
 	}
 	return class
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -10,7 +10,7 @@
 // Each job goes before the next: what comes first in compareQueueOrder decides.
 func TestQueueOrder(t *testing.T) {
 	queued := func(id string, rank int, change func(*job)) *job {
-		j := &job{id: id, rank: rank, standing: jobStanding{withinGuarantee: true}, plan: deadlinePlan{slackS: 60}}
+		j := &job{id: id, rank: rank, queueStatus: jobQueueStatus{withinGuarantee: true}, plan: deadlinePlan{slackS: 60}}
 		if change != nil {
 			change(j)
 		}
@@ -18,19 +18,19 @@
 	}
 	ordered := []*job{
 		queued("production, late and beyond its guarantee", productionRank, func(j *job) {
-			j.plan.feasible, j.standing.withinGuarantee = 1, false
+			j.plan.feasible, j.queueStatus.withinGuarantee = 1, false
 		}),
-		queued("starved", normalRank, func(j *job) { j.standing.prioritized, j.plan.feasible = true, 1 }),
-		queued("aged", normalRank, func(j *job) { j.standing.aged, j.plan.feasible = true, 1 }),
+		queued("starved", normalRank, func(j *job) { j.queueStatus.prioritized, j.plan.feasible = true, 1 }),
+		queued("aged", normalRank, func(j *job) { j.queueStatus.aged, j.plan.feasible = true, 1 }),
 		queued("urgent", urgentRank, nil),
 		queued("less time", normalRank, func(j *job) { j.plan.slackS = 10 }),
 		queued("older", normalRank, func(j *job) { j.createdAt = -time.Second }),
 		queued("usual, a", normalRank, nil),
 		queued("usual, b", normalRank, nil),
-		queued("beyond its guarantee", urgentRank, func(j *job) { j.standing.withinGuarantee = false }),
+		queued("beyond its guarantee", urgentRank, func(j *job) { j.queueStatus.withinGuarantee = false }),
 		queued("late", urgentRank, func(j *job) { j.plan.feasible = 1 }),
 		queued("late and beyond its guarantee", urgentRank, func(j *job) {
-			j.plan.feasible, j.standing.withinGuarantee = 1, false
+			j.plan.feasible, j.queueStatus.withinGuarantee = 1, false
 		}),
 	}
 	for i, a := range ordered {
@@ -44,7 +44,7 @@
 
 // The guarantee of a team covers its oldest jobs, as far as it goes.
 func TestGuaranteeCoversTheOldestJobs(t *testing.T) {
-	s := newEmptyScheduler(Now{}, Settings{Teams: map[string]TeamQuota{"red": {CPUs: 8, CPUsMax: 100}}}, 1)
+	s := newEmptyScheduler(Now{}, Settings{Teams: map[string]TeamQuota{"red": {CPUs: 8, MaxCPUs: 100}}}, 1)
 	for i, id := range []string{"run-000003", "run-000001", "run-000002"} {
 		j := &job{id: id}
 		j.spec.Team, j.spec.CPUs, j.spec.Tasks, j.spec.CreatedAtMilli = "red", 1, 4, int64(i)
@@ -53,7 +53,7 @@
 	s.cluster.updateGuarantees()
 	var within []string
 	for id, j := range s.cluster.jobs {
-		if j.standing.withinGuarantee {
+		if j.queueStatus.withinGuarantee {
 			within = append(within, id)
 		}
 	}
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -41,10 +41,10 @@
 	usage := c.usageOf(j.spec.Team)
 	count := math.Inf(1)
 	if j.spec.CPUs > 0 {
-		count = min(count, math.Floor((limit.CPUsMax-usage.CPUs-reserved.CPUs+epsilon)/j.spec.CPUs))
+		count = min(count, math.Floor((limit.MaxCPUs-usage.CPUs-reserved.CPUs+epsilon)/j.spec.CPUs))
 	}
 	if j.spec.GPUs > 0 {
-		count = min(count, math.Floor((limit.GPUsMax-usage.GPUs-reserved.GPUs+epsilon)/j.spec.GPUs))
+		count = min(count, math.Floor((limit.MaxGPUs-usage.GPUs-reserved.GPUs+epsilon)/j.spec.GPUs))
 	}
 	return int(max(0, min(count, wire.MaxTasks)))
 }
@@ -53,7 +53,7 @@
 func (c *clusterState) quotaShortfall(j *job, tasks int) resources {
 	limit, usage := c.settings.Teams[j.spec.Team], c.usageOf(j.spec.Team)
 	return resources{
-		cpus: usage.CPUs + float64(tasks)*j.spec.CPUs - limit.CPUsMax,
-		gpus: usage.GPUs + float64(tasks)*j.spec.GPUs - limit.GPUsMax,
+		cpus: usage.CPUs + float64(tasks)*j.spec.CPUs - limit.MaxCPUs,
+		gpus: usage.GPUs + float64(tasks)*j.spec.GPUs - limit.MaxGPUs,
 	}
 }
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -45,7 +45,7 @@
 		{"GPUs bind", wire.Job{CPUs: 1, GPUs: 1}, TeamQuota{}, TeamQuota{GPUs: 1}, 3},
 		{"tasks that take nothing", wire.Job{}, TeamQuota{}, TeamQuota{}, wire.MaxTasks},
 	} {
-		s := newEmptyScheduler(Now{}, Settings{Teams: map[string]TeamQuota{"red": {CPUsMax: 16, GPUsMax: 4}}}, 1)
+		s := newEmptyScheduler(Now{}, Settings{Teams: map[string]TeamQuota{"red": {MaxCPUs: 16, MaxGPUs: 4}}}, 1)
 		usage := s.cluster.usageOf("red")
 		usage.CPUs, usage.GPUs = tc.usage.CPUs, tc.usage.GPUs
 		tc.spec.Team = "red"
--- a/internal/scheduler/reconciliation.go
+++ b/internal/scheduler/reconciliation.go
@@ -138,7 +138,7 @@
 // reconciliation only under this term's token: a copy of an earlier heartbeat may list
 // what is long gone. The attempt counts from its first listing all the same.
 func (s *Scheduler) confirmActive(a *attempt) {
-	if !a.machine.heartbeats.underTerm {
+	if !a.machine.heartbeats.underCurrentTerm {
 		return
 	}
 	s.observeRecorded(a, reconcile.Active)
@@ -184,7 +184,7 @@
 	}
 	a.reconciliation.class = difference.Class
 	if difference.Action == reconcile.Stop {
-		a.reconciliation.awaitsStop = true
+		a.reconciliation.awaitsStopProof = true
 		r.AwaitStop()
 	}
 	r.AddDifference(r.now.Mono, difference)
@@ -204,8 +204,8 @@
 
 // countStopProven takes note that an attempt is gone, if a difference asked for its stop.
 func (r *termReconciler) countStopProven(a *attempt) {
-	if a.reconciliation.awaitsStop {
-		a.reconciliation.awaitsStop = false
+	if a.reconciliation.awaitsStopProof {
+		a.reconciliation.awaitsStopProof = false
 		r.StopProven(r.now.Mono)
 	}
 }
--- a/internal/scheduler/reconciliation_test.go
+++ b/internal/scheduler/reconciliation_test.go
@@ -377,7 +377,7 @@
 		h := newHarnessWith(t, harnessConfig{live: liveJobs(wire.Job{ID: restartedJobID, Tasks: machines, CPUs: 8}), records: storedRecords, change: func(s *Settings) {
 			coldRestart(s)
 			s.Policy.ReconcileRestarts, s.CloudRate, s.WorkerLease = enabled, rate, time.Minute
-			s.Teams["red"] = TeamQuota{CPUs: 8 * machines, CPUsMax: 8 * machines}
+			s.Teams["red"] = TeamQuota{CPUs: 8 * machines, MaxCPUs: 8 * machines}
 		}})
 		h.calls = nil
 		for range 2 * tuning.MissingListThreshold {
--- a/internal/scheduler/reply_delivery.go
+++ b/internal/scheduler/reply_delivery.go
@@ -18,7 +18,7 @@
 // work, and is released unless a token that it has seen since, or its answer to a direct
 // call, shows that it is reached.
 func (d *dispatcher) watchReplyDelivery(m *machine, heartbeat *wire.Heartbeat) {
-	lease, answeredAt := d.settings.WorkerLease, m.connectivity.heartbeatAnsweredAt
+	lease, answeredAt := d.settings.WorkerLease, m.connectivity.heartbeatRepliedAt
 	newIncarnation := m.heartbeats.incarnation > 0 && heartbeat.Incarnation > m.heartbeats.incarnation
 	answeredWithinLease := answeredAt > 0 && d.now.Mono-answeredAt < lease*3/4
 	ledForLease := d.now.Mono-d.startedAt > lease
@@ -26,7 +26,7 @@
 	case newIncarnation && answeredWithinLease && ledForLease:
 		//mutation:lost-incarnation-marks-unreachable
 		d.markUnreachable(m, leaseExpiredThoughRenewed)
-	case TermOf(heartbeat.FencingToken) == d.term && heartbeat.FencingToken > m.fencing.seenToken:
+	case TermOf(heartbeat.FencingToken) == d.term && heartbeat.FencingToken > m.fencing.highestSeenToken:
 		m.connectivity.unreachableSince = 0 // it has seen a token that is new since its last heartbeat
 	}
 }
--- a/internal/scheduler/scalein.go
+++ b/internal/scheduler/scalein.go
@@ -94,7 +94,7 @@
 	case m.phase == machineReleasing:
 		return ""
 	case m.phase == machineBooting:
-		return s.autoscaler.bootReleaseReason(m, s.cluster.bootTime(m.machineType), s.monitor.age(m.knownAt))
+		return s.autoscaler.bootReleaseReason(m, s.cluster.bootTime(m.machineType), s.monitor.age(m.firstKnownAt))
 	case s.monitor.hasFailed(m):
 		return ReleaseFailed
 	case missingZones[m.zone]:
@@ -128,12 +128,12 @@
 func (h *heartbeatMonitor) releaseReason(m *machine, reconciler *reconcile.Reconciler) ReleaseReason {
 	now, heartbeatAge := h.now.Mono, h.ownHeartbeatAge(m)
 	//mutation:reconciliation-holds-release
-	if m.calls.unansweredSinceHeartbeat >= tuning.UnansweredProbeThreshold && !reconciler.HoldsRelease(now, m.name) && heartbeatAge > h.heartbeatOverdueAfter()+tuning.CommandTimeout*tuning.UnansweredProbeThreshold && len(m.tasks) > 0 {
+	if m.directCalls.unansweredSinceHeartbeat >= tuning.UnansweredProbeThreshold && !reconciler.HoldsRelease(now, m.name) && heartbeatAge > h.heartbeatOverdueAfter()+tuning.CommandTimeout*tuning.UnansweredProbeThreshold && len(m.tasks) > 0 {
 		// Until its lease ends, its tasks could start nowhere else; the answer to the
 		// release proves them gone at once.
 		return ReleaseProbesUnanswered
 	}
-	if m.cloud.listed && m.cloud.missedLists >= tuning.MissingListThreshold && heartbeatAge > h.settings.HeartbeatInterval*2 {
+	if m.cloud.listedInTerm && m.cloud.consecutiveMissedLists >= tuning.MissingListThreshold && heartbeatAge > h.settings.HeartbeatInterval*2 {
 		// A machine stays listed until it is gone, but lists may be old: only the
 		// answer to the release is proof.
 		return ReleaseNotListed
@@ -238,6 +238,6 @@
 	s.reconciler.MachineReleased(s.now.Mono, m.name)
 	s.persister.noteMachineReleased(m)
 	delete(s.cluster.machines, m.name)
-	s.cluster.machinesByName = nil
+	s.cluster.machinesInNameOrder = nil
 	s.placement.due = true
 }
--- a/internal/scheduler/scalein_test.go
+++ b/internal/scheduler/scalein_test.go
@@ -93,7 +93,7 @@
 	}
 	h.answerAll(CallExecuted)
 	answering, unanswering, inFlight := busy[0], busy[1], busy[2]
-	h.scheduler.cluster.machines[inFlight].calls.unanswered = 5 // before its last heartbeat
+	h.scheduler.cluster.machines[inFlight].directCalls.consecutiveUnanswered = 5 // before its last heartbeat
 	idle := slices.DeleteFunc(machines, func(name string) bool { return slices.Contains(busy, name) })
 
 	startedAt := h.now
--- a/internal/scheduler/scaleout_test.go
+++ b/internal/scheduler/scaleout_test.go
@@ -63,7 +63,7 @@
 		t.Fatalf("without the lease: released %v, requested %v", h.releases, h.provisionRequests)
 	}
 
-	h.scheduler.LeaseHeldUntil(h.now + time.Hour)
+	h.scheduler.ExtendLease(h.now + time.Hour)
 	h.advance(5*time.Second, "n-000001")
 	if len(h.releases) != 0 || len(h.provisionRequests) == 0 {
 		t.Errorf("with the lease renewed: released %v, requested %v", h.releases, h.provisionRequests)
@@ -84,7 +84,7 @@
 			h := newHarness(t)
 			h.scheduler.autoscaler.listed = true
 			h.scheduler.settings.Policy.HeadroomShare = 0
-			h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 48, CPUsMax: 48}
+			h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 48, MaxCPUs: 48}
 			h.submit(wire.Job{ID: "run-000001", Tasks: requested, CPUs: 8, EstimatedRunS: 1000})
 			provisioned := 0
 			for len(h.provisionRequests) > 0 {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,18 +1,18 @@
-// Package scheduler decides what runs where. It is a state machine without I/O,
-// goroutines, clock or randomness of its own: inputs come in with the time at which they
-// came, and what is to be sent, written and answered comes out as Effects. Use it by
-// calling New once a term has begun, an input method (Heartbeat, JobsChanged, CommitDone,
-// Tick, ...) for each event, then Settle, and TakeEffects for what follows.
+// Package scheduler decides which task runs on which machine. It is a deterministic state
+// machine without I/O, goroutines, a clock or randomness: each input carries the time at which
+// it arrived, and the calls, writes and log lines that result are returned as Effects. Call New
+// at the start of a term. For each event, call the input method (Heartbeat, JobsChanged,
+// CommitDone, Tick, ...), then Settle, then TakeEffects.
 //
-// The guarantees rest on three rules. A task's assignment is durable before any start is
-// sent to its machine; an attempt is forgotten only on proof that it is gone and cannot
-// come back (see provenAbsent and Released); and every write is conditioned on the
-// leader's key, so that a leader that has been replaced can change nothing.
+// Its guarantees rest on three rules. A task's assignment is durable before any start is sent
+// to its machine. An attempt is removed from the state only on proof that it no longer exists
+// and cannot be started by a delayed command (see provenAbsent and Released). Every write is
+// conditional on the leader's key, so that a leader that has been replaced can change nothing.
 //
-// Scheduler routes inputs to its parts, each with a state type of its own: the cluster
-// (machines, jobs, attempts and the sums over them), placement with preemption,
-// autoscaling, dispatch with fencing, persistence, cancellations, and the monitoring of
-// heartbeats.
+// Scheduler routes inputs to its parts, each with its own state type: the cluster (machines,
+// jobs, attempts and the totals over them), placement with preemption, autoscaling, dispatch
+// with fencing, persistence, cancellations, heartbeat monitoring, and reconciliation at the
+// start of a term.
 package scheduler
 
 import (
@@ -24,15 +24,15 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Now is the time of an input: Mono since the process started, Wall in
-// milliseconds of the time of day.
+// Now is the time of an input. Mono is the monotonic time since the process started. Wall is
+// the time of day as a Unix time in milliseconds.
 type Now struct {
 	Mono time.Duration
 	Wall int64
 }
 
-// Scheduler is the state of a leader during one term. It routes inputs to its parts, each
-// of which owns its state.
+// Scheduler holds the state of a leader during one term. It routes inputs to its parts, each
+// of which owns its own state.
 type Scheduler struct {
 	*termContext
 
@@ -49,9 +49,9 @@
 	reconciler    termReconciler
 }
 
-// New starts a term with what the key-value store has: the live jobs by the replica,
-// their further done bits (items under records.BitmapPrefix) and the assignments (items
-// under records.BatchPrefix and records.LegacyMachinePrefix).
+// New starts a term from the contents of the key-value store: the live jobs in the replica,
+// the done bits that are stored outside job records (items under records.BitmapPrefix) and the
+// assignments (items under records.BatchPrefix and records.LegacyMachinePrefix).
 func New(now Now, settings Settings, term uint64, replica *Replica, doneBits []wire.KeyValue, assignments []wire.KeyValue, types []wire.MachineType) *Scheduler {
 	s := newEmptyScheduler(now, settings, term)
 	s.SetMachineTypes(now, types)
@@ -71,7 +71,7 @@
 	return s
 }
 
-// newEmptyScheduler makes a scheduler that knows of nothing yet.
+// newEmptyScheduler returns a scheduler without machines or jobs.
 func newEmptyScheduler(now Now, settings Settings, term uint64) *Scheduler {
 	context := &termContext{settings: settings, term: term, now: now, startedAt: now.Mono}
 	reconciler := reconcile.New(now.Mono, settings.reconcileConfig())
@@ -103,11 +103,11 @@
 	}
 }
 
-// probeRestoredMachines asks all machines for a heartbeat under this term's token.
+// probeRestoredMachines asks every machine for a heartbeat under this term's fencing token.
 func (s *Scheduler) probeRestoredMachines() {
 	for _, m := range s.cluster.sortedMachines() {
 		if s.dispatcher.isDue(m) {
-			s.dispatcher.sendDue(m) // its reply is such a heartbeat
+			s.dispatcher.sendDue(m) // the reply contains such a heartbeat
 		}
 		s.dispatcher.probeStatus(m, len(s.cluster.machines))
 	}
--- a/internal/scheduler/settings.go
+++ b/internal/scheduler/settings.go
@@ -6,31 +6,32 @@
 	"github.com/yarrowgap/yarrowgap/internal/policy"
 )
 
-// TeamQuota is a team's quota: the amounts that it is guaranteed, and the limits (Max)
-// beyond which nothing of it is placed.
+// TeamQuota is a team's resource quota. CPUs and GPUs are the amounts that the team is
+// guaranteed. MaxCPUs and MaxGPUs are limits: no task that would exceed them is placed.
 type TeamQuota struct {
-	CPUs, CPUsMax, GPUs, GPUsMax float64
+	CPUs, MaxCPUs, GPUs, MaxGPUs float64
 }
 
-// Settings are what the scheduler needs to know of the deployment and of the operators'
-// policy. They do not change within a term.
+// Settings describe the deployment and the operators' policy. They do not change within a term.
 type Settings struct {
 	Teams             map[string]TeamQuota
 	HeartbeatInterval time.Duration
 	WorkerLease       time.Duration
-	CancellationBound time.Duration // within which a cancelled job's tasks are gone
-	MaxTransactionOps int           // that the key-value store takes
-	MaxValueBytes     int           // that the key-value store takes
-	WriteRate         float64       // changes a second that the key-value store takes
-	CloudRate         float64       // requests a second that the cloud takes; 0: unknown
-	CPUShare          float64       // of a core, that this process has; 0: unknown
+	CancellationBound time.Duration // the tasks of a cancelled job are gone within this time
+	MaxTransactionOps int           // limit of the key-value store, in operations per transaction
+	MaxValueBytes     int           // limit of the key-value store, per value
+	WriteRate         float64       // limit of the key-value store, in changes per second
+	CloudRate         float64       // limit of the cloud API, in requests per second; 0: unknown
+	CPUShare          float64       // cores available to this process; 0: unknown
 	MinimizeCost      bool
-	Objectives        map[string]Objective // by class
-	// GuaranteedStartWithin is how soon work within a quota guarantee should start.
+	Objectives        map[string]Objective // by job class
+	// GuaranteedStartWithin is the time within which a job within its team's guarantee should
+	// start.
 	GuaranteedStartWithin time.Duration
-	CloudListLag          time.Duration // by which the cloud's list is out of date
-	// ColdRestart is whether no controller is known to have survived the last leader.
+	CloudListLag          time.Duration // how stale the cloud's list of machines can be
+	// ColdRestart reports whether no controller is known to have been up when the previous
+	// leader ended.
 	ColdRestart     bool
-	TraceOperations bool // have an event for each operation during reconciliation
+	TraceOperations bool // emit an event for each operation during reconciliation
 	Policy          policy.Settings
 }
--- a/internal/scheduler/simulation_controllers_test.go
+++ b/internal/scheduler/simulation_controllers_test.go
@@ -121,7 +121,7 @@
 		c.stepDown()
 		return
 	}
-	c.scheduler.LeaseHeldUntil(c.sim.now + tuning.LeaderLeaseTTL)
+	c.scheduler.ExtendLease(c.sim.now + tuning.LeaderLeaseTTL)
 }
 
 // leaderKeyIsFree reports whether there is no leader's key. One that is left by an earlier
@@ -173,7 +173,7 @@
 		return (peer == c || c.reachesPeer(peer)) && c.survivedFailover(peer)
 	})
 	c.scheduler = scheduler.New(sim.schedulerNow(), settings, c.term, c.replica, readAll(records.BitmapPrefix), readAll(records.BatchPrefix), sim.machineTypes)
-	c.scheduler.LeaseHeldUntil(sim.now + tuning.LeaderLeaseTTL)
+	c.scheduler.ExtendLease(sim.now + tuning.LeaderLeaseTTL)
 	c.settle()
 	for _, heartbeat := range sim.heldHeartbeats {
 		sim.after(time.Duration(sim.rng.IntN(3000))*time.Millisecond, func() { c.heartbeat(&heartbeat) })
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -145,7 +145,7 @@
 }
 
 func simulationSettings(size simulationSize, workerLease time.Duration) scheduler.Settings {
-	quota := scheduler.TeamQuota{CPUs: size.teamCPUs / 2, CPUsMax: size.teamCPUs}
+	quota := scheduler.TeamQuota{CPUs: size.teamCPUs / 2, MaxCPUs: size.teamCPUs}
 	return scheduler.Settings{
 		Teams:             map[string]scheduler.TeamQuota{"red": quota, "blue": quota},
 		HeartbeatInterval: size.heartbeatInterval, WorkerLease: workerLease, CancellationBound: size.cancellationBound,
--- a/internal/scheduler/statusprobe.go
+++ b/internal/scheduler/statusprobe.go
@@ -36,7 +36,7 @@
 // probeStatus asks a machine for a heartbeat under this term's fencing token, by a call
 // without commands. If no probe may be sent now, the next scan begins with this machine.
 func (d *dispatcher) probeStatus(m *machine, fleetSize int) {
-	if m.phase != machineUp || m.address == "" || m.calls.inFlight || d.isDue(m) {
+	if m.phase != machineUp || m.address == "" || m.directCalls.inFlight || d.isDue(m) {
 		return // what is due for the machine will bring a heartbeat too
 	}
 	if d.probedLately(m) || d.heartbeatExpectedSoon(m) {
@@ -47,15 +47,15 @@
 		probes.putOff(m)
 		return
 	}
-	m.calls.probedAt = d.now.Mono
+	m.directCalls.probedAt = d.now.Mono
 	probes.inFlight++
 	d.sendCommands(m, []wire.Command{}, nil)
 }
 
 // probedLately reports whether it is too early for another probe of the machine.
 func (d *dispatcher) probedLately(m *machine) bool {
-	interval := tuning.MinStatusProbeInterval << min(m.calls.unanswered, maxProbeBackoffDoublings)
-	return m.calls.probedAt > 0 && d.now.Mono-m.calls.probedAt < interval
+	interval := tuning.MinStatusProbeInterval << min(m.directCalls.consecutiveUnanswered, maxProbeBackoffDoublings)
+	return m.directCalls.probedAt > 0 && d.now.Mono-m.directCalls.probedAt < interval
 }
 
 // statusProbeLimit is how many probes may be in flight when this machine is probed. Machines
@@ -64,7 +64,7 @@
 // others would answer at once. The limit grows with the fleet, the number of all machines.
 func (d *dispatcher) statusProbeLimit(m *machine, fleetSize int) int {
 	limit := max(tuning.MinConcurrentStatusProbes, min(fleetSize/tuning.MachinesPerStatusProbe, tuning.MaxConcurrentStatusProbes))
-	if m.calls.unanswered > 0 {
+	if m.directCalls.consecutiveUnanswered > 0 {
 		limit /= 2
 	}
 	return limit
@@ -91,7 +91,7 @@
 // probe would help: its last one has just been answered, with a fencing token that is new
 // to it.
 func (d *dispatcher) heartbeatExpectedSoon(m *machine) bool {
-	answeredAt := m.connectivity.heartbeatAnsweredAt
+	answeredAt := m.connectivity.heartbeatRepliedAt
 	//mutation:no-status-probe-before-heartbeat
-	return d.isCPULimited() && answeredAt > 0 && m.fencing.seenToken < d.fencingToken(m) && d.now.Mono-answeredAt < tuning.StatusProbeHoldOff
+	return d.isCPULimited() && answeredAt > 0 && m.fencing.highestSeenToken < d.fencingToken(m) && d.now.Mono-answeredAt < tuning.StatusProbeHoldOff
 }
--- a/internal/scheduler/statusprobe_test.go
+++ b/internal/scheduler/statusprobe_test.go
@@ -107,13 +107,13 @@
 	f.now += time.Second // there are status probes again
 	callsBefore := f.directCalls
 
-	if _, ok := f.scheduler.Heartbeat(f.clock(), f.newHeartbeat(m.name)); !ok || m.calls.inFlight {
-		t.Errorf("answered %v, probed at once %v", ok, m.calls.inFlight)
+	if _, ok := f.scheduler.Heartbeat(f.clock(), f.newHeartbeat(m.name)); !ok || m.directCalls.inFlight {
+		t.Errorf("answered %v, probed at once %v", ok, m.directCalls.inFlight)
 	}
 	f.now += tuning.StatusProbeHoldOff
 	f.scheduler.Settle(f.clock())
 	f.scheduler.dispatcher.probeStatus(m, len(f.scheduler.cluster.machines))
-	if !m.calls.inFlight || f.directCalls != callsBefore {
+	if !m.directCalls.inFlight || f.directCalls != callsBefore {
 		t.Error("not probed though its heartbeat did not come")
 	}
 }
--- a/internal/scheduler/tick.go
+++ b/internal/scheduler/tick.go
@@ -6,11 +6,11 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// maxPlacementInterval is after how long a placement round is due in any case: the cloud
-// may have capacity again, or a machine may be reachable again.
+// maxPlacementInterval is the time after which a placement round is due even without an event
+// that asks for one: the cloud may have capacity again, or a machine may be reachable again.
 const maxPlacementInterval = time.Second
 
-// Tick does what falls due as time passes.
+// Tick performs the work that becomes due by the passage of time.
 func (s *Scheduler) Tick(now Now) {
 	s.now = now
 	s.monitor.notePause()
@@ -31,24 +31,24 @@
 	s.reconciler.Advance(now.Mono)
 	s.resolveUnreadableRecords()
 	s.persister.compactBatches()
-	s.placement.requireRound()
+	s.placement.requestOverdueRound()
 	s.Settle(now)
 }
 
-// Settle does what has become due by the inputs since the last call: it places tasks,
-// scales out, writes records and sends commands. It follows every input.
+// Settle performs the work that the inputs since the last call have made due: it places tasks,
+// scales out, writes records and sends commands. It has to be called after every input.
 func (s *Scheduler) Settle(now Now) {
 	s.now = now
-	s.placement.wakeBackedOffJobs()
+	s.placement.endExpiredBackoffs()
 	if s.placement.beginRound(len(s.cluster.machines)) {
 		s.autoscaler.scaleOut(&s.cluster, s.reconciler.Reconciler, s.placePending())
 	}
 	s.persister.flush()
-	s.sendToMachinesDue()
+	s.sendToDueMachines()
 }
 
-// sendToMachinesDue sends commands to the machines that were marked for it.
-func (s *Scheduler) sendToMachinesDue() {
+// sendToDueMachines sends commands to the machines that markDue has marked.
+func (s *Scheduler) sendToDueMachines() {
 	for name := range s.dispatcher.takeDue() {
 		if m := s.cluster.machines[name]; m != nil {
 			s.dispatcher.sendDue(m)
@@ -56,30 +56,33 @@
 	}
 }
 
-// PlacementPending reports whether a placement round waits for its interval to pass.
+// PlacementPending reports whether a placement round is due but delayed until the minimum
+// interval since the last round has passed.
 func (s *Scheduler) PlacementPending() bool { return s.placement.due }
 
-// LeaseHeldUntil tells the leader how long its lease lasts unless it is renewed.
-func (c *termContext) LeaseHeldUntil(until time.Duration) {
+// ExtendLease records that the leader holds its lease until the given time. A time before the
+// recorded one has no effect.
+func (c *termContext) ExtendLease(until time.Duration) {
 	c.leaseHeldUntil = max(c.leaseHeldUntil, until)
 }
 
-// holdsLease reports whether this process leads for certain. Calls to the cloud are neither
-// conditional nor fenced: a process that was paused for longer than its lease would find
-// that all machines missed their heartbeats, and release hundreds that work for its
-// successor.
+// holdsLease reports whether this process is certain to be the leader. Cloud API calls are
+// neither conditional on the leader's key nor fenced: without this check, a process that was
+// paused for longer than its lease would conclude that all machines missed their heartbeats,
+// and release hundreds of machines that work for its successor.
 func (c *termContext) holdsLease() bool { return c.now.Mono < c.leaseHeldUntil }
 
-// requireRound makes a placement round due if the last one was long ago.
-func (p *placementState) requireRound() {
+// requestOverdueRound makes a placement round due if the last one began at least
+// maxPlacementInterval ago.
+func (p *placementState) requestOverdueRound() {
 	if p.now.Mono-p.lastRoundAt >= maxPlacementInterval {
 		p.due = true
 	}
 }
 
-// beginRound reports whether a placement round is due, and notes that it begins.
-func (p *placementState) beginRound(machines int) bool {
-	if !p.due || p.now.Mono-p.lastRoundAt < p.interval(machines) {
+// beginRound reports whether a placement round may start now. If so, it records the start.
+func (p *placementState) beginRound(machineCount int) bool {
+	if !p.due || p.now.Mono-p.lastRoundAt < p.minRoundInterval(machineCount) {
 		return false
 	}
 	p.lastRoundAt = p.now.Mono
@@ -87,14 +90,16 @@
 	return true
 }
 
-// interval is the least time between two placement rounds, since each visits every machine.
-func (p *placementState) interval(machines int) time.Duration {
-	return tuning.MinPlacementInterval + p.scaleByCPUShare(time.Duration(machines)*tuning.PlacementIntervalPerMachine)
+// minRoundInterval returns the minimum time between two placement rounds. It grows with the
+// number of machines, since each round visits every machine.
+func (p *placementState) minRoundInterval(machineCount int) time.Duration {
+	return tuning.MinPlacementInterval + p.scaleByCPUShare(time.Duration(machineCount)*tuning.PlacementIntervalPerMachine)
 }
 
-// scaleByCPUShare stretches an interval that was measured with tuning.ReferenceCPUShare of a
-// core for a process that has less. It would spend all of its time on rounds while hundreds
-// of jobs wait, and fall behind with heartbeats, so that machines stay idle beside them.
+// scaleByCPUShare lengthens an interval for a process that has less than the
+// tuning.ReferenceCPUShare of a core that the interval is meant for. Without that, such a
+// process would spend all of its time on placement rounds while hundreds of jobs wait, and fall
+// behind with heartbeats, so that machines stay idle although jobs wait for them.
 func (c *termContext) scaleByCPUShare(interval time.Duration) time.Duration {
 	if c.isCPULimited() {
 		return time.Duration(float64(interval) * tuning.ReferenceCPUShare / c.settings.CPUShare)
@@ -102,13 +107,13 @@
 	return interval
 }
 
-// wakeBackedOffJobs makes a placement round due for jobs whose backoff after a failed
-// attempt is over.
-func (p *placementState) wakeBackedOffJobs() {
+// endExpiredBackoffs ends the backoff of jobs whose retry time after a failed attempt has come,
+// and makes a placement round due for them.
+func (p *placementState) endExpiredBackoffs() {
 	for j := range p.backingOff {
-		if p.now.Mono >= j.retry.at {
+		if p.now.Mono >= j.retry.notBefore {
 			delete(p.backingOff, j)
-			j.retry.at = 0
+			j.retry.notBefore = 0
 			p.due = true
 		}
 	}
--- a/internal/scheduler/tick_test.go
+++ b/internal/scheduler/tick_test.go
@@ -46,12 +46,12 @@
 	}
 }
 
-// paceCounts counts what a scheduler did in two seconds.
-type paceCounts struct{ rounds, scans, scaleOuts int }
+// activityCounts counts what a scheduler did in two seconds.
+type activityCounts struct{ rounds, scans, scaleOuts int }
 
-// countPace counts placement rounds, scans of all machines and plans to scale out, in a
+// countActivity counts placement rounds, scans of all machines and plans to scale out, in a
 // fleet that has work waiting all the time.
-func countPace(t *testing.T, cpuShare float64) (counts paceCounts) {
+func countActivity(t *testing.T, cpuShare float64) (counts activityCounts) {
 	t.Helper()
 	f := newFleetHarness(t, 400)
 	f.scheduler.settings.CPUShare = cpuShare
@@ -81,11 +81,11 @@
 // With a smaller CPU share, placement rounds, scans of all machines and plans to scale out
 // are further apart, by as much: counted here, not timed.
 func TestSmallCPUShareSpacesRoundsAndScans(t *testing.T) {
-	usual := countPace(t, tuning.ReferenceCPUShare)
-	if unknown := countPace(t, 0); unknown != usual {
+	usual := countActivity(t, tuning.ReferenceCPUShare)
+	if unknown := countActivity(t, 0); unknown != usual {
 		t.Errorf("%+v where the share is not known, %+v with the usual one", unknown, usual)
 	}
-	quarter := countPace(t, tuning.ReferenceCPUShare/4)
+	quarter := countActivity(t, tuning.ReferenceCPUShare/4)
 	if quarter.rounds*5 > usual.rounds*2 || quarter.scans*3 > usual.scans || quarter.scaleOuts*3 > usual.scaleOuts {
 		t.Errorf("%+v with a quarter of the share, %+v with all of it", quarter, usual)
 	}
--- a/internal/scheduler/unconfirmed_capacity.go
+++ b/internal/scheduler/unconfirmed_capacity.go
@@ -26,7 +26,7 @@
 	if m.confirmed || m.phase == machineReleasing || m.machineSpec == nil || m.cloud.failed || m.cloud.interruptionAt > 0 {
 		return false
 	}
-	return reconciler.MayHaveCapacity(m.name, m.calls.unanswered)
+	return reconciler.MayHaveCapacity(m.name, m.directCalls.consecutiveUnanswered)
 }
 
 // unconfirmedCapacity sums up the free capacity of machines that are up and not confirmed
--- a/internal/scheduler/views.go
+++ b/internal/scheduler/views.go
@@ -193,8 +193,8 @@
 		Tasks: j.spec.Tasks, Done: j.progress.doneCount, Running: j.runningCount, Waiting: j.pendingTasks(),
 		Reason: j.waiting.reason.String(), Failures: j.retry.failures, Attempts: []TaskView{},
 	}
-	if j.retry.at > now.Mono {
-		detail.Reason, detail.RetryInS = "waits after failed attempts", (j.retry.at - now.Mono).Seconds()
+	if j.retry.notBefore > now.Mono {
+		detail.Reason, detail.RetryInS = "waits after failed attempts", (j.retry.notBefore - now.Mono).Seconds()
 	}
 	return detail
 }
