--- a/internal/scheduler/absence_proof.go
+++ b/internal/scheduler/absence_proof.go
@@ -4,27 +4,29 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// provenAbsent reports whether an attempt that the heartbeat does not list is neither on the
-// machine nor can be started there by anything that was sent before. An attempt leaves the
-// scheduler's state on this proof alone, or with its machine.
+// provenAbsent reports whether a heartbeat that does not list an attempt proves that the attempt
+// is not on the machine and cannot be started there by a command that was sent earlier. An
+// attempt whose start was sent, and whose end the worker has not reported, is removed from the
+// scheduler's state only on this proof or with its machine.
 func (d *dispatcher) provenAbsent(a *attempt, heartbeat *wire.Heartbeat, via exchange) bool {
 	start := &a.start
-	// The worker has not seen the token under which it refuses the start.
+	// The worker has not seen the fencing token that makes it refuse the start.
 	//mutation:absence-needs-fencing-token
 	mayPassFencing := heartbeat.FencingToken < newFencingToken(d.term, start.requiredFencingCounter)
-	// Commands to an earlier incarnation are dropped.
+	// Workers drop commands that were sent to an earlier incarnation.
 	isForEarlierIncarnation := start.incarnation != 0 && heartbeat.Incarnation > start.incarnation
-	// A direct call may be executed after the heartbeat was sent.
+	// The worker may execute a direct call after it has sent the heartbeat.
 	//mutation:absence-needs-finished-call
 	mayArriveInDirectCall := start.callInFlight
-	// Only the worker's next heartbeat shows that the reply to the last one was executed or
-	// dropped: the reply to a direct call may overtake it.
+	// Only the next heartbeat that the worker sends on its own shows that it has executed or
+	// dropped the reply that carried the start. A heartbeat in the reply to a direct call may
+	// arrive before the worker has received that reply.
 	//mutation:absence-needs-next-heartbeat
 	mayArriveInHeartbeatReply := start.replySequence != 0 && !(via == workerInitiated && heartbeat.Sequence > start.replySequence)
 
 	switch {
 	case start.acknowledged:
-		return true // it was there
+		return true // the worker listed it before, so it has ended since
 	case !start.sent, mayPassFencing:
 		return false
 	case isForEarlierIncarnation:
--- a/internal/scheduler/absence_proof_test.go
+++ b/internal/scheduler/absence_proof_test.go
@@ -8,56 +8,57 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Each condition on its own keeps an attempt that a heartbeat does not list from being
-// taken for gone. Several overlap, so that a simulation without one of them violates no
-// invariant; here each is the only one that speaks against the proof.
+// Each condition of provenAbsent alone prevents an unlisted attempt from being considered gone.
+// The conditions overlap, so a simulation without one of them may violate no invariant. Here
+// each case isolates a single condition.
 func TestEachConditionDefeatsProofOfAbsence(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 9))
 	for range 200 {
 		term := uint64(harnessTerm)
-		fence := 1 + rng.Uint64N(20)
-		session, tick := 1+rng.Uint64N(5), 10+rng.Uint64N(90)
+		fencingCounter := 1 + rng.Uint64N(20)
+		incarnation, sequence := 1+rng.Uint64N(5), 10+rng.Uint64N(90)
 		d := newDispatcher(&termContext{term: term}, nil)
-		// A start of this term that is sent and not listed, and the heartbeat that proves it absent.
-		start := func() *attempt {
-			return &attempt{start: startState{sent: true, incarnation: session, requiredFencingCounter: fence, replySequence: tick}}
+		// An attempt whose start was sent in this term and not acknowledged, and a heartbeat that
+		// proves it absent.
+		newUnacknowledgedAttempt := func() *attempt {
+			return &attempt{start: startState{sent: true, incarnation: incarnation, requiredFencingCounter: fencingCounter, replySequence: sequence}}
 		}
-		report := func() *wire.Heartbeat {
-			return &wire.Heartbeat{Incarnation: session, Sequence: tick + 1 + rng.Uint64N(5), FencingToken: term<<tuning.FencingBits | fence + rng.Uint64N(3)}
+		newHeartbeat := func() *wire.Heartbeat {
+			return &wire.Heartbeat{Incarnation: incarnation, Sequence: sequence + 1 + rng.Uint64N(5), FencingToken: term<<tuning.FencingBits | fencingCounter + rng.Uint64N(3)}
 		}
 		for _, c := range []struct {
 			name   string
-			change func(a *attempt, r *wire.Heartbeat)
+			change func(a *attempt, heartbeat *wire.Heartbeat)
 			via    exchange
 			absent bool
 		}{
-			{"nothing speaks against it", func(*attempt, *wire.Heartbeat) {}, workerInitiated, true},
-			{"the heartbeat is under an earlier term's token", func(_ *attempt, r *wire.Heartbeat) {
-				r.FencingToken = (term-1-rng.Uint64N(5))<<tuning.FencingBits | 1<<tuning.FencingBits - 1
+			{"all conditions for absence are met", func(*attempt, *wire.Heartbeat) {}, workerInitiated, true},
+			{"the heartbeat is under an earlier term's token", func(_ *attempt, heartbeat *wire.Heartbeat) {
+				heartbeat.FencingToken = (term-1-rng.Uint64N(5))<<tuning.FencingBits | 1<<tuning.FencingBits - 1
 			}, workerInitiated, false},
-			{"the heartbeat is under a token below the start's fencing counter", func(_ *attempt, r *wire.Heartbeat) {
-				r.FencingToken = term<<tuning.FencingBits | rng.Uint64N(fence)
+			{"the heartbeat is under a token below the start's fencing counter", func(_ *attempt, heartbeat *wire.Heartbeat) {
+				heartbeat.FencingToken = term<<tuning.FencingBits | rng.Uint64N(fencingCounter)
 			}, workerInitiated, false},
-			{"the same, though the incarnation is a later one", func(_ *attempt, r *wire.Heartbeat) {
-				r.Incarnation++
-				r.FencingToken = term<<tuning.FencingBits | rng.Uint64N(fence)
+			{"a later incarnation, under a token below the start's fencing counter", func(_ *attempt, heartbeat *wire.Heartbeat) {
+				heartbeat.Incarnation++
+				heartbeat.FencingToken = term<<tuning.FencingBits | rng.Uint64N(fencingCounter)
 			}, workerInitiated, false},
-			{"a direct call with it is in flight", func(a *attempt, _ *wire.Heartbeat) { a.start.callInFlight = true }, workerInitiated, false},
-			{"the heartbeat is the one whose reply carried the start", func(a *attempt, r *wire.Heartbeat) { r.Sequence = a.start.replySequence }, workerInitiated, false},
-			{"a reply to a direct call overtakes the reply that carried the start", func(*attempt, *wire.Heartbeat) {}, leaderInitiated, false},
-			{"a reply to a direct call, and the start went directly", func(a *attempt, _ *wire.Heartbeat) { a.start.replySequence = 0 }, leaderInitiated, true},
-			{"a later incarnation, though a call is in flight", func(a *attempt, r *wire.Heartbeat) {
+			{"a direct call that carries the start is in flight", func(a *attempt, _ *wire.Heartbeat) { a.start.callInFlight = true }, workerInitiated, false},
+			{"the heartbeat is the one whose reply carried the start", func(a *attempt, heartbeat *wire.Heartbeat) { heartbeat.Sequence = a.start.replySequence }, workerInitiated, false},
+			{"a reply to a direct call arrives before the reply that carried the start", func(*attempt, *wire.Heartbeat) {}, leaderInitiated, false},
+			{"a reply to a direct call, and the start was sent in a direct call", func(a *attempt, _ *wire.Heartbeat) { a.start.replySequence = 0 }, leaderInitiated, true},
+			{"a later incarnation, with a call in flight", func(a *attempt, heartbeat *wire.Heartbeat) {
 				a.start.callInFlight = true
-				r.Incarnation += 1 + rng.Uint64N(3)
+				heartbeat.Incarnation += 1 + rng.Uint64N(3)
 			}, workerInitiated, true},
 			{"sent by an earlier leader to an unknown incarnation, with a call in flight", func(a *attempt, _ *wire.Heartbeat) { a.start.incarnation, a.start.callInFlight = 0, true }, workerInitiated, false},
-			{"it was never sent", func(a *attempt, _ *wire.Heartbeat) { a.start.sent = false }, workerInitiated, false},
-			{"it was listed before", func(a *attempt, _ *wire.Heartbeat) { a.start.acknowledged = true }, workerInitiated, true},
+			{"the start was never sent", func(a *attempt, _ *wire.Heartbeat) { a.start.sent = false }, workerInitiated, false},
+			{"the attempt was listed before", func(a *attempt, _ *wire.Heartbeat) { a.start.acknowledged = true }, workerInitiated, true},
 		} {
-			a, r := start(), report()
-			c.change(a, r)
-			if got := d.provenAbsent(a, r, c.via); got != c.absent {
-				t.Fatalf("%s: proven absent: %v\n%+v\n%+v", c.name, got, a, r)
+			a, heartbeat := newUnacknowledgedAttempt(), newHeartbeat()
+			c.change(a, heartbeat)
+			if got := d.provenAbsent(a, heartbeat, c.via); got != c.absent {
+				t.Fatalf("%s: proven absent: %v\n%+v\n%+v", c.name, got, a, heartbeat)
 			}
 		}
 	}
--- a/internal/scheduler/attempt.go
+++ b/internal/scheduler/attempt.go
@@ -9,13 +9,13 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// taskRef names a task.
+// taskRef identifies a task by its job and its index within the job.
 type taskRef struct {
 	jobID string
 	index int
 }
 
-// String gives the task's name on the wire.
+// String returns the task's name on the wire.
 func (ref taskRef) String() string { return wire.TaskName(ref.jobID, ref.index) }
 
 // attempt is one attempt at running a task, on one machine.
@@ -25,8 +25,8 @@
 	machine *machine
 	number  uint64
 
-	state     string // as its worker last listed it; empty: not listed yet
-	placedAt  time.Duration
+	state     string        // as last listed by its worker; empty: not listed yet
+	placedAt  time.Duration // when it was assigned to its machine, or first known in this term
 	runningAt time.Duration // when it was first seen running; 0: not yet
 
 	assignment     assignmentState
@@ -36,53 +36,57 @@
 	reconciliation reconciliationState
 }
 
-// assignmentState says which durable records name an attempt.
+// assignmentState tracks the durable records that contain an attempt's assignment.
 type assignmentState struct {
-	durable bool
-	queued  bool // to be written with the next batch
-	batches []*assignmentBatch
+	durable bool               // a record contains it
+	queued  bool               // to be written with the next batch
+	batches []*assignmentBatch // batches that contain it
 }
 
-// startState is what is known of an attempt's latest start, and what has to be known
-// before the start counts as not executed. See provenAbsent.
+// startState tracks the latest start command of an attempt, with the conditions under which a
+// heartbeat proves that it was not executed. See provenAbsent.
 type startState struct {
-	sent                   bool   // it has been or may have been sent
-	acknowledged           bool   // the worker has listed the attempt
-	incarnation            uint64 // of the worker to which it was sent
-	replySequence          uint64 // of the heartbeat in whose reply it went; 0: in none
-	requiredFencingCounter uint64 // fencing counter below which it may still be executed late
-	callInFlight           bool   // a direct call with it
-	firstSentAt            time.Duration
+	sent          bool   // it was sent, or may have been sent by an earlier leader
+	acknowledged  bool   // the worker has listed the attempt
+	incarnation   uint64 // incarnation of the worker to which it was sent; 0: unknown
+	replySequence uint64 // sequence of the heartbeat whose reply carried it; 0: none
+	// requiredFencingCounter is the lowest fencing counter that rules out a late execution: a
+	// worker that has only seen tokens with lower counters may still execute the start.
+	requiredFencingCounter uint64
+	callInFlight           bool          // a direct call that carries it is in flight
+	firstSentAt            time.Duration // when a start was first sent; 0: not in this term
 }
 
-// dispatchRetry plans when a start that is not acknowledged is sent again.
+// dispatchRetry schedules the retries of a start that is not acknowledged.
 type dispatchRetry struct {
-	count     int
-	nextAt    time.Duration
-	abandoned bool
+	count     int           // starts sent, without those that the worker refused
+	nextAt    time.Duration // when the next retry is due
+	abandoned bool          // the deadline has passed; there are no more retries
 }
 
-// stopRequest is that of an attempt that has to stop. Once requested it stays so; a stop
-// without a checkpoint replaces one with.
+// stopRequest tracks the stop of an attempt. A stop is never withdrawn. A stop without a
+// checkpoint replaces a stop with one.
 type stopRequest struct {
 	requested  bool
-	sent       bool
-	checkpoint bool          // it may save its progress first
-	sentAt     time.Duration // last time; 0: due now
+	sent       bool          // a stop has been sent
+	checkpoint bool          // the task may write a checkpoint first
+	sentAt     time.Duration // when the stop was last sent; 0: due now
 }
 
-// reconciliationState is that of an attempt from before the term.
+// reconciliationState is the reconciliation status of an attempt from an earlier term.
 type reconciliationState struct {
-	class           reconcile.Class
-	deferredVerdict reconcile.Verdict // on an unexpected one, until a heartbeat under this term's token lists it
-	awaitsStopProof bool              // a difference asked for its stop
+	class reconcile.Class
+	// deferredVerdict is the verdict on an unexpected attempt. It is not reported until a
+	// heartbeat under this term's fencing token lists the attempt, or the attempt ends.
+	deferredVerdict reconcile.Verdict
+	awaitsStopProof bool // a difference required its stop, which is not proven yet
 }
 
-// attached reports whether the attempt counts as being on its machine.
+// attached reports whether the attempt is among its machine's tasks.
 func (a *attempt) attached() bool { return a.machine.tasks[a.ref] == a }
 
-// setState takes the state that the worker lists for the attempt, and counts it among
-// those of its job that run.
+// setState sets the state that the worker lists for the attempt, and updates its job's count of
+// running attempts.
 func (a *attempt) setState(state string) {
 	if a.job != nil {
 		if a.state == wire.TaskRunning {
@@ -96,7 +100,8 @@
 	a.machine.taskSummary = nil
 }
 
-// detach removes an attempt that is proven to be gone, with what was kept because of it.
+// detach removes an attempt that is proven to be gone. Its assignment record stays while a
+// completed task is not yet durably done.
 func (s *Scheduler) detach(a *attempt) {
 	if !a.attached() {
 		return
@@ -109,22 +114,24 @@
 	s.placement.due = true
 }
 
-// stopNow asks for an attempt's end. An earlier request that left the time for a
-// checkpoint is replaced.
+// stopNow requests the stop of an attempt without a checkpoint. It replaces an earlier request
+// that allowed one.
 func (s *Scheduler) stopNow(a *attempt, reason StopReason) {
 	if !a.stop.requested || a.stop.checkpoint {
 		s.requestStop(a, stopRequest{requested: true}, reason)
 	}
 }
 
-// stopAfterCheckpoint asks for an attempt's end, and leaves it the time for a checkpoint.
+// stopAfterCheckpoint requests the stop of an attempt and allows it to write a checkpoint
+// first. It has no effect if a stop was requested before.
 func (s *Scheduler) stopAfterCheckpoint(a *attempt, reason StopReason) {
 	if !a.stop.requested {
 		s.requestStop(a, stopRequest{requested: true, checkpoint: true}, reason)
 	}
 }
 
-// requestStop has a stop sent at once. An attempt whose start was never sent simply ends.
+// requestStop sends a stop at the end of the current input. An attempt whose start was never
+// sent is detached instead.
 func (s *Scheduler) requestStop(a *attempt, request stopRequest, reason StopReason) {
 	if !a.stop.requested {
 		s.logDebug("task stop requested", "task", a.ref.String(), "machine", a.machine.name, "reason", reason)
@@ -138,14 +145,14 @@
 		return
 	}
 	if !a.start.acknowledged {
-		// The start may still be in flight. Only a heartbeat under a higher token will
-		// show that it is not.
+		// The start may still be in flight. Only a heartbeat under a higher fencing token
+		// proves that the worker will not execute it.
 		//mutation:stop-raises-fencing-token
 		a.machine.fencing.raise()
 		a.start.requiredFencingCounter = a.machine.fencing.counter
 	}
 	//mutation:stop-is-sent-at-once
-	s.dispatcher.markDue(a.machine) // with all other stops of this input
+	s.dispatcher.markDue(a.machine) // all stops of this input share one call
 }
 
 func sortAttempts(list []*attempt) {
--- a/internal/scheduler/attempt_outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -220,8 +220,8 @@
 // fitsSomewhereCached remembers what fitsSomewhere says for a moment: many tasks ask at
 // once.
 func (c *clusterState) fitsSomewhereCached(j *job) bool {
-	if j.headroom.checkedAt == 0 || c.now.Mono-j.headroom.checkedAt > tuning.FreeCapacityMemory {
-		j.headroom.checkedAt, j.headroom.available = c.now.Mono, c.fitsSomewhere(j)
+	if j.capacityCheck.checkedAt == 0 || c.now.Mono-j.capacityCheck.checkedAt > tuning.FreeCapacityMemory {
+		j.capacityCheck.checkedAt, j.capacityCheck.available = c.now.Mono, c.fitsSomewhere(j)
 	}
-	return j.headroom.available
+	return j.capacityCheck.available
 }
--- a/internal/scheduler/export_test.go
+++ b/internal/scheduler/export_test.go
@@ -5,8 +5,9 @@
 	"math"
 )
 
-// Audit recomputes the accounting from the attempts on machines and says where the two
-// differ: what is not counted is placed twice, what stays counted is lost capacity.
+// Audit recomputes the totals from the attempts on machines and returns an error if the
+// scheduler's totals differ. Resources that are in use but not counted would be allocated twice;
+// resources that are counted but not in use would be lost.
 func (s *Scheduler) Audit() error {
 	a := &audit{cpusByTeam: map[string]float64{}, machinesByTask: map[taskRef]int{}}
 	for _, m := range s.cluster.machines {
@@ -27,18 +28,18 @@
 	return nil
 }
 
-// audit is what is in use by the attempts on machines.
+// audit holds the totals over the attempts on machines.
 type audit struct {
 	cpusByTeam     map[string]float64
-	machinesByTask map[taskRef]int
+	machinesByTask map[taskRef]int // number of machines with an attempt of the task
 }
 
-// addMachine adds the attempts on a machine and checks what is counted for it.
+// addMachine adds a machine's attempts to the totals and checks the machine's own totals.
 func (a *audit) addMachine(m *machine) error {
 	cpus := 0.0
 	for ref, attempt := range m.tasks {
 		if attempt.machine != m || attempt.ref != ref {
-			return fmt.Errorf("%s holds an attempt of %v on %s", m.name, attempt.ref, attempt.machine.name)
+			return fmt.Errorf("%s lists an attempt of %v whose machine is %s", m.name, attempt.ref, attempt.machine.name)
 		}
 		if attempt.job == nil {
 			continue
@@ -53,7 +54,7 @@
 	return nil
 }
 
-// checkJob checks what is counted for a job, and that none of its tasks is forgotten.
+// checkJob checks a job's totals, and that every task is done, active or available for placement.
 func (a *audit) checkJob(j *job) error {
 	active := 0
 	for index, attempts := range j.active {
@@ -80,5 +81,6 @@
 	return nil
 }
 
-// sameCPUs allows for sums in another order.
+// sameCPUs compares two sums of CPUs. It tolerates rounding differences from the order of
+// addition.
 func sameCPUs(a, b float64) bool { return math.Abs(a-b) <= 0.01 }
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -10,64 +10,67 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// job is a live job, or an ended one of which attempts may still be on machines.
+// job is a live job, or an ended job whose attempts may still be on machines.
 type job struct {
 	id          string
 	spec        wire.Job
-	modRevision uint64        // of its record
-	createdAt   time.Duration // Mono; may be negative
+	modRevision uint64        // mod revision of its record
+	createdAt   time.Duration // in Now.Mono; negative if before the process started
 	service     bool
-	rank        int // order of its priority, the highest first
+	rank        int // wire.PriorityOrder of its priority; 0 is the highest
 
-	recovered             bool // submitted before this term
-	placedOnce            bool // a task of it has been placed in this term
-	archived              bool // it has ended: its live record is gone
-	cancelled             bool
-	cancellationWatermark time.Duration // if cancelled: as of when all cancellations were known before this one
+	recovered  bool // its record was live when the term started
+	placedOnce bool // one of its tasks has been placed in this term
+	archived   bool // it has ended: its live record is gone
+	cancelled  bool
+	// cancellationWatermark is the cancellation watermark at the time of its cancellation: all
+	// cancellations before the watermark were known then.
+	cancellationWatermark time.Duration
 
 	active          map[int][]*attempt // attached attempts by task index
 	activeCount     int                // tasks with attached attempts
-	runningCount    int                // attached attempts that run
-	unsavedAttempts map[int]*attempt   // completed ones whose done bit is not durable yet
+	runningCount    int                // attached attempts in state running
+	unsavedAttempts map[int]*attempt   // by task index: completed attempts whose done bit is not durable yet
 
-	progress    jobProgress
-	write       jobWriteState
-	indices     taskIndices
-	retry       retryState
-	waiting     waitState
-	headroom    headroomCheck
-	plan        deadlinePlan
-	runtimes    observedRuntimes
-	queueStatus jobQueueStatus
+	progress      jobProgress
+	write         jobWriteState
+	indices       taskIndices
+	retry         retryState
+	waiting       waitState
+	capacityCheck capacityCheck
+	plan          deadlinePlan
+	runtimes      observedRuntimes
+	queueStatus   jobQueueStatus
 }
 
-// jobWriteState is that of the writes of a job's records.
+// jobWriteState tracks the writes of a job's records to the key-value store.
 type jobWriteState struct {
-	dirtySince     time.Duration // since when there is something to write; 0: there is nothing
-	inFlight       bool
-	blockedUntil   time.Duration
-	chunkRevisions map[int]uint64 // mod revisions of further bitmap chunks
+	dirtySince     time.Duration  // since when it has unwritten changes; 0: it has none
+	inFlight       bool           // a transaction with its records is in flight
+	blockedUntil   time.Duration  // no write until then, after a failed one
+	chunkRevisions map[int]uint64 // mod revisions of the bitmap chunks outside the job record, by chunk
 }
 
 // taskIndices hands out the indices of tasks to place.
 type taskIndices struct {
-	freed      []int // of attempts that have ended
-	nextUnused int   // indices below it have been handed out at least once
+	freed      []int // indices whose attempts have ended
+	nextUnused int   // lowest index that has not been handed out yet
 }
 
-// retryState is that of a job's failed attempts.
+// retryState tracks a job's failed attempts and the backoff after them.
 type retryState struct {
-	failures         int // in a row
-	longestFailedRun time.Duration
-	failedMachines   map[string]bool
-	notBefore        time.Duration // no placement before then
+	failures         int             // consecutive failures
+	longestFailedRun time.Duration   // longest run of an attempt that ended with an error
+	failedMachines   map[string]bool // names of the machines on which it failed
+	notBefore        time.Duration   // no task is placed before then; 0: no backoff
 }
 
-// maxBackoffDoublings bounds the shift in countFailure: the maximum is reached long before.
+// maxBackoffDoublings keeps the shift in countFailure from overflowing. The maximum backoff is
+// reached with far fewer doublings.
 const maxBackoffDoublings = 19
 
-// countFailure counts one more failure in a row. The time until the next placement
-// doubles with each.
+// countFailure counts a consecutive failure. The backoff until the next placement doubles with
+// each failure, up to the maximum.
 func (r *retryState) countFailure(now time.Duration, settings policy.Settings) {
 	delay := settings.MaxErrorBackoff
 	if r.failures < maxBackoffDoublings {
@@ -77,47 +80,49 @@
 	r.notBefore = now + delay
 }
 
-// waitState says since when and why tasks of a job wait.
+// waitState records since when and why tasks of a job wait for placement.
 type waitState struct {
-	since time.Duration // since when a task waits; 0: none does
-	// fetchSlotSince is since when all machines with capacity have been fetching other
-	// images; 0: they are not.
+	since time.Duration // since when any task waits; 0: none waits
+	// fetchSlotSince is since when every machine with capacity has been fetching a different
+	// image; 0: a machine without such a fetch is available.
 	fetchSlotSince    time.Duration
-	preemptionTriedAt time.Duration
+	preemptionTriedAt time.Duration // when preemption was last tried for it; 0: never
 	reason            WaitReason
 }
 
-// headroomCheck remembers whether there was capacity for a task of the job.
-type headroomCheck struct {
+// capacityCheck caches whether any machine had capacity for a task of the job, see
+// fitsSomewhereCached.
+type capacityCheck struct {
 	checkedAt time.Duration // 0: never
 	available bool
 }
 
-// deadlinePlan has a job's deadlines, and which of them it can still meet by the last
-// placement round.
+// deadlinePlan holds a job's deadlines, and the first one that it can still meet according to
+// the last placement round.
 type deadlinePlan struct {
-	deadlines []float64 // in seconds from the submission, see Objective.deadlinesOf
-	feasible  int       // index of the first that can be met; len(deadlines): none can
-	slackS    float64   // seconds until that one
+	deadlines []float64 // ascending, in seconds after the submission; see Objective.deadlinesOf
+	feasible  int       // index of the first deadline that can be met; len(deadlines): none
+	slackS    float64   // seconds until that deadline, or until the last one if none can be met
 }
 
-// observedRuntimes sums up the run times of tasks that were followed from start to
+// observedRuntimes sums the run times of the tasks that this term observed from start to
 // completion.
 type observedRuntimes struct {
-	completed int
-	totalS    float64
+	completed int     // number of tasks
+	totalS    float64 // sum of their run times, in seconds
 }
 
-// jobQueueStatus is what the last placement round found about a job's place in the queue.
+// jobQueueStatus holds the properties that decide a job's position in the placement queue, as
+// of the last placement round.
 type jobQueueStatus struct {
-	established     bool // a task of it has run for long enough to stay; never reset
-	starved         bool // nothing of it has been established for long
-	prioritized     bool // starved, and its first tasks are placed ahead of others
-	aged            bool // it missed all its deadlines, long ago
-	withinGuarantee bool // it fits in its team's quota guarantee
+	established     bool // a task has run for tuning.EstablishedAfter; never reset
+	starved         bool // an array that waits for long without being established; see updateStarvation
+	prioritized     bool // starved, and its first tasks are placed ahead of other jobs
+	aged            bool // it misses all its deadlines and is older than tuning.AgedAfter
+	withinGuarantee bool // its tasks fit its team's guaranteed quota
 }
 
-// addJob adds a live job that this term did not know of.
+// addJob adds a live job that was not known in this term.
 func (c *clusterState) addJob(live *LiveJob) *job {
 	record := live.Record
 	j := &job{
@@ -129,7 +134,7 @@
 		active:    map[int][]*attempt{}, write: jobWriteState{chunkRevisions: map[int]uint64{}},
 		retry: retryState{failedMachines: map[string]bool{}},
 	}
-	// Its age is known by the time of day; the clock of the process is a steady one.
+	// The record has the time of day of the submission; convert it to monotonic time.
 	j.createdAt = c.now.Mono - time.Duration(max(0, c.now.Wall-record.Job.CreatedAtMilli))*time.Millisecond
 	j.plan.deadlines = c.settings.Objectives[j.spec.Class].deadlinesOf(&j.spec)
 	c.mergeDoneBits(j, 0, record.Done)
@@ -137,7 +142,7 @@
 	return j
 }
 
-// mergeDoneBits takes a chunk of done bits from a stored record.
+// mergeDoneBits merges a chunk of done bits from a stored record into the job's progress.
 func (c *clusterState) mergeDoneBits(j *job, chunk int, encoded string) {
 	if encoded == "" {
 		return
@@ -147,7 +152,7 @@
 	}
 }
 
-// restoreDoneBits takes a stored record of further done bits.
+// restoreDoneBits merges a stored record of done bits outside the job record.
 func (s *Scheduler) restoreDoneBits(item wire.KeyValue) {
 	var record records.BitmapChunk
 	id, chunk, ok := wire.ParseTaskName(records.IDFromKey(records.BitmapPrefix, item.Key))
@@ -163,9 +168,9 @@
 	s.cluster.mergeDoneBits(j, chunk, record.Done)
 }
 
-// archiveJob takes note that a job has ended: its live record is gone. Attempts that
-// may still be on machines are stopped, and count against their machine and team until
-// they are proven to be gone.
+// archiveJob marks a job as ended after its live record was deleted. Attempts that may still be
+// on machines are stopped, and count towards the usage of their machine and team until they are
+// proven to be gone.
 func (s *Scheduler) archiveJob(j *job) {
 	j.archived = true
 	s.persister.dropSavedAssignments(j)
@@ -177,7 +182,7 @@
 	}
 }
 
-// pendingTasks is how many tasks are neither done nor have an attempt.
+// pendingTasks returns the number of tasks that are not done and have no attempt.
 func (j *job) pendingTasks() int {
 	if j.cancelled || j.archived {
 		return 0
@@ -185,7 +190,7 @@
 	return j.spec.Tasks - j.progress.doneCount - j.activeCount
 }
 
-// sortedAttempts gives the job's attached attempts in a fixed order.
+// sortedAttempts returns the job's attached attempts, sorted by task index and number.
 func (j *job) sortedAttempts() []*attempt {
 	var list []*attempt
 	for _, attempts := range j.active {
@@ -197,7 +202,7 @@
 	return list
 }
 
-// addActive counts an attempt as one of its task.
+// addActive adds an attempt to the attached attempts of its task.
 func (j *job) addActive(a *attempt) {
 	index := a.ref.index
 	if len(j.active[index]) == 0 {
@@ -206,8 +211,8 @@
 	j.active[index] = append(j.active[index], a)
 }
 
-// removeActive takes back what addActive has counted. With the last attempt of a task,
-// the task's index is free to be placed again.
+// removeActive reverts addActive. When the last attempt of an unfinished task is removed, the
+// task's index becomes available for placement again.
 func (j *job) removeActive(a *attempt) {
 	if a.state == wire.TaskRunning {
 		j.runningCount--
@@ -228,7 +233,8 @@
 	}
 }
 
-// takeFreeIndex takes the index of a task that neither is done nor has an attempt.
+// takeFreeIndex returns the index of a task that is not done and has no attempt, and marks the
+// index as handed out.
 func (j *job) takeFreeIndex() (index int, ok bool) {
 	for len(j.indices.freed) > 0 {
 		last := len(j.indices.freed) - 1
--- a/internal/scheduler/job_changes.go
+++ b/internal/scheduler/job_changes.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// JobsChanged takes changes of live jobs that a watch has seen.
+// JobsChanged applies changes of live jobs that a watch has reported.
 func (s *Scheduler) JobsChanged(now Now, changes []JobChange) {
 	s.now = now
 	for _, change := range changes {
@@ -24,12 +24,12 @@
 	}
 }
 
-// addChangedJob adds a job that was submitted in this term, or whose record is seen for
-// the first time.
+// addChangedJob adds a job that was not known in this term, usually one that was submitted
+// during the term.
 func (s *Scheduler) addChangedJob(live *LiveJob) {
 	j := s.cluster.addJob(live)
-	// The watch's answer may be older than a peer's list of cancellations, which comes
-	// once: a job that the watch has as new may have been cancelled since.
+	// The watch may report a state that is older than a peer's list of cancellations, and
+	// that list is sent only once: the job may have been cancelled since.
 	_, cancelled := s.cancellations.pending[j.id]
 	//mutation:pending-cancellations
 	j.cancelled = j.cancelled || cancelled
@@ -38,7 +38,7 @@
 	s.logDebug("job added", "job", j.id, "class", j.spec.Class, "tasks", j.spec.Tasks, "team", j.spec.Team, "estimate_s", j.spec.EstimatedRunS, "due_s", j.plan.deadlines)
 }
 
-// updateJob takes a later record of a job.
+// updateJob applies a newer record of a known job.
 func (s *Scheduler) updateJob(j *job, live *LiveJob) {
 	j.modRevision = live.ModRevision
 	s.cluster.mergeDoneBits(j, 0, live.Record.Done)
@@ -48,7 +48,7 @@
 	}
 }
 
-// JobsReset takes a replica that was read in full, as changes against what is known.
+// JobsReset applies a replica that was read in full, as the changes against the known jobs.
 func (s *Scheduler) JobsReset(now Now, replica *Replica) {
 	var changes []JobChange
 	for id := range s.cluster.jobs {
--- a/internal/scheduler/load_log.go
+++ b/internal/scheduler/load_log.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// logLoad logs how full the cluster is, what tasks wait for, and how far the leader is
-// behind with cancellations.
+// logLoad logs the cluster's utilization, how many tasks wait for each reason, and the lag of
+// the cancellations that are not fully enforced yet.
 func (c *clusterState) logLoad(cancellationLag time.Duration) {
 	for _, name := range slices.Sorted(maps.Keys(c.usage)) {
 		if usage := c.usage[name]; usage.CPUs > 0 {
--- a/internal/scheduler/machinescan.go
+++ b/internal/scheduler/machinescan.go
@@ -60,8 +60,8 @@
 }
 
 // abandonDispatch gives up an attempt whose start was not acknowledged in time. The attempt is
-// stopped in case it was started, and the task is placed again once the attempt is proven to
-// be gone.
+// stopped, since the start may have been executed or may still be. The task is placed again
+// once the attempt is proven to be gone.
 func (s *Scheduler) abandonDispatch(a *attempt) {
 	task := wire.TaskName(a.ref.jobID, a.ref.index)
 	a.retry.abandoned = true
--- a/internal/scheduler/reasons.go
+++ b/internal/scheduler/reasons.go
@@ -5,8 +5,7 @@
 // StopReason says why a task is stopped.
 type StopReason string
 
-// Reasons for stops. Attempts from an earlier term are also stopped for what
-// reconciliation finds, see stopReasonOf.
+// Reasons for stops. Reconciliation also stops attempts of earlier terms, see stopReasonOf.
 const (
 	StopJobEnded          StopReason = "job ended"
 	StopJobCancelled      StopReason = "job cancelled"
@@ -17,7 +16,7 @@
 	StopPreempted         StopReason = "preempted"
 )
 
-// stopReasonOf gives the reason for the stop of an attempt of a reconciliation class.
+// stopReasonOf returns the reason for stopping an attempt of the given reconciliation class.
 func stopReasonOf(class reconcile.Class) StopReason {
 	return StopReason("reconciliation: " + class.String())
 }
@@ -37,7 +36,7 @@
 // ReleaseReason says why a machine is released.
 type ReleaseReason string
 
-// Reasons for releases.
+// Reasons for releasing machines.
 const (
 	ReleaseBootFailed       ReleaseReason = "failed while booting"
 	ReleaseNeverUp          ReleaseReason = "never came up"
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -16,17 +16,18 @@
 
 func TestMain(m *testing.M) { os.Exit(fixedseed.Run(m)) }
 
-// Whatever is lost, delayed, duplicated, partitioned or killed, no invariant is violated;
-// and once the faults end, every accepted array is completed.
+// No invariant is violated while messages are lost, delayed or duplicated, networks are
+// partitioned and processes are killed. After the faults end, every accepted array completes and
+// every accepted service runs all its replicas.
 func TestInvariantsHoldUnderFaults(t *testing.T) {
 	starts := 0
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation(rapid.Uint64().Draw(t, "seed"))
-		sim.lossRate = rapid.SampledFrom([]float64{0, 0.02, 0.1}).Draw(t, "lose")
-		sim.delayRate = rapid.SampledFrom([]float64{0, 0.02, 0.1}).Draw(t, "hold")
-		sim.duplicateRate = rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "repeat")
-		sim.heartbeatCopyRate = rapid.SampledFrom([]float64{0, 0.02, 0.2}).Draw(t, "copies")
-		sim.settings.Policy.ReconcileRestarts = rapid.Bool().Draw(t, "recovery")
+		sim.lossRate = rapid.SampledFrom([]float64{0, 0.02, 0.1}).Draw(t, "lossRate")
+		sim.delayRate = rapid.SampledFrom([]float64{0, 0.02, 0.1}).Draw(t, "delayRate")
+		sim.duplicateRate = rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "duplicateRate")
+		sim.heartbeatCopyRate = rapid.SampledFrom([]float64{0, 0.02, 0.2}).Draw(t, "heartbeatCopyRate")
+		sim.settings.Policy.ReconcileRestarts = rapid.Bool().Draw(t, "reconcileRestarts")
 		sim.runUsers(140 * time.Second)
 		sim.injectFaults(150 * time.Second)
 		sim.checkWaitingJobs(230 * time.Second)
@@ -37,7 +38,7 @@
 		for _, j := range sim.jobs {
 			state := sim.pollJob(j.ID)
 			if state == wire.JobPending && !j.Service() {
-				t.Fatalf("%s of %d tasks is not done, %d on machines\n%s", j.ID, j.Tasks, sim.checker.PlacedTasks(j.ID), sim.describeJob(j.ID))
+				t.Fatalf("%s with %d tasks is not done, %d tasks are on machines\n%s", j.ID, j.Tasks, sim.checker.PlacedTasks(j.ID), sim.describeJob(j.ID))
 			}
 			if state == wire.JobPending && sim.checker.PlacedTasks(j.ID) != j.Tasks {
 				t.Fatalf("service %s has %d of %d replicas", j.ID, sim.checker.PlacedTasks(j.ID), j.Tasks)
@@ -49,11 +50,11 @@
 		starts += sim.checker.Starts
 	})
 	if starts < 1000 {
-		t.Fatalf("the simulations started %d tasks: too few to show anything", starts)
+		t.Fatalf("the simulations started only %d tasks, want at least 1000", starts)
 	}
 }
 
-// firstViolations describes the first violations of rules; empty: there are none.
+// firstViolations describes the first violations of invariants; empty if there are none.
 func (sim *simulation) firstViolations() string {
 	violations := sim.checker.Violations
 	if len(violations) == 0 {
@@ -72,8 +73,8 @@
 	return "no leader"
 }
 
-// The checker has to be able to fail: a cloud that confirms releases of machines which run
-// on makes tasks run twice, and that must be seen.
+// The checker detects a real violation: when the cloud confirms the release of machines that keep
+// running, tasks run twice.
 func TestCheckerDetectsFalseReleases(t *testing.T) {
 	for seed := range uint64(20) {
 		sim := newSimulation(seed)
@@ -81,24 +82,24 @@
 		sim.lossRate = 0.02
 		sim.runUsers(140 * time.Second)
 		sim.every(5*time.Second, func() {
-			// Partitioned from everything, with nobody that renews its lease: since the
-			// release is false, its tasks run on until the lease expires.
+			// The machine is partitioned from everything and its lease is not renewed. Since
+			// it was not really released, its tasks run on until the lease expires.
 			sim.partitionedUntil[sim.machineNames[sim.rng.IntN(len(sim.machineNames))]] = sim.now + 30*time.Second
 		})
-		for _, wk := range sim.workers {
-			wk.OutlastTest()
+		for _, worker := range sim.workers {
+			worker.OutlastTest()
 		}
 		sim.run(150 * time.Second)
-		for _, b := range sim.checker.Violations {
-			if strings.Contains(b, "ran_twice") {
+		for _, violation := range sim.checker.Violations {
+			if strings.Contains(violation, "ran_twice") {
 				return
 			}
 		}
 	}
-	t.Fatal("a cloud with false releases went unnoticed in 20 simulations")
+	t.Fatal("the checker found no task that ran twice in 20 simulations with false releases")
 }
 
-// Without faults, every job is done, and no start is sent again.
+// Without faults, every job completes and no start has to be retried.
 func TestFaultFreeClusterCompletesAllJobs(t *testing.T) {
 	sim := newSimulation(3)
 	sim.faultsActive = false
@@ -108,29 +109,29 @@
 		t.Fatal(sim.checker.Violations[0])
 	}
 	for _, j := range sim.jobs {
-		if s := sim.pollJob(j.ID); s == wire.JobPending && !j.Service() {
+		if state := sim.pollJob(j.ID); state == wire.JobPending && !j.Service() {
 			t.Errorf("%s: %s", j.ID, sim.describeJob(j.ID))
 		}
 	}
-	for _, n := range sim.controllers {
-		if n.scheduler == nil {
+	for _, controller := range sim.controllers {
+		if controller.scheduler == nil {
 			continue
 		}
-		if c := n.scheduler.Counters(); c.DispatchRetries != 0 || c.DispatchGiveUps != 0 || c.Finished == 0 || c.Preempted > c.Finished/2 {
-			// Many preemptions for few completions: capacity is freed and lost again.
-			t.Errorf("counters without faults: %+v", c)
+		if counters := controller.scheduler.Counters(); counters.DispatchRetries != 0 || counters.DispatchGiveUps != 0 || counters.Finished == 0 || counters.Preempted > counters.Finished/2 {
+			// Many preemptions per completion mean that freed capacity goes to other tasks.
+			t.Errorf("counters without faults: %+v", counters)
 		}
 	}
 	if n := len(sim.kvStore.Range(sim.now, records.LiveJobPrefix, "", 1000).Items); n > 12 {
-		t.Errorf("%d records of live jobs are left", n)
+		t.Errorf("%d records of live jobs remain, want at most 12", n)
 	}
 }
 
-// 2400 machines, services and arrays of up to 400 tasks, and failures of hundreds at once:
-// machines that die, that become unreachable and that are partitioned, a zone that is
-// partitioned while controllers end, all controllers at once right after an outage of the
-// key-value store. No invariant is violated, everything accepted runs, and the number of
-// calls to machines stays in proportion to theirs.
+// A cluster of 2400 machines runs services and arrays of up to 400 tasks through failures of
+// hundreds of machines at once: machines terminate, become unreachable or are partitioned, a
+// zone is partitioned while controllers crash, and all controllers crash right after an outage
+// of the key-value store. No invariant is violated, every accepted job runs, and the number of
+// direct calls stays proportional to the number of machines.
 func TestLargeClusterThroughMassFailures(t *testing.T) {
 	sim := newSimulationOf(11, fleetSimulation)
 	sim.heartbeatCopyRate = 0.01
@@ -149,56 +150,56 @@
 		}
 	}
 	if sim.checker.Starts < 24_000 {
-		t.Errorf("%d starts: too few to show anything", sim.checker.Starts)
+		t.Errorf("only %d starts, want at least 24000", sim.checker.Starts)
 	}
 	t.Logf("%d starts, %d direct calls", sim.checker.Starts, sim.directCalls)
-	if most := 20 * sim.size.initialMachines; sim.directCalls > most {
-		t.Errorf("%d direct calls, not under %d: a storm", sim.directCalls, most)
+	if limit := 20 * sim.size.initialMachines; sim.directCalls > limit {
+		t.Errorf("%d direct calls, want at most %d", sim.directCalls, limit)
 	}
 }
 
-// scheduleMassFailures plans the submissions and failures of a large cluster.
+// scheduleMassFailures schedules the submissions and failures of TestLargeClusterThroughMassFailures.
 func (sim *simulation) scheduleMassFailures() {
-	n := 0
+	submitted := 0
 	submit := func(count int, j wire.Job) {
 		for range count {
-			n++
+			submitted++
 			j := j
-			j.ID, j.Class, j.Image, j.ImageGB = fmt.Sprintf("run-%06d", n), "c", fmt.Sprintf("img-%d", n%6), 1
-			j.Team = []string{"red", "blue"}[n%2]
+			j.ID, j.Class, j.Image, j.ImageGB = fmt.Sprintf("run-%06d", submitted), "c", fmt.Sprintf("img-%d", submitted%6), 1
+			j.Team = []string{"red", "blue"}[submitted%2]
 			sim.submit(&j)
 		}
 	}
 	services := wire.Job{Shape: wire.ShapeService, Priority: wire.PriorityProduction, Tasks: 9, CPUs: 2, MemoryGB: 3, SpreadZones: true}
 	arrays := wire.Job{Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: 400, CPUs: 2, MemoryGB: 3, EstimatedRunS: 8, Spot: true}
-	at := func(d time.Duration, f func()) { sim.after(d*time.Second, f) }
+	at := func(seconds time.Duration, event func()) { sim.after(seconds*time.Second, event) }
 	at(3, func() { submit(100, services); submit(20, arrays) })
 	at(30, func() { submit(20, arrays) })
-	some := func(f func(name string)) {
+	forRandomMachines := func(fail func(name string)) {
 		for range 300 {
-			f(sim.machineNames[sim.rng.IntN(len(sim.machineNames))])
+			fail(sim.machineNames[sim.rng.IntN(len(sim.machineNames))])
 		}
 	}
-	crash := func(d time.Duration) {
-		for _, node := range sim.controllers {
-			node.crash(d)
+	crashAllControllers := func(downtime time.Duration) {
+		for _, controller := range sim.controllers {
+			controller.crash(downtime)
 		}
 	}
-	at(20, func() { some(func(name string) { sim.workers[name].Terminate() }) })
-	at(35, func() { some(func(name string) { sim.unreachableUntil[name] = sim.now + 30*time.Second }) })
+	at(20, func() { forRandomMachines(func(name string) { sim.workers[name].Terminate() }) })
+	at(35, func() { forRandomMachines(func(name string) { sim.unreachableUntil[name] = sim.now + 30*time.Second }) })
 	at(45, func() {
 		sim.zonePartitionedUntil["b"] = sim.now + 42*time.Second
-		for _, node := range sim.controllers {
-			if sim.zoneOf(node.name) == "b" {
-				node.partitionedUntil = sim.zonePartitionedUntil["b"]
+		for _, controller := range sim.controllers {
+			if sim.zoneOf(controller.name) == "b" {
+				controller.partitionedUntil = sim.zonePartitionedUntil["b"]
 			}
 		}
 	})
 	at(55, func() { sim.controllers[0].crash(time.Second); sim.controllers[2].crash(100 * time.Millisecond) })
 	at(60, func() { submit(20, arrays); sim.cancel("run-000001"); sim.cancel("run-000101") })
 	at(95, func() { sim.kvStore.StartOutage() })
-	at(103, func() { sim.kvStore.EndOutage(sim.now); crash(200 * time.Millisecond) })
-	at(115, func() { some(func(name string) { sim.partitionedUntil[name] = sim.now + 20*time.Second }) })
-	at(120, func() { crash(2 * time.Second) })
+	at(103, func() { sim.kvStore.EndOutage(sim.now); crashAllControllers(200 * time.Millisecond) })
+	at(115, func() { forRandomMachines(func(name string) { sim.partitionedUntil[name] = sim.now + 20*time.Second }) })
+	at(120, func() { crashAllControllers(2 * time.Second) })
 	at(150, func() { sim.faultsActive = false })
 }
--- a/internal/scheduler/tick_test.go
+++ b/internal/scheduler/tick_test.go
@@ -9,20 +9,20 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// A leader that no worker reaches any more resigns long before their leases end, where
-// there are enough machines to tell. With few machines it waits for several heartbeat
-// intervals, and a pause of the process does not count.
+// A leader that no longer receives heartbeats from any worker resigns long before the workers'
+// leases expire, if there are many machines. With few machines it waits for several heartbeat
+// intervals. A pause of the process is not counted as silence.
 func TestIsolatedLeaderResigns(t *testing.T) {
-	const never = 2 * time.Minute // as long as the leader is watched
+	const observedFor = 2 * time.Minute // without a resignation in this time, the leader stays
 	for _, tc := range []struct {
-		name        string
-		machines    int
-		tickEvery   time.Duration
-		least, most time.Duration // until it resigns
+		name             string
+		machines         int
+		tickEvery        time.Duration
+		earliest, latest time.Duration // time from the isolation to the resignation
 	}{
 		{"many_machines", 400, tuning.TickInterval, 0, tuning.MinResignSilence + time.Second},
 		{"two_machines", 2, tuning.TickInterval, 40 * time.Second, 41 * time.Second},
-		{"paused_process", 400, time.Minute, never, never + time.Minute},
+		{"paused_process", 400, time.Minute, observedFor, observedFor + time.Minute},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t)
@@ -32,25 +32,26 @@
 			}
 
 			isolatedAt := h.now
-			for h.now-isolatedAt < never {
+			for h.now-isolatedAt < observedFor {
 				h.now += tc.tickEvery
 				h.scheduler.Tick(h.clock())
 				if h.scheduler.TakeEffects().Resign != "" {
 					break
 				}
 			}
-			if after := h.now - isolatedAt; after < tc.least || after > tc.most {
-				t.Errorf("resigned after %v, not between %v and %v", after, tc.least, tc.most)
+			if after := h.now - isolatedAt; after < tc.earliest || after > tc.latest {
+				t.Errorf("resigned after %v, want between %v and %v", after, tc.earliest, tc.latest)
 			}
 		})
 	}
 }
 
-// activityCounts counts what a scheduler did in two seconds.
+// activityCounts counts the placement rounds, scans of all machines and scale-out plans of a
+// scheduler in two seconds.
 type activityCounts struct{ rounds, scans, scaleOuts int }
 
-// countActivity counts placement rounds, scans of all machines and plans to scale out, in a
-// fleet that has work waiting all the time.
+// countActivity runs a scheduler with the given CPU share, in a fleet where tasks wait all the
+// time, and counts its periodic work.
 func countActivity(t *testing.T, cpuShare float64) (counts activityCounts) {
 	t.Helper()
 	f := newFleetHarness(t, 400)
@@ -78,18 +79,18 @@
 	return counts
 }
 
-// With a smaller CPU share, placement rounds, scans of all machines and plans to scale out
-// are further apart, by as much: counted here, not timed.
+// With a smaller CPU share, placement rounds, scans of all machines and scale-out plans are
+// proportionally further apart. The test counts them in simulated time and measures no run time.
 func TestSmallCPUShareSpacesRoundsAndScans(t *testing.T) {
-	usual := countActivity(t, tuning.ReferenceCPUShare)
-	if unknown := countActivity(t, 0); unknown != usual {
-		t.Errorf("%+v where the share is not known, %+v with the usual one", unknown, usual)
+	reference := countActivity(t, tuning.ReferenceCPUShare)
+	if unknown := countActivity(t, 0); unknown != reference {
+		t.Errorf("%+v with an unknown CPU share, %+v with the reference share", unknown, reference)
 	}
 	quarter := countActivity(t, tuning.ReferenceCPUShare/4)
-	if quarter.rounds*5 > usual.rounds*2 || quarter.scans*3 > usual.scans || quarter.scaleOuts*3 > usual.scaleOuts {
-		t.Errorf("%+v with a quarter of the share, %+v with all of it", quarter, usual)
+	if quarter.rounds*5 > reference.rounds*2 || quarter.scans*3 > reference.scans || quarter.scaleOuts*3 > reference.scaleOuts {
+		t.Errorf("%+v with a quarter of the reference CPU share, %+v with all of it", quarter, reference)
 	}
 	if quarter.rounds == 0 || quarter.scans == 0 || quarter.scaleOuts == 0 {
-		t.Errorf("%+v with a quarter of the share", quarter)
+		t.Errorf("%+v with a quarter of the reference CPU share", quarter)
 	}
 }
--- a/internal/scheduler/tokenbucket_test.go
+++ b/internal/scheduler/tokenbucket_test.go
@@ -15,8 +15,8 @@
 	}{
 		{"no time has passed", 3, 0, 3},
 		{"half a second", 3, 500 * time.Millisecond, 5},
-		{"until it is full", 3, time.Minute, capacity},
-		{"it began above its capacity", 50, 0, capacity},
+		{"long enough to fill it", 3, time.Minute, capacity},
+		{"initially above its capacity", 50, 0, capacity},
 	} {
 		bucket := tokenBucket{tokens: c.initial, refilledAt: time.Second}
 		bucket.refill(time.Second+c.after, rate, capacity)
--- a/internal/scheduler/views.go
+++ b/internal/scheduler/views.go
@@ -8,17 +8,17 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Counters are the running totals of a term.
+// Counters are cumulative counts since the start of a term.
 type Counters struct {
 	DispatchRetries, DispatchGiveUps, TaskRetries uint64
 	Started, Finished, Preempted                  uint64
 	MachinesProvisioned, MachinesReleased         uint64
-	// Of reconciliations: operations until they were settled, those of them that a
-	// difference asked for, and differences, late ones included.
+	// Reconciliation at the start of the term: operations until it was settled, the operations
+	// among them that a difference required, and differences, including late ones.
 	ReconcileOperations, ReconcileAttributed, Differences uint64
 }
 
-// Counters returns the running totals.
+// Counters returns the term's cumulative counts.
 func (s *Scheduler) Counters() Counters {
 	counters := s.counters
 	operations, attributed, differences := s.reconciler.Totals()
@@ -26,19 +26,19 @@
 	return counters
 }
 
-// PlacementRounds is how many placement rounds there were in this term.
+// PlacementRounds returns the number of placement rounds in this term.
 func (s *Scheduler) PlacementRounds() uint64 { return s.placement.rounds }
 
-// View reads what operators and peers ask of a scheduler, and changes nothing.
+// View provides read-only access to a scheduler's state for operators and peers.
 type View struct {
 	cluster    *clusterState
 	reconciler *reconcile.Reconciler
 }
 
-// View gives a view of the present state. It is valid until the next input.
+// View returns a view of the current state. It is valid until the next input.
 func (s *Scheduler) View() View { return View{&s.cluster, s.reconciler.Reconciler} }
 
-// RunningTasks is the number of running tasks by job.
+// RunningTasks returns the number of running tasks by job ID, without jobs that have none.
 func (v View) RunningTasks() map[string]int {
 	running := map[string]int{}
 	for id, j := range v.cluster.jobs {
@@ -49,7 +49,7 @@
 	return running
 }
 
-// RunningTasksOf is the number of a job's running tasks.
+// RunningTasksOf returns the number of running tasks of a job.
 func (v View) RunningTasksOf(id string) int {
 	if j := v.cluster.jobs[id]; j != nil {
 		return j.runningCount
@@ -57,7 +57,7 @@
 	return 0
 }
 
-// MachineView is a machine as operators see it.
+// MachineView describes a machine to operators.
 type MachineView struct {
 	Name          string  `cbor:"name" json:"name"`
 	Type          string  `cbor:"type" json:"type"`
@@ -71,7 +71,7 @@
 	Quarantined   bool    `cbor:"avoided" json:"avoided"`
 }
 
-// Machines lists machines by name, those after from, up to the limit.
+// Machines lists at most limit machines whose names come after from, in the order of names.
 func (v View) Machines(now Now, from string, limit int) []MachineView {
 	var views []MachineView
 	for _, m := range v.cluster.sortedMachines() {
@@ -95,7 +95,7 @@
 	}
 }
 
-// displayState is the machine's state in words that operators see.
+// displayState returns the machine's state as shown to operators.
 func (m *machine) displayState() string {
 	switch {
 	case m.cloud.interruptionAt > 0:
@@ -106,7 +106,7 @@
 	return m.phase.String()
 }
 
-// TaskView is an attempt as operators see it.
+// TaskView describes an attempt to operators.
 type TaskView struct {
 	Task            string `cbor:"task" json:"task"`
 	Attempt         uint64 `cbor:"attempt" json:"attempt"`
@@ -119,7 +119,7 @@
 	return TaskView{Task: a.ref.String(), Attempt: a.number, Machine: a.machine.name, State: a.displayState(), DispatchRetries: a.retry.count}
 }
 
-// displayState is the attempt's state in words that operators see.
+// displayState returns the attempt's state as shown to operators.
 func (a *attempt) displayState() string {
 	switch {
 	case a.stop.requested:
@@ -132,7 +132,7 @@
 	return a.state
 }
 
-// JobDetail is a job as operators see it.
+// JobDetail describes a job to operators.
 type JobDetail struct {
 	ID       string     `cbor:"id" json:"id"`
 	State    string     `cbor:"state" json:"state"`
@@ -148,10 +148,11 @@
 	Attempts []TaskView `cbor:"attempts" json:"attempts"`
 }
 
-// maxAttemptsShown is how many attempts a JobDetail lists. Its counts are of all.
+// maxAttemptsShown is the maximum number of attempts that a JobDetail lists. Its counts cover
+// all attempts.
 const maxAttemptsShown = 200
 
-// Job describes a live job, or returns nil.
+// Job describes a job, or returns nil if it is unknown.
 func (v View) Job(now Now, id string) *JobDetail {
 	j := v.cluster.jobs[id]
 	if j == nil {
@@ -167,8 +168,8 @@
 	return &detail
 }
 
-// Waiting lists live jobs with tasks that wait, by id, those after from, up to the limit.
-// Attempts are not listed.
+// Waiting lists at most limit live jobs with waiting tasks whose IDs come after from, in the
+// order of IDs. Attempts are not listed.
 func (v View) Waiting(now Now, from string, limit int) []JobDetail {
 	details := []JobDetail{}
 	for _, id := range slices.Sorted(maps.Keys(v.cluster.jobs)) {
@@ -199,7 +200,7 @@
 	return detail
 }
 
-// displayState is the job's state as users see it.
+// displayState returns the job's state as shown to users.
 func (j *job) displayState() string {
 	switch {
 	case j.cancelled:
@@ -210,7 +211,7 @@
 	return wire.JobPending
 }
 
-// Failures lists failed attempts, the newest first, up to the limit after those to skip.
+// Failures lists at most limit failed attempts, the newest first, after the first skip ones.
 func (v View) Failures(skip, limit int) []Failure {
 	listed := []Failure{}
 	for i := len(v.cluster.failures) - 1 - skip; i >= 0 && len(listed) < limit; i-- {
@@ -224,8 +225,8 @@
 	return v.reconciler.Status(now.Mono)
 }
 
-// ReconciliationDifferences lists the differences that reconciliation has found, of a
-// class or of all for reconcile.None.
+// ReconciliationDifferences lists the differences of a class that reconciliation has found, or
+// those of all classes for reconcile.None.
 func (v View) ReconciliationDifferences(class reconcile.Class, skip, limit int) []reconcile.DifferenceView {
 	return v.reconciler.Differences(class, skip, limit)
 }
--- a/internal/scheduler/wait_reason.go
+++ b/internal/scheduler/wait_reason.go
@@ -1,20 +1,20 @@
 package scheduler
 
-// WaitReason is why tasks of a job wait, as of the last placement round.
+// WaitReason is the reason why tasks of a job wait, as of the last placement round.
 type WaitReason int
 
 // Reasons for tasks to wait.
 const (
 	NotWaiting           WaitReason = iota
-	WaitForRecords                  // an unreadable assignment record may name its tasks
-	WaitForHeartbeats               // unconfirmed machines may run its tasks without a record
-	WaitFailedEverywhere            // it is likely invalid, and its one task at a time is taken
-	WaitForGangStop                 // members of the gang are being stopped
-	WaitForQuota                    // its team is at its limit
-	WaitForCapacity                 // no machine has free capacity for it
+	WaitForRecords                  // an unreadable assignment record may contain its tasks
+	WaitForHeartbeats               // unconfirmed machines may run tasks of it that have no record
+	WaitFailedEverywhere            // it is likely invalid: only one task at a time is placed
+	WaitForGangStop                 // tasks of its gang are being stopped
+	WaitForQuota                    // its team is at its quota limit
+	WaitForCapacity                 // no machine has enough free capacity for one of its tasks
 )
 
-// String is the text that users and operators see; empty if nothing waits.
+// String returns the text that users and operators see; empty if no task waits.
 func (r WaitReason) String() string {
 	switch r {
 	case WaitForRecords:
