--- a/internal/scheduler/attempt.go
+++ b/internal/scheduler/attempt.go
@@ -59,9 +59,9 @@
 
 // dispatchRetry schedules the retries of a start that is not acknowledged.
 type dispatchRetry struct {
-	count     int           // starts sent, without those that the worker refused
-	nextAt    time.Duration // when the next retry is due
-	abandoned bool          // the deadline has passed; there are no more retries
+	dispatchCount int           // starts sent, without those that the worker refused
+	nextAt        time.Duration // when the next retry is due
+	abandoned     bool          // the deadline has passed; there are no more retries
 }
 
 // stopRequest tracks the stop of an attempt. A stop is never withdrawn. A stop without a
--- a/internal/scheduler/attempt_outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -56,7 +56,7 @@
 		j.runtimes.completed++
 		j.runtimes.totalS += (s.now.Mono - a.runningAt).Seconds()
 	}
-	j.retry.failures = 0
+	j.retry.consecutiveFailures = 0
 	s.markTaskDone(j, a.ref.index)
 }
 
@@ -112,7 +112,7 @@
 		j.retry.longestFailedRun = max(j.retry.longestFailedRun, ran)
 		if ran >= tuning.EstablishedAfter {
 			// It worked for long: earlier failures are no sign of an invalid job.
-			j.queueStatus.established, j.retry.failures = true, 0
+			j.queueStatus.established, j.retry.consecutiveFailures = true, 0
 		}
 	}
 	j.retry.failedMachines[a.machine.name] = true
--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -61,9 +61,9 @@
 	switch {
 	case len(p.candidates) > 0:
 	case !p.fetchSlotBusy:
-		j.waiting.fetchSlotSince = 0
-	case j.waiting.fetchSlotSince == 0:
-		j.waiting.fetchSlotSince = c.now.Mono
+		j.waiting.fetchSlotWaitSince = 0
+	case j.waiting.fetchSlotWaitSince == 0:
+		j.waiting.fetchSlotWaitSince = c.now.Mono
 	}
 	heap.Init(&p.candidates)
 	return p
@@ -97,7 +97,7 @@
 // sooner and the last no later. But a job without a task on any machine does not wait for
 // other jobs' fetches for ever.
 func (p *machinePicker) waitsForFetchSlot() bool {
-	since := p.job.waiting.fetchSlotSince
+	since := p.job.waiting.fetchSlotWaitSince
 	//mutation:fetch-wait-bound
 	return p.job.activeCount > 0 || since == 0 || p.now-since < tuning.MaxFetchSlotWait
 }
@@ -123,7 +123,7 @@
 
 // recordAssignment notes that a task went to the machine that best gave.
 func (p *machinePicker) recordAssignment(m *machine) {
-	p.job.waiting.fetchSlotSince = 0
+	p.job.waiting.fetchSlotWaitSince = 0
 	p.spread.add(m)
 	p.candidates[0].cost = p.cost(m)
 	heap.Fix(&p.candidates, 0)
--- a/internal/scheduler/deadline.go
+++ b/internal/scheduler/deadline.go
@@ -69,13 +69,13 @@
 // secondsToDeadline is in how many seconds the job should be complete: by the first of its
 // deadlines that it can meet, or by the last.
 func (j *job) secondsToDeadline(now time.Duration) float64 {
-	deadline := j.plan.deadlines[min(j.plan.feasible, len(j.plan.deadlines)-1)]
+	deadline := j.plan.deadlines[min(j.plan.firstFeasible, len(j.plan.deadlines)-1)]
 	return deadline - (now - j.createdAt).Seconds()
 }
 
 // missesAllDeadlines reports whether the job misses all its deadlines, by the last plan.
 func (j *job) missesAllDeadlines() bool {
-	return len(j.plan.deadlines) > 0 && j.plan.feasible >= len(j.plan.deadlines)
+	return len(j.plan.deadlines) > 0 && j.plan.firstFeasible >= len(j.plan.deadlines)
 }
 
 // hasTightDeadline reports whether a task of the job that started anew now would miss the
@@ -126,7 +126,7 @@
 // addJobs adds the jobs that have deadlines, and counts what services take.
 func (p *deadlinePlanner) addJobs(jobs map[string]*job) {
 	for _, j := range jobs {
-		j.plan.feasible = 0
+		j.plan.firstFeasible = 0
 		switch {
 		case !j.isOpen():
 		case j.service:
@@ -151,7 +151,7 @@
 	jobsByTeam := map[string][]*plannedJob{}
 	for i := range p.jobs {
 		planned := &p.jobs[i]
-		planned.committed = planned.job.plan.feasible < tier
+		planned.committed = planned.job.plan.firstFeasible < tier
 		if planned.job.missesAllDeadlines() {
 			continue
 		}
@@ -212,7 +212,7 @@
 	return seconds
 }
 
-func (p *plannedJob) giveUpDeadline() { p.job.plan.feasible++ }
+func (p *plannedJob) giveUpDeadline() { p.job.plan.firstFeasible++ }
 
 // largestUncommitted gives the index of the job with the most work among those that may
 // be given up, the first of several, or -1 if there is none.
--- a/internal/scheduler/deadline_test.go
+++ b/internal/scheduler/deadline_test.go
@@ -46,7 +46,7 @@
 	}
 	h.scheduler.cluster.planDeadlines()
 	for id, want := range map[string]int{"run-000000": 0, "run-000001": 1, "run-000002": 0, "run-000003": 0} {
-		if got := h.scheduler.cluster.jobs[id].plan.feasible; got != want {
+		if got := h.scheduler.cluster.jobs[id].plan.firstFeasible; got != want {
 			t.Errorf("%s misses %d deadlines, want %d", id, got, want)
 		}
 	}
@@ -56,7 +56,7 @@
 		j.plan.deadlines = h.scheduler.settings.Objectives[j.spec.Class].deadlinesOf(&j.spec)
 	}
 	h.scheduler.cluster.planDeadlines()
-	if j := h.scheduler.cluster.jobs["run-000001"]; j.plan.feasible != 1 || j.missesAllDeadlines() {
-		t.Errorf("misses %d of its deadlines %v", j.plan.feasible, j.plan.deadlines)
+	if j := h.scheduler.cluster.jobs["run-000001"]; j.plan.firstFeasible != 1 || j.missesAllDeadlines() {
+		t.Errorf("misses %d of its deadlines %v", j.plan.firstFeasible, j.plan.deadlines)
 	}
 }
--- a/internal/scheduler/directcall.go
+++ b/internal/scheduler/directcall.go
@@ -127,7 +127,7 @@
 // undo takes back a dispatch that is known not to have been executed.
 func (r *dispatchRetry) undo(now time.Duration) {
 	r.nextAt = now
-	r.count = max(0, r.count-1)
+	r.dispatchCount = max(0, r.dispatchCount-1)
 }
 
 // resendStops makes all stops that were sent to the machine due again.
--- a/internal/scheduler/dispatch_test.go
+++ b/internal/scheduler/dispatch_test.go
@@ -96,7 +96,7 @@
 	newCall := func() (dispatcher, *commandCall, *attempt) {
 		d := newDispatcher(&termContext{term: 7, now: Now{Mono: time.Minute}}, nil)
 		m := &machine{tasks: map[taskRef]*attempt{}, fencing: fencingState{counter: 3}}
-		a := &attempt{machine: m, start: startState{sent: true}, retry: dispatchRetry{count: 1, nextAt: time.Hour}, stop: stopRequest{sentAt: time.Second}}
+		a := &attempt{machine: m, start: startState{sent: true}, retry: dispatchRetry{dispatchCount: 1, nextAt: time.Hour}, stop: stopRequest{sentAt: time.Second}}
 		m.tasks[a.ref] = a
 		return d, &commandCall{machine: m, fencingCounter: 3, starts: []*attempt{a}}, a
 	}
@@ -116,7 +116,7 @@
 
 	d, call, a = newCall()
 	d.handleRefusedCall(call, newFencingToken(7, 9))
-	if a.machine.fencing.counter != 9 || a.retry.count != 0 || a.retry.nextAt != time.Minute || a.stop.sentAt != 0 || !a.machine.directCalls.resendWhenDone {
+	if a.machine.fencing.counter != 9 || a.retry.dispatchCount != 0 || a.retry.nextAt != time.Minute || a.stop.sentAt != 0 || !a.machine.directCalls.resendWhenDone {
 		t.Errorf("a refused call: %+v, %+v, %+v", a.machine.fencing, a.retry, a.machine.directCalls)
 	}
 	d.handleRefusedCall(call, newFencingToken(7, 2))
--- a/internal/scheduler/dispatchretry.go
+++ b/internal/scheduler/dispatchretry.go
@@ -22,7 +22,7 @@
 	}
 	a.start.sent, a.start.incarnation = true, a.machine.heartbeats.incarnation
 	a.retry.nextAt = d.now.Mono + d.dispatchRetryDelay(a)
-	a.retry.count++
+	a.retry.dispatchCount++
 }
 
 // noteDispatchRetry takes note that a start is sent again. If heartbeats arrive meanwhile
@@ -33,7 +33,7 @@
 		d.markUnreachable(a.machine, startNotAcknowledged)
 	}
 	d.counters.DispatchRetries++
-	d.logInfo("retrying unacknowledged start", "task", a.ref.String(), "attempt", a.number, "machine", a.machine.name, "retry", a.retry.count)
+	d.logInfo("retrying unacknowledged start", "task", a.ref.String(), "attempt", a.number, "machine", a.machine.name, "retry", a.retry.dispatchCount)
 }
 
 // dispatchDeadline is when the time to start the attempt ends, counted from its job's
@@ -53,7 +53,7 @@
 	retries := max(1, d.settings.Policy.DispatchRetryCount)
 	base := float64(d.dispatchDeadline(a)-a.start.firstSentAt) / (math.Pow(2, float64(retries)) - 1)
 	first := max(float64(d.settings.Policy.AckTimeout), base)
-	delay := time.Duration(first * math.Pow(2, float64(min(a.retry.count, maxRetryDoublings))))
+	delay := time.Duration(first * math.Pow(2, float64(min(a.retry.dispatchCount, maxRetryDoublings))))
 	// Where the deadline is hours off, the second dispatch would come minutes after the
 	// first: the task would wait on a machine that has only lost one message.
 	//mutation:dispatch-retry-bound
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -30,7 +30,7 @@
 	active          map[int][]*attempt // attached attempts by task index
 	activeCount     int                // tasks with attached attempts
 	runningCount    int                // attached attempts in state running
-	unsavedAttempts map[int]*attempt   // by task index: completed attempts whose done bit is not durable yet
+	unsavedAttempts map[int]*attempt   // completed, with a done bit that is not durable yet, by index
 
 	progress      jobProgress
 	write         jobWriteState
@@ -48,7 +48,7 @@
 	dirtySince     time.Duration  // since when it has unwritten changes; 0: it has none
 	inFlight       bool           // a transaction with its records is in flight
 	blockedUntil   time.Duration  // no write until then, after a failed one
-	chunkRevisions map[int]uint64 // mod revisions of the bitmap chunks outside the job record, by chunk
+	chunkRevisions map[int]uint64 // mod revisions of bitmap chunks outside the job record
 }
 
 // taskIndices hands out the indices of tasks to place.
@@ -59,10 +59,10 @@
 
 // retryState tracks a job's failed attempts and the backoff after them.
 type retryState struct {
-	failures         int             // consecutive failures
-	longestFailedRun time.Duration   // longest run of an attempt that ended with an error
-	failedMachines   map[string]bool // names of the machines on which it failed
-	notBefore        time.Duration   // no task is placed before then; 0: no backoff
+	consecutiveFailures int             // counts up to the reset by a successful or long run
+	longestFailedRun    time.Duration   // longest run of an attempt that ended with an error
+	failedMachines      map[string]bool // names of the machines on which it failed
+	notBefore           time.Duration   // no task is placed before then; 0: no backoff
 }
 
 // maxBackoffDoublings keeps the shift in countFailure from overflowing. The maximum backoff is
@@ -73,21 +73,21 @@
 // each failure, up to the maximum.
 func (r *retryState) countFailure(now time.Duration, settings policy.Settings) {
 	delay := settings.MaxErrorBackoff
-	if r.failures < maxBackoffDoublings {
-		delay = min(delay, settings.ErrorBackoff<<r.failures)
+	if r.consecutiveFailures < maxBackoffDoublings {
+		delay = min(delay, settings.ErrorBackoff<<r.consecutiveFailures)
 	}
-	r.failures++
+	r.consecutiveFailures++
 	r.notBefore = now + delay
 }
 
 // waitState records since when and why tasks of a job wait for placement.
 type waitState struct {
 	since time.Duration // since when any task waits; 0: none waits
-	// fetchSlotSince is since when every machine with capacity has been fetching a different
+	// fetchSlotWaitSince is since when every machine with capacity has been fetching a different
 	// image; 0: a machine without such a fetch is available.
-	fetchSlotSince    time.Duration
-	preemptionTriedAt time.Duration // when preemption was last tried for it; 0: never
-	reason            WaitReason
+	fetchSlotWaitSince time.Duration
+	preemptionTriedAt  time.Duration // when preemption was last tried for it; 0: never
+	reason             WaitReason
 }
 
 // capacityCheck caches whether any machine had capacity for a task of the job, see
@@ -100,9 +100,9 @@
 // deadlinePlan holds a job's deadlines, and the first one that it can still meet according to
 // the last placement round.
 type deadlinePlan struct {
-	deadlines []float64 // ascending, in seconds after the submission; see Objective.deadlinesOf
-	feasible  int       // index of the first deadline that can be met; len(deadlines): none
-	slackS    float64   // seconds until that deadline, or until the last one if none can be met
+	deadlines     []float64 // ascending, in seconds after the submission; see Objective.deadlinesOf
+	firstFeasible int       // index of the first deadline that can be met; len(deadlines): none
+	slackS        float64   // seconds until that deadline, or the last one if none; +Inf without deadlines
 }
 
 // observedRuntimes sums the run times of the tasks that this term observed from start to
@@ -116,7 +116,7 @@
 // of the last placement round.
 type jobQueueStatus struct {
 	established     bool // a task has run for tuning.EstablishedAfter; never reset
-	starved         bool // an array that waits for long without being established; see updateStarvation
+	starved         bool // waits for long without being established; see updateStarvation
 	prioritized     bool // starved, and its first tasks are placed ahead of other jobs
 	aged            bool // it misses all its deadlines and is older than tuning.AgedAfter
 	withinGuarantee bool // its tasks fit its team's guaranteed quota
--- a/internal/scheduler/job_changes.go
+++ b/internal/scheduler/job_changes.go
@@ -17,16 +17,16 @@
 		case change.Live == nil && j != nil:
 			s.archiveJob(j)
 		case change.Live != nil && j == nil:
-			s.addChangedJob(change.Live)
+			s.addNewJob(change.Live)
 		case change.Live != nil && change.Live.ModRevision > j.modRevision:
 			s.updateJob(j, change.Live)
 		}
 	}
 }
 
-// addChangedJob adds a job that was not known in this term, usually one that was submitted
+// addNewJob adds a job that was not known in this term, usually one that was submitted
 // during the term.
-func (s *Scheduler) addChangedJob(live *LiveJob) {
+func (s *Scheduler) addNewJob(live *LiveJob) {
 	j := s.cluster.addJob(live)
 	// The watch may report a state that is older than a peer's list of cancellations, and
 	// that list is sent only once: the job may have been cancelled since.
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -28,9 +28,9 @@
 
 	phase        machinePhase
 	firstKnownAt time.Duration // when the machine first became known in this term
-	upAt         time.Duration
+	upAt         time.Duration // when it entered machineUp in this term
 	idleSince    time.Duration // when it last became empty
-	confirmed    bool          // a heartbeat under this term's fencing token has listed its tasks
+	confirmed    bool          // a heartbeat has confirmed its tasks in this term
 
 	tasks           map[taskRef]*attempt
 	exited          map[taskRef]taskExit // ended attempts that the worker still lists
@@ -58,8 +58,8 @@
 
 // cloudStatus is a machine's status as reported by the cloud.
 type cloudStatus struct {
-	provisionedAt          time.Duration
-	provisionedInTerm      bool
+	provisionedAt          time.Duration // by the age in the cloud list; until listed, when it was first known
+	provisionedInTerm      bool          // this leader requested it in this term
 	listedInTerm           bool          // the cloud has listed it in this term
 	consecutiveMissedLists int           // lists since the last one that contained it
 	failed                 bool          // the cloud reports that it has stopped
@@ -75,13 +75,13 @@
 // quarantineState keeps tasks away from a machine on which tasks fail or are refused.
 type quarantineState struct {
 	until             time.Duration   // end of the quarantine
-	startsPausedUntil time.Duration   // set after the worker refused a start
+	startsPausedUntil time.Duration   // no starts until then, after the worker refused one
 	failedJobs        map[string]bool // IDs of unrelated jobs that failed on it
 }
 
 // reservation keeps a machine's free capacity for one job until it expires.
 type reservation struct {
-	jobID string
+	jobID string // empty: none
 	until time.Duration
 }
 
@@ -102,7 +102,7 @@
 // directCallState is the state of the direct calls to a machine. At most one is in flight.
 type directCallState struct {
 	inFlight                 bool
-	resendWhenDone           bool          // commands are due that are sent when the call in flight ends
+	resendWhenDone           bool          // more commands are due when the call in flight ends
 	probedAt                 time.Duration // when the last status probe was sent
 	consecutiveUnanswered    int           // unanswered calls since the last answered one
 	unansweredSinceHeartbeat int           // unanswered calls since the last heartbeat or answered call
--- a/internal/scheduler/machinescan.go
+++ b/internal/scheduler/machinescan.go
@@ -66,7 +66,7 @@
 	task := wire.TaskName(a.ref.jobID, a.ref.index)
 	a.retry.abandoned = true
 	s.counters.DispatchGiveUps++
-	s.logInfo("dispatch abandoned: start never acknowledged", "task", task, "attempt", a.number, "machine", a.machine.name, "retries", a.retry.count)
+	s.logInfo("dispatch abandoned: start never acknowledged", "task", task, "attempt", a.number, "machine", a.machine.name, "retries", a.retry.dispatchCount)
 	s.cluster.addFailure(Failure{task, a.number, a.machine.name, causeAckTimeout, s.now.Wall})
 	s.stopNow(a, StopNeverAcknowledged)
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -56,7 +56,7 @@
 		return c
 	}
 	return cmp.Or(
-		cmp.Compare(b.job.plan.feasible, a.job.plan.feasible),
+		cmp.Compare(b.job.plan.firstFeasible, a.job.plan.firstFeasible),
 		cmp.Compare(b.placedAt, a.placedAt),
 		cmp.Compare(b.number, a.number),
 	)
@@ -318,7 +318,7 @@
 	if c := compareTrueFirst(b.ofStarvedJob(), a.ofStarvedJob()); c != 0 {
 		return c
 	}
-	if c := cmp.Or(cmp.Compare(b.job.rank, a.job.rank), cmp.Compare(b.job.plan.feasible, a.job.plan.feasible)); c != 0 {
+	if c := cmp.Or(cmp.Compare(b.job.rank, a.job.rank), cmp.Compare(b.job.plan.firstFeasible, a.job.plan.firstFeasible)); c != 0 {
 		return c
 	}
 	if c := compareTrueFirst(b.job.hasTightDeadline(p.round.now.Mono), a.job.hasTightDeadline(p.round.now.Mono)); c != 0 {
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -15,7 +15,7 @@
 // Each attempt is preempted before the next.
 func TestPreemptionOrder(t *testing.T) {
 	const now = time.Hour
-	late := func(j *job) { j.plan = deadlinePlan{deadlines: []float64{60}, feasible: 1} }
+	late := func(j *job) { j.plan = deadlinePlan{deadlines: []float64{60}, firstFeasible: 1} }
 	tight := func(j *job) {
 		j.plan = deadlinePlan{deadlines: []float64{60}}
 		j.createdAt, j.spec.EstimatedRunS = now, 55
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -182,7 +182,7 @@
 // deadlineClass orders jobs by the first deadline that they can still meet, and those that
 // are equal in that by whether they are within their team's guarantee.
 func (j *job) deadlineClass() int {
-	class := 2 * j.plan.feasible
+	class := 2 * j.plan.firstFeasible
 	if !j.queueStatus.withinGuarantee {
 		class++
 	}
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -18,19 +18,19 @@
 	}
 	ordered := []*job{
 		queued("production, late and beyond its guarantee", productionRank, func(j *job) {
-			j.plan.feasible, j.queueStatus.withinGuarantee = 1, false
+			j.plan.firstFeasible, j.queueStatus.withinGuarantee = 1, false
 		}),
-		queued("starved", normalRank, func(j *job) { j.queueStatus.prioritized, j.plan.feasible = true, 1 }),
-		queued("aged", normalRank, func(j *job) { j.queueStatus.aged, j.plan.feasible = true, 1 }),
+		queued("starved", normalRank, func(j *job) { j.queueStatus.prioritized, j.plan.firstFeasible = true, 1 }),
+		queued("aged", normalRank, func(j *job) { j.queueStatus.aged, j.plan.firstFeasible = true, 1 }),
 		queued("urgent", urgentRank, nil),
 		queued("less time", normalRank, func(j *job) { j.plan.slackS = 10 }),
 		queued("older", normalRank, func(j *job) { j.createdAt = -time.Second }),
 		queued("usual, a", normalRank, nil),
 		queued("usual, b", normalRank, nil),
 		queued("beyond its guarantee", urgentRank, func(j *job) { j.queueStatus.withinGuarantee = false }),
-		queued("late", urgentRank, func(j *job) { j.plan.feasible = 1 }),
+		queued("late", urgentRank, func(j *job) { j.plan.firstFeasible = 1 }),
 		queued("late and beyond its guarantee", urgentRank, func(j *job) {
-			j.plan.feasible, j.queueStatus.withinGuarantee = 1, false
+			j.plan.firstFeasible, j.queueStatus.withinGuarantee = 1, false
 		}),
 	}
 	for i, a := range ordered {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -36,7 +36,7 @@
 type Scheduler struct {
 	*termContext
 
-	// ObserveAckLatency, if set, receives the time from a start to its acknowledgement.
+	// ObserveAckLatency, if set, is called with the time from each start to its acknowledgement.
 	ObserveAckLatency func(time.Duration)
 
 	cluster       clusterState
@@ -71,7 +71,7 @@
 	return s
 }
 
-// newEmptyScheduler returns a scheduler without machines or jobs.
+// newEmptyScheduler returns a scheduler that knows no machines, machine types or jobs.
 func newEmptyScheduler(now Now, settings Settings, term uint64) *Scheduler {
 	context := &termContext{settings: settings, term: term, now: now, startedAt: now.Mono}
 	reconciler := reconcile.New(now.Mono, settings.reconcileConfig())
--- a/internal/scheduler/settings.go
+++ b/internal/scheduler/settings.go
@@ -29,7 +29,7 @@
 	// start.
 	GuaranteedStartWithin time.Duration
 	CloudListLag          time.Duration // how stale the cloud's list of machines can be
-	// ColdRestart reports whether no controller is known to have been up when the previous
+	// ColdRestart is set if no controller is known to have been up when the previous
 	// leader ended.
 	ColdRestart     bool
 	TraceOperations bool // emit an event for each operation during reconciliation
--- a/internal/scheduler/views.go
+++ b/internal/scheduler/views.go
@@ -116,7 +116,7 @@
 }
 
 func (a *attempt) view() TaskView {
-	return TaskView{Task: a.ref.String(), Attempt: a.number, Machine: a.machine.name, State: a.displayState(), DispatchRetries: a.retry.count}
+	return TaskView{Task: a.ref.String(), Attempt: a.number, Machine: a.machine.name, State: a.displayState(), DispatchRetries: a.retry.dispatchCount}
 }
 
 // displayState returns the attempt's state as shown to operators.
@@ -192,7 +192,7 @@
 	detail := JobDetail{
 		ID: j.id, State: j.displayState(), Class: j.spec.Class, Team: j.spec.Team,
 		Tasks: j.spec.Tasks, Done: j.progress.doneCount, Running: j.runningCount, Waiting: j.pendingTasks(),
-		Reason: j.waiting.reason.String(), Failures: j.retry.failures, Attempts: []TaskView{},
+		Reason: j.waiting.reason.String(), Failures: j.retry.consecutiveFailures, Attempts: []TaskView{},
 	}
 	if j.retry.notBefore > now.Mono {
 		detail.Reason, detail.RetryInS = "waits after failed attempts", (j.retry.notBefore - now.Mono).Seconds()
