--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -58,7 +58,7 @@
 
 // cloudStatus is a machine's status as reported by the cloud.
 type cloudStatus struct {
-	provisionedAt          time.Duration // by the age in the cloud list; until listed, when it was first known
+	provisionedAt          time.Duration // from the cloud list; until listed, when first known
 	provisionedInTerm      bool          // this leader requested it in this term
 	listedInTerm           bool          // the cloud has listed it in this term
 	consecutiveMissedLists int           // lists since the last one that contained it
@@ -191,7 +191,7 @@
 	hasUnknownTask               bool // the job of an attempt is not live, so its resources are unknown
 	services                     int  // number of service tasks
 	serviceCPUs, serviceMemoryGB float64
-	fetching                     map[string]float64 // GB by image being fetched, without tasks being stopped
+	fetching                     map[string]float64 // GB by image, without tasks being stopped
 }
 
 // summarize returns the machine's taskSummary, which is recomputed after its tasks or images have
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,8 +1,8 @@
-// Package scheduler decides which task runs on which machine. It is a deterministic state
-// machine without I/O, goroutines, a clock or randomness: each input carries the time at which
-// it arrived, and the calls, writes and log lines that result are returned as Effects. Call New
-// at the start of a term. For each event, call the input method (Heartbeat, JobsChanged,
-// CommitDone, Tick, ...), then Settle, then TakeEffects.
+// Package scheduler decides which task runs on which machine. It is a state machine without
+// I/O, goroutines, a clock or randomness: each input carries the time at which it arrived, and
+// the calls, writes and log lines that result are returned as Effects. Call New at the start of
+// a term. For each event, call the input method (Heartbeat, JobsChanged, CommitDone, Tick, ...),
+// then Settle, then TakeEffects.
 //
 // Its guarantees rest on three rules. A task's assignment is durable before any start is sent
 // to its machine. An attempt is removed from the state only on proof that it no longer exists
