--- a/internal/scheduler/assignments_test.go
+++ b/internal/scheduler/assignments_test.go
@@ -19,7 +19,7 @@
 // attempts are gone.
 func TestAssignmentBatchesAreCompactedAndDeleted(t *testing.T) {
 	h := newHarness(t)
-	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 8, CPUsMax: 1000}
+	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 8, MaxCPUs: 1000}
 	var names []string
 	for i := range 20 {
 		names = append(names, fmt.Sprintf("n-%02d", i))
--- a/internal/scheduler/attempt_outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -56,7 +56,7 @@
 		j.runtimes.completed++
 		j.runtimes.totalS += (s.now.Mono - a.runningAt).Seconds()
 	}
-	j.retry.failures = 0
+	j.retry.consecutiveFailures = 0
 	s.markTaskDone(j, a.ref.index)
 }
 
@@ -113,7 +113,7 @@
 		j.retry.longestFailedRun = max(j.retry.longestFailedRun, runTime)
 		if runTime >= tuning.EstablishedAfter {
 			// A long run shows that the job is valid, despite earlier failures.
-			j.standing.established, j.retry.failures = true, 0
+			j.queueStatus.established, j.retry.consecutiveFailures = true, 0
 		}
 	}
 	j.retry.failedMachines[a.machine.name] = true
@@ -127,7 +127,7 @@
 // any.
 func (c *clusterState) attributeFailure(m *machine, j *job) {
 	if j.likelyInvalid(c.now.Mono) {
-		c.acquitMachines(j)
+		c.clearJobFailures(j)
 		return
 	}
 	m.quarantine.failedJobs[j.id] = true
@@ -222,8 +222,8 @@
 // fitsSomewhereCached caches the result of fitsSomewhere for tuning.FreeCapacityMemory, since
 // many tasks of a job are checked at the same time.
 func (c *clusterState) fitsSomewhereCached(j *job) bool {
-	if j.headroom.checkedAt == 0 || c.now.Mono-j.headroom.checkedAt > tuning.FreeCapacityMemory {
-		j.headroom.checkedAt, j.headroom.available = c.now.Mono, c.fitsSomewhere(j)
+	if j.capacityCheck.checkedAt == 0 || c.now.Mono-j.capacityCheck.checkedAt > tuning.FreeCapacityMemory {
+		j.capacityCheck.checkedAt, j.capacityCheck.available = c.now.Mono, c.fitsSomewhere(j)
 	}
-	return j.headroom.available
+	return j.capacityCheck.available
 }
--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -60,9 +60,9 @@
 	switch {
 	case len(p.candidates) > 0:
 	case !p.fetchSlotBusy:
-		j.waiting.fetchSlotSince = 0
-	case j.waiting.fetchSlotSince == 0:
-		j.waiting.fetchSlotSince = c.now.Mono
+		j.waiting.fetchSlotWaitSince = 0
+	case j.waiting.fetchSlotWaitSince == 0:
+		j.waiting.fetchSlotWaitSince = c.now.Mono
 	}
 	heap.Init(&p.candidates)
 	return p
@@ -96,7 +96,7 @@
 // the last one no later. The wait of a job without a task on any machine is bounded by
 // tuning.MaxFetchSlotWait.
 func (p *machinePicker) waitsForFetchSlot() bool {
-	since := p.job.waiting.fetchSlotSince
+	since := p.job.waiting.fetchSlotWaitSince
 	//mutation:fetch-wait-bound
 	return p.job.activeCount > 0 || since == 0 || p.now-since < tuning.MaxFetchSlotWait
 }
@@ -124,7 +124,7 @@
 // recordAssignment updates the picker after a task was assigned to the machine that best has just
 // returned.
 func (p *machinePicker) recordAssignment(m *machine) {
-	p.job.waiting.fetchSlotSince = 0
+	p.job.waiting.fetchSlotWaitSince = 0
 	p.spread.add(m)
 	p.candidates[0].cost = p.cost(m)
 	heap.Fix(&p.candidates, 0)
--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -64,7 +64,7 @@
 // direct call unanswered is excluded until a reply, or a heartbeat with the current fencing token,
 // shows that messages reach it again. Otherwise tasks placed there would be delayed as well.
 func (c *clusterState) schedulable(m *machine) bool {
-	if m.calls.unanswered > 0 && m.fencing.seenToken < c.fencingToken(m) {
+	if m.directCalls.consecutiveUnanswered > 0 && m.fencing.highestSeenToken < c.fencingToken(m) {
 		return false
 	}
 	if m.phase != machineUp || !m.confirmed || m.machineSpec == nil || m.cloud.failed || m.cloud.interruptionAt != 0 {
--- a/internal/scheduler/deadline.go
+++ b/internal/scheduler/deadline.go
@@ -70,13 +70,13 @@
 // secondsToDeadline returns the seconds until the first deadline that the job can still meet,
 // or until its last deadline if it misses them all. The result is negative after the deadline.
 func (j *job) secondsToDeadline(now time.Duration) float64 {
-	deadline := j.plan.deadlines[min(j.plan.feasible, len(j.plan.deadlines)-1)]
+	deadline := j.plan.deadlines[min(j.plan.firstFeasible, len(j.plan.deadlines)-1)]
 	return deadline - (now - j.createdAt).Seconds()
 }
 
 // missesAllDeadlines reports whether the job misses all its deadlines according to the last plan.
 func (j *job) missesAllDeadlines() bool {
-	return len(j.plan.deadlines) > 0 && j.plan.feasible >= len(j.plan.deadlines)
+	return len(j.plan.deadlines) > 0 && j.plan.firstFeasible >= len(j.plan.deadlines)
 }
 
 // hasTightDeadline reports whether a task of the job that was restarted now would miss the first
@@ -129,7 +129,7 @@
 // addJobs adds the jobs that have deadlines and sums up the CPUs of services by team.
 func (p *deadlinePlanner) addJobs(jobs map[string]*job) {
 	for _, j := range jobs {
-		j.plan.feasible = 0
+		j.plan.firstFeasible = 0
 		switch {
 		case !j.isOpen():
 		case j.service:
@@ -154,7 +154,7 @@
 	jobsByTeam := map[string][]*plannedJob{}
 	for i := range p.jobs {
 		planned := &p.jobs[i]
-		planned.committed = planned.job.plan.feasible < tier
+		planned.committed = planned.job.plan.firstFeasible < tier
 		if planned.job.missesAllDeadlines() {
 			continue
 		}
@@ -172,10 +172,10 @@
 // teamCPUs returns how many CPUs a team's jobs with deadlines can use.
 func (p *deadlinePlanner) teamCPUs(team string) float64 {
 	quota, ok := p.teams[team]
-	if !ok || quota.CPUsMax <= 0 {
+	if !ok || quota.MaxCPUs <= 0 {
 		return p.totalCPUs
 	}
-	return max(1, min(p.totalCPUs, quota.CPUsMax-p.serviceCPUs[team]))
+	return max(1, min(p.totalCPUs, quota.MaxCPUs-p.serviceCPUs[team]))
 }
 
 // keepMostOnTime gives up the current deadlines of jobs until the other jobs can be on time with
@@ -215,7 +215,7 @@
 	return seconds
 }
 
-func (p *plannedJob) giveUpDeadline() { p.job.plan.feasible++ }
+func (p *plannedJob) giveUpDeadline() { p.job.plan.firstFeasible++ }
 
 // largestUncommitted returns the index of the uncommitted job with the most work, the first one
 // of equals, or -1 if there is none.
--- a/internal/scheduler/dispatchretry.go
+++ b/internal/scheduler/dispatchretry.go
@@ -23,7 +23,7 @@
 	}
 	a.start.sent, a.start.incarnation = true, a.machine.heartbeats.incarnation
 	a.retry.nextAt = d.now.Mono + d.dispatchRetryDelay(a)
-	a.retry.count++
+	a.retry.dispatchCount++
 }
 
 // recordDispatchRetry records that a start is sent again. If heartbeats arrive while the start
@@ -34,7 +34,7 @@
 		d.markUnreachable(a.machine, startNotAcknowledged)
 	}
 	d.counters.DispatchRetries++
-	d.logInfo("retrying unacknowledged start", "task", a.ref.String(), "attempt", a.number, "machine", a.machine.name, "retry", a.retry.count)
+	d.logInfo("retrying unacknowledged start", "task", a.ref.String(), "attempt", a.number, "machine", a.machine.name, "retry", a.retry.dispatchCount)
 }
 
 // dispatchDeadline returns when the attempt's dispatch is abandoned: when the budget since its
@@ -56,7 +56,7 @@
 	retries := max(1, d.settings.Policy.DispatchRetryCount)
 	budgetDelay := float64(d.dispatchDeadline(a)-a.start.firstSentAt) / (math.Pow(2, float64(retries)) - 1)
 	firstDelay := max(float64(d.settings.Policy.AckTimeout), budgetDelay)
-	delay := time.Duration(firstDelay * math.Pow(2, float64(min(a.retry.count, maxRetryDoublings))))
+	delay := time.Duration(firstDelay * math.Pow(2, float64(min(a.retry.dispatchCount, maxRetryDoublings))))
 	// Without this limit, a deadline that is hours away would put minutes between the first and
 	// the second dispatch, and the task would wait that long for a machine that has lost only
 	// one message.
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -40,9 +40,9 @@
 // commands for the reply.
 func (s *Scheduler) handleNewHeartbeat(m *machine, heartbeat *wire.Heartbeat) []wire.Command {
 	s.dispatcher.watchReplyDelivery(m, heartbeat)
-	m.connectivity.heartbeatAnsweredAt = s.now.Mono
+	m.connectivity.heartbeatRepliedAt = s.now.Mono
 	s.markHeartbeatReceived(m)
-	m.calls.unansweredSinceHeartbeat = 0
+	m.directCalls.unansweredSinceHeartbeat = 0
 	delete(s.monitor.zoneLastSeenAt, m.zone) // older than this heartbeat
 	s.applyHeartbeat(m, heartbeat, workerInitiated)
 	return s.dispatcher.heartbeatCommands(m, heartbeat, s.cluster.jobs)
@@ -56,7 +56,7 @@
 	reply := wire.HeartbeatReply{FencingToken: s.fencingToken(m), Commands: []wire.Command{}}
 	if m.heartbeats.precedes(heartbeat) {
 		s.markHeartbeatReceived(m)
-		m.calls.unansweredSinceHeartbeat = 0
+		m.directCalls.unansweredSinceHeartbeat = 0
 		// The reply renews the worker's lease, so it also carries the stops that are due: if the
 		// cloud takes long to answer the release, cancelled tasks would otherwise run past the
 		// cancellation bound.
@@ -113,9 +113,9 @@
 func (s *Scheduler) applyHeartbeat(m *machine, heartbeat *wire.Heartbeat, initiator exchangeInitiator) {
 	m.heartbeats = heartbeatOrder{
 		incarnation: heartbeat.Incarnation, sequence: heartbeat.Sequence,
-		underTerm: TermOf(heartbeat.FencingToken) == s.term,
+		underCurrentTerm: TermOf(heartbeat.FencingToken) == s.term,
 	}
-	m.fencing.seenToken = max(m.fencing.seenToken, heartbeat.FencingToken)
+	m.fencing.highestSeenToken = max(m.fencing.highestSeenToken, heartbeat.FencingToken)
 	s.applySpotInterruption(m, heartbeat)
 	listed := make(map[taskRef]bool, len(heartbeat.Tasks))
 	s.applyTaskList(m, heartbeat.Tasks, listed)
@@ -123,7 +123,7 @@
 	// A worker without a fencing token is new if its machine was provisioned in this term. From
 	// any other machine, the heartbeat may be a late duplicate of the worker's first one.
 	//mutation:confirm-only-own-new-machines
-	if !m.confirmed && (m.heartbeats.underTerm || len(m.tasks) == 0 && heartbeat.FencingToken == 0 && m.cloud.provisionedInTerm) {
+	if !m.confirmed && (m.heartbeats.underCurrentTerm || len(m.tasks) == 0 && heartbeat.FencingToken == 0 && m.cloud.provisionedInTerm) {
 		m.confirmed = true
 		s.placement.due = true
 		s.reconciler.ConfirmMachine(s.now.Mono, m.name)
--- a/internal/scheduler/load_log.go
+++ b/internal/scheduler/load_log.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// logLoad logs how full the cluster is, what tasks wait for, and how far the leader is
-// behind with cancellations.
+// logLoad logs the cluster's utilization, how many tasks wait for each reason, and the lag of
+// the cancellations that are not fully enforced yet.
 func (c *clusterState) logLoad(cancellationLag time.Duration) {
 	for _, name := range slices.Sorted(maps.Keys(c.usage)) {
 		if usage := c.usage[name]; usage.CPUs > 0 {
-			c.logDebug("team usage", "team", name, "cpus_used", usage.CPUs, "cpus_limit", c.settings.Teams[name].CPUsMax)
+			c.logDebug("team usage", "team", name, "cpus_used", usage.CPUs, "cpus_limit", c.settings.Teams[name].MaxCPUs)
 		}
 	}
 	waiting := map[WaitReason]int{}
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -19,7 +19,7 @@
 	for seed := range uint64(3) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		h := newHarness(t)
-		h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 8, CPUsMax: 1000}
+		h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 8, MaxCPUs: 1000}
 		workers := newFakeWorkers(h, func(string, string) (time.Duration, string) {
 			return time.Duration(4+rng.IntN(9)) * time.Second, wire.CauseDone
 		})
@@ -50,8 +50,8 @@
 // seconds don't count. Once the starvation bound has passed, the team uses at most 4 CPUs.
 func TestIdleGuestJobIsEstablishedUnderLoad(t *testing.T) {
 	h := newHarness(t)
-	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, CPUsMax: 1000}
-	h.scheduler.settings.Teams["guest"] = TeamQuota{CPUsMax: math.Inf(1)}
+	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, MaxCPUs: 1000}
+	h.scheduler.settings.Teams["guest"] = TeamQuota{MaxCPUs: math.Inf(1)}
 	rng := rand.New(rand.NewPCG(1, 1))
 	workers := newFakeWorkers(h, func(task, _ string) (time.Duration, string) {
 		if strings.HasPrefix(task, "run-900000/") {
@@ -98,7 +98,7 @@
 			workers.step()
 		}
 		faulty[m] = false
-		if j := h.scheduler.cluster.jobs["run-000001"]; j.activeCount != 6 && j.retry.at <= h.now {
+		if j := h.scheduler.cluster.jobs["run-000001"]; j.activeCount != 6 && j.retry.notBefore <= h.now {
 			t.Errorf("after failures on %d machines, %d of 6 replicas are placed", i+1, j.activeCount)
 		}
 	}
@@ -114,7 +114,7 @@
 // capacity for all its tasks, all of them are placed at once.
 func TestStarvedJobIsNotCappedWhereCapacityIsFree(t *testing.T) {
 	h := newHarness(t)
-	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, CPUsMax: 1000}
+	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, MaxCPUs: 1000}
 	workers := newFakeWorkers(h, func(string, string) (time.Duration, string) {
 		return tuning.ArrayStarvationBound + 10*time.Second, wire.CauseDone
 	})
@@ -134,7 +134,7 @@
 // fail there that succeed elsewhere.
 func TestInvalidJobsAreThrottledAndFaultyMachinesQuarantined(t *testing.T) {
 	h := newHarness(t)
-	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, CPUsMax: 1000}
+	h.scheduler.settings.Teams["red"] = TeamQuota{CPUs: 1000, MaxCPUs: 1000}
 	faulty := false
 	workers := newFakeWorkers(h, func(task, m string) (time.Duration, string) {
 		if task < "run-000005" || faulty && m == "n-2" {
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -58,7 +58,7 @@
 		return c
 	}
 	return cmp.Or(
-		cmp.Compare(b.job.plan.feasible, a.job.plan.feasible),
+		cmp.Compare(b.job.plan.firstFeasible, a.job.plan.firstFeasible),
 		cmp.Compare(b.placedAt, a.placedAt),
 		cmp.Compare(b.number, a.number),
 	)
@@ -104,7 +104,7 @@
 	if victim.rank > j.rank {
 		return true
 	}
-	if !j.standing.withinGuarantee || victim.standing.withinGuarantee || victim.spec.Team == j.spec.Team || victim.isProduction() {
+	if !j.queueStatus.withinGuarantee || victim.queueStatus.withinGuarantee || victim.spec.Team == j.spec.Team || victim.isProduction() {
 		return false
 	}
 	return c.exceedsGuarantee(victim)
@@ -170,7 +170,7 @@
 // the guaranteed start time: capacity may become free by then, and a preempted attempt loses its
 // progress.
 func (r *placementRound) preemptionScope(j *job) preemptionScope {
-	if j.isProduction() || j.standing.withinGuarantee && r.now.Mono-j.createdAt >= r.settings.GuaranteedStartWithin/2 {
+	if j.isProduction() || j.queueStatus.withinGuarantee && r.now.Mono-j.createdAt >= r.settings.GuaranteedStartWithin/2 {
 		return preemptAllowed
 	}
 	if j.rank >= idleRank || !r.idlePreemptable {
@@ -332,7 +332,7 @@
 	if c := compareTrueFirst(b.belongsToStarvedJob(), a.belongsToStarvedJob()); c != 0 {
 		return c
 	}
-	if c := cmp.Or(cmp.Compare(b.job.rank, a.job.rank), cmp.Compare(b.job.plan.feasible, a.job.plan.feasible)); c != 0 {
+	if c := cmp.Or(cmp.Compare(b.job.rank, a.job.rank), cmp.Compare(b.job.plan.firstFeasible, a.job.plan.firstFeasible)); c != 0 {
 		return c
 	}
 	if c := compareTrueFirst(b.job.hasTightDeadline(p.round.now.Mono), a.job.hasTightDeadline(p.round.now.Mono)); c != 0 {
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -15,7 +15,7 @@
 // compareVictims orders each attempt before the next one in the list.
 func TestPreemptionOrder(t *testing.T) {
 	const now = time.Hour
-	late := func(j *job) { j.plan = deadlinePlan{deadlines: []float64{60}, feasible: 1} }
+	late := func(j *job) { j.plan = deadlinePlan{deadlines: []float64{60}, firstFeasible: 1} }
 	tight := func(j *job) {
 		j.plan = deadlinePlan{deadlines: []float64{60}}
 		j.createdAt, j.spec.EstimatedRunS = now, 55
@@ -35,7 +35,7 @@
 		victim(3, normalRank, time.Second, nil),
 		victim(6, normalRank, 2*time.Second, tight),
 		victim(7, urgentRank, 0, nil),
-		victim(8, idleRank, 0, func(j *job) { j.standing.starved = true }),
+		victim(8, idleRank, 0, func(j *job) { j.queueStatus.starved = true }),
 	}
 	search := &preemptionSearch{round: &placementRound{termContext: &termContext{now: Now{Mono: now}}}}
 	for i, a := range ordered {
@@ -50,7 +50,7 @@
 // An attempt may be preempted for a job of higher priority and, if its team exceeds its
 // guarantee, for a job within the guarantee of another team.
 func TestMayPreempt(t *testing.T) {
-	guaranteed := jobStanding{withinGuarantee: true}
+	guaranteed := jobQueueStatus{withinGuarantee: true}
 	for _, tc := range []struct {
 		name        string
 		job, victim job
@@ -59,19 +59,19 @@
 		want        bool
 	}{
 		{name: "lower priority", job: job{rank: urgentRank}, victim: job{rank: normalRank}, want: true},
-		{name: "same priority and team", job: job{rank: normalRank, standing: guaranteed}, victim: job{rank: normalRank}},
+		{name: "same priority and team", job: job{rank: normalRank, queueStatus: guaranteed}, victim: job{rank: normalRank}},
 		{name: "higher priority", job: job{rank: normalRank}, victim: job{rank: urgentRank}},
 		{
 			name: "beyond another team's guarantee", want: true,
-			job: job{rank: normalRank, standing: guaranteed}, victim: job{rank: urgentRank, spec: wire.Job{Team: "blue", CPUs: 2}},
+			job: job{rank: normalRank, queueStatus: guaranteed}, victim: job{rank: urgentRank, spec: wire.Job{Team: "blue", CPUs: 2}},
 		},
 		{
 			name: "within another team's guarantee",
-			job:  job{rank: normalRank, standing: guaranteed}, victim: job{rank: urgentRank, spec: wire.Job{Team: "blue", CPUs: 2}, standing: guaranteed},
+			job:  job{rank: normalRank, queueStatus: guaranteed}, victim: job{rank: urgentRank, spec: wire.Job{Team: "blue", CPUs: 2}, queueStatus: guaranteed},
 		},
 		{
 			name: "needed to fill another team's guarantee",
-			job:  job{rank: normalRank, standing: guaranteed}, victim: job{rank: urgentRank, spec: wire.Job{Team: "blue", CPUs: 3}},
+			job:  job{rank: normalRank, queueStatus: guaranteed}, victim: job{rank: urgentRank, spec: wire.Job{Team: "blue", CPUs: 3}},
 		},
 		{
 			name: "both beyond their guarantees",
@@ -79,15 +79,15 @@
 		},
 		{
 			name: "production",
-			job:  job{rank: normalRank, standing: guaranteed}, victim: job{rank: productionRank, spec: wire.Job{Team: "blue", CPUs: 2}},
+			job:  job{rank: normalRank, queueStatus: guaranteed}, victim: job{rank: productionRank, spec: wire.Job{Team: "blue", CPUs: 2}},
 		},
-		{name: "starved job, for urgent work", job: job{rank: urgentRank}, victim: job{rank: idleRank, standing: jobStanding{starved: true}}},
-		{name: "starved job, for production", job: job{rank: productionRank}, victim: job{rank: idleRank, standing: jobStanding{starved: true}}, want: true},
+		{name: "starved job, for urgent work", job: job{rank: urgentRank}, victim: job{rank: idleRank, queueStatus: jobQueueStatus{starved: true}}},
+		{name: "starved job, for production", job: job{rank: productionRank}, victim: job{rank: idleRank, queueStatus: jobQueueStatus{starved: true}}, want: true},
 		{name: "unacknowledged start", job: job{rank: urgentRank}, victim: job{rank: normalRank}, start: startState{sent: true}},
 		{name: "acknowledged start", job: job{rank: urgentRank}, victim: job{rank: normalRank}, start: startState{sent: true, acknowledged: true}, want: true},
 		{name: "being stopped", job: job{rank: urgentRank}, victim: job{rank: normalRank}, stop: stopRequest{requested: true}},
 	} {
-		s := newEmptyScheduler(Now{}, Settings{Teams: map[string]TeamQuota{"blue": {CPUs: 8, CPUsMax: 16}}}, 1)
+		s := newEmptyScheduler(Now{}, Settings{Teams: map[string]TeamQuota{"blue": {CPUs: 8, MaxCPUs: 16}}}, 1)
 		s.cluster.usageOf("blue").CPUs = 10
 		a := &attempt{job: &tc.victim, start: tc.start, stop: tc.stop}
 		if got := s.cluster.mayPreempt(&tc.job, a); got != tc.want {
@@ -99,7 +99,7 @@
 // Idle-priority attempts may be preempted at once, other attempts only for production and for jobs
 // that have waited within their team's guarantee.
 func TestPreemptionScope(t *testing.T) {
-	within := jobStanding{withinGuarantee: true}
+	within := jobQueueStatus{withinGuarantee: true}
 	const now = time.Hour
 	for _, tc := range []struct {
 		name            string
@@ -108,8 +108,8 @@
 		want            preemptionScope
 	}{
 		{"production", job{rank: productionRank, createdAt: now}, false, preemptAllowed},
-		{"within its guarantee, just submitted", job{rank: normalRank, createdAt: now, standing: within}, true, preemptIdle},
-		{"within its guarantee, submitted long ago", job{rank: normalRank, standing: within}, false, preemptAllowed},
+		{"within its guarantee, just submitted", job{rank: normalRank, createdAt: now, queueStatus: within}, true, preemptIdle},
+		{"within its guarantee, submitted long ago", job{rank: normalRank, queueStatus: within}, false, preemptAllowed},
 		{"beyond its guarantee", job{rank: normalRank}, true, preemptIdle},
 		{"beyond its guarantee, without idle attempts", job{rank: normalRank}, false, preemptNothing},
 		{"idle", job{rank: idleRank}, true, preemptNothing},
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -36,7 +36,7 @@
 			continue
 		}
 		j.updateStarvation(c.now.Mono, totalCPUs)
-		if j.pendingTasks() > 0 && c.now.Mono >= j.retry.at {
+		if j.pendingTasks() > 0 && c.now.Mono >= j.retry.notBefore {
 			waiting = append(waiting, j)
 		}
 	}
@@ -56,10 +56,10 @@
 	if c := compareTrueFirst(a.isProduction(), b.isProduction()); c != 0 {
 		return c
 	}
-	if c := compareTrueFirst(a.standing.prioritized, b.standing.prioritized); c != 0 {
+	if c := compareTrueFirst(a.queueStatus.prioritized, b.queueStatus.prioritized); c != 0 {
 		return c
 	}
-	if c := compareTrueFirst(a.standing.aged, b.standing.aged); c != 0 {
+	if c := compareTrueFirst(a.queueStatus.aged, b.queueStatus.aged); c != 0 {
 		return c
 	}
 	// A job that can still be on time precedes a job that is already late, even if the late job
@@ -90,16 +90,16 @@
 // placed ahead of all jobs but production: deadline planning gives up the deadline of the
 // largest job first, and under lasting overload it would do so in every round.
 func (j *job) updateStarvation(now time.Duration, totalCPUs float64) {
-	j.standing.starved = !j.service && now-j.createdAt > tuning.ArrayStarvationBound && !j.isEstablished(now) && !j.likelyInvalid(now)
+	j.queueStatus.starved = !j.service && now-j.createdAt > tuning.ArrayStarvationBound && !j.isEstablished(now) && !j.likelyInvalid(now)
 	//mutation:starved-jobs-first
-	j.standing.prioritized = j.standing.starved && j.starvedTaskAllowance(totalCPUs) > 0
+	j.queueStatus.prioritized = j.queueStatus.starved && j.starvedTaskAllowance(totalCPUs) > 0
 }
 
 // updateUrgency sets whether the job is aged, and its slack, from the deadline plan. A job that
 // misses all its deadlines counts as aged some time after its submission and then gets a share
 // of the cluster, so that it still finishes.
 func (j *job) updateUrgency(now time.Duration) {
-	j.standing.aged = !j.service && j.missesAllDeadlines() && now-j.createdAt > tuning.AgedAfter
+	j.queueStatus.aged = !j.service && j.missesAllDeadlines() && now-j.createdAt > tuning.AgedAfter
 	j.plan.slackS = math.Inf(1) // jobs without a deadline follow those that have one
 	if len(j.plan.deadlines) > 0 {
 		j.plan.slackS = j.secondsToDeadline(now)
@@ -125,7 +125,7 @@
 			unfinished := float64(j.spec.Tasks - j.progress.doneCount)
 			cpus += unfinished * j.spec.CPUs
 			gpus += unfinished * j.spec.GPUs
-			j.standing.withinGuarantee = cpus <= guarantee.CPUs+epsilon && gpus <= guarantee.GPUs+epsilon
+			j.queueStatus.withinGuarantee = cpus <= guarantee.CPUs+epsilon && gpus <= guarantee.GPUs+epsilon
 		}
 	}
 }
@@ -145,11 +145,11 @@
 // tuning.EstablishedAfter. Shorter runs don't count: otherwise an idle job of a team without a
 // guarantee whose tasks are preempted within seconds of each start would never be starved.
 func (j *job) isEstablished(now time.Duration) bool {
-	if j.standing.established || j.progress.doneCount > 0 {
+	if j.queueStatus.established || j.progress.doneCount > 0 {
 		return true
 	}
-	j.standing.established = j.longestRun(now) >= tuning.EstablishedAfter
-	return j.standing.established
+	j.queueStatus.established = j.longestRun(now) >= tuning.EstablishedAfter
+	return j.queueStatus.established
 }
 
 // longestRun returns how long the job's longest-running task has been running, or 0 if none
@@ -171,7 +171,7 @@
 // guarantee, it is also bounded by a fraction of the cluster's CPUs.
 func (j *job) starvedTaskAllowance(totalCPUs float64) int {
 	allowance := max(1, j.spec.Tasks/tuning.StarvedArrayDivisor)
-	if !j.standing.withinGuarantee && j.spec.CPUs > 0 {
+	if !j.queueStatus.withinGuarantee && j.spec.CPUs > 0 {
 		allowance = min(allowance, max(1, int(totalCPUs*tuning.StarvedJobShare/j.spec.CPUs)))
 	}
 	return max(0, allowance-j.activeCount)
@@ -179,13 +179,13 @@
 
 // belongsToStarvedJob reports whether the attempt's job is starved. Only production preempts
 // such attempts, until the job is established.
-func (a *attempt) belongsToStarvedJob() bool { return a.job != nil && a.job.standing.starved }
+func (a *attempt) belongsToStarvedJob() bool { return a.job != nil && a.job.queueStatus.starved }
 
 // deadlineClass returns a sort key, lowest first: the index of the first deadline that the job
 // can still meet, then whether the job is within its team's guarantee.
 func (j *job) deadlineClass() int {
-	class := 2 * j.plan.feasible
-	if !j.standing.withinGuarantee {
+	class := 2 * j.plan.firstFeasible
+	if !j.queueStatus.withinGuarantee {
 		class++
 	}
 	return class
--- a/internal/scheduler/reconciliation.go
+++ b/internal/scheduler/reconciliation.go
@@ -140,7 +140,7 @@
 // may list attempts that are long gone. Outside the reconciliation, the attempt counts from its
 // first listing.
 func (s *Scheduler) confirmListedAttempt(a *attempt) {
-	if !a.machine.heartbeats.underTerm {
+	if !a.machine.heartbeats.underCurrentTerm {
 		return
 	}
 	s.reconcileRecordedAttempt(a, reconcile.Active)
@@ -188,7 +188,7 @@
 	}
 	a.reconciliation.class = difference.Class
 	if difference.Action == reconcile.Stop {
-		a.reconciliation.awaitsStop = true
+		a.reconciliation.awaitsStopProof = true
 		r.AwaitStop()
 	}
 	r.AddDifference(r.now.Mono, difference)
@@ -208,8 +208,8 @@
 
 // countStopProven records that an attempt whose stop a difference required is gone.
 func (r *termReconciler) countStopProven(a *attempt) {
-	if a.reconciliation.awaitsStop {
-		a.reconciliation.awaitsStop = false
+	if a.reconciliation.awaitsStopProof {
+		a.reconciliation.awaitsStopProof = false
 		r.StopProven(r.now.Mono)
 	}
 }
--- a/internal/scheduler/reply_delivery.go
+++ b/internal/scheduler/reply_delivery.go
@@ -18,7 +18,7 @@
 // work, and is released unless a newer fencing token in a heartbeat, or an answer to a direct
 // call, shows that it is reachable.
 func (d *dispatcher) watchReplyDelivery(m *machine, heartbeat *wire.Heartbeat) {
-	lease, answeredAt := d.settings.WorkerLease, m.connectivity.heartbeatAnsweredAt
+	lease, answeredAt := d.settings.WorkerLease, m.connectivity.heartbeatRepliedAt
 	newIncarnation := m.heartbeats.incarnation > 0 && heartbeat.Incarnation > m.heartbeats.incarnation
 	answeredWithinLease := answeredAt > 0 && d.now.Mono-answeredAt < lease*3/4
 	ledForLease := d.now.Mono-d.startedAt > lease
@@ -26,7 +26,7 @@
 	case newIncarnation && answeredWithinLease && ledForLease:
 		//mutation:lost-incarnation-marks-unreachable
 		d.markUnreachable(m, leaseExpiredDespiteReplies)
-	case TermOf(heartbeat.FencingToken) == d.term && heartbeat.FencingToken > m.fencing.seenToken:
+	case TermOf(heartbeat.FencingToken) == d.term && heartbeat.FencingToken > m.fencing.highestSeenToken:
 		m.connectivity.unreachableSince = 0 // the worker has received a newer token
 	}
 }
--- a/internal/scheduler/scalein.go
+++ b/internal/scheduler/scalein.go
@@ -95,7 +95,7 @@
 	case m.phase == machineReleasing:
 		return ""
 	case m.phase == machineBooting:
-		return s.autoscaler.bootReleaseReason(m, s.cluster.bootTime(m.machineType), s.monitor.timeSinceSeen(m.knownAt))
+		return s.autoscaler.bootReleaseReason(m, s.cluster.bootTime(m.machineType), s.monitor.timeSinceSeen(m.firstKnownAt))
 	case s.monitor.hasFailed(m):
 		return ReleaseFailed
 	case missingZones[m.zone]:
@@ -132,12 +132,12 @@
 func (h *heartbeatMonitor) releaseReason(m *machine, reconciler *reconcile.Reconciler) ReleaseReason {
 	now, heartbeatAge := h.now.Mono, h.heartbeatAgeSinceZonePartition(m)
 	//mutation:reconciliation-holds-release
-	if m.calls.unansweredSinceHeartbeat >= tuning.UnansweredProbeThreshold && !reconciler.HoldsRelease(now, m.name) && heartbeatAge > h.heartbeatOverdueAfter()+tuning.CommandTimeout*tuning.UnansweredProbeThreshold && len(m.tasks) > 0 {
+	if m.directCalls.unansweredSinceHeartbeat >= tuning.UnansweredProbeThreshold && !reconciler.HoldsRelease(now, m.name) && heartbeatAge > h.heartbeatOverdueAfter()+tuning.CommandTimeout*tuning.UnansweredProbeThreshold && len(m.tasks) > 0 {
 		// The machine's tasks can't start elsewhere before its lease ends. The answer to the
 		// release proves earlier that they are gone.
 		return ReleaseProbesUnanswered
 	}
-	if m.cloud.listed && m.cloud.missedLists >= tuning.MissingListThreshold && heartbeatAge > h.settings.HeartbeatInterval*2 {
+	if m.cloud.listedInTerm && m.cloud.consecutiveMissedLists >= tuning.MissingListThreshold && heartbeatAge > h.settings.HeartbeatInterval*2 {
 		// A machine is listed until it is gone, but lists may be out of date. Only the answer
 		// to the release is proof.
 		return ReleaseNotListed
@@ -243,6 +243,6 @@
 	s.reconciler.MachineReleased(s.now.Mono, m.name)
 	s.persister.requestBatchRewrites(m)
 	delete(s.cluster.machines, m.name)
-	s.cluster.machinesByName = nil
+	s.cluster.machinesInNameOrder = nil
 	s.placement.due = true
 }
--- a/internal/scheduler/statusprobe.go
+++ b/internal/scheduler/statusprobe.go
@@ -37,7 +37,7 @@
 // call without commands. If the limits allow no probe now, the probe is postponed to the next
 // scan.
 func (d *dispatcher) probeStatus(m *machine, fleetSize int) {
-	if m.phase != machineUp || m.address == "" || m.calls.inFlight || d.isDue(m) {
+	if m.phase != machineUp || m.address == "" || m.directCalls.inFlight || d.isDue(m) {
 		return // a call that is in flight or due brings a heartbeat as well
 	}
 	if d.probedRecently(m) || d.heartbeatExpectedSoon(m) {
@@ -48,15 +48,15 @@
 		probes.postpone(m)
 		return
 	}
-	m.calls.probedAt = d.now.Mono
+	m.directCalls.probedAt = d.now.Mono
 	probes.inFlight++
 	d.sendCommands(m, []wire.Command{}, nil)
 }
 
 // probedRecently reports whether it is too early for another probe of the machine.
 func (d *dispatcher) probedRecently(m *machine) bool {
-	interval := tuning.MinStatusProbeInterval << min(m.calls.unanswered, maxProbeBackoffDoublings)
-	return m.calls.probedAt > 0 && d.now.Mono-m.calls.probedAt < interval
+	interval := tuning.MinStatusProbeInterval << min(m.directCalls.consecutiveUnanswered, maxProbeBackoffDoublings)
+	return m.directCalls.probedAt > 0 && d.now.Mono-m.directCalls.probedAt < interval
 }
 
 // statusProbeLimit returns how many probes may be in flight when this machine is probed. The
@@ -65,7 +65,7 @@
 // partitioned zone there are hundreds of them, while other machines would answer at once.
 func (d *dispatcher) statusProbeLimit(m *machine, fleetSize int) int {
 	limit := max(tuning.MinConcurrentStatusProbes, min(fleetSize/tuning.MachinesPerStatusProbe, tuning.MaxConcurrentStatusProbes))
-	if m.calls.unanswered > 0 {
+	if m.directCalls.consecutiveUnanswered > 0 {
 		limit /= 2
 	}
 	return limit
@@ -94,7 +94,7 @@
 // worker, which makes it send the next one early. Probes are saved this way only if the process
 // has a small CPU share.
 func (d *dispatcher) heartbeatExpectedSoon(m *machine) bool {
-	answeredAt := m.connectivity.heartbeatAnsweredAt
+	answeredAt := m.connectivity.heartbeatRepliedAt
 	//mutation:no-status-probe-before-heartbeat
-	return d.isCPULimited() && answeredAt > 0 && m.fencing.seenToken < d.fencingToken(m) && d.now.Mono-answeredAt < tuning.StatusProbeHoldOff
+	return d.isCPULimited() && answeredAt > 0 && m.fencing.highestSeenToken < d.fencingToken(m) && d.now.Mono-answeredAt < tuning.StatusProbeHoldOff
 }
