--- a/cmd/yarrowgap/listen.go
+++ b/cmd/yarrowgap/listen.go
@@ -32,7 +32,7 @@
 
 // crowded reports whether few more connections will be accepted.
 func (l *limitedListener) crowded() bool {
-	return float64(l.openConns.Load()) > tuning.CrowdedListenerShare*float64(l.maxConns)
+	return float64(l.openConns.Load()) > tuning.ListenerHighWatermark*float64(l.maxConns)
 }
 
 // Accept waits for a connection under the limit.
--- a/internal/controller/leader_watch.go
+++ b/internal/controller/leader_watch.go
@@ -38,7 +38,7 @@
 		if leaderPeer == nil || leader.storeLease == 0 || !w.connectionBroke(ctx, leaderPeer) {
 			continue
 		}
-		if time.Since(w.lastRevokedAt) >= tuning.MinLeaderVoteInterval && w.processEnded(ctx, leaderPeer) && w.claimRevocation(leader) {
+		if time.Since(w.lastRevokedAt) >= tuning.MinLeaderRevocationInterval && w.processEnded(ctx, leaderPeer) && w.claimRevocation(leader) {
 			w.lastRevokedAt = time.Now()
 			w.revokeLease(ctx, leader)
 		}
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -99,7 +99,7 @@
 func (m *membership) forwardTargets() []*peerState {
 	var targets []*peerState
 	for _, p := range m.peers {
-		if time.Since(p.lastHeardAt) > tuning.PeerUnreachableAfter || time.Since(p.declinedAt) < tuning.UnablePeerBackoff {
+		if time.Since(p.lastHeardAt) > tuning.PeerUnreachableAfter || time.Since(p.declinedAt) < tuning.DeclinedPeerBackoff {
 			continue
 		}
 		if p.Name == m.leader.name {
--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -73,7 +73,7 @@
 	if got := names(); !slices.Equal(got, []string{"leader", "other"}) {
 		t.Errorf("targets %v", got)
 	}
-	m.peers["declined"].declinedAt = now.Add(-2 * tuning.UnablePeerBackoff)
+	m.peers["declined"].declinedAt = now.Add(-2 * tuning.DeclinedPeerBackoff)
 	if got := names(); len(got) != 3 || got[0] != "leader" {
 		t.Errorf("targets %v after the backoff", got)
 	}
--- a/internal/scheduler/attempt_outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -220,7 +220,7 @@
 // fitsSomewhereCached remembers what fitsSomewhere says for a moment: many tasks ask at
 // once.
 func (c *clusterState) fitsSomewhereCached(j *job) bool {
-	if j.headroom.checkedAt == 0 || c.now.Mono-j.headroom.checkedAt > tuning.FreeCapacityMemory {
+	if j.headroom.checkedAt == 0 || c.now.Mono-j.headroom.checkedAt > tuning.FreeCapacityCacheTTL {
 		j.headroom.checkedAt, j.headroom.available = c.now.Mono, c.fitsSomewhere(j)
 	}
 	return j.headroom.available
--- a/internal/scheduler/fencing.go
+++ b/internal/scheduler/fencing.go
@@ -54,7 +54,7 @@
 	for _, m := range machines {
 		highest = max(highest, m.fencing.counter)
 	}
-	if float64(highest) > maxCounter*tuning.MaxFencingCounterUse {
+	if float64(highest) > maxCounter*tuning.MaxFencingCounterShare {
 		d.effects.Resign = ResignCountersExhausted
 	}
 }
--- a/internal/scheduler/fencing_test.go
+++ b/internal/scheduler/fencing_test.go
@@ -18,8 +18,8 @@
 		return h.scheduler.TakeEffects().Resign != ""
 	}
 	most := float64(maxCounter)
-	for _, used := range []float64{0, most * tuning.MaxFencingCounterUse, most*tuning.MaxFencingCounterUse + 1, most} {
-		want := used > most*tuning.MaxFencingCounterUse
+	for _, used := range []float64{0, most * tuning.MaxFencingCounterShare, most*tuning.MaxFencingCounterShare + 1, most} {
+		want := used > most*tuning.MaxFencingCounterShare
 		h := newHarness(t)
 		h.bringUp("n-1")
 		h.scheduler.dispatcher.lastAttemptNumber = uint64(used)
--- a/internal/scheduler/heartbeat_test.go
+++ b/internal/scheduler/heartbeat_test.go
@@ -427,7 +427,7 @@
 	if s := notice(15); s["run-000001"] || s["run-000002"] {
 		t.Errorf("stopped without capacity elsewhere: %v", s)
 	}
-	h.now += 2 * tuning.FreeCapacityMemory
+	h.now += 2 * tuning.FreeCapacityCacheTTL
 	h.bringUp("n-2")
 	if s := notice(14); s["run-000001"] || !s["run-000002"] {
 		t.Errorf("with capacity elsewhere: %v", s)
--- a/internal/scheduler/zone_partition.go
+++ b/internal/scheduler/zone_partition.go
@@ -91,7 +91,7 @@
 
 // zonePartitionLimit is how long a partitioned zone keeps its machines in any case.
 func (h *heartbeatMonitor) zonePartitionLimit() time.Duration {
-	return time.Duration(float64(h.settings.WorkerLease) * tuning.ZonePartitionLeases)
+	return time.Duration(float64(h.settings.WorkerLease) * tuning.ZonePartitionLeaseMultiple)
 }
 
 // zoneReleaseDelay is how long a zone may miss its heartbeats before machines are released
--- a/internal/scheduler/zone_partition_test.go
+++ b/internal/scheduler/zone_partition_test.go
@@ -102,7 +102,7 @@
 	if len(h.releases) != 0 {
 		t.Errorf("released: %v", h.releases)
 	}
-	h.advance(time.Duration(float64(lease)*tuning.ZonePartitionLeases), "n-1", "n-2")
+	h.advance(time.Duration(float64(lease)*tuning.ZonePartitionLeaseMultiple), "n-1", "n-2")
 	if len(h.releases) == 0 {
 		t.Error("never released")
 	}
--- a/internal/tuning/cloud.go
+++ b/internal/tuning/cloud.go
@@ -9,13 +9,14 @@
 	// CloudRetryDelay is the pause after a refused call, doubled up to MaxCloudRetryDelay.
 	CloudRetryDelay    = 1 * time.Second
 	MaxCloudRetryDelay = 8 * time.Second
-	// MachineListInterval is the interval of full machine lists. They tell first that a machine
-	// was taken without an interruption notice.
+	// MachineListInterval is the interval between reads of the full machine list. The list is
+	// the first sign that a machine was taken without an interruption notice.
 	MachineListInterval = 2 * time.Second
-	// MachineListRateShare is the largest share of the cloud's rate that the lists take.
+	// MachineListRateShare is the largest share of the cloud's request rate that reads of the
+	// machine list take.
 	MachineListRateShare = 0.25
-	// MachineListPageSize is the protocol's largest page of the machine list.
+	// MachineListPageSize is the protocol's largest page of the machine list, in machines.
 	MachineListPageSize = 500
-	// MachineTypeInterval is the interval of reads of machine types and prices.
+	// MachineTypeInterval is the interval between reads of machine types and prices.
 	MachineTypeInterval = 60 * time.Second
 )
--- a/internal/tuning/doc.go
+++ b/internal/tuning/doc.go
@@ -1,5 +1,5 @@
 // Package tuning holds every constant of the program, each with its unit and the reason for
-// its value, in a file for each component. What an operator may set is in package policy and
-// takes its default from here; what a deployment sets comes from its settings file and has
-// no constant.
+// its value, in one file for each component. Package policy holds the settings of operators
+// and takes their defaults from here. What the settings file of a deployment sets has no
+// constant here.
 package tuning
--- a/internal/tuning/leadership.go
+++ b/internal/tuning/leadership.go
@@ -4,51 +4,52 @@
 
 // The leader's lease and elections.
 const (
-	// LeaderLeaseTTL is how long the leader's lease outlives its last renewal. Short,
-	// because starts wait while there is no leader; three renewals fit into it.
+	// LeaderLeaseTTL is how long the leader's lease lasts after its last renewal. It is short,
+	// because starts wait while there is no leader, and has room for three renewals.
 	LeaderLeaseTTL = 2500 * time.Millisecond
 	// MaxLeaderLeaseTTL bounds the lease of a process with less than ReferenceCPUShare of a
-	// core, which is longer in proportion. When thousands of workers come to a new leader at
-	// once, 7% of a core is busy with them for four seconds, in which a renewal waits its
-	// turn: a lease that expires meanwhile sends all of them to the next controller. Much
-	// longer, and a leader that fails delays starts for longer than a restart takes.
+	// core, whose lease is longer in proportion. When thousands of workers connect to a new
+	// leader at once, 7% of a core is busy with them for four seconds, and lease renewals wait
+	// meanwhile. If the lease expires in that time, all workers move on to the next controller.
+	// With a much longer lease, the failure of a leader would delay starts for longer than a
+	// restart takes.
 	MaxLeaderLeaseTTL = 6 * time.Second
-	// WorkerLeaseDivisor bounds the leader's lease by the workers' leases as well, to one part
-	// of so many: two leaders that fail soon after each other leave the workers without an
-	// answer for two of the leader's leases and two elections, and their tasks must outlast
-	// that.
+	// WorkerLeaseDivisor also bounds the leader's lease, to the workers' lease divided by it. If
+	// two leaders fail shortly after each other, workers get no answer for two leader leases
+	// and two elections, and their tasks must survive that.
 	WorkerLeaseDivisor = 4
 	// LeaseRenewInterval is the renewal interval: a third of the TTL, so that one lost
-	// renewal and one late one do not cost the leadership.
+	// renewal and one late renewal do not cost the leadership.
 	LeaseRenewInterval = 800 * time.Millisecond
 	// CampaignInterval is the pause between campaigns for leadership, before jitter.
 	CampaignInterval = 300 * time.Millisecond
 	// ResignBackoff is how long a leader that resigned because no worker reached it stays out
-	// of elections; the others need at most the time of a lease.
+	// of elections. The other controllers need at most the duration of a lease to elect one.
 	ResignBackoff = 12 * time.Second
-	// ResignMissedHeartbeats is how many heartbeat intervals a leader of up to
-	// ResignReferenceMachines machines may go without a heartbeat of any worker before it
-	// resigns; with more machines the time is shorter in proportion, but at least
-	// MinResignSilence: longer than connections that are lost all at once take to come back.
+	// ResignMissedHeartbeats is the number of heartbeat intervals without a heartbeat from any
+	// worker after which a leader of up to ResignReferenceMachines machines resigns. With more
+	// machines the time is shorter in proportion, but at least MinResignSilence, which is
+	// longer than workers need to reconnect after all connections were lost at once.
 	ResignMissedHeartbeats  = 4
 	ResignReferenceMachines = 16
 	MinResignSilence        = 3 * time.Second
-	// MinLeaderVoteInterval is the least time between two leaders that a controller votes out:
-	// one that finds the next leader dead as well at once is likely to be wrong.
-	MinLeaderVoteInterval = 10 * time.Second
-	// MaxTermRevisionGap is by how many revisions a leader's term may be above our own to be
-	// believed: days of changes at hundreds a second.
+	// MinLeaderRevocationInterval is the minimum time between two revocations of a leader's
+	// lease by one controller. A controller that finds the next leader dead at once as well is
+	// likely to be wrong.
+	MinLeaderRevocationInterval = 10 * time.Second
+	// MaxTermRevisionGap is how far a leader's term may be above this leader's own term and
+	// still be believed, in revisions of the key-value store: days of changes at hundreds a second.
 	MaxTermRevisionGap = 1 << 26
 )
 
 // Fencing tokens.
 const (
 	// FencingBits is the number of low bits of a fencing token, and of an attempt's number,
-	// that a leader may count up by itself; 44 bits are left for the key-value store's
-	// revisions.
+	// that a leader increments by itself. The other 44 bits hold a revision of the key-value
+	// store.
 	FencingBits = 20
-	// MaxFencingCounterUse is the part of these counters after which a leader resigns; the next
-	// term has all of them again. 4,000 machines with tasks of half a minute use up 2^20
-	// attempts in an hour. What is left is for the starts of one tick.
-	MaxFencingCounterUse = 15.0 / 16
+	// MaxFencingCounterShare is the share of these counters after which a leader resigns; in the
+	// next term they start again from zero. 4,000 machines with tasks of half a minute use up
+	// 2^20 attempts in an hour. The rest of the counters is for the starts of one tick.
+	MaxFencingCounterShare = 15.0 / 16
 )
--- a/internal/tuning/placement.go
+++ b/internal/tuning/placement.go
@@ -2,65 +2,71 @@
 
 import "time"
 
-// Rounds of placement.
+// Placement rounds.
 const (
-	// MinPlacementInterval is the least time between two placement rounds, to batch
+	// MinPlacementInterval is the minimum time between two placement rounds, to batch
 	// arrivals and finished tasks.
 	MinPlacementInterval = 15 * time.Millisecond
-	// PlacementIntervalPerMachine is added to it for each machine, since a round goes over all.
+	// PlacementIntervalPerMachine is added to MinPlacementInterval for each machine, because a
+	// round goes over all machines.
 	PlacementIntervalPerMachine = 50 * time.Microsecond
-	// FreeCapacityMemory is how long it is remembered whether there was free capacity for a
-	// job's task.
-	FreeCapacityMemory = time.Second
-	// MaxTasksPerMachine is how many tasks a machine may have to list, ended ones that it has
-	// not been told to forget included: a heartbeat and its answer, at some hundred bytes a
-	// task, have to stay under the protocol's 64 KiB.
+	// FreeCapacityCacheTTL is how long the result of a check whether there is free capacity for
+	// a task of a job is cached.
+	FreeCapacityCacheTTL = time.Second
+	// MaxTasksPerMachine is how many tasks a machine may list, including ended tasks that it
+	// has not been told to forget. At some hundred bytes a task, a heartbeat and its answer
+	// must stay under the protocol's 64 KiB.
 	MaxTasksPerMachine = 400
-	// ExpectedSpotLoss is the part of its run that a task is expected to lose on a spot machine,
-	// where price is no objective. Interruptions take half of the machines at once, rarely.
+	// ExpectedSpotLoss is the share of its run that a task is expected to lose on a spot
+	// machine, where price is not an objective. Interruptions are rare, but take half of the
+	// machines at once.
 	ExpectedSpotLoss = 0.1
 )
 
 // Images.
 const (
-	// MaxFetchSlotWait is how long a job may wait while machines with free capacity fetch other
-	// jobs' images: under the 90 s for which none may wait while there is free capacity.
+	// MaxFetchSlotWait is how long a job may wait while machines with free capacity fetch the
+	// images of other jobs. It is under the 90 s for which no job may wait while there is free
+	// capacity for it.
 	MaxFetchSlotWait = 60 * time.Second
-	// MinFetchForPreemptionS is how long an image's fetch has to take, in seconds, before work
-	// of lower rank is preempted on a machine that has the image. Its loss is at most what it
-	// ran so far.
+	// MinFetchForPreemptionS is the minimum duration of an image's fetch, in seconds, for which
+	// work of lower rank is preempted on a machine that already has the image. The preempted
+	// work loses at most what it has run so far.
 	MinFetchForPreemptionS = 0.5
-	// MaxWarmCapacityWait is how long a service waits for such a machine before it takes any.
-	// Starts are wanted within a second; stops take milliseconds.
+	// MaxWarmCapacityWait is how long a service waits for capacity on a machine that has its
+	// image before it takes any machine. Starts should take under a second; stops take
+	// milliseconds.
 	MaxWarmCapacityWait = 2 * time.Second
 )
 
 // Run times and deadlines.
 const (
-	// MinRuntimeSamples is how many completed tasks of a job outweigh its owner's estimate. The
-	// first to complete are the shortest, so a few are needed.
+	// MinRuntimeSamples is the number of completed tasks of a job from which their run times
+	// replace the estimate of the job's owner. Several are needed, because the first tasks to
+	// complete are the shortest.
 	MinRuntimeSamples = 5
-	// DeadlineFeasibilityFactor is by how much a run time estimate is lengthened before it is
-	// compared to the time that is left.
+	// DeadlineFeasibilityFactor is the factor by which a run time estimate is lengthened before
+	// it is compared to the time that is left until a deadline.
 	DeadlineFeasibilityFactor = 1.2
 )
 
 // Starvation.
 const (
 	// ArrayStarvationBound is how long an array may wait before it gets its first tasks ahead
-	// of others. Users are promised that the largest arrays start within four minutes.
+	// of other jobs. Users are promised that the largest arrays start within four minutes.
 	ArrayStarvationBound = 90 * time.Second
-	// StarvedArrayDivisor makes these first tasks at most a tenth of the array.
+	// StarvedArrayDivisor limits these first tasks to a tenth of the array.
 	StarvedArrayDivisor = 10
-	// StarvedJobShare is the share of the cluster that a job gets for its first tasks beyond
-	// its team's guarantee.
+	// StarvedJobShare is the share of the cluster's CPUs that a job gets for its first tasks
+	// beyond its team's guarantee.
 	StarvedJobShare = 0.02
-	// EstablishedAfter is how long a task has to run for its job to count as established:
-	// users count a start that no command undoes within 30 s.
+	// EstablishedAfter is how long a task must run for its job to count as established. For
+	// users, a start counts only if no command undoes it within 30 s.
 	EstablishedAfter = 35 * time.Second
-	// AgedAfter is how long after its submission a job that misses all its deadlines gets a
-	// share of the cluster of its own, and AgedShare that share. Standard days are over by
-	// then; under lasting overload the largest jobs, which are given up first, would never end.
+	// AgedAfter is the time after its submission from which a job that misses all its deadlines
+	// shares AgedShare of the cluster with other such jobs. Without it, the largest jobs would
+	// never end under lasting overload, because they are given up first. A standard
+	// day of load is over before this delay.
 	AgedAfter = 240 * time.Second
 	AgedShare = 0.2
 )
--- a/internal/tuning/records.go
+++ b/internal/tuning/records.go
@@ -4,44 +4,47 @@
 
 // Sizes of records in the key-value store.
 const (
-	// ValueSizeMargin is the part of the value limit that records leave unused, for the
-	// difference between our measure and the store's.
+	// ValueSizeMargin is the share of the store's value limit that records leave unused, because
+	// the store may measure a value's size differently.
 	ValueSizeMargin = 0.1
-	// TasksPerBitmap is how many tasks' completion bits one value holds: base64 of 8192 bits
-	// takes 1.4 KB, which fits the smallest value limit with the job.
+	// TasksPerBitmap is the number of tasks whose completion bits one value holds. 8192 bits
+	// take 1.4 KB in base64, which fits the smallest value limit together with the job.
 	TasksPerBitmap = 8192
-	// MaxTxnBytes is up to where a transaction of the leader is filled, and MaxBatchBytes the
-	// most that one batch of assignments takes, in JSON: both together stay under the store's
-	// 64 KiB.
+	// MaxTxnBytes is the size of a transaction of the leader, in bytes, from which nothing more
+	// is added to it. MaxBatchBytes is the maximum size of one batch of assignments in JSON.
+	// Both together stay under the store's limit of 64 KiB.
 	MaxTxnBytes   = 36 << 10
 	MaxBatchBytes = 24 << 10
-	// MaxRecordedImages is how many of a machine's images are recorded with it.
+	// MaxRecordedImages is the maximum number of a machine's images that its record holds.
 	MaxRecordedImages = 6
 )
 
 // The leader's write budget.
 const (
 	// BatchWriteShare is the largest share of the deployment's write rate at which batches of
-	// assignments are written; each is deleted once too. What is placed between two of them
-	// shares the next.
+	// assignments are written. Each batch also costs a delete later. Tasks placed between two
+	// batches share the next one.
 	BatchWriteShare = 0.3
-	// ProgressWriteShare is the same for the completed tasks of unfinished jobs, and
-	// StartWriteReserve how much of a second's writes these leave for starts.
+	// ProgressWriteShare is the largest share of the write rate at which the completed tasks of
+	// unfinished jobs are written. StartWriteReserve is the share of a second's writes that
+	// these writes leave for starts.
 	ProgressWriteShare = 0.25
 	StartWriteReserve  = 0.25
-	// DoneFlushDelay is how long completed tasks of an unfinished job may wait for their write,
-	// to share one. A crash in between costs nothing: workers list completed tasks until they
-	// are told to forget them.
+	// DoneFlushDelay is how long the completed tasks of an unfinished job may wait to share one
+	// write. A crash meanwhile loses nothing: workers list completed tasks until they are told
+	// to forget them.
 	DoneFlushDelay = 1200 * time.Millisecond
 )
 
 // Compaction of batches.
 const (
-	// BatchCompactionThreshold is how many batches there may be before what is left of old
-	// ones is written again; MaxCompactedAttempts bounds how much at a time.
+	// BatchCompactionThreshold is the number of batches above which the assignments of old
+	// batches that are still needed are written again. MaxCompactedAttempts bounds how many are
+	// queued for that at a time.
 	BatchCompactionThreshold = 32
 	MaxCompactedAttempts     = 100
-	// BatchRewriteAge is how old a batch has to be before it is written again without what is
-	// over. That only spares a new leader waiting for a heartbeat.
+	// BatchRewriteAge is the minimum age of a batch before it is written again without the
+	// assignments that have ended. The rewrite only spares a new leader the wait for a
+	// heartbeat.
 	BatchRewriteAge = 4 * time.Second
 )
--- a/internal/tuning/usage_test.go
+++ b/internal/tuning/usage_test.go
@@ -12,7 +12,8 @@
 
 const moduleRoot = "../.."
 
-// A constant that nothing uses outside tests misleads whoever looks for what can be tuned.
+// TestEveryConstantIsUsed guards against constants that only tests use, or nothing at all:
+// changing their values would have no effect.
 func TestEveryConstantIsUsed(t *testing.T) {
 	used := map[string]bool{}
 	for _, path := range sourceFiles(t, moduleRoot) {
@@ -23,7 +24,7 @@
 		for name := range parse(t, path).Scope.Objects {
 			declared++
 			if !used[name] {
-				t.Errorf("%s: %s is used nowhere", path, name)
+				t.Errorf("%s: %s is not used outside tests", path, name)
 			}
 		}
 	}
@@ -32,7 +33,7 @@
 	}
 }
 
-// sourceFiles lists the Go files under a directory, without tests.
+// sourceFiles lists the Go files under a directory, except test files.
 func sourceFiles(t *testing.T, directory string) []string {
 	t.Helper()
 	var paths []string
@@ -57,7 +58,7 @@
 	return file
 }
 
-// collectReferences notes the names that a file selects from package tuning.
+// collectReferences adds the names that a file selects from package tuning to used.
 func collectReferences(file *ast.File, used map[string]bool) {
 	ast.Inspect(file, func(node ast.Node) bool {
 		selector, ok := node.(*ast.SelectorExpr)
