--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads and checks the settings file that the platform hands
-// over. Unknown fields are ignored.
+// Package config reads and validates the settings file that the platform provides.
+// Unknown fields are ignored.
 package config
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Settings is the whole file.
+// Settings holds the contents of the settings file.
 type Settings struct {
 	Node       string     `toml:"node"`
 	Zone       string     `toml:"domain"`
@@ -37,7 +37,7 @@
 }
 
 // Deployment describes the cluster that the controllers manage, and the limits of the
-// services that they use.
+// external services that they use.
 type Deployment struct {
 	Size         int            `toml:"size"`
 	Zones        []string       `toml:"zones"`
@@ -50,10 +50,10 @@
 	Quota        ResourceLimits `toml:"quota"`
 }
 
-// Team has a quota guarantee and a quota limit. Where the file says 0, a guarantee is none,
-// and a limit on CPUs is infinite: a team that may not use any would not be named. A limit
-// of 0 on GPUs keeps a team off them, unless none of its figures is set: such a team may
-// use what others leave free.
+// Team holds the quota guarantee and the quota limit of a team. A guarantee of 0 in the file
+// means no guarantee. A CPU limit of 0 means no limit, because a team that may not use any CPU
+// would not be listed. A GPU limit of 0 keeps the team off GPUs, unless none of its guarantees
+// and limits is set: such a team may use the capacity that other teams leave free.
 type Team struct {
 	Name           string  `toml:"name"`
 	GuaranteedCPUs float64 `toml:"cpus"`
@@ -62,44 +62,44 @@
 	MaxGPUs        float64 `toml:"gpus_max"`
 }
 
-// Objective is one service-level objective of the deployment.
+// Objective is a service-level objective of the deployment.
 type Objective struct {
 	Kind             string  `toml:"kind"`
 	Class            string  `toml:"class"`
 	WithinS          float64 `toml:"within_s"`
 	Share            float64 `toml:"share"`
-	DeadlineMultiple float64 `toml:"times"` // the multiple of a job's deadline that counts
+	DeadlineMultiple float64 `toml:"times"` // multiple of a job's deadline that counts
 }
 
-// WorkerTimes are the protocol's times of workers, in seconds.
+// WorkerTimes holds the time limits of the worker protocol, in seconds.
 type WorkerTimes struct {
-	HeartbeatS    float64 `toml:"report_s"` // the heartbeat interval
-	LeaseS        float64 `toml:"lease_s"`  // how long a worker runs tasks without an answer
-	CancellationS float64 `toml:"cancel_s"` // within which tasks of a cancelled job end
+	HeartbeatS    float64 `toml:"report_s"` // interval between heartbeats
+	LeaseS        float64 `toml:"lease_s"`  // how long tasks run without an answer to a heartbeat
+	CancellationS float64 `toml:"cancel_s"` // time limit for ending the tasks of a cancelled job
 }
 
-// StoreLimits are the limits of the key-value store.
+// StoreLimits holds the limits of the key-value store.
 type StoreLimits struct {
-	RPS      float64 `toml:"rps"`
-	WriteRPS float64 `toml:"write_rps"`
-	ValueKB  float64 `toml:"value_kb"`
-	TxnOps   int     `toml:"txn_ops"`
+	RPS      float64 `toml:"rps"`       // requests a second
+	WriteRPS float64 `toml:"write_rps"` // writes a second
+	ValueKB  float64 `toml:"value_kb"`  // size of a value, in KB
+	TxnOps   int     `toml:"txn_ops"`   // operations in a transaction
 }
 
-// CloudLimits are the limits of the cloud's interface.
+// CloudLimits holds the limits of the cloud's API.
 type CloudLimits struct {
-	RPS      float64 `toml:"rps"`
-	ListLagS float64 `toml:"list_lag_s"` // by how much a machine list may be out of date
+	RPS      float64 `toml:"rps"`        // requests a second
+	ListLagS float64 `toml:"list_lag_s"` // maximum age of a machine list, in seconds
 }
 
-// ResourceLimits are the platform's limits on this process; 0 is none.
+// ResourceLimits holds the platform's limits on this process; 0 means no limit.
 type ResourceLimits struct {
-	CPUShare float64 `toml:"cpu_share"`
-	MemMB    float64 `toml:"mem_mb"`
-	FDLimit  int     `toml:"fd_limit"`
+	CPUShare float64 `toml:"cpu_share"` // share of a core
+	MemMB    float64 `toml:"mem_mb"`    // memory, in MB
+	FDLimit  int     `toml:"fd_limit"`  // open file descriptors
 }
 
-// Load reads and checks the settings file at path.
+// Load reads and validates the settings file at path.
 func Load(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -112,7 +112,7 @@
 	return settings, nil
 }
 
-// Parse decodes and checks settings. Errors name the field.
+// Parse decodes and validates settings. Its errors name the field.
 func Parse(raw []byte) (*Settings, error) {
 	settings := &Settings{}
 	if err := toml.Unmarshal(raw, settings); err != nil {
@@ -121,7 +121,7 @@
 	if err := settings.validate(); err != nil {
 		return nil, err
 	}
-	settings.liftUnsetLimits()
+	settings.makeUnsetLimitsInfinite()
 	return settings, nil
 }
 
@@ -135,8 +135,8 @@
 	return fmt.Errorf("line %d, column %d: %v: %w", row, column, decodeError.Key(), decodeError)
 }
 
-// liftUnsetLimits makes quota limits infinite that the file leaves unset; see Team.
-func (s *Settings) liftUnsetLimits() {
+// makeUnsetLimitsInfinite sets the quota limits that the file omits to infinity; see Team.
+func (s *Settings) makeUnsetLimitsInfinite() {
 	for i := range s.Deployment.Teams {
 		team := &s.Deployment.Teams[i]
 		if team.MaxCPUs != 0 {
@@ -149,5 +149,5 @@
 	}
 }
 
-// Seconds converts a duration of the settings to a time.Duration.
+// Seconds converts a number of seconds from the settings to a time.Duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	if s.Node != "drover-0" || len(s.Deployment.Teams) != 1 || s.Deployment.Store.TxnOps != 12 {
-		t.Errorf("read as %+v", s)
+		t.Errorf("parsed as %+v", s)
 	}
 }
 
@@ -75,25 +75,25 @@
 	}
 }
 
-// A team for which the file has no figures has neither a quota guarantee nor a limit. Its
-// jobs were all refused when a limit of 0 was taken literally. A team with a limit on CPUs
-// and none on GPUs stays off GPUs.
+// A team for which the file sets no quotas has neither a guarantee nor a limit: when its limits
+// of 0 were taken literally, all of its jobs were refused. A team with a CPU limit and no GPU
+// limit stays off GPUs.
 func TestTeamWithoutFiguresIsUnlimited(t *testing.T) {
 	s, err := config.Parse([]byte(exampleSettings(t) + "\n[[deployment.teams]]\nname = \"guest\"\n\n[[deployment.teams]]\nname = \"plain\"\ncpus_max = 8.0\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	teams := s.Deployment.Teams
-	guest, plain := teams[len(teams)-2], teams[len(teams)-1]
+	guest, cpuLimited := teams[len(teams)-2], teams[len(teams)-1]
 	if guest.GuaranteedCPUs != 0 || !math.IsInf(guest.MaxCPUs, 1) || !math.IsInf(guest.MaxGPUs, 1) {
-		t.Errorf("a guest may use %+v", guest)
+		t.Errorf("a team without quotas may use %+v", guest)
 	}
-	if plain.MaxCPUs != 8 || plain.MaxGPUs != 0 {
-		t.Errorf("a team with a limit may use %+v", plain)
+	if cpuLimited.MaxCPUs != 8 || cpuLimited.MaxGPUs != 0 {
+		t.Errorf("a team with only a CPU limit may use %+v", cpuLimited)
 	}
 }
 
-// What is too small to work well with is named with its number, and nothing else is.
+// Only the settings below their recommended minimums are listed, each with its value.
 func TestShortfallsNameTheField(t *testing.T) {
 	for _, tc := range []struct{ old, new, want string }{
 		{"", "", ""},
@@ -123,12 +123,12 @@
 	}
 }
 
-// The objectives of a deployment decide whether scale-out economises.
+// The objectives of a deployment decide whether scale-out saves cost.
 func TestCostSensitiveFollowsObjectives(t *testing.T) {
 	objective := func(kind, share string) string {
 		return "\n[[deployment.objectives]]\nkind = \"" + kind + "\"\nshare = " + share + "\nwithin_s = 7.0\n"
 	}
-	patientGuarantee := strings.Replace(objective("guarantee", "0.98"), "7.0", "10.0", 1)
+	guaranteeWithLongDelay := strings.Replace(objective("guarantee", "0.98"), "7.0", "10.0", 1)
 	for _, tc := range []struct {
 		name       string
 		objectives string
@@ -137,7 +137,7 @@
 		{"none", "", false},
 		{"tight", objective("wait", "0.95") + objective("guarantee", "0.95"), false},
 		{"loose wait beside a tight guarantee", objective("wait", "0.8") + objective("guarantee", "0.95"), false},
-		{"guarantee with a long delay", objective("wait", "0.95") + patientGuarantee, true},
+		{"guarantee with a long delay", objective("wait", "0.95") + guaranteeWithLongDelay, true},
 		{"guarantee with a low share", objective("wait", "0.8") + objective("guarantee", "0.8"), true},
 		{"price", objective("wait", "0.95") + objective("price", "1.5"), true},
 	} {
@@ -150,14 +150,14 @@
 				t.Errorf("cost-sensitive: %v", !tc.want)
 			}
 			if strings.Contains(tc.objectives, "guarantee") && settings.GuaranteeStartTarget().Seconds() < 7 {
-				t.Errorf("guarantee within %v", settings.GuaranteeStartTarget())
+				t.Errorf("start target of work within a guarantee: %v", settings.GuaranteeStartTarget())
 			}
 		})
 	}
 }
 
-// Connections are bounded by sockets and by memory, whichever is less, and what is too
-// little for a number of machines is named.
+// Connections are bounded by sockets or by memory, whichever allows fewer, and limits that are
+// too low for a number of machines are listed.
 func TestCapacityLimits(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
@@ -183,7 +183,7 @@
 				t.Fatal(err)
 			}
 			if got := settings.Capacity().ByConnections; got != tc.connections {
-				t.Errorf("%d connections, not %d", got, tc.connections)
+				t.Errorf("%d connections, want %d", got, tc.connections)
 			}
 			got := settings.FleetShortfalls(tc.machines)
 			if !slices.EqualFunc(got, tc.shortfalls, strings.HasPrefix) {
--- a/internal/config/objectives.go
+++ b/internal/config/objectives.go
@@ -6,20 +6,20 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// Kinds of objectives, as the file names them.
+// Kinds of objectives, as written in the settings file.
 const (
 	objectivePrice          = "price"
 	objectiveUsefulWork     = "useful"
-	objectiveStartDelay     = "wait"      // of a class of jobs
-	objectiveGuaranteeStart = "guarantee" // of work within a quota guarantee
+	objectiveStartDelay     = "wait"      // start delay of the jobs of a class
+	objectiveGuaranteeStart = "guarantee" // start delay of work within a quota guarantee
 )
 
-// CostSensitive reports whether scale-out should economise: if price or useful work is an
-// objective, or if the objectives on starts are loose. The settings restate the objectives
-// on starting and finishing alone, so the looseness of those is the sign that a deployment
-// has: one that lets work within a guarantee wait for many seconds, or a tenth of it be
-// late, does not ask for capacity that stands ready. Where no objective is on guarantees,
-// those on the starts of classes decide.
+// CostSensitive reports whether scale-out should save cost: if price or useful work is an
+// objective, or if the objectives on starts are loose. The settings may state only objectives
+// on starting and finishing, so loose ones are taken as the sign of a cost-sensitive
+// deployment: if work within a guarantee may wait for many seconds, or a tenth of it may be
+// late, no free capacity has to be kept ready. Where there is no objective on the starts of
+// work within a guarantee, the objectives on the starts of job classes decide.
 func (s *Settings) CostSensitive() bool {
 	total, loose := map[string]int{}, map[string]int{}
 	for _, objective := range s.Deployment.Objectives {
@@ -28,7 +28,7 @@
 			return true
 		case objectiveStartDelay, objectiveGuaranteeStart:
 			total[objective.Kind]++
-			if objective.loose() {
+			if objective.isLoose() {
 				loose[objective.Kind]++
 			}
 		}
@@ -41,13 +41,13 @@
 	return false
 }
 
-// loose reports whether an objective on starts needs no headroom.
-func (o *Objective) loose() bool {
+// isLoose reports whether an objective on starts needs no headroom.
+func (o *Objective) isLoose() bool {
 	return o.Share < tuning.LooseStartShare || Seconds(o.WithinS) >= tuning.LooseStartDelay
 }
 
-// GuaranteeStartTarget is how soon work within a guarantee should start: the
-// tightest of the objectives on that, or a default.
+// GuaranteeStartTarget returns how soon work within a quota guarantee should start: the
+// shortest target among the objectives on it, or a default.
 func (s *Settings) GuaranteeStartTarget() time.Duration {
 	target := time.Duration(0)
 	for _, objective := range s.Deployment.Objectives {
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	// maxNumber bounds all quantities of the file.
+	// maxNumber bounds the quantities that are checked by positive and inRange.
 	maxNumber = 1e9
-	// minTxnOps is the least number of operations in a transaction that the records of one
+	// minTxnOps is the number of operations in a transaction that the records of one
 	// assignment need.
 	minTxnOps = 2
 )
 
-// FieldError says what is wrong with a field of the settings file.
+// FieldError describes an invalid field of the settings file.
 type FieldError struct {
 	Field   string
 	Problem string
 }
 
-// Error names the field and the problem.
+// Error states the field and the problem.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
-// validator collects what is wrong with the fields.
+// validator collects the errors of all fields.
 type validator struct{ errs []error }
 
 func (v *validator) fail(field, format string, args ...any) {
@@ -42,19 +42,19 @@
 		return
 	}
 	if _, _, err := net.SplitHostPort(value); err != nil {
-		v.fail(field, "not an address with a port: %q", value)
+		v.fail(field, "must be an address with a port, is %q", value)
 	}
 }
 
-// unique checks that a name did not occur before, and notes it.
+// unique checks that a name is not in seen, and adds it.
 func (v *validator) unique(field, name string, seen map[string]bool) {
 	if seen[name] {
-		v.fail(field, "named twice: %q", name)
+		v.fail(field, "duplicate name: %q", name)
 	}
 	seen[name] = true
 }
 
-// The checks of numbers are written so that NaN fails them.
+// The number checks below are written so that NaN fails them.
 
 func (v *validator) positive(field string, value float64) {
 	if !(value > 0 && value < maxNumber) {
@@ -77,7 +77,7 @@
 	}
 }
 
-// validate returns all that is wrong with the settings, as FieldErrors joined.
+// validate returns the errors of all invalid fields, as joined FieldErrors.
 func (s *Settings) validate() error {
 	v := &validator{}
 	s.validateNode(v)
--- a/internal/golden/coverage.go
+++ b/internal/golden/coverage.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// CheckCoverage checks that messages, pointers to values, have every exported struct
-// type with field tags that the package in the current directory declares.
+// CheckCoverage checks that the messages, which are pointers to structs, include every exported
+// struct type with field tags that is declared by the package in the current directory.
 func CheckCoverage(t *testing.T, messages ...any) {
 	t.Helper()
 	covered := map[string]bool{}
@@ -21,12 +21,12 @@
 	}
 	for _, name := range taggedTypes(t) {
 		if !covered[name] {
-			t.Errorf("%s has field tags and no golden file", name)
+			t.Errorf("%s has field tags but no golden file", name)
 		}
 	}
 }
 
-// taggedTypes names the exported struct types with field tags in the current directory.
+// taggedTypes lists the exported struct types with field tags in the current directory.
 func taggedTypes(t *testing.T) []string {
 	t.Helper()
 	files, err := filepath.Glob("*.go")
--- a/internal/golden/encoding.go
+++ b/internal/golden/encoding.go
@@ -6,14 +6,14 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Encoding is a form in which messages and records are written.
+// Encoding is an encoding of messages and records.
 type Encoding struct {
-	extension string
+	extension string // of golden files
 	marshal   func(any) ([]byte, error)
 	unmarshal func([]byte, any) error
 }
 
-// The encodings in use.
+// Encodings in use.
 var (
 	CBOR = Encoding{".cbor", wire.Marshal, wire.Unmarshal}
 	JSON = Encoding{".json", json.Marshal, json.Unmarshal}
--- a/internal/golden/fill.go
+++ b/internal/golden/fill.go
@@ -7,19 +7,19 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// elements is how many elements a filled slice has.
-const elements = 2
+// filledSliceLen is the number of elements of a filled slice.
+const filledSliceLen = 2
 
 var rawType = reflect.TypeOf(wire.Raw{})
 
-// Fill gives every field of the value that pointer points to a value that is not zero
-// and, but for booleans, that no other field has. The same type gets the same values.
+// Fill sets every field of the value that pointer points to. No field is zero, and no two
+// fields are equal, except for booleans. Values of the same type are filled identically.
 func Fill(pointer any) {
 	f := &filler{}
 	f.fill(reflect.ValueOf(pointer).Elem())
 }
 
-// filler counts the values that it has given out.
+// filler generates distinct values from a counter.
 type filler struct{ count int64 }
 
 func (f *filler) next() int64 {
@@ -29,7 +29,7 @@
 
 func (f *filler) fill(v reflect.Value) {
 	if v.Type() == rawType {
-		v.SetBytes(f.raw())
+		v.SetBytes(f.nextRaw())
 		return
 	}
 	switch v.Kind() {
@@ -41,14 +41,14 @@
 		v.Set(reflect.New(v.Type().Elem()))
 		f.fill(v.Elem())
 	case reflect.Slice:
-		v.Set(reflect.MakeSlice(v.Type(), elements, elements))
+		v.Set(reflect.MakeSlice(v.Type(), filledSliceLen, filledSliceLen))
 		f.fillElements(v)
 	case reflect.Array:
 		f.fillElements(v)
 	case reflect.Map:
 		f.fillMap(v)
 	case reflect.Interface:
-		v.Set(reflect.ValueOf(f.text()))
+		v.Set(reflect.ValueOf(f.nextText()))
 	default:
 		f.fillScalar(v)
 	}
@@ -60,7 +60,7 @@
 	}
 }
 
-// fillMap gives the map one entry: more would be encoded in any order.
+// fillMap gives the map one entry, because several would be encoded in random order.
 func (f *filler) fillMap(v reflect.Value) {
 	key := reflect.New(v.Type().Key()).Elem()
 	value := reflect.New(v.Type().Elem()).Elem()
@@ -73,7 +73,7 @@
 func (f *filler) fillScalar(v reflect.Value) {
 	switch {
 	case v.Kind() == reflect.String:
-		v.SetString(f.text())
+		v.SetString(f.nextText())
 	case v.Kind() == reflect.Bool:
 		v.SetBool(true)
 	case v.CanInt():
@@ -83,15 +83,15 @@
 	case v.CanFloat():
 		v.SetFloat(float64(f.next()) + 0.5)
 	default:
-		panic(fmt.Sprintf("golden: no values for %s", v.Type()))
+		panic(fmt.Sprintf("golden: cannot fill a %s", v.Type()))
 	}
 }
 
-func (f *filler) text() string { return fmt.Sprintf("text-%d", f.next()) }
+func (f *filler) nextText() string { return fmt.Sprintf("text-%d", f.next()) }
 
-// raw is an encoded value.
-func (f *filler) raw() []byte {
-	encoded, err := wire.Marshal(f.text())
+// nextRaw returns an encoded value.
+func (f *filler) nextRaw() []byte {
+	encoded, err := wire.Marshal(f.nextText())
 	if err != nil {
 		panic(err)
 	}
--- a/internal/golden/fill_test.go
+++ b/internal/golden/fill_test.go
@@ -12,7 +12,7 @@
 	Count uint64
 }
 
-// everyKind has a field of each kind that messages have.
+// everyKind has a field of every kind that occurs in messages.
 type everyKind struct {
 	inner
 	Number  int
@@ -47,12 +47,12 @@
 	seen := map[float64]bool{}
 	for _, number := range numbers {
 		if seen[number] {
-			t.Errorf("%v is given twice: %+v", number, filled)
+			t.Errorf("%v occurs twice: %+v", number, filled)
 		}
 		seen[number] = true
 	}
 	if filled.List[0].Text == filled.List[1].Text || filled.Text == filled.List[0].Text {
-		t.Errorf("a text is given twice: %+v", filled)
+		t.Errorf("a text occurs twice: %+v", filled)
 	}
 }
 
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,8 +1,8 @@
-// Package golden checks encoded messages and stored records against files of bytes
-// under testdata/golden of the package that is tested, so that no change of Go names
-// changes what is sent or stored. Its functions are for tests only.
+// Package golden compares encoded messages and stored records with golden files under
+// testdata/golden of the tested package, so that renaming Go identifiers cannot change what
+// is sent or stored. Its functions are for tests only.
 //
-// go test -update writes the files anew, for a change of format that is meant.
+// After an intended change of format, go test -update rewrites the golden files.
 package golden
 
 import (
@@ -24,9 +24,9 @@
 	dirMode   = 0o755
 )
 
-// CheckEncoding checks an encoding of the type of message, which is a pointer to a zero
-// value. The value with every field filled encodes to the bytes of the golden file; the
-// bytes decode to the same value, and encode again to the same bytes.
+// CheckEncoding checks the encoding of a message, which is a pointer to a zero value. With
+// every field filled, the message must encode to the bytes of the golden file, and those bytes
+// must decode to an equal message that encodes to the same bytes again.
 func CheckEncoding(t *testing.T, name string, encoding Encoding, message any) {
 	t.Helper()
 	t.Run(name+encoding.extension, func(t *testing.T) {
@@ -53,7 +53,7 @@
 	})
 }
 
-// CheckBytes compares content with the golden file and returns what the file holds.
+// CheckBytes compares content with the golden file and returns the file's content.
 func CheckBytes(t *testing.T, name string, content []byte) []byte {
 	t.Helper()
 	path := filepath.Join(directory, name)
@@ -75,7 +75,7 @@
 	return stored
 }
 
-// CheckLines compares values, one a line, with the golden file.
+// CheckLines compares values, written one per line, with the golden file.
 func CheckLines(t *testing.T, name string, values ...any) {
 	t.Helper()
 	var lines strings.Builder
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,6 +1,6 @@
-// Package policy reads the operators' own settings from a Starlark script. The
-// script is evaluated once, at start, with bounded steps and without any access
-// to the outside; its global names are the settings.
+// Package policy reads the operators' settings from a Starlark script. The script is
+// evaluated once, at startup, with a bounded number of steps and without access to files or
+// the network. Its global variables are the settings.
 package policy
 
 import (
@@ -9,35 +9,41 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// Settings are what operators may set.
+// Settings holds the settings that operators may change.
 type Settings struct {
-	AckTimeout            time.Duration // wait for a start's acknowledgement
-	DispatchRetryCount    int           // dispatch retries into which a task's time budget is divided
+	AckTimeout            time.Duration // how long to wait for the acknowledgement of a start
+	DispatchRetryCount    int           // dispatch retries that a task's time budget is divided into
 	DefaultDispatchBudget time.Duration // time budget of tasks whose job has no deadline
 	ErrorBackoff          time.Duration // first backoff of a job after a failed attempt
-	MaxErrorBackoff       time.Duration // longest such backoff
-	HeadroomShare         float64       // free capacity kept ready, as a share of what is in use
+	MaxErrorBackoff       time.Duration // maximum backoff of a job after failed attempts
+	HeadroomShare         float64       // free capacity kept ready, as a share of the capacity in use
 	IdleTimeout           time.Duration // how long a machine may be idle before it is released
-	MaxMachines           int           // most machines at once; 0: no bound
+	MaxMachines           int           // maximum number of machines at once; 0 means no maximum
 	UseSpot               bool          // provision spot machines for jobs that allow them
 	Preempt               bool          // preempt work of lower rank
-	BootTimeoutFactor     float64       // multiple of the usual boot time to wait
-	ReconcileRestarts     bool          // after a failover, hold back operations that unconfirmed machines may make needless
-	ReconcileWait         time.Duration // how long machines may take for their first heartbeat then; 0: follows from their intervals
-	TraceFile             string        // where spans go: empty nowhere, "-" standard output, else a file
+	BootTimeoutFactor     float64       // multiple of the usual boot time to wait for a machine
+	// ReconcileRestarts holds back operations after a failover that may prove needless once the
+	// machines that are not confirmed yet have sent a heartbeat.
+	ReconcileRestarts bool
+	// ReconcileWait is how long machines may take for their first heartbeat after a failover;
+	// 0 means a bound computed from the heartbeat interval.
+	ReconcileWait time.Duration
+	// TraceFile is the target of trace spans: empty for none, "-" for standard output, else the
+	// path of a file.
+	TraceFile string
 }
 
-// CostSensitivity is whether price or useful work is among the deployment's objectives.
+// CostSensitivity says whether scale-out saves cost, see config.Settings.CostSensitive.
 type CostSensitivity bool
 
 const (
-	// CostInsensitive deployments keep headroom ready.
+	// CostInsensitive deployments keep free capacity ready.
 	CostInsensitive CostSensitivity = false
-	// CostSensitive deployments economise.
+	// CostSensitive deployments keep none, and release idle machines sooner.
 	CostSensitive CostSensitivity = true
 )
 
-// Defaults are the settings without a script.
+// Defaults returns the settings without a script.
 func Defaults(sensitivity CostSensitivity) Settings {
 	settings := Settings{
 		AckTimeout:            tuning.AckTimeout,
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -14,10 +14,10 @@
 		t.Fatal(err)
 	}
 	if s.DefaultDispatchBudget != 2*time.Minute || s.MaxMachines != 64 || s.HeadroomShare != 0.5 || !s.Preempt {
-		t.Errorf("read as %+v", s)
+		t.Errorf("evaluated as %+v", s)
 	}
 	if _, err := policy.Load("../../examples/none.star", policy.Defaults(policy.CostSensitive)); err == nil {
-		t.Error("a script that is not there was loaded")
+		t.Error("a missing script was loaded")
 	}
 }
 
@@ -25,11 +25,11 @@
 func TestReconcileSettings(t *testing.T) {
 	s, err := policy.Load("../../deploy/recovery.star", policy.Defaults(policy.CostInsensitive))
 	if err != nil || !s.ReconcileRestarts || s.ReconcileWait != 0 || s.TraceFile != "" {
-		t.Errorf("read as %+v, %v", s, err)
+		t.Errorf("evaluated as %+v, %v", s, err)
 	}
 	s, err = policy.Eval("m.star", "recovery_wait_s = 7.5\ntrace_file = \"-\"", policy.Defaults(policy.CostInsensitive))
 	if err != nil || s.ReconcileRestarts || s.ReconcileWait != 7500*time.Millisecond || s.TraceFile != "-" {
-		t.Errorf("read as %+v, %v", s, err)
+		t.Errorf("evaluated as %+v, %v", s, err)
 	}
 }
 
@@ -44,8 +44,8 @@
 func TestScriptErrorsNameTheLine(t *testing.T) {
 	for _, tc := range []struct{ src, want string }{
 		{"\nack_wait = 1", "m.star:2"},
-		{"ack_wait_s = \"1\"", "wants a number"},
-		{"ack_wait_s = True", "wants a number"},
+		{"ack_wait_s = \"1\"", "must be a number, is string"},
+		{"ack_wait_s = True", "must be a number, is bool"},
 		{"ack_wait_s = -1", "must be from"},
 		{"probe_count = 2.5", "whole number"},
 		{"use_spot = 1", "True or False"},
@@ -58,7 +58,7 @@
 		{"recovery_wait_s = 1e9", "must be from"},
 		{"recovery = 1", "True or False"},
 		{"\nrecovery_bound_s = 3", "m.star:2"},
-		{"trace_file = 3", "wants a string"},
+		{"trace_file = 3", "must be a string"},
 		{"x = open('/etc/passwd')", "undefined: open"},
 	} {
 		t.Run(tc.src, func(t *testing.T) {
--- a/internal/policy/script.go
+++ b/internal/policy/script.go
@@ -11,10 +11,10 @@
 	"go.starlark.net/syntax"
 )
 
-// maxSteps bounds a script's evaluation: a few milliseconds of work.
+// maxSteps bounds the evaluation of a script to a few milliseconds of work.
 const maxSteps = 1_000_000
 
-// Load evaluates the script at path over the defaults.
+// Load evaluates the script at path, starting from the defaults.
 func Load(path string, defaults Settings) (Settings, error) {
 	source, err := os.ReadFile(path)
 	if err != nil {
@@ -23,10 +23,10 @@
 	return Eval(path, string(source), defaults)
 }
 
-// Eval evaluates a script over the defaults. Errors name file and line.
+// Eval evaluates a script, starting from the defaults. Its errors name the file and the line.
 func Eval(name, source string, defaults Settings) (Settings, error) {
 	settings := defaults
-	globals, positions, err := run(name, source)
+	globals, positions, err := execute(name, source)
 	if err != nil {
 		return settings, err
 	}
@@ -44,8 +44,8 @@
 	return settings, nil
 }
 
-// run executes a script and returns its global names with their values and positions.
-func run(name, source string) (starlark.StringDict, map[string]syntax.Position, error) {
+// execute runs a script and returns its global variables with their values and positions.
+func execute(name, source string) (starlark.StringDict, map[string]syntax.Position, error) {
 	options := &syntax.FileOptions{TopLevelControl: true, GlobalReassign: true}
 	file, program, err := starlark.SourceProgramOptions(options, name, source, func(string) bool { return false })
 	if err != nil {
@@ -61,7 +61,7 @@
 	return globals, assignmentPositions(file), err
 }
 
-// assignmentPositions finds where each name is assigned last.
+// assignmentPositions returns the position of the last assignment to each name.
 func assignmentPositions(file *syntax.File) map[string]syntax.Position {
 	positions := map[string]syntax.Position{}
 	visit := func(node syntax.Node) bool {
@@ -80,7 +80,7 @@
 	return positions
 }
 
-// isPrivate reports whether a global name is the script's own, and no setting.
+// isPrivate reports whether a global name is private to the script and not a setting.
 func isPrivate(name string, value starlark.Value) bool {
 	_, callable := value.(starlark.Callable)
 	return callable || strings.HasPrefix(name, "_")
--- a/internal/policy/specs.go
+++ b/internal/policy/specs.go
@@ -8,13 +8,13 @@
 	"go.starlark.net/starlark"
 )
 
-// settingSpec assigns a script's value to its field, if it is of the type and in the range
-// of the setting.
+// settingSpec assigns a value from a script to the field of a setting, if the value has the
+// type of the setting and is in its range.
 type settingSpec interface {
 	assign(settings *Settings, value starlark.Value) error
 }
 
-// settingSpecs are the settings by their names in scripts.
+// settingSpecs maps the names of settings in scripts to their specs.
 var settingSpecs = map[string]settingSpec{
 	"ack_wait_s":          durationSpec{0.1, 60, func(s *Settings) *time.Duration { return &s.AckTimeout }},
 	"probe_count":         countSpec{1, 30, func(s *Settings) *int { return &s.DispatchRetryCount }},
@@ -32,9 +32,9 @@
 	"boot_patience":       numberSpec{1, 100, func(s *Settings) *float64 { return &s.BootTimeoutFactor }},
 }
 
-var errUnknownSetting = errors.New("no such setting (names starting with _ are the script's own)")
+var errUnknownSetting = errors.New("unknown setting (names that start with _ are private to the script)")
 
-// assign sets the named setting.
+// assign assigns a value to the named setting.
 func assign(settings *Settings, name string, value starlark.Value) error {
 	spec, ok := settingSpecs[name]
 	if !ok {
@@ -47,11 +47,11 @@
 type booleanSpec struct{ field func(*Settings) *bool }
 
 func (spec booleanSpec) assign(settings *Settings, value starlark.Value) error {
-	truth, ok := value.(starlark.Bool)
+	boolean, ok := value.(starlark.Bool)
 	if !ok {
-		return fmt.Errorf("wants True or False, is %s", value.Type())
+		return fmt.Errorf("must be True or False, is %s", value.Type())
 	}
-	*spec.field(settings) = bool(truth)
+	*spec.field(settings) = bool(boolean)
 	return nil
 }
 
@@ -61,13 +61,13 @@
 func (spec textSpec) assign(settings *Settings, value starlark.Value) error {
 	text, ok := starlark.AsString(value)
 	if !ok {
-		return fmt.Errorf("wants a string, is %s", value.Type())
+		return fmt.Errorf("must be a string, is %s", value.Type())
 	}
 	*spec.field(settings) = text
 	return nil
 }
 
-// durationSpec is a setting in seconds.
+// durationSpec is a setting that is a number of seconds in its range.
 type durationSpec struct {
 	minimum, maximum float64
 	field            func(*Settings) *time.Duration
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// numberSpec is a setting that is any number in its range.
+// numberSpec is a setting that is a number in its range, whole or not.
 type numberSpec struct {
 	minimum, maximum float64
 	field            func(*Settings) *float64
@@ -109,18 +109,18 @@
 		return err
 	}
 	if number != float64(int(number)) {
-		return fmt.Errorf("wants a whole number, is %v", number)
+		return fmt.Errorf("must be a whole number, is %v", number)
 	}
 	*spec.field(settings) = int(number)
 	return nil
 }
 
-// numberInRange returns a script's number. Starlark takes no Bool for a number, and NaN is
-// in no range.
+// numberInRange returns the number that a script's value holds. It rejects booleans, which
+// Starlark does not convert to numbers, and NaN, which is not in any range.
 func numberInRange(value starlark.Value, minimum, maximum float64) (float64, error) {
 	number, ok := starlark.AsFloat(value)
 	if !ok {
-		return 0, fmt.Errorf("wants a number, is %s", value.Type())
+		return 0, fmt.Errorf("must be a number, is %s", value.Type())
 	}
 	if !(number >= minimum && number <= maximum) {
 		return 0, fmt.Errorf("must be from %v to %v, is %v", minimum, maximum, number)
--- a/internal/tracing/rotate.go
+++ b/internal/tracing/rotate.go
@@ -5,17 +5,17 @@
 	"os"
 )
 
-// rotatedSuffix marks the file that was rotated last.
+// rotatedSuffix is the suffix of the file that was rotated last.
 const rotatedSuffix = ".1"
 
-// rotatingFile appends to a file up to a size, and then starts a new one beside the full
-// one, so that both together stay under twice the size: a service that runs unattended must
-// not fill a disk.
+// rotatingFile appends to a file until it reaches a maximum size, and then renames the full
+// file and starts a new one. Both files together stay under twice the maximum, because a
+// service that runs unattended must not fill the disk.
 type rotatingFile struct {
 	path     string
 	maxBytes int64
 	file     *os.File
-	size     int64
+	size     int64 // of file, in bytes
 }
 
 // openRotating opens a file for appending.
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// Write appends whole spans: one is never divided between two files.
+// Write appends one or more whole spans, so that no span is divided between two files.
 func (r *rotatingFile) Write(b []byte) (int, error) {
 	if r.size > 0 && r.size+int64(len(b)) > r.maxBytes {
 		if err := r.rotate(); err != nil {
@@ -50,8 +50,8 @@
 	return n, err
 }
 
-// rotate renames the full file. If that fails the file stays as it is, and the next
-// write tries again.
+// rotate renames the full file and opens a new one. If the rename fails, the full file stays
+// open and the next write tries again.
 func (r *rotatingFile) rotate() error {
 	if err := os.Rename(r.path, r.path+rotatedSuffix); err != nil {
 		return fmt.Errorf("trace_file: %w", err)
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -1,6 +1,6 @@
 // Package tracing exports spans of a leader's reconciliation after a failover and of its
-// rounds of placement, by OpenTelemetry's SDK, to a file or to standard output. A nil Tracer
-// traces nothing and costs nothing.
+// placement rounds to a file or to standard output, with the OpenTelemetry SDK. A nil Tracer
+// traces nothing and allocates nothing.
 package tracing
 
 import (
@@ -21,25 +21,25 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// Stdout is the target that stands for standard output.
+// Stdout is the target name of standard output.
 const Stdout = "-"
 
-// Keys of attributes and names of spans. Operators rely on them.
+// Attribute keys and span names. Operators search for them, so they must not change.
 const (
-	keyService = attribute.Key("service.name")
-	keyNode    = attribute.Key("yarrowgap.node")
-	keyTerm    = attribute.Key("yarrowgap.term")
-	keyMachine = attribute.Key("yarrowgap.machine")
-	keyTask    = attribute.Key("yarrowgap.task")
-	keyAttempt = attribute.Key("yarrowgap.attempt")
-	keyKind    = attribute.Key("yarrowgap.order.kind")
-	keyTraced  = attribute.Key("yarrowgap.order.traced")
-	keyOutcome = attribute.Key("yarrowgap.recovery.outcome")
-	keyJobs    = attribute.Key("yarrowgap.records.jobs")
-	keyRecords = attribute.Key("yarrowgap.records.batches")
+	keyService    = attribute.Key("service.name")
+	keyNode       = attribute.Key("yarrowgap.node")
+	keyTerm       = attribute.Key("yarrowgap.term")
+	keyMachine    = attribute.Key("yarrowgap.machine")
+	keyTask       = attribute.Key("yarrowgap.task")
+	keyAttempt    = attribute.Key("yarrowgap.attempt")
+	keyKind       = attribute.Key("yarrowgap.order.kind")
+	keyAttributed = attribute.Key("yarrowgap.order.traced")
+	keyOutcome    = attribute.Key("yarrowgap.recovery.outcome")
+	keyJobs       = attribute.Key("yarrowgap.records.jobs")
+	keyBatches    = attribute.Key("yarrowgap.records.batches")
 
 	spanReconciliation   = "recovery"
-	spanPhasePrefix      = "recovery." // and the phase
+	spanPhasePrefix      = "recovery." // followed by the name of the phase
 	spanMachineConfirmed = "recovery.heard"
 	spanOperation        = "recovery.order"
 	spanPlacementRound   = "leader.round"
@@ -47,23 +47,23 @@
 
 // Outcomes of a reconciliation.
 const (
-	outcomeSettled = "settled"
-	outcomeEnded   = "term ended"
+	outcomeSettled   = "settled"
+	outcomeTermEnded = "term ended"
 )
 
-// Tracer makes spans. Its methods are not safe for concurrent use, but for Close.
+// Tracer creates and exports spans. Its methods, except Close, are not safe for concurrent use.
 type Tracer struct {
 	provider *sdktrace.TracerProvider
 	tracer   trace.Tracer
-	file     io.Closer
+	file     io.Closer // nil for standard output
 
 	term           uint64
-	reconciliation trace.Span // nil while there is none
-	phase          trace.Span // of the reconciliation, not ended yet
+	reconciliation trace.Span // nil outside a reconciliation
+	phase          trace.Span // current phase of the reconciliation; nil outside one
 }
 
-// Open makes a tracer that writes to the target: a file, which is appended to and rotated,
-// or Stdout. Without a target the tracer is nil.
+// Open returns a tracer that writes to the target, which is Stdout or the path of a file that
+// is appended to and rotated. For an empty target the tracer is nil.
 func Open(target, node string) (*Tracer, error) {
 	if target == "" {
 		return nil, nil
@@ -91,10 +91,10 @@
 	return &Tracer{provider: provider, tracer: provider.Tracer("yarrowgap"), file: file}, nil
 }
 
-// Enabled reports whether anything is traced.
+// Enabled reports whether tracing is enabled.
 func (t *Tracer) Enabled() bool { return t != nil }
 
-// Close exports the spans that wait, and closes the file.
+// Close exports the queued spans and closes the file.
 func (t *Tracer) Close(ctx context.Context) error {
 	if t == nil {
 		return nil
@@ -106,27 +106,28 @@
 	return errors.Join(err, t.file.Close())
 }
 
-// RecordsLoaded starts the span of a reconciliation with the loading of its records.
-func (t *Tracer) RecordsLoaded(term uint64, startedAt, endedAt time.Time, jobs, records int) {
+// RecordsLoaded starts the span of a reconciliation and adds the span of its loading phase, in
+// which the given numbers of jobs and assignment batches were read.
+func (t *Tracer) RecordsLoaded(term uint64, startedAt, endedAt time.Time, jobs, batches int) {
 	if t == nil {
 		return
 	}
 	t.TermEnded(endedAt)
 	t.term = term
 	t.reconciliation = t.startSpan(context.Background(), spanReconciliation, startedAt, t.termAttribute())
-	loading := t.startChild(spanPhasePrefix+reconcile.Loading.String(), startedAt, keyJobs.Int(jobs), keyRecords.Int(records))
+	loading := t.startChild(spanPhasePrefix+reconcile.Loading.String(), startedAt, keyJobs.Int(jobs), keyBatches.Int(batches))
 	loading.End(trace.WithTimestamp(endedAt))
 	t.phase = t.startChild(spanPhasePrefix+reconcile.Collecting.String(), endedAt)
 }
 
-// ReconcileEvents adds events of the reconciliation. start is when their times count from.
+// ReconcileEvents adds events of the reconciliation, whose times are relative to start.
 func (t *Tracer) ReconcileEvents(start time.Time, events []reconcile.Event) {
 	if t == nil {
 		return
 	}
 	for _, event := range events {
 		if t.reconciliation == nil {
-			return // events after it was settled have no span to belong to
+			return // no reconciliation, or already settled: there is no parent span
 		}
 		t.addEvent(start.Add(event.At), event)
 	}
@@ -141,7 +142,7 @@
 		t.addInstant(spanMachineConfirmed, at, keyMachine.String(operation.Machine))
 	case reconcile.OperationCounted:
 		t.addInstant(spanOperation, at, keyKind.String(operation.Kind.String()), keyMachine.String(operation.Machine),
-			keyTask.String(operation.Task), keyAttempt.Int64(int64(operation.Number)), keyTraced.Bool(event.Attributed))
+			keyTask.String(operation.Task), keyAttempt.Int64(int64(operation.Number)), keyAttributed.Bool(event.Attributed))
 	}
 }
 
@@ -171,10 +172,10 @@
 		return
 	}
 	t.phase.End(trace.WithTimestamp(at))
-	t.endReconciliation(at, outcomeEnded)
+	t.endReconciliation(at, outcomeTermEnded)
 }
 
-// PlacementRound adds a span of a round of placement.
+// PlacementRound adds the span of a placement round.
 func (t *Tracer) PlacementRound(startedAt, endedAt time.Time) {
 	if t == nil {
 		return
@@ -183,7 +184,7 @@
 	span.End(trace.WithTimestamp(endedAt))
 }
 
-// startChild starts a span in the reconciliation's.
+// startChild starts a child span of the reconciliation's span.
 func (t *Tracer) startChild(name string, at time.Time, attributes ...attribute.KeyValue) trace.Span {
 	parent := trace.ContextWithSpan(context.Background(), t.reconciliation)
 	return t.startSpan(parent, name, at, attributes...)
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -14,7 +14,7 @@
 	"github.com/yarrowgap/yarrowgap/internal/reconcile"
 )
 
-// span is what the export has of a span.
+// span holds the exported fields of a span that the tests check.
 type span struct {
 	Name        string
 	SpanContext struct{ TraceID, SpanID string }
@@ -25,7 +25,7 @@
 	}
 }
 
-// decodeSpans reads all spans of an export.
+// decodeSpans decodes all exported spans.
 func decodeSpans(t *testing.T, raw []byte) []span {
 	t.Helper()
 	var spans []span
@@ -43,9 +43,9 @@
 	}
 }
 
-// A reconciliation is one trace: its phases, the confirmed machines and the operations are in
-// its span; placement rounds have spans of their own, and nothing comes after the end of the
-// term.
+// A reconciliation is one trace: the spans of its phases, of confirmed machines and of
+// operations are children of its span. Placement rounds are separate root spans, and events
+// after the end of the term add no spans.
 func TestReconciliationIsOneTrace(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "spans.json")
 	tracer, err := Open(path, "node-1")
@@ -90,7 +90,7 @@
 	for _, s := range spans {
 		root, child := roots[s.Parent.SpanID]
 		if isRoot := s.Name == "recovery" || s.Name == "leader.round"; child == isRoot || child && root.SpanContext.TraceID != s.SpanContext.TraceID {
-			t.Errorf("%s: child of a recovery: %v", s.Name, child)
+			t.Errorf("%s: child of a reconciliation span: %v", s.Name, child)
 		}
 		if s.Name != "recovery.order" {
 			continue
@@ -105,14 +105,14 @@
 	}
 }
 
-// A full file is rotated, whole spans at a time, and both stay under the bound; what was there
-// before is appended to.
+// A full file is rotated between whole spans, and both files stay under the maximum size. Each
+// open appends to the existing file.
 func TestTraceFilesAreBounded(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "spans.json")
-	const most, written = 100, 40
+	const maxBytes, openCount = 100, 40
 	line := append(bytes.Repeat([]byte("x"), 29), '\n')
-	for i := range written {
-		file, err := openRotating(path, most)
+	for i := range openCount {
+		file, err := openRotating(path, maxBytes)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -126,37 +126,37 @@
 		}
 		for _, name := range []string{path, path + rotatedSuffix} {
 			raw, err := os.ReadFile(name)
-			if len(raw) > most || len(raw)%len(line) != 0 || err != nil && (name == path || i > 3) {
-				t.Fatalf("after %d: %s has %d bytes, %v", i, name, len(raw), err)
+			if len(raw) > maxBytes || len(raw)%len(line) != 0 || err != nil && (name == path || i > 3) {
+				t.Fatalf("after opening %d: %s has %d bytes, error %v", i, name, len(raw), err)
 			}
 		}
 	}
 }
 
-// Without a target nothing is allocated, neither for spans nor for events of operations.
+// Without a target, neither spans nor the events of operations allocate memory.
 func TestDisabledTracerAllocatesNothing(t *testing.T) {
 	tracer, err := Open("", "node-1")
 	if err != nil || tracer.Enabled() {
 		t.Fatalf("%v, %v", tracer, err)
 	}
 	now := time.Unix(1000, 0)
-	r := reconcile.New(0, reconcile.Config{HeartbeatInterval: time.Second, WorkerLease: time.Minute})
-	r.ExpectAttempt("n-1")
+	reconciler := reconcile.New(0, reconcile.Config{HeartbeatInterval: time.Second, WorkerLease: time.Minute})
+	reconciler.ExpectAttempt("n-1")
 	events := []reconcile.Event{{Kind: reconcile.OperationCounted}}
-	if n := testing.AllocsPerRun(100, func() {
+	if allocations := testing.AllocsPerRun(100, func() {
 		tracer.RecordsLoaded(1, now, now, 1, 1)
 		tracer.ReconcileEvents(now, events)
 		tracer.PlacementRound(now, now)
 		tracer.TermEnded(now)
-		r.CountOperation(time.Second, reconcile.Operation{Kind: reconcile.StartOperation, Machine: "n-1", Task: "run-000001/0"})
-		_ = r.TakeEvents()
-	}); n != 0 {
-		t.Errorf("%v allocations", n)
+		reconciler.CountOperation(time.Second, reconcile.Operation{Kind: reconcile.StartOperation, Machine: "n-1", Task: "run-000001/0"})
+		_ = reconciler.TakeEvents()
+	}); allocations != 0 {
+		t.Errorf("%v allocations", allocations)
 	}
 	if err := tracer.Close(t.Context()); err != nil {
 		t.Error(err)
 	}
 	if _, err := Open(filepath.Join(t.TempDir(), "missing", "spans.json"), "node-1"); err == nil {
-		t.Error("a file that cannot be made is taken")
+		t.Error("opening a file in a missing directory succeeded")
 	}
 }
