--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -52,8 +52,8 @@
 
 // Team holds the quota guarantee and the quota limit of a team. A guarantee of 0 in the file
 // means no guarantee. A CPU limit of 0 means no limit, because a team that may not use any CPU
-// would not be listed. A GPU limit of 0 keeps the team off GPUs, unless none of its guarantees
-// and limits is set: such a team may use the capacity that other teams leave free.
+// would not be listed. A GPU limit of 0 keeps the team off GPUs, unless the team has neither a
+// CPU limit nor a GPU guarantee: it may then use the GPUs that other teams leave free.
 type Team struct {
 	Name           string  `toml:"name"`
 	GuaranteedCPUs float64 `toml:"cpus"`
--- a/internal/tuning/controller.go
+++ b/internal/tuning/controller.go
@@ -11,7 +11,8 @@
 	// paused. The ticks of a busy process are less late than that.
 	ProcessPauseThreshold = 1500 * time.Millisecond
 	// ScanIntervalPerMachine is multiplied by the number of machines to give the interval
-	// between scans of all machines. A scan costs about as much as a placement round that has nothing to place.
+	// between scans of all machines. A scan costs about as much as a placement round that has
+	// nothing to place.
 	ScanIntervalPerMachine = 50 * time.Microsecond
 	// LoadLogInterval is the interval of the debug message on the cluster's load.
 	LoadLogInterval = 10 * time.Second
