--- a/internal/scheduler/attempt_outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -222,7 +222,7 @@
 // fitsSomewhereCached caches the result of fitsSomewhere for tuning.FreeCapacityMemory, since
 // many tasks of a job are checked at the same time.
 func (c *clusterState) fitsSomewhereCached(j *job) bool {
-	if j.capacityCheck.checkedAt == 0 || c.now.Mono-j.capacityCheck.checkedAt > tuning.FreeCapacityMemory {
+	if j.capacityCheck.checkedAt == 0 || c.now.Mono-j.capacityCheck.checkedAt > tuning.FreeCapacityCacheTTL {
 		j.capacityCheck.checkedAt, j.capacityCheck.available = c.now.Mono, c.fitsSomewhere(j)
 	}
 	return j.capacityCheck.available
--- a/internal/scheduler/fencing_test.go
+++ b/internal/scheduler/fencing_test.go
@@ -18,8 +18,8 @@
 		return h.scheduler.TakeEffects().Resign != ""
 	}
 	maxValue := float64(maxCounter)
-	for _, used := range []float64{0, maxValue * tuning.MaxFencingCounterUse, maxValue*tuning.MaxFencingCounterUse + 1, maxValue} {
-		want := used > maxValue*tuning.MaxFencingCounterUse
+	for _, used := range []float64{0, maxValue * tuning.MaxFencingCounterShare, maxValue*tuning.MaxFencingCounterShare + 1, maxValue} {
+		want := used > maxValue*tuning.MaxFencingCounterShare
 		h := newHarness(t)
 		h.bringUp("n-1")
 		h.scheduler.dispatcher.lastAttemptNumber = uint64(used)
--- a/internal/scheduler/heartbeat_test.go
+++ b/internal/scheduler/heartbeat_test.go
@@ -428,7 +428,7 @@
 	if stopped := announceInterruption(15); stopped["run-000001"] || stopped["run-000002"] {
 		t.Errorf("stopped without capacity elsewhere: %v", stopped)
 	}
-	h.now += 2 * tuning.FreeCapacityMemory
+	h.now += 2 * tuning.FreeCapacityCacheTTL
 	h.bringUp("n-2")
 	if stopped := announceInterruption(14); stopped["run-000001"] || !stopped["run-000002"] {
 		t.Errorf("with capacity elsewhere: %v", stopped)
--- a/internal/scheduler/zone_partition.go
+++ b/internal/scheduler/zone_partition.go
@@ -94,7 +94,7 @@
 
 // zonePartitionLimit returns how long machines of a partitioned zone are kept at most.
 func (h *heartbeatMonitor) zonePartitionLimit() time.Duration {
-	return time.Duration(float64(h.settings.WorkerLease) * tuning.ZonePartitionLeases)
+	return time.Duration(float64(h.settings.WorkerLease) * tuning.ZonePartitionLeaseMultiple)
 }
 
 // zoneReleaseDelay returns how long a zone may miss its heartbeats before those of its machines
