--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -7,34 +7,37 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// admission bounds the users' requests in progress, and sheds load when the process lags:
-// submissions first, then queries and cancellations. Workers' heartbeats are always served.
-// Safe for concurrent use.
+// admission limits how many users' requests are in progress. When the process lags, it refuses
+// submissions first, and queries and cancellations only at a larger lag. Workers' heartbeats are
+// never refused. It is safe for concurrent use.
 type admission struct {
-	tickLag         atomic.Int64         // how late the last tick came, in nanoseconds
-	requestBacklog  func() time.Duration // see Controller.SetRequestBacklog
-	submissionSlots chan struct{}
-	decisionSlots   chan struct{} // of queries and cancellations
+	tickLag             atomic.Int64         // delay of the last tick, in nanoseconds
+	requestBacklog      func() time.Duration // how long requests wait before they are read
+	submissionSlots     chan struct{}        // one element per submission in progress
+	queryAndCancelSlots chan struct{}        // one element per query or cancellation in progress
 }
 
 func newAdmission() admission {
 	return admission{
-		requestBacklog:  func() time.Duration { return 0 },
-		submissionSlots: make(chan struct{}, tuning.MaxSubmissionsInFlight),
-		decisionSlots:   make(chan struct{}, tuning.MaxDecisionsInFlight),
+		requestBacklog:      func() time.Duration { return 0 },
+		submissionSlots:     make(chan struct{}, tuning.MaxSubmissionsInFlight),
+		queryAndCancelSlots: make(chan struct{}, tuning.MaxDecisionsInFlight),
 	}
 }
 
-// admitSubmission takes a slot for a submission until release is called.
+// admitSubmission reserves a slot for a submission until release is called. ok is false if the
+// submission must be refused.
 func (a *admission) admitSubmission() (release func(), ok bool) {
 	return a.admit(a.submissionSlots, tuning.MaxSubmissionTickLag)
 }
 
-// admitDecision takes a slot for a query or a cancellation until release is called.
-func (a *admission) admitDecision() (release func(), ok bool) {
-	return a.admit(a.decisionSlots, tuning.MaxDecisionTickLag)
+// admitQueryOrCancel reserves a slot for a query or a cancellation until release is called. ok is
+// false if the request must be refused.
+func (a *admission) admitQueryOrCancel() (release func(), ok bool) {
+	return a.admit(a.queryAndCancelSlots, tuning.MaxDecisionTickLag)
 }
 
+// admit reserves one of the slots, unless all are taken or the process lags by more than maxLag.
 func (a *admission) admit(slots chan struct{}, maxLag time.Duration) (release func(), ok bool) {
 	if max(time.Duration(a.tickLag.Load()), a.requestBacklog()) > maxLag {
 		return nil, false
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -11,8 +11,8 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Under overload, heartbeats have priority over queries and cancellations, and those over
-// submissions.
+// When the process lags, submissions are refused first, and queries and cancellations only at a
+// larger lag. Heartbeats are never refused for it.
 func TestOverloadShedsSubmissionsBeforeQueriesBeforeHeartbeats(t *testing.T) {
 	c := newTestController(t)
 	c.replication.replica.RememberEnded("run-000001", records.EndedJob{State: wire.JobDone, Done: 1, Tasks: 1})
@@ -27,13 +27,13 @@
 	} {
 		c.admission.tickLag.Store(int64(tc.lag))
 		if a := c.Submit(context.Background(), []byte{0xa0}, FromUser); a.Status != tc.submit {
-			t.Errorf("lag %v: submission %d", tc.lag, a.Status)
+			t.Errorf("lag %v: submission answered %d", tc.lag, a.Status)
 		}
 		if a := c.Query(context.Background(), "run-000001", FromUser); a.Status != tc.query {
-			t.Errorf("lag %v: query %d", tc.lag, a.Status)
+			t.Errorf("lag %v: query answered %d", tc.lag, a.Status)
 		}
-		if a := c.Heartbeat(heartbeat); a.Status != http.StatusServiceUnavailable { // nobody leads
-			t.Errorf("lag %v: heartbeat %d", tc.lag, a.Status)
+		if a := c.Heartbeat(heartbeat); a.Status != http.StatusServiceUnavailable { // no leader
+			t.Errorf("lag %v: heartbeat answered %d", tc.lag, a.Status)
 		}
 	}
 	c.admission.tickLag.Store(0)
@@ -41,9 +41,9 @@
 		c.admission.submissionSlots <- struct{}{}
 	}
 	if a := c.Submit(context.Background(), []byte{0xa0}, FromUser); a.Status != http.StatusServiceUnavailable {
-		t.Errorf("a submission over the bound: %d", a.Status)
+		t.Errorf("submission answered %d with all submission slots taken", a.Status)
 	}
 	if a := c.Query(context.Background(), "run-000001", FromUser); a.Status != http.StatusOK {
-		t.Errorf("a query while submission slots are full: %d", a.Status)
+		t.Errorf("query answered %d with all submission slots taken", a.Status)
 	}
 }
--- a/internal/controller/answer.go
+++ b/internal/controller/answer.go
@@ -6,8 +6,9 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Answer is the answer to a user's request: the view of a query, the state of a submission
-// or cancellation, or an error. A status of 503 or 429 carries Retry-After.
+// Answer is the answer to a user's request. View is set for a query, State for a submission or
+// a cancellation, and Error if the request failed. Answers with status 503 or 429 are sent with
+// a Retry-After header.
 type Answer struct {
 	Status int
 	View   *wire.JobView
@@ -15,15 +16,15 @@
 	Error  string
 }
 
-func answerState(status int, id, state string) Answer {
+func stateAnswer(status int, id, state string) Answer {
 	return Answer{Status: status, State: &wire.JobStateReply{ID: id, State: state}}
 }
 
-func refuse(status int, message string) Answer { return Answer{Status: status, Error: message} }
+func errorAnswer(status int, message string) Answer { return Answer{Status: status, Error: message} }
 
-// Answers that are always the same.
+// Error answers with a fixed status and text.
 var (
-	overloaded = refuse(http.StatusServiceUnavailable, "too many requests at this node")
-	undecided  = refuse(http.StatusServiceUnavailable, "cannot be decided now")
-	jobUnknown = refuse(http.StatusNotFound, "no such job")
+	overloadedAnswer  = errorAnswer(http.StatusServiceUnavailable, "too many requests at this node")
+	unavailableAnswer = errorAnswer(http.StatusServiceUnavailable, "cannot be decided now")
+	jobNotFoundAnswer = errorAnswer(http.StatusNotFound, "no such job")
 )
--- a/internal/controller/cancel.go
+++ b/internal/controller/cancel.go
@@ -13,39 +13,39 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Cancel answers POST /v2/runs/{id}/withdraw.
+// Cancel handles POST /v2/runs/{id}/withdraw, which cancels a job.
 func (c *Controller) Cancel(ctx context.Context, id string, origin Origin) Answer {
 	if !wire.ValidJobID(id) {
-		return jobUnknown
+		return jobNotFoundAnswer
 	}
-	release, ok := c.admission.admitDecision()
+	release, ok := c.admission.admitQueryOrCancel()
 	if !ok {
-		return overloaded
+		return overloadedAnswer
 	}
 	defer release()
 	ctx, cancel := context.WithTimeout(ctx, tuning.SubmissionTimeout)
 	defer cancel()
 	request := userRequest{c, peer.ForwardRequest{Kind: peer.KindCancel, ID: id}, origin}
 	for {
-		if answer, decided := request.tryCancel(ctx, id); decided {
+		if answer, final := request.tryCancel(ctx, id); final {
 			return answer
 		}
 	}
 }
 
-// tryCancel reads the job and marks it as cancelled. It is not decided where the job has
-// changed since it was read, or where the answer to the write was lost: read again, our own
-// write may have been carried out.
-func (r userRequest) tryCancel(ctx context.Context, id string) (answer Answer, decided bool) {
+// tryCancel reads the job and marks it as cancelled. final is false, and the caller tries again,
+// if the job has changed since it was read or if the outcome of the write is unknown: reading the
+// job again shows whether that write was executed.
+func (r userRequest) tryCancel(ctx context.Context, id string) (answer Answer, final bool) {
 	c := r.controller
 	view, found, err := c.lookUpJob(ctx, id)
 	switch {
 	case err != nil:
 		return r.forwardOrRefuse(err), true
 	case !found:
-		return jobUnknown, true
+		return jobNotFoundAnswer, true
 	case view.State == wire.JobCancelled || view.State == wire.JobDone:
-		return answerState(http.StatusOK, id, view.State), true
+		return stateAnswer(http.StatusOK, id, view.State), true
 	}
 	c.mu.Lock()
 	live := c.replication.replica.Live[id]
@@ -57,13 +57,15 @@
 	switch {
 	case err == nil:
 		c.update(func() { c.confirmCancellation(id) })
-		return answerState(http.StatusOK, id, wire.JobCancelled), true
+		return stateAnswer(http.StatusOK, id, wire.JobCancelled), true
 	case errors.Is(err, kvstore.ErrConflict), errors.Is(err, kvstore.ErrOutcomeUnknown) && ctx.Err() == nil:
 		return Answer{}, false
 	}
 	return r.forwardOrRefuse(err), true
 }
 
+// commitCancellation marks the job as cancelled in the key-value store. It fails with
+// kvstore.ErrConflict if the job's record has changed since live was read.
 func commitCancellation(ctx context.Context, store *kvstore.Client, live *scheduler.LiveJob) error {
 	record := *live.Record
 	record.Cancelled = true
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -8,136 +8,145 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// cancellations is what is known of confirmed cancellations. Guarded by Controller.mu.
+// cancellations tracks which cancellations this controller confirmed to users, and up to when the
+// leader has enforced all of them. Guarded by Controller.mu.
 type cancellations struct {
-	// confirmed lists the cancellations that this controller confirmed to users.
 	confirmed confirmationLog
-	// enforcedUntil is the moment as of which all cancellations were enforced by the leader
-	// of the known term.
+	// enforcedUntil is a time before which every confirmed cancellation has been enforced by
+	// the leader of the known term. Zero means that no such time is known.
 	enforcedUntil time.Time
 }
 
-// raiseEnforced notes as of when all cancellations are enforced.
-func (c *cancellations) raiseEnforced(until time.Time) {
+// advanceEnforcedUntil records that all cancellations confirmed before until are enforced.
+// It never moves enforcedUntil to an earlier time.
+func (c *cancellations) advanceEnforcedUntil(until time.Time) {
 	c.enforcedUntil = later(c.enforcedUntil, until)
 }
 
-// confirmationLog lists the cancellations that a controller confirmed to users, each once. A
-// leader that the key-value store does not serve learns of them by its pings, and may keep
-// workers alive through an outage that is longer than the bound on a cancellation. Entries
-// are numbered from 1; only the latest are kept.
+// confirmationLog lists the jobs whose cancellation a controller confirmed to users, each job
+// once. The answers to the leader's pings carry the entries, so that a leader that cannot reach
+// the key-value store learns of these cancellations. It may then renew workers' leases during an
+// outage that is longer than the time within which a cancellation must be enforced. Entries are
+// numbered from 1; only the latest tuning.MaxListedConfirmations are kept.
 type confirmationLog struct {
-	dropped uint64 // how many of the oldest entries are no longer kept
-	ids     []string
-	kept    map[string]struct{} // those in ids
+	droppedCount uint64              // number of oldest entries that are no longer kept
+	ids          []string            // job ids, the oldest entry first
+	idSet        map[string]struct{} // the elements of ids
 }
 
 func (l *confirmationLog) add(id string) {
-	if _, ok := l.kept[id]; ok {
+	if _, ok := l.idSet[id]; ok {
 		return
 	}
-	if l.kept == nil {
-		l.kept = map[string]struct{}{}
+	if l.idSet == nil {
+		l.idSet = map[string]struct{}{}
 	}
-	l.kept[id] = struct{}{}
+	l.idSet[id] = struct{}{}
 	l.ids = append(l.ids, id)
 	if len(l.ids) > tuning.MaxListedConfirmations {
-		delete(l.kept, l.ids[0])
-		l.ids = l.ids[1:] // append copies the rest when the capacity behind it is used up
-		l.dropped++
+		delete(l.idSet, l.ids[0])
+		l.ids = l.ids[1:] // append frees the dropped prefix when it reallocates
+		l.droppedCount++
 	}
 }
 
-// after returns the entries after the first seen ones, or those of them that are still kept.
-func (l *confirmationLog) after(seen uint64) (from uint64, ids []string) {
-	from = min(max(seen, l.dropped), l.dropped+uint64(len(l.ids)))
-	return from, l.ids[from-l.dropped:]
+// entriesAfter returns the entries that follow the first receivedCount entries, as far as they
+// are still kept, and from, the number of entries that precede the returned ones.
+func (l *confirmationLog) entriesAfter(receivedCount uint64) (from uint64, ids []string) {
+	from = min(max(receivedCount, l.droppedCount), l.droppedCount+uint64(len(l.ids)))
+	return from, l.ids[from-l.droppedCount:]
 }
 
-// confirmationFeed is how much a controller has received of a peer's confirmationLog.
-type confirmationFeed struct {
-	bootID uint64 // the peer's process that the rest is about
-	seen   uint64 // entries received
-	// completeFrom is since when all that the peer confirmed is in the feed: not what an
-	// earlier process of it confirmed, nor entries that it dropped before they were received.
-	completeFrom time.Time
-	asOf         time.Time // the feed has all that was confirmed before
+// confirmationCursor records how much of a peer's confirmationLog a controller has received.
+// The controller has received every cancellation that the peer confirmed from completeSince
+// until completeUntil.
+type confirmationCursor struct {
+	bootID        uint64 // identifies the peer's process that sent the entries
+	receivedCount uint64 // number of entries received from that process
+	// completeSince excludes cancellations that an earlier process of the peer confirmed, and
+	// entries that the peer dropped before they were received.
+	completeSince time.Time
+	completeUntil time.Time
 }
 
-// receive takes the part of the log that answers a ping sent at sentAt.
-func (f *confirmationFeed) receive(pong peer.Pong, sentAt, now time.Time) {
+// applyPong advances the cursor by the log entries in pong, the answer to a ping that was sent at
+// sentAt.
+func (c *confirmationCursor) applyPong(pong peer.Pong, sentAt, now time.Time) {
 	if pong.UptimeMilli == 0 {
-		return // of a version that keeps no log
+		return // the peer runs a version without a confirmationLog
 	}
-	if pong.BootID != f.bootID {
-		f.bootID, f.seen = pong.BootID, 0
-		f.completeFrom = now.Add(-milliseconds(pong.UptimeMilli - 1))
+	if pong.BootID != c.bootID {
+		c.bootID, c.receivedCount = pong.BootID, 0
+		c.completeSince = now.Add(-milliseconds(pong.UptimeMilli - 1))
 	}
-	if pong.ConfirmedFrom > f.seen {
-		f.completeFrom = now
+	if pong.ConfirmedFrom > c.receivedCount {
+		c.completeSince = now
 	}
-	f.seen = pong.ConfirmedFrom + uint64(len(pong.Confirmed))
-	f.asOf = later(f.asOf, sentAt)
+	c.receivedCount = pong.ConfirmedFrom + uint64(len(pong.Confirmed))
+	c.completeUntil = later(c.completeUntil, sentAt)
 }
 
-// restart has the whole log sent again.
-func (f *confirmationFeed) restart() { f.seen, f.asOf = 0, time.Time{} }
+// reset makes the peer send its whole log again.
+func (c *confirmationCursor) reset() { c.receivedCount, c.completeUntil = 0, time.Time{} }
 
-// confirmCancellation takes note of a job that is durably cancelled, right before that is
-// confirmed to a user. Called with the lock held.
+// confirmCancellation records that a job is durably cancelled. It is called right before the
+// cancellation is confirmed to a user, with the lock held.
 func (c *Controller) confirmCancellation(id string) {
 	c.cancellations.confirmed.add(id)
-	c.updateWatermark()
+	c.updateCancellationWatermark()
 	if c.leadership.leading() {
 		c.leadership.scheduler.Cancelled(c.now(), []string{id})
 	}
 }
 
-// cancellationWatermark returns the moment as of which this controller knows of every
-// cancellation that was confirmed to a user: by the key-value store, or because every peer
-// has listed its own since then. Called with the lock held.
+// cancellationWatermark returns the time before which this controller knows every cancellation
+// that any controller confirmed to a user. It is the time of the last complete read of the
+// key-value store or, if every peer has listed all that it confirmed since that read, the time
+// up to which the peers' lists are complete. Called with the lock held.
 func (c *Controller) cancellationWatermark() time.Time {
-	listedAsOf := time.Now()
+	listedUntil := time.Now()
 	for _, p := range c.membership.peers {
 		//mutation:peer-restart-bounds-watermark
-		if !p.confirmations.completeFrom.Before(c.replication.caughtUpAt) {
+		if !p.confirmations.completeSince.Before(c.replication.caughtUpAt) {
 			return c.replication.caughtUpAt
 		}
-		if p.confirmations.asOf.Before(listedAsOf) {
-			listedAsOf = p.confirmations.asOf
+		if p.confirmations.completeUntil.Before(listedUntil) {
+			listedUntil = p.confirmations.completeUntil
 		}
 	}
-	return later(c.replication.caughtUpAt, listedAsOf)
+	return later(c.replication.caughtUpAt, listedUntil)
 }
 
-// updateWatermark tells the scheduler as of when it knows all cancellations. It comes before
-// further cancellations are fed, which may be later than the watermark. Called with the lock
-// held.
-func (c *Controller) updateWatermark() {
+// updateCancellationWatermark passes the cancellation watermark to the scheduler, if this
+// controller leads. It must be called before newly learned cancellations are passed on, since
+// those may be later than the watermark. Called with the lock held.
+func (c *Controller) updateCancellationWatermark() {
 	if c.leadership.leading() {
 		c.leadership.scheduler.AdvanceCancellationWatermark(c.cancellationWatermark().Sub(c.startedAt))
 	}
 }
 
-// enforcedWatermark returns the moment as of which this leader has enforced all
-// cancellations. Called with the lock held, by the leader.
-func (c *Controller) enforcedWatermark() time.Time {
+// enforcedCancellationWatermark returns the time before which this leader has enforced all
+// cancellations. Called with the lock held, only at the leader.
+func (c *Controller) enforcedCancellationWatermark() time.Time {
 	return c.startedAt.Add(c.leadership.scheduler.EnforcedCancellationWatermark(c.cancellationWatermark().Sub(c.startedAt)))
 }
 
-// mayRenewLeases reports whether the leader may renew its workers' leases: no longer after
-// its watermark than leaves time to enforce a cancellation that it does not know of. That
-// holds through a process pause and whoever else leads. Called with the lock held.
-func (c *Controller) mayRenewLeases() bool {
+// mayRenewWorkerLeases reports whether the leader may renew its workers' leases. A cancellation
+// right after the cancellation watermark may be unknown to the leader, so it stops renewing early
+// enough for the leases to expire within the time allowed for a cancellation. This also holds
+// after a process pause and while another controller leads. Called with the lock held.
+func (c *Controller) mayRenewWorkerLeases() bool {
 	return time.Since(c.cancellationWatermark()) < c.KeepaliveBound()
 }
 
-// KeepaliveBound returns for how long after its cancellation watermark the leader may renew
-// workers' leases, and followers after the time as of which the leader has enforced all
-// cancellations: tasks that it could not stop yet may be on their workers. A job may have
-// been cancelled right after, and the worker's lease has to expire within the bound on a
-// cancellation. The time does not count from a worker's first heartbeat at this controller,
-// which in a partition comes only after it has tried others in vain.
+// KeepaliveBound returns how long a controller may renew workers' leases without learning of new
+// cancellations. The leader counts the time from its cancellation watermark. Followers count it
+// from the time before which the leader has enforced all cancellations, since tasks that the
+// leader could not stop yet may still run on their workers. A job may be cancelled right after
+// that time, and the workers' leases must expire within the time allowed for a cancellation.
+// The time does not count from a worker's first heartbeat at this controller: in a partition, the
+// worker sends that only after other controllers did not answer.
 func (c *Controller) KeepaliveBound() time.Duration {
 	workers := &c.cfg.Deployment.Workers
 	//mutation:keepalive-drift-margin
--- a/internal/controller/cancellations_test.go
+++ b/internal/controller/cancellations_test.go
@@ -15,10 +15,9 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// A controller knows every cancellation that was confirmed to a user, anywhere, before its
-// cancellation watermark, whichever peers are restarted or drop the oldest entries of their
-// logs. On that rests for how long a leader that the key-value store does not serve keeps
-// workers alive.
+// A controller knows every cancellation that any controller confirmed to a user before the
+// cancellation watermark, even if peers restart or drop the oldest entries of their logs. A leader
+// that cannot reach the key-value store relies on this when it renews workers' leases.
 func TestCancellationWatermarkIsNeverAheadOfConfirmations(t *testing.T) {
 	controller := newTestController(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -51,22 +50,23 @@
 	startedAt time.Time
 }
 
-// watermarkModel is a controller with peers that confirm cancellations, in simulated time.
+// watermarkModel is a controller with peers that confirm cancellations, in simulated time. It
+// tracks which cancellations were confirmed and which of them the controller knows.
 type watermarkModel struct {
 	t          *rapid.T
 	controller *Controller
 	remotes    []*remoteController
 
 	now         time.Time
-	boots       uint64
-	confirmedAt map[string]time.Time // of all cancellations
-	known       map[string]bool      // to the controller
+	lastBootID  uint64
+	confirmedAt map[string]time.Time // time of each confirmed cancellation, by job id
+	knownIDs    map[string]bool      // job ids of the cancellations that the controller knows
 }
 
 func newWatermarkModel(t *rapid.T, c *Controller) *watermarkModel {
 	m := &watermarkModel{
 		t: t, controller: c, now: time.Now().Add(-time.Hour),
-		confirmedAt: map[string]time.Time{}, known: map[string]bool{},
+		confirmedAt: map[string]time.Time{}, knownIDs: map[string]bool{},
 	}
 	c.replication.caughtUpAt, c.membership.peers = time.Time{}, map[string]*peerState{}
 	for i := range 3 {
@@ -83,8 +83,8 @@
 }
 
 func (m *watermarkModel) restart(remote *remoteController) {
-	m.boots++
-	*remote = remoteController{bootID: m.boots, startedAt: m.now}
+	m.lastBootID++
+	*remote = remoteController{bootID: m.lastBootID, startedAt: m.now}
 }
 
 func (m *watermarkModel) confirm(remote *remoteController, count int) {
@@ -95,46 +95,47 @@
 	}
 }
 
-// readStore has the controller learn all cancellations from the key-value store.
+// readStore simulates that the controller reads all cancellations from the key-value store.
 func (m *watermarkModel) readStore() {
 	m.controller.replication.caughtUpAt = m.now
 	for id := range m.confirmedAt {
-		m.known[id] = true
+		m.knownIDs[id] = true
 	}
 }
 
-// ping has the controller ping the remote one, which may confirm another cancellation after
-// it has made its answer.
+// ping simulates a ping by the controller. The remote controller may confirm another cancellation
+// after it has built its answer.
 func (m *watermarkModel) ping(remote *remoteController, state *peerState) {
-	sentAt, seen := m.now, state.confirmations.seen
+	sentAt, receivedCount := m.now, state.confirmations.receivedCount
 	m.advance()
 	if remote.bootID != state.confirmations.bootID {
-		seen = 0
+		receivedCount = 0
 	}
 	pong := peer.Pong{BootID: remote.bootID, UptimeMilli: 1 + m.now.Sub(remote.startedAt).Milliseconds()}
-	pong.ConfirmedFrom, pong.Confirmed = remote.confirmed.after(seen)
+	pong.ConfirmedFrom, pong.Confirmed = remote.confirmed.entriesAfter(receivedCount)
 	pong.Confirmed = slices.Clone(pong.Confirmed)
 	if rapid.Bool().Draw(m.t, "confirms meanwhile") {
 		m.confirm(remote, 1)
 	}
 	m.advance()
-	state.confirmations.receive(pong, sentAt, m.now)
+	state.confirmations.applyPong(pong, sentAt, m.now)
 	for _, id := range pong.Confirmed {
-		m.known[id] = true
+		m.knownIDs[id] = true
 	}
 }
 
 func (m *watermarkModel) check() {
 	for id, confirmedAt := range m.confirmedAt {
-		if watermark := m.controller.cancellationWatermark(); confirmedAt.Before(watermark) && !m.known[id] {
+		if watermark := m.controller.cancellationWatermark(); confirmedAt.Before(watermark) && !m.knownIDs[id] {
 			m.t.Fatalf("%s was confirmed %v before the cancellation watermark", id, watermark.Sub(confirmedAt))
 		}
 	}
 }
 
-// A leader whose cancellation watermark is too old to leave time for one that it does not
-// know of answers no heartbeat, whatever its lease: after a process pause, or while the
-// key-value store refuses everybody. With the confirmations of all peers it goes on.
+// A leader answers no heartbeats once its cancellation watermark is so old that a cancellation it
+// does not know might be enforced too late, even while it holds its own lease: after a process
+// pause, or while the key-value store serves no controller. If all peers list their confirmations,
+// the watermark advances without the store, and the leader goes on answering.
 func TestLeaderAnswersHeartbeatsUntilWatermarkIsTooOld(t *testing.T) {
 	c := newTestController(t)
 	c.membership.peers = map[string]*peerState{"drover-1": {}, "drover-2": {}}
@@ -146,31 +147,32 @@
 	}
 	c.replication.caughtUpAt = time.Now()
 	if !answered() {
-		t.Error("no answer by a leader with a recent watermark")
+		t.Error("heartbeat refused by a leader with a recent watermark")
 	}
 	c.replication.caughtUpAt = time.Now().Add(-c.KeepaliveBound())
 	if answered() {
-		t.Error("answered by a leader that may have missed a cancellation")
+		t.Error("heartbeat answered by a leader that may have missed a cancellation")
 	}
 	for _, p := range c.membership.peers {
-		p.confirmations.completeFrom, p.confirmations.asOf = c.replication.caughtUpAt.Add(-time.Minute), time.Now()
+		p.confirmations.completeSince, p.confirmations.completeUntil = c.replication.caughtUpAt.Add(-time.Minute), time.Now()
 	}
 	if !answered() {
-		t.Error("no answer though every peer has listed its confirmations")
+		t.Error("heartbeat refused although every peer has listed its confirmations")
 	}
 	for _, p := range c.membership.peers {
-		p.confirmations.completeFrom = c.replication.caughtUpAt.Add(time.Second) // restarted: what it confirmed before is not known
+		// The peer was restarted, so what it confirmed before is unknown.
+		p.confirmations.completeSince = c.replication.caughtUpAt.Add(time.Second)
 		break
 	}
 	if answered() {
-		t.Error("answered though a peer was restarted")
+		t.Error("heartbeat answered although a peer was restarted")
 	}
 }
 
-// A leader's process pauses, and another one leads meanwhile. When the first resumes it reads
-// all cancellations, but knows none of the other's tasks: it has not enforced cancellations
-// for those. Workers with the other's fencing token are not kept alive by its enforcement,
-// neither here nor where it was heard of.
+// A leader's process pauses, and another controller leads in the meantime. When the first leader
+// resumes, it reads all cancellations but does not know the tasks of the next leader, so it has not
+// enforced cancellations for those tasks. Its enforcement must not renew the leases of workers that
+// hold the next leader's fencing token, neither at that controller nor at its followers.
 func TestKeepaliveRequiresWatermarkOfCurrentLeader(t *testing.T) {
 	token := func(term uint64) uint64 { return term << tuning.FencingBits }
 	for _, leading := range []bool{true, false} {
@@ -187,35 +189,35 @@
 			c.setLeader("drover-1", 9)
 			c.cancellations.enforcedUntil = time.Now()
 			if s := heartbeat(9); s != 200 {
-				t.Errorf("%d to a worker of the leader that has enforced all", s)
+				t.Errorf("heartbeat answered %d, although the worker's leader has enforced all cancellations", s)
 			}
 		}
 		c.update(func() { c.learnLeader("drover-2", 10) })
 		if s := heartbeat(10); s == 200 {
-			t.Errorf("leading %v: a worker of the next leader is kept alive by the enforcement of the last", leading)
+			t.Errorf("leading %v: lease of a worker of the next leader renewed by the enforcement of the previous one", leading)
 		}
 		c.cancellations.enforcedUntil = time.Now() // by the next leader
 		if s := heartbeat(10); s != 200 {
-			t.Errorf("leading %v: %d to a worker of the leader that has enforced all", leading, s)
+			t.Errorf("leading %v: heartbeat answered %d, although the worker's leader has enforced all cancellations", leading, s)
 		}
 	}
 }
 
-// A worker that is answered at the last moment of the keepalive bound, right after it sent its
-// heartbeat, ends its tasks a lease later. That is within the bound on a cancellation that was
-// confirmed right after the watermark, with each clock as far off as the protocol allows.
+// A worker whose heartbeat is answered right at the end of the keepalive bound ends its tasks one
+// lease duration later. That must be within the time allowed for a cancellation that was confirmed
+// right after the watermark, with each clock drifting as much as the protocol allows.
 func TestKeepaliveBoundAllowsForClockDrift(t *testing.T) {
-	const drift = 0.0005 // of each clock
+	const drift = 0.0005 // of each clock, as a fraction
 	c := newTestController(t)
 	w := &c.cfg.Deployment.Workers
 	for _, s := range []struct{ cancel, lease float64 }{{32, 12}, {70, 45}, {40, 12}, {600, 45}, {13.5, 12}, {12, 32}} {
 		w.CancellationS, w.LeaseS = s.cancel, s.lease
 		bound := c.KeepaliveBound().Seconds()
 		if bound < 0 {
-			t.Errorf("%+v: kept alive for %v s", s, bound)
+			t.Errorf("%+v: keepalive bound %v s is negative", s, bound)
 		}
-		if gone := (bound + s.lease) * (1 + drift); bound > 0 && gone >= s.cancel*(1-drift) {
-			t.Errorf("%+v: tasks may be there for %v s", s, gone)
+		if tasksEndAfterS := (bound + s.lease) * (1 + drift); bound > 0 && tasksEndAfterS >= s.cancel*(1-drift) {
+			t.Errorf("%+v: tasks of a cancelled job may run for %v s", s, tasksEndAfterS)
 		}
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -203,7 +203,7 @@
 		// Whoever leads by now cannot tell us, and our workers would stay with us. Their
 		// leases are renewed as followers do it.
 		c.stepDown(sched, stepDownIsolated)
-	case !c.mayRenewLeases():
+	case !c.mayRenewWorkerLeases():
 		c.stepDown(sched, stepDownWatermarkTooOld)
 	default:
 		sched.Tick(c.now())
--- a/internal/controller/feasibility.go
+++ b/internal/controller/feasibility.go
@@ -8,7 +8,7 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Why a job is not accepted. Users are told the text.
+// Reasons for which a job is refused. Their texts are sent to users.
 var (
 	errOverQuotaLimit      = errors.New("needs more than the team's limit")
 	errUnknownTeam         = errors.New("unknown team")
@@ -16,11 +16,12 @@
 	errMachineTypesUnknown = errors.New("machine types not known yet")
 )
 
-// quotaTolerance allows for sums of amounts that are not exact.
+// quotaTolerance is the number of CPUs or GPUs by which a job may exceed its team's limit, because
+// sums and products of fractional amounts are not exact.
 const quotaTolerance = 1e-6
 
-// checkFeasible returns why a job can never run, or errMachineTypesUnknown where that
-// cannot be told yet.
+// checkFeasible returns the reason for which a job can never run, errMachineTypesUnknown while no
+// machine types are known to check it against, and nil otherwise.
 func checkFeasible(job *wire.Job, teams []config.Team, types []wire.MachineType) error {
 	if err := checkQuota(job, teams); err != nil {
 		return err
@@ -28,36 +29,38 @@
 	if len(types) == 0 {
 		return errMachineTypesUnknown
 	}
-	if !slices.ContainsFunc(types, func(t wire.MachineType) bool { return allowed(job, &t) }) {
+	if !slices.ContainsFunc(types, func(t wire.MachineType) bool { return canRunOn(job, &t) }) {
 		return errNoMachineType
 	}
 	return nil
 }
 
-// checkQuota compares what has to run at the same time with the team's limit.
+// checkQuota checks that the team exists and that its limit covers the tasks that must run at the
+// same time: all tasks of a service or a gang, and one task of any other job.
 func checkQuota(job *wire.Job, teams []config.Team) error {
 	concurrentTasks := 1.0
 	if job.Service() || job.Gang() {
 		concurrentTasks = float64(job.Tasks)
 	}
-	known := false
+	teamKnown := false
 	for _, team := range teams {
 		if team.Name != job.Team {
 			continue
 		}
-		known = true
+		teamKnown = true
 		if concurrentTasks*job.CPUs > team.MaxCPUs+quotaTolerance || concurrentTasks*job.GPUs > team.MaxGPUs+quotaTolerance {
 			return errOverQuotaLimit
 		}
 	}
-	if !known {
+	if !teamKnown {
 		return errUnknownTeam
 	}
 	return nil
 }
 
-// allowed reports whether the job's tasks fit the machine type and may run on it.
-func allowed(job *wire.Job, machineType *wire.MachineType) bool {
+// canRunOn reports whether a task of the job fits the machine type, the job allows the type, and
+// the type is offered in the job's zone, if it has one.
+func canRunOn(job *wire.Job, machineType *wire.MachineType) bool {
 	return machineType.Fits(job) &&
 		(job.MachineTypes == nil || slices.Contains(job.MachineTypes, machineType.Name)) &&
 		(job.Zone == "" || slices.Contains(machineType.Zones, job.Zone))
--- a/internal/controller/feasibility_test.go
+++ b/internal/controller/feasibility_test.go
@@ -41,7 +41,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if err := checkFeasible(test.job, teams, test.types); !errors.Is(err, test.want) {
-				t.Errorf("%v, not %v", err, test.want)
+				t.Errorf("got %v, want %v", err, test.want)
 			}
 		})
 	}
--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -9,48 +9,50 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// Origin says where a user's request came from.
+// Origin says whether a user's request came from the user or was forwarded by a peer.
 type Origin bool
 
-// Origins. A request that a peer forwarded is not forwarded again.
+// Origins of requests. A request from a peer is not forwarded again.
 const (
 	FromUser Origin = false
 	FromPeer Origin = true
 )
 
-// userRequest is a user's request while it is served, with the form in which it can be
-// forwarded. Its methods are called without the lock.
+// userRequest is a user's request in progress, with the message that forwards it to a peer. Its
+// methods are called without the lock.
 type userRequest struct {
-	controller *Controller
-	message    peer.ForwardRequest
-	origin     Origin
+	controller     *Controller
+	forwardRequest peer.ForwardRequest
+	origin         Origin
 }
 
-// forwardOrRefuse forwards a request that this controller cannot decide, unless it was
-// forwarded already. If that fails too, the user is told at once when to come back.
+// forwardOrRefuse handles a request that this controller cannot serve for the given cause. It
+// forwards the request unless a peer forwarded it here. If no peer serves it either, the answer
+// is unavailableAnswer, which asks the user to retry later.
 func (r userRequest) forwardOrRefuse(cause error) Answer {
-	r.logUndecided(cause)
+	r.logNotServedLocally(cause)
 	if r.origin == FromUser {
-		if answer, ok := r.controller.forward(r.message); ok {
+		if answer, ok := r.controller.forward(r.forwardRequest); ok {
 			return answer
 		}
 	}
-	return undecided
+	return unavailableAnswer
 }
 
-func (r userRequest) logUndecided(cause error) {
-	r.controller.log.Debug("request not decided here", "kind", string(r.message.Kind), "job", r.message.ID, "err", cause)
+func (r userRequest) logNotServedLocally(cause error) {
+	r.controller.log.Debug("request not served locally", "kind", string(r.forwardRequest.Kind), "job", r.forwardRequest.ID, "err", cause)
 }
 
-// forward passes a request to the peers, one after the other, until one decides. A peer that
-// could not decide a moment ago is left alone for a while: in an outage, the controllers
-// would only pass requests around.
-func (c *Controller) forward(message peer.ForwardRequest) (Answer, bool) {
+// forward sends a request to the peers, one after the other, until one serves it, and reports
+// whether one did. A peer that fails to serve a request gets no further ones for
+// tuning.UnablePeerBackoff: otherwise, in an outage, all controllers would keep forwarding
+// requests to each other.
+func (c *Controller) forward(request peer.ForwardRequest) (Answer, bool) {
 	c.mu.Lock()
 	targets := c.membership.forwardTargets()
 	c.mu.Unlock()
 	for _, target := range targets {
-		reply, err := c.peerClient.Forward(context.Background(), target.Addr, message, tuning.ForwardTimeout)
+		reply, err := c.peerClient.Forward(context.Background(), target.Addr, request, tuning.ForwardTimeout)
 		if err == nil && reply.Status != http.StatusServiceUnavailable && reply.Status != http.StatusTooManyRequests {
 			return Answer{Status: reply.Status, View: reply.View, State: reply.State, Error: reply.Error}, true
 		}
@@ -62,21 +64,21 @@
 }
 
 // HandleForward serves a request that a peer forwarded.
-func (c *Controller) HandleForward(ctx context.Context, message peer.ForwardRequest) peer.ForwardReply {
+func (c *Controller) HandleForward(ctx context.Context, request peer.ForwardRequest) peer.ForwardReply {
 	var answer Answer
-	switch message.Kind {
+	switch request.Kind {
 	case peer.KindSubmit:
-		if body, ok := peer.DecodeBytes(message.Body); ok {
+		if body, ok := peer.DecodeBytes(request.Body); ok {
 			answer = c.Submit(ctx, body, FromPeer)
 		} else {
-			answer = refuse(http.StatusBadRequest, "malformed forward")
+			answer = errorAnswer(http.StatusBadRequest, "malformed forward")
 		}
 	case peer.KindQuery:
-		answer = c.Query(ctx, message.ID, FromPeer)
+		answer = c.Query(ctx, request.ID, FromPeer)
 	case peer.KindCancel:
-		answer = c.Cancel(ctx, message.ID, FromPeer)
+		answer = c.Cancel(ctx, request.ID, FromPeer)
 	default:
-		answer = refuse(http.StatusBadRequest, "unknown kind")
+		answer = errorAnswer(http.StatusBadRequest, "unknown kind")
 	}
 	return peer.ForwardReply{Status: answer.Status, View: answer.View, State: answer.State, Error: answer.Error}
 }
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -10,7 +10,7 @@
 func TestOperatorAnswersMatchGoldenFiles(t *testing.T) {
 	answers := map[string]any{
 		"leader":  &LeaderView{},
-		"latency": &Latency{},
+		"latency": &LatencySummary{},
 		"metrics": &Metrics{},
 	}
 	var all []any
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -8,8 +8,8 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// HeartbeatAnswer is the answer to a worker's heartbeat: with status 200 the reply, with 421
-// the redirect.
+// HeartbeatAnswer is the answer to a worker's heartbeat. Reply is sent with status 200, Redirect
+// with status 421.
 type HeartbeatAnswer struct {
 	Status   int
 	Reply    wire.HeartbeatReply
@@ -32,7 +32,7 @@
 // leaderHeartbeat answers a heartbeat at the leader. Called with the lock held.
 func (c *Controller) leaderHeartbeat(heartbeat *wire.Heartbeat) HeartbeatAnswer {
 	//mutation:heartbeat-needs-cancellation-watermark
-	if c.mayRenewLeases() {
+	if c.mayRenewWorkerLeases() {
 		if reply, ok := c.leadership.scheduler.Heartbeat(c.now(), heartbeat); ok {
 			return HeartbeatAnswer{Status: http.StatusOK, Reply: reply}
 		}
@@ -40,11 +40,12 @@
 	return HeartbeatAnswer{Status: http.StatusServiceUnavailable}
 }
 
-// followerHeartbeat answers a heartbeat at a controller that does not lead. Workers are sent
-// to the leader. Where that is unreachable, their leases are renewed with the fencing token
-// that they hold, and nothing else: that starts nothing and stops nothing, and lets a
-// partitioned zone keep its work. The time is bounded so that tasks of a job cancelled
-// meanwhile end in time; see KeepaliveBound. Called with the lock held.
+// followerHeartbeat answers a heartbeat at a controller that does not lead. It redirects the
+// worker to the leader. If the leader is unreachable, it renews the worker's lease with the
+// fencing token that the worker already has and sends no commands: no task starts or stops, and
+// the tasks in a partitioned zone keep running. The time for that is limited by KeepaliveBound, so
+// that the tasks of a job that is cancelled in the meantime end in time. Called with the lock
+// held.
 func (c *Controller) followerHeartbeat(heartbeat *wire.Heartbeat) HeartbeatAnswer {
 	leader := c.membership.leader
 	redirect := HeartbeatAnswer{Status: http.StatusMisdirectedRequest, Redirect: wire.Redirect{Leader: leader.name}}
--- a/internal/controller/heartbeat_test.go
+++ b/internal/controller/heartbeat_test.go
@@ -10,9 +10,10 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// A follower redirects workers to a reachable leader. In a partition it renews their leases
-// with the fencing token that they hold, only of the last known term, sends no commands, and
-// stops in time for a cancellation.
+// A follower redirects workers to a reachable leader. While the leader is unreachable, it renews
+// their leases, sends them no commands, and stops early enough for a cancellation to be enforced in
+// time. It renews a lease only with the fencing token that the worker holds, and only if that token
+// is of the last known term.
 func TestFollowerKeepsWorkersAliveWhilePartitioned(t *testing.T) {
 	c := newTestController(t)
 	c.membership.peers["drover-1"] = &peerState{Peer: config.Peer{Name: "drover-1", Addr: "b:1"}, lastHeardAt: time.Now()}
@@ -23,27 +24,28 @@
 		return c.Heartbeat(&wire.Heartbeat{Machine: "n-1", Address: "a:1", Incarnation: 1, Sequence: 1, FencingToken: token})
 	}
 	if a := heartbeat(token); a.Status != http.StatusMisdirectedRequest || a.Redirect.Leader != "drover-1" {
-		t.Errorf("leader reachable: %+v", a)
+		t.Errorf("leader reachable: got %+v", a)
 	}
 	c.membership.peers["drover-1"].lastHeardAt = time.Now().Add(-2 * tuning.PeerUnreachableAfter)
 	if a := heartbeat(token); a.Status != http.StatusOK || a.Reply.FencingToken != token || len(a.Reply.Commands) != 0 {
-		t.Errorf("in a partition: %+v", a)
+		t.Errorf("in a partition: got %+v", a)
 	}
 	if a := heartbeat(uint64(8) << tuning.FencingBits); a.Status == http.StatusOK {
-		t.Errorf("a worker with a token of an earlier term was kept alive: %+v", a)
+		t.Errorf("lease renewed for a fencing token of an earlier term: %+v", a)
 	}
 	c.cancellations.enforcedUntil = time.Now().Add(-c.KeepaliveBound())
 	if a := heartbeat(token); a.Status == http.StatusOK {
-		t.Errorf("kept alive for longer than a cancellation leaves time for: %+v", a)
+		t.Errorf("lease renewed after the keepalive bound: %+v", a)
 	}
 	w := c.cfg.Deployment.Workers
 	if c.KeepaliveBound() > config.Seconds(w.CancellationS-w.LeaseS) {
-		t.Errorf("bound %v", c.KeepaliveBound())
+		t.Errorf("keepalive bound %v exceeds the cancellation time less the worker lease", c.KeepaliveBound())
 	}
 }
 
-// A leader that refuses connections from here can be reached by workers: they are redirected
-// to it. A controller that never heard of a working leader keeps nobody alive.
+// A leader that refuses connections from a follower may still be reachable for workers, so the
+// follower redirects them to it. A controller that knows of no enforced cancellations, since it has
+// just started, renews no leases.
 func TestFollowerRedirectsWhenLeaderRefusesConnections(t *testing.T) {
 	c := newTestController(t)
 	p := &peerState{Peer: config.Peer{Name: "drover-1", Addr: "b:1"}, connectionRefusedAt: time.Now()}
@@ -52,10 +54,10 @@
 	c.cancellations.enforcedUntil = time.Now()
 	heartbeat := &wire.Heartbeat{Machine: "n-1", Address: "a:1", Incarnation: 1, Sequence: 1, FencingToken: 9 << tuning.FencingBits}
 	if a := c.Heartbeat(heartbeat); a.Status != http.StatusMisdirectedRequest || a.Redirect.Leader != "drover-1" {
-		t.Errorf("leader refuses connections: %+v", a)
+		t.Errorf("leader refuses connections: got %+v", a)
 	}
 	p.connectionRefusedAt, c.cancellations.enforcedUntil = time.Time{}, time.Time{}
 	if a := c.Heartbeat(heartbeat); a.Status == http.StatusOK {
-		t.Errorf("kept alive by a controller that has just started: %+v", a)
+		t.Errorf("lease renewed by a controller that has just started: %+v", a)
 	}
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -74,7 +74,7 @@
 		return false
 	}
 	c.log.Info("leader stepped down", "term", c.membership.leader.term, "reason", string(reason))
-	c.cancellations.raiseEnforced(c.enforcedWatermark())
+	c.cancellations.advanceEnforcedUntil(c.enforcedCancellationWatermark())
 	c.endTerm()
 	return true
 }
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -13,21 +13,22 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// storedRecords are all records that a new leader starts from.
+// storedRecords holds the records that a new leader loads from the key-value store.
 type storedRecords struct {
 	bitmaps        []wire.KeyValue
 	batches        []wire.KeyValue
 	legacyMachines []wire.KeyValue
 	jobs           []wire.KeyValue
-	revision       uint64 // of the jobs
-	readAt         time.Time
+	revision       uint64    // store revision at which jobs was read
+	readAt         time.Time // when the reads began
 }
 
-// assignments are the records of attempts, in both layouts.
+// assignments returns the assignment records of both layouts: the batches, and the records by
+// machine that earlier versions wrote.
 func (r *storedRecords) assignments() []wire.KeyValue { return append(r.batches, r.legacyMachines...) }
 
-// loadScheduler reads all records, again and again until that succeeds, and installs the
-// term's scheduler. It returns nil if the leadership is lost, or ctx ends, before that.
+// loadScheduler reads all records, retrying until the read succeeds, and installs the term's
+// scheduler. It returns nil if the leadership is lost or ctx ends first.
 func (t *leaderTerm) loadScheduler(ctx context.Context) *scheduler.Scheduler {
 	c := t.controller
 	c.update(func() { c.leadership.loadingSince = time.Now() })
@@ -37,13 +38,13 @@
 		if err == nil {
 			return t.installScheduler(stored)
 		}
-		logCallFailure(c.log, "records not read", err)
+		logCallFailure(c.log, "stored records not loaded", err)
 		sleep(ctx, tuning.StoreRetryDelay)
 	}
 	return nil
 }
 
-// readRecords reads all records, each kind concurrently.
+// readRecords reads all records. The four kinds of records are read concurrently.
 func readRecords(ctx context.Context, store *kvstore.Client) (*storedRecords, error) {
 	stored := &storedRecords{readAt: time.Now()}
 	var errs [4]error
@@ -59,8 +60,8 @@
 	return stored, errors.Join(errs[:]...)
 }
 
-// installScheduler starts the term's scheduler from the records. It returns nil if the
-// leadership is lost, or somebody leads a later term.
+// installScheduler creates the term's scheduler from the records, from which moment on this
+// controller leads. It returns nil if the leadership is lost or a later term is known.
 func (t *leaderTerm) installScheduler(stored *storedRecords) (sched *scheduler.Scheduler) {
 	c := t.controller
 	c.update(func() {
@@ -73,26 +74,27 @@
 		c.replication.caughtUp(stored.readAt)
 		assignments := stored.assignments()
 		sched = scheduler.New(c.now(), c.schedulerSettings(), t.number, c.replication.replica, stored.bitmaps, assignments, c.machineTypes)
-		t.feedKnown(sched)
+		t.seedScheduler(sched)
 		c.tracer.RecordsLoaded(t.number, c.leadership.loadingSince, time.Now(), len(stored.jobs), len(assignments))
 		c.leadership.scheduler, c.leadership.lost = sched, t.lost
 	})
 	return sched
 }
 
-// feedKnown tells a new scheduler what this controller knows besides the records. Called
-// with the lock held.
-func (t *leaderTerm) feedKnown(sched *scheduler.Scheduler) {
+// seedScheduler passes to a new scheduler what this controller knows and the records do not
+// contain: cancellations that it confirmed, the end of its own lease, and when it last reached
+// each zone. Called with the lock held.
+func (t *leaderTerm) seedScheduler(sched *scheduler.Scheduler) {
 	c := t.controller
 	for _, p := range c.membership.peers {
-		// What peers listed while this controller did not lead is forgotten: all again.
-		p.confirmations.restart()
+		// Cancellations that peers listed while this controller did not lead were not kept.
+		p.confirmations.reset()
 	}
-	// Nobody lists our own confirmations to us, and the watch may not bring for long what
-	// was confirmed here since the records were read.
+	// Peers list only their own confirmations, and the watch may deliver a cancellation that
+	// this controller confirmed after the records were read only much later.
 	//mutation:recovery-applies-own-cancellations
 	sched.Cancelled(c.now(), c.cancellations.confirmed.ids)
-	sched.ObserveAckLatency = func(latency time.Duration) { observe(c.metrics.startToAck, latency) }
+	sched.ObserveAckLatency = func(latency time.Duration) { recordLatency(c.metrics.startToAck, latency) }
 	sched.LeaseHeldUntil(c.leadership.leaseHeldUntil.Sub(c.startedAt))
 	for _, p := range c.membership.peers {
 		if !p.lastHeardAt.IsZero() {
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -16,30 +16,30 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// A job is cancelled at a controller that has just been elected and waits for a slow answer of
-// the key-value store, which was read before. Its scheduler has the cancellation all the same:
-// the store may be unavailable from then on, and by its peers' logs the controller counts as
-// knowing all cancellations.
+// A job is cancelled at a controller that has just been elected, while it waits for the slow reply
+// to a read of the jobs that was executed before the cancellation. The new scheduler must
+// nevertheless know the cancellation: the store may be unavailable from then on, and the
+// cancellation watermark then advances by the peers' logs, which do not list it.
 func TestCancellationDuringFailoverIsKept(t *testing.T) {
 	const id = "run-000001"
 	c := newTestController(t)
 	c.membership.peers = map[string]*peerState{}
-	state, recovering := simulator.NewDeployment(simulator.DeploymentConfig{}).KVStoreHandler(), false
+	storeHandler, loading := simulator.NewDeployment(simulator.DeploymentConfig{}).KVStoreHandler(), false
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !recovering || r.URL.Path != "/kv" || !strings.HasPrefix(r.URL.Query().Get("starts"), records.LiveJobPrefix) {
-			state.ServeHTTP(w, r)
+		if !loading || r.URL.Path != "/kv" || !strings.HasPrefix(r.URL.Query().Get("starts"), records.LiveJobPrefix) {
+			storeHandler.ServeHTTP(w, r)
 			return
 		}
-		answer := httptest.NewRecorder()
-		state.ServeHTTP(answer, r)
+		recordedReply := httptest.NewRecorder()
+		storeHandler.ServeHTTP(recordedReply, r)
 		if a := c.Cancel(t.Context(), id, FromUser); a.Status != http.StatusOK || a.State.State != wire.JobCancelled {
-			t.Errorf("cancellation: %+v", a)
+			t.Errorf("cancellation answered %+v", a)
 		}
-		for k, v := range answer.Header() {
+		for k, v := range recordedReply.Header() {
 			w.Header()[k] = v
 		}
-		w.WriteHeader(answer.Code)
-		_, _ = w.Write(answer.Body.Bytes())
+		w.WriteHeader(recordedReply.Code)
+		_, _ = w.Write(recordedReply.Body.Bytes())
 	}))
 	defer srv.Close()
 	c.store = kvstore.New(srv.Listener.Addr().String(), 1000)
@@ -52,28 +52,28 @@
 	if err := c.jobSync.reload(ctx); err != nil {
 		t.Fatal(err)
 	}
-	recovering = true
+	loading = true
 	sched := (&leaderTerm{controller: c, number: 9, lost: make(chan struct{})}).loadScheduler(ctx)
 	if sched == nil {
-		t.Fatal("not recovered")
+		t.Fatal("no scheduler was installed")
 	}
 	if s := sched.View().Job(c.now(), id); s == nil || s.State != wire.JobCancelled {
-		t.Errorf("loaded as %+v, after its cancellation was confirmed", s)
+		t.Errorf("job is %+v in the scheduler after its cancellation was confirmed", s)
 	}
 }
 
-// While a controller that was elected reads the records, the key-value store loses answers and
-// is unavailable. It reads again until it has all of them, shows that it is loading meanwhile,
-// and leads with every job.
+// While a newly elected controller reads the records, the key-value store first loses replies and
+// then is unavailable. The controller retries until it has read all records, reports the loading
+// phase in the meantime, and then leads with every job.
 func TestLoadingSurvivesLostAnswers(t *testing.T) {
 	const jobs = 3
 	c := newTestController(t)
 	c.membership.peers = map[string]*peerState{}
-	state, calls, phases := simulator.NewDeployment(simulator.DeploymentConfig{}).KVStoreHandler(), 0, map[string]int{}
+	storeHandler, calls, phases := simulator.NewDeployment(simulator.DeploymentConfig{}).KVStoreHandler(), 0, map[string]int{}
 	var mu sync.Mutex
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/kv" {
-			state.ServeHTTP(w, r)
+			storeHandler.ServeHTTP(w, r)
 			return
 		}
 		if status, ok, err := c.RecoveryView(); ok && err == nil {
@@ -87,11 +87,11 @@
 		mu.Unlock()
 		switch {
 		case call <= 2:
-			panic(http.ErrAbortHandler) // the answer is lost
+			panic(http.ErrAbortHandler) // the reply is lost
 		case call <= 5:
 			w.WriteHeader(http.StatusServiceUnavailable)
 		default:
-			state.ServeHTTP(w, r)
+			storeHandler.ServeHTTP(w, r)
 		}
 	}))
 	defer srv.Close()
@@ -104,17 +104,17 @@
 	}
 	sched := (&leaderTerm{controller: c, number: 9, lost: make(chan struct{})}).loadScheduler(t.Context())
 	if sched == nil {
-		t.Fatal("not recovered")
+		t.Fatal("no scheduler was installed")
 	}
 	for i := range jobs {
 		if sched.View().Job(c.now(), fmt.Sprintf("run-%06d", i)) == nil {
-			t.Errorf("job %d is not known", i)
+			t.Errorf("job %d is missing from the scheduler", i)
 		}
 	}
 	if phases["loading"] == 0 || len(phases) != 1 {
-		t.Errorf("phases shown while the records were read: %v", phases)
+		t.Errorf("recovery phases reported while the records were read: %v", phases)
 	}
 	if status, ok, err := c.RecoveryView(); !ok || err != nil || status.Phase == "loading" {
-		t.Errorf("after it: %+v, %v, %v", status, ok, err)
+		t.Errorf("recovery after the records were read: %+v, %v, %v", status, ok, err)
 	}
 }
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -32,7 +32,7 @@
 	connectionRefusedAt time.Time // when it last refused a connection
 	declinedAt          time.Time // when it last could not decide a forwarded request
 	runningTasks        map[string]int
-	confirmations       confirmationFeed
+	confirmations       confirmationCursor
 }
 
 // leaderInfo is what a controller knows of the leader.
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -9,17 +9,18 @@
 	"github.com/yarrowgap/yarrowgap/internal/scheduler"
 )
 
-// Bounds and precision of latency histograms.
+// Upper bound, in milliseconds, and precision of the latency histograms.
 const (
 	maxLatencyMilli          = 600_000
 	latencySignificantDigits = 2
 )
 
-// metrics are the signals that outlive a term. Guarded by Controller.mu.
+// metrics are the counters and latency histograms that are kept after a term ends. Guarded by
+// Controller.mu.
 type metrics struct {
-	earlierTerms   scheduler.Counters
-	startToAck     *hdrhistogram.Histogram
-	submitToAnswer *hdrhistogram.Histogram
+	endedTermCounters scheduler.Counters // totals of the ended terms of this controller
+	startToAck        *hdrhistogram.Histogram
+	submitToAnswer    *hdrhistogram.Histogram
 }
 
 func newMetrics() metrics {
@@ -29,13 +30,15 @@
 	}
 }
 
-// observe adds a latency to a histogram; one out of bounds counts as the bound.
-func observe(histogram *hdrhistogram.Histogram, latency time.Duration) {
-	_ = histogram.RecordValue(min(max(1, latency.Milliseconds()), maxLatencyMilli)) // within bounds
+// recordLatency adds a latency to a histogram. Latencies below 1 ms or above maxLatencyMilli count
+// as that bound.
+func recordLatency(histogram *hdrhistogram.Histogram, latency time.Duration) {
+	// RecordValue fails only for values out of bounds.
+	_ = histogram.RecordValue(min(max(1, latency.Milliseconds()), maxLatencyMilli))
 }
 
-// addTerm keeps the counters of a term that ends.
-func (m *metrics) addTerm(counters scheduler.Counters) { addCounters(&m.earlierTerms, counters) }
+// addTerm adds the counters of a term that ends to the totals of the ended terms.
+func (m *metrics) addTerm(counters scheduler.Counters) { addCounters(&m.endedTermCounters, counters) }
 
 // addCounters adds each counter of a term to the total.
 func addCounters(total *scheduler.Counters, term scheduler.Counters) {
--- a/internal/controller/pings.go
+++ b/internal/controller/pings.go
@@ -57,7 +57,7 @@
 		Node: c.cfg.Node, BootID: c.bootID,
 		Leader: c.membership.leader.name, Term: c.membership.leader.term,
 		StoreAvailable:    c.membership.storeAvailable(),
-		ConfirmationsSeen: p.peer.confirmations.seen, ConfirmationsBootID: p.peer.confirmations.bootID,
+		ConfirmationsSeen: p.peer.confirmations.receivedCount, ConfirmationsBootID: p.peer.confirmations.bootID,
 	}, sentAt
 }
 
@@ -69,14 +69,14 @@
 		c.leadership.scheduler.ControllerSurvived()
 	}
 	// The watermark before the cancellations that come now, which may be later ones.
-	c.updateWatermark()
-	p.peer.confirmations.receive(pong, sentAt, time.Now())
+	c.updateCancellationWatermark()
+	p.peer.confirmations.applyPong(pong, sentAt, time.Now())
 	if c.leadership.leading() && len(pong.Confirmed) > 0 {
 		c.leadership.scheduler.Cancelled(c.now(), pong.Confirmed)
 	}
 	c.learnLeader(pong.Leader, pong.Term)
 	if pong.Term == c.membership.leader.term && pong.EnforcedAgoMilli > 0 {
-		c.cancellations.raiseEnforced(sentAt.Add(-milliseconds(pong.EnforcedAgoMilli)))
+		c.cancellations.advanceEnforcedUntil(sentAt.Add(-milliseconds(pong.EnforcedAgoMilli)))
 	}
 }
 
@@ -101,7 +101,7 @@
 		UptimeMilli:    1 + time.Since(c.startedAt).Milliseconds(),
 	}
 	if c.leadership.leading() {
-		c.cancellations.raiseEnforced(c.enforcedWatermark())
+		c.cancellations.advanceEnforcedUntil(c.enforcedCancellationWatermark())
 		pong.Running = c.leadership.scheduler.View().RunningTasks()
 	}
 	if age := time.Since(c.cancellations.enforcedUntil); age < maxEnforcedAge {
@@ -111,6 +111,6 @@
 	if ping.ConfirmationsBootID != c.bootID {
 		seen = 0
 	}
-	pong.ConfirmedFrom, pong.Confirmed = c.cancellations.confirmed.after(seen)
+	pong.ConfirmedFrom, pong.Confirmed = c.cancellations.confirmed.entriesAfter(seen)
 	return pong
 }
--- a/internal/controller/queries.go
+++ b/internal/controller/queries.go
@@ -14,14 +14,14 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Query answers GET /v2/runs/{id}.
+// Query handles GET /v2/runs/{id}, which asks for the state of a job.
 func (c *Controller) Query(ctx context.Context, id string, origin Origin) Answer {
 	if !wire.ValidJobID(id) {
-		return jobUnknown
+		return jobNotFoundAnswer
 	}
-	release, ok := c.admission.admitDecision()
+	release, ok := c.admission.admitQueryOrCancel()
 	if !ok {
-		return overloaded
+		return overloadedAnswer
 	}
 	defer release()
 	ctx, cancel := context.WithTimeout(ctx, tuning.LocalQueryTimeout)
@@ -31,24 +31,26 @@
 	case err != nil:
 		return userRequest{c, peer.ForwardRequest{Kind: peer.KindQuery, ID: id}, origin}.forwardOrRefuse(err)
 	case !found:
-		return jobUnknown
+		return jobNotFoundAnswer
 	}
 	return Answer{Status: http.StatusOK, View: &view}
 }
 
-// lookUpJob returns a job's state as of a moment after the call; found is false for one that
-// was never accepted, and an error says that this cannot be told now. What was read before a
-// process pause is read again: others may have told the user something newer meanwhile.
+// lookUpJob returns a job's state as of some time after the call began. found is false if the job
+// was never accepted; an error means that the state cannot be determined now. If the process was
+// paused after the read, the state is read again, since another controller may have told the user
+// a newer state during the pause.
 func (c *Controller) lookUpJob(ctx context.Context, id string) (view wire.JobView, found bool, err error) {
-	var reading jobReading
+	var snapshot jobSnapshot
 	err = readUntilFresh(func() (readAt time.Time, err error) {
-		reading, err = jobReader{c, id}.read(ctx)
-		return reading.readAt, err
+		snapshot, err = jobReader{c, id}.read(ctx)
+		return snapshot.readAt, err
 	})
-	return reading.view, reading.found, err
+	return snapshot.view, snapshot.found, err
 }
 
-// readUntilFresh repeats a read until what was read is as fresh as an answer has to be.
+// readUntilFresh repeats a read until its result is younger than tuning.MaxAnswerAge. It returns
+// the error of a read that fails.
 func readUntilFresh(read func() (readAt time.Time, err error)) error {
 	for {
 		//mutation:reply-staleness
@@ -64,28 +66,28 @@
 	id         string
 }
 
-// jobReading is a job's state as of a moment.
-type jobReading struct {
+// jobSnapshot is a job's state as of readAt. found is false if the job does not exist.
+type jobSnapshot struct {
 	view   wire.JobView
 	found  bool
 	readAt time.Time
 }
 
-// read reads the job's state once: from the replica, brought up to date, or else from the
-// record of an ended job.
-func (r jobReader) read(ctx context.Context) (reading jobReading, err error) {
-	if view, ok := r.endedInReplica(); ok { // which does not change any more
-		return jobReading{view, true, time.Now()}, nil
+// read reads the job's state once. It brings the replica up to date and reads the state from it,
+// or from the key-value store if the replica cannot tell whether the job exists.
+func (r jobReader) read(ctx context.Context) (snapshot jobSnapshot, err error) {
+	if view, ok := r.endedInReplica(); ok { // the state of an ended job is final
+		return jobSnapshot{view, true, time.Now()}, nil
 	}
 	//mutation:query-reads-fresh
-	if reading.readAt, err = r.controller.jobSync.refresher.refresh(ctx); err != nil {
-		return reading, err
+	if snapshot.readAt, err = r.controller.jobSync.refresher.refresh(ctx); err != nil {
+		return snapshot, err
 	}
-	reading, resets, known := r.readReplica(reading.readAt)
-	if known {
-		return reading, nil
+	snapshot, resetCount, conclusive := r.readReplica(snapshot.readAt)
+	if conclusive {
+		return snapshot, nil
 	}
-	return r.readEndedRecord(ctx, resets)
+	return r.readEndedRecord(ctx, resetCount)
 }
 
 func (r jobReader) endedInReplica() (view wire.JobView, ok bool) {
@@ -97,59 +99,60 @@
 }
 
 // readReplica reads the job's state from the replica, which was brought up to date at readAt.
-// known is false where the replica, reset so many times by then, cannot tell whether there
-// was such a job.
-func (r jobReader) readReplica(readAt time.Time) (reading jobReading, resets int, known bool) {
+// conclusive is false if the replica cannot tell whether the job exists, since it keeps only some
+// of the ended jobs. resetCount is how often the replica had been reset by then.
+func (r jobReader) readReplica(readAt time.Time) (snapshot jobSnapshot, resetCount int, conclusive bool) {
 	c, id := r.controller, r.id
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	reading.readAt = readAt
+	snapshot.readAt = readAt
 	live := c.replication.replica.Live[id]
 	if live != nil {
-		reading.view, reading.found = c.liveView(id, live), true
+		snapshot.view, snapshot.found = c.liveView(id, live), true
 	}
 	if ended, ok := c.replication.replica.Ended(id); ok {
-		reading.view, reading.found = endedView(id, ended), true
+		snapshot.view, snapshot.found = endedView(id, ended), true
 	}
-	return reading, c.replication.replica.Resets, reading.found || c.replication.replica.Absent(id)
+	return snapshot, c.replication.replica.Resets, snapshot.found || c.replication.replica.Absent(id)
 }
 
-// readEndedRecord reads the record of the job, which is not live, from the key-value store,
-// once for each id, and at low priority: queries about many jobs that nobody submitted must not take the
-// requests of queries about jobs that exist. Before the read, the replica had been reset so
-// many times.
-func (r jobReader) readEndedRecord(ctx context.Context, resets int) (jobReading, error) {
+// readEndedRecord reads the record of a job that is not live from the key-value store. The replica
+// remembers the result, so that repeated queries for an id need no further read. The read has low
+// priority: queries for many jobs that nobody submitted must not use up the request rate that
+// queries for existing jobs need. resetCount is how often the replica had been reset before the
+// read.
+func (r jobReader) readEndedRecord(ctx context.Context, resetCount int) (jobSnapshot, error) {
 	c, id := r.controller, r.id
 	item, err := c.store.Get(ctx, kvstore.PriorityBackground, records.EndedJobKey(id))
-	reading := jobReading{readAt: time.Now()}
+	snapshot := jobSnapshot{readAt: time.Now()}
 	if err != nil {
-		return reading, err
+		return snapshot, err
 	}
 	if item.ModRevision == 0 {
-		r.noteAbsent(resets)
-		return reading, nil
+		r.cacheAbsence(resetCount)
+		return snapshot, nil
 	}
 	var ended records.EndedJob
 	if err := wire.Unmarshal(item.Value, &ended); err != nil {
-		return reading, fmt.Errorf("decode %s: %w", item.Key, err)
+		return snapshot, fmt.Errorf("decode %s: %w", item.Key, err)
 	}
 	c.mu.Lock()
 	c.replication.replica.RememberEnded(id, ended)
 	c.mu.Unlock()
-	reading.view, reading.found = endedView(id, ended), true
-	return reading, nil
+	snapshot.view, snapshot.found = endedView(id, ended), true
+	return snapshot, nil
 }
 
-// noteAbsent takes note that there is no such job, by a read that was sent when the replica
-// had been reset so many times.
-func (r jobReader) noteAbsent(resets int) {
+// cacheAbsence records in the replica that the job does not exist, as found by a read that was
+// sent when the replica had been reset resetCount times.
+func (r jobReader) cacheAbsence(resetCount int) {
 	c := r.controller
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	// While the read was out, the job may have been created and have ended in changes that a
-	// reset skipped: it would be absent here for good.
+	// While the read was in flight, the job may have been created and have ended in changes that
+	// a reset skipped. The replica would then report it as absent permanently.
 	//mutation:absence-across-reset
-	if c.replication.replica.Resets == resets {
+	if c.replication.replica.Resets == resetCount {
 		c.replication.replica.NoteAbsent(r.id)
 	}
 }
@@ -158,7 +161,8 @@
 	return wire.JobView{ID: id, State: record.State, Done: record.Done}
 }
 
-// liveView describes a live job. Called with the lock held.
+// liveView describes a live job for a user's request. If the job is cancelled, it first records
+// the cancellation as confirmed. Called with the lock held.
 func (c *Controller) liveView(id string, live *scheduler.LiveJob) wire.JobView {
 	view := wire.JobView{ID: id, State: wire.JobPending}
 	done := records.NewBitmap(live.Record.Job.Tasks)
--- a/internal/controller/queries_test.go
+++ b/internal/controller/queries_test.go
@@ -18,26 +18,27 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// newControllerWithStore makes a controller over the simulated key-value store, and a client of
-// that. Answers to requests that holdBack picks are read at once and sent when proceed is
-// closed; received says that one was read.
+// newControllerWithStore makes a controller on a simulated key-value store, and a client of that
+// store. Requests for which holdBack returns true are executed at once, but their replies are sent
+// only after a receive from proceed, which may be closed. received gets an element for each such
+// request when it has been executed.
 func newControllerWithStore(t *testing.T, holdBack func(*http.Request) bool) (c *Controller, client *kvstore.Client, received, proceed chan struct{}) {
 	t.Helper()
 	t.Helper()
-	simulated := simulator.NewDeployment(simulator.DeploymentConfig{HeartbeatInterval: time.Second, LeaseDuration: time.Second})
-	state := simulated.KVStoreHandler()
+	deployment := simulator.NewDeployment(simulator.DeploymentConfig{HeartbeatInterval: time.Second, LeaseDuration: time.Second})
+	storeHandler := deployment.KVStoreHandler()
 	received, proceed = make(chan struct{}, 16), make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !holdBack(r) {
-			state.ServeHTTP(w, r)
+			storeHandler.ServeHTTP(w, r)
 			return
 		}
-		rec := httptest.NewRecorder()
-		state.ServeHTTP(rec, r)
+		recordedReply := httptest.NewRecorder()
+		storeHandler.ServeHTTP(recordedReply, r)
 		received <- struct{}{}
 		<-proceed
-		w.WriteHeader(rec.Code)
-		_, _ = w.Write(rec.Body.Bytes())
+		w.WriteHeader(recordedReply.Code)
+		_, _ = w.Write(recordedReply.Body.Bytes())
 	}))
 	t.Cleanup(srv.Close)
 	c = newTestController(t)
@@ -52,9 +53,9 @@
 	}
 }
 
-// A job is accepted and ends while a read that finds it absent is in flight, and the controller
-// skips both changes since it reads all live jobs again, as a new leader does: the absence
-// holds no longer.
+// A job is accepted and ends while a read that finds it absent is in flight. The controller misses
+// both changes, since it reloads all live jobs in the meantime as a new leader does. It must not
+// cache the job as absent.
 func TestAbsentJobNotCachedAcrossReplicaReset(t *testing.T) {
 	const id = "run-000001"
 	c, client, received, proceed := newControllerWithStore(t, func(r *http.Request) bool { return strings.HasSuffix(r.URL.Path, records.EndedJobKey(id)) })
@@ -62,8 +63,8 @@
 	if _, err := c.jobSync.refresher.refresh(ctx); err != nil {
 		t.Fatal(err)
 	}
-	early := make(chan Answer)
-	go func() { early <- c.Query(ctx, id, FromPeer) }()
+	earlyAnswer := make(chan Answer)
+	go func() { earlyAnswer <- c.Query(ctx, id, FromPeer) }()
 	<-received
 	commitOps(t, client, wire.Op{Set: records.JobKey(id), Value: records.Job{Job: wire.Job{ID: id, Tasks: 1}}})
 	commitOps(t, client, wire.Op{Delete: records.JobKey(id)}, wire.Op{Set: records.EndedJobKey(id), Value: records.EndedJob{State: wire.JobDone, Done: 1, Tasks: 1}})
@@ -71,40 +72,41 @@
 		t.Fatal(err)
 	}
 	close(proceed)
-	<-early // may say either: it was asked before
+	<-earlyAnswer // both answers are correct: the query began before the job was accepted
 	if a := c.Query(ctx, id, FromPeer); a.Status != http.StatusOK || a.View.State != wire.JobDone {
-		t.Errorf("a done job: %+v", a)
+		t.Errorf("query of a done job answered %+v", a)
 	}
 }
 
-// A full read that changes overtake does not take the replica back.
+// A full read of the live jobs whose reply arrives after newer changes does not revert the replica
+// to the older state.
 func TestReloadOvertakenByWatchKeepsNewerState(t *testing.T) {
 	const id = "run-000001"
-	var held atomic.Bool
-	c, client, received, proceed := newControllerWithStore(t, func(r *http.Request) bool { return held.Load() && r.URL.Path == "/kv" })
+	var holdReads atomic.Bool
+	c, client, received, proceed := newControllerWithStore(t, func(r *http.Request) bool { return holdReads.Load() && r.URL.Path == "/kv" })
 	ctx := context.Background()
 	commitOps(t, client, wire.Op{Set: records.JobKey(id), Value: records.Job{Job: wire.Job{ID: id, Tasks: 1}}})
 	if _, err := c.jobSync.refresher.refresh(ctx); err != nil {
 		t.Fatal(err)
 	}
-	held.Store(true)
+	holdReads.Store(true)
 	done := make(chan error)
 	go func() { done <- c.jobSync.reload(ctx) }()
 	<-received
 	commitOps(t, client, wire.Op{Set: records.JobKey(id), Value: records.Job{Job: wire.Job{ID: id, Tasks: 1}, Cancelled: true}})
 	if a := c.Query(ctx, id, FromPeer); a.Status != http.StatusOK || a.View.State != wire.JobCancelled {
-		t.Errorf("a cancelled job: %+v", a)
+		t.Errorf("query of a cancelled job answered %+v", a)
 	}
 	close(proceed)
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
 	if live := c.replication.replica.Live[id]; live == nil || !live.Record.Cancelled {
-		t.Errorf("the replica was taken back: %+v", live)
+		t.Errorf("the replica was reverted to %+v", live)
 	}
 }
 
-// What was read before a process pause is read again before it is answered.
+// A state that was read before a process pause is read again before it is returned.
 func TestLookUpJobReadsAgainAfterProcessPause(t *testing.T) {
 	const id = "run-000001"
 	c, client, _, _ := newControllerWithStore(t, func(*http.Request) bool { return false })
@@ -113,8 +115,7 @@
 	if _, err := c.jobSync.refresher.refresh(ctx); err != nil {
 		t.Fatal(err)
 	}
-	// A read of long ago, which this query shares, since the process paused between its answer
-	// and now.
+	// An old read that this query shares, as if the process had paused after the read's reply.
 	stale := &refreshCall{done: make(chan struct{}), answeredAt: time.Now().Add(-2 * tuning.MaxAnswerAge)}
 	close(stale.done)
 	c.jobSync.refresher.next, c.jobSync.refresher.running = stale, true
@@ -129,23 +130,23 @@
 	}
 }
 
-// A submission that takes long is forwarded to a peer, which refuses it as one that can never
-// run, since it knows other machine types; the job was accepted meanwhile. The user is not
-// told to give it up.
+// A submission whose commit takes long is forwarded to a peer, which refuses it permanently, for
+// example because the peer knows other machine types. The commit has been executed in the meantime,
+// so the user must not receive the refusal.
 func TestPeerRefusalDoesNotUndoAcceptance(t *testing.T) {
 	const id = "run-000001"
 	c, _, received, proceed := newControllerWithStore(t, func(r *http.Request) bool { return r.URL.Path == "/commit" })
 	defer close(proceed)
 	c.machineTypes = []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}
 	var status atomic.Int64
-	asked := make(chan struct{}, 1)
+	forwardReceived := make(chan struct{}, 1)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		b, err := wire.Marshal(peer.ForwardReply{Status: int(status.Load()), Error: "no"})
 		if err != nil {
 			t.Error(err)
 		}
 		_, _ = w.Write(b)
-		asked <- struct{}{}
+		forwardReceived <- struct{}{}
 	}))
 	defer srv.Close()
 	c.membership.peers["drover-1"] = &peerState{Peer: config.Peer{Name: "drover-1", Addr: srv.Listener.Addr().String()}, lastHeardAt: time.Now()}
@@ -157,22 +158,22 @@
 		}
 		answered := make(chan Answer)
 		go func() { answered <- c.Submit(context.Background(), b, FromUser) }()
-		<-received // carried out: accepted, or known already
-		<-asked
+		<-received // the commit was executed: the job is accepted, or existed already
+		<-forwardReceived
 		var a Answer
 		select {
 		case a = <-answered:
 		case <-time.After(50 * time.Millisecond):
-			proceed <- struct{}{} // the service's answer comes
+			proceed <- struct{}{} // release the reply to the commit
 			a = <-answered
 		}
 		if a.State == nil || a.State.State != wire.JobPending {
-			t.Errorf("an accepted job, after a peer's %d: %+v", refusal, a)
+			t.Errorf("after a peer's %d, the accepted job was answered with %+v", refusal, a)
 		}
 	}
 }
 
-// What was read before a process pause does not count as fresh.
+// A read whose result is old, because of a process pause, is repeated. A failed read is not.
 func TestReadBeforeProcessPauseIsRepeated(t *testing.T) {
 	reads := 0
 	err := readUntilFresh(func() (time.Time, error) {
@@ -182,9 +183,9 @@
 		return time.Now(), nil
 	})
 	if err != nil || reads != 3 {
-		t.Errorf("read %d times: %v", reads, err)
+		t.Errorf("read %d times, error %v", reads, err)
 	}
 	if err := readUntilFresh(func() (time.Time, error) { return time.Time{}, context.DeadlineExceeded }); err == nil {
-		t.Error("a read that failed was told")
+		t.Error("the error of a failed read was not returned")
 	}
 }
--- a/internal/controller/replication.go
+++ b/internal/controller/replication.go
@@ -116,7 +116,7 @@
 func (s *jobSync) applyChanges(changes wire.WatchReply, sentAt time.Time) {
 	c := s.controller
 	c.update(func() {
-		c.updateWatermark()
+		c.updateCancellationWatermark()
 		c.replication.caughtUp(sentAt)
 		touched, unreadable := c.replication.replica.Apply(changes)
 		logUnreadableRecords(c.log, unreadable)
@@ -143,7 +143,7 @@
 		if revision < c.replication.replica.Revision {
 			return
 		}
-		c.updateWatermark()
+		c.updateCancellationWatermark()
 		c.replication.caughtUp(sentAt)
 		logUnreadableRecords(c.log, c.replication.replica.Reset(items, revision))
 		if c.leadership.leading() {
--- a/internal/controller/submit.go
+++ b/internal/controller/submit.go
@@ -13,14 +13,14 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Submit answers POST /v2/runs.
+// Submit handles POST /v2/runs, which submits a job.
 func (c *Controller) Submit(ctx context.Context, body []byte, origin Origin) Answer {
 	release, ok := c.admission.admitSubmission()
 	if !ok {
-		return overloaded
+		return overloadedAnswer
 	}
 	defer release()
-	defer c.observeSubmission(time.Now())
+	defer c.recordSubmissionLatency(time.Now())
 	ctx, cancel := context.WithTimeout(ctx, tuning.SubmissionTimeout)
 	defer cancel()
 	request := userRequest{c, peer.ForwardRequest{Kind: peer.KindSubmit, Body: peer.EncodeBytes(body)}, origin}
@@ -30,25 +30,27 @@
 	}
 	if err := checkFeasible(job, c.cfg.Deployment.Teams, c.knownMachineTypes()); err != nil {
 		//mutation:unfit-submission-of-known-job
-		return request.refuseUnlessKnown(ctx, job.ID, refuse(infeasibleStatus(err), err.Error()))
+		return request.refuseUnlessJobExists(ctx, job.ID, errorAnswer(infeasibleStatus(err), err.Error()))
 	}
 	job.CreatedAtMilli = time.Now().UnixMilli()
 	record := records.Job{Job: *job}
-	if tooLong(&record, c.cfg.Deployment.Store.ValueKB) {
+	if exceedsValueLimit(&record, c.cfg.Deployment.Store.ValueKB) {
 		//mutation:long-submission-of-known-job
-		return request.refuseUnlessKnown(ctx, job.ID, refuse(http.StatusBadRequest, "the job's description is too long"))
+		return request.refuseUnlessJobExists(ctx, job.ID, errorAnswer(http.StatusBadRequest, "the job's description is too long"))
 	}
 	return newSubmission(request, record).run(ctx)
 }
 
-// observeSubmission measures the time to the answer.
-func (c *Controller) observeSubmission(receivedAt time.Time) {
+// recordSubmissionLatency records the time since a submission was received. It is called when the
+// submission is answered.
+func (c *Controller) recordSubmissionLatency(receivedAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	observe(c.metrics.submitToAnswer, time.Since(receivedAt))
+	recordLatency(c.metrics.submitToAnswer, time.Since(receivedAt))
 }
 
-// infeasibleStatus is 422 for a job that can never run.
+// infeasibleStatus returns the HTTP status for an error of checkFeasible: 503 while the machine
+// types are unknown, and 422 for a job that can never run.
 func infeasibleStatus(err error) int {
 	if errors.Is(err, errMachineTypesUnknown) {
 		return http.StatusServiceUnavailable
@@ -56,33 +58,34 @@
 	return http.StatusUnprocessableEntity
 }
 
-// tooLong reports whether the job's record might not fit into a value of the store once the
-// done bits of all tasks are in it.
-func tooLong(record *records.Job, maxValueKB float64) bool {
+// exceedsValueLimit reports whether the job's record might exceed the key-value store's limit on
+// values once the record holds a full bitmap of completed tasks.
+func exceedsValueLimit(record *records.Job, maxValueKB float64) bool {
 	maxValueBytes := maxValueKB * 1024 * (1 - tuning.ValueSizeMargin)
-	const doneBytes = float64(tuning.TasksPerBitmap) / base64BitsPerByte
-	return float64(wire.JSONSize(*record)) > maxValueBytes-doneBytes
+	const bitmapBytes = float64(tuning.TasksPerBitmap) / base64BitsPerByte
+	return float64(wire.JSONSize(*record)) > maxValueBytes-bitmapBytes
 }
 
-// base64BitsPerByte is how many bits a byte of base64 text carries.
+// base64BitsPerByte is the number of bits that one byte of base64 text encodes.
 const base64BitsPerByte = 6
 
-// refuseMalformed refuses a submission that cannot be parsed; id is "" where not even the
-// job's id can be read.
+// refuseMalformed refuses a submission that cannot be parsed, unless its job exists. id is empty
+// if the job's id cannot be parsed either.
 func (r userRequest) refuseMalformed(ctx context.Context, id string, cause error) Answer {
-	refusal := refuse(http.StatusBadRequest, cause.Error())
+	refusal := errorAnswer(http.StatusBadRequest, cause.Error())
 	if id != "" {
-		return r.refuseUnlessKnown(ctx, id, refusal)
+		return r.refuseUnlessJobExists(ctx, id, refusal)
 	}
 	r.controller.log.Info("submission refused", "status", refusal.Status, "reason", refusal.Error)
 	return refusal
 }
 
-// refuseUnlessKnown refuses a submission, whatever the reason, unless its job is known: a
-// repeated submission is idempotent and answered with the job's state, even if the body has
-// changed for the worse. Where it cannot be told now whether the job is known, nothing is
-// refused for good: users do not retry after 400 and 422, and would forget an accepted job.
-func (r userRequest) refuseUnlessKnown(ctx context.Context, id string, refusal Answer) Answer {
+// refuseUnlessJobExists answers a submission with the given refusal, unless its job exists.
+// Submissions are idempotent: a repeated one is answered with the job's state, even if its body is
+// no longer valid. While this controller cannot determine whether the job exists, it does not
+// answer 400 or 422: users do not retry after these, and would give up a job that was accepted. A
+// user's submission that would be refused with 503 is forwarded first.
+func (r userRequest) refuseUnlessJobExists(ctx context.Context, id string, refusal Answer) Answer {
 	view, found, err := r.controller.lookUpJob(ctx, id)
 	switch {
 	//mutation:refusal-needs-read
@@ -90,7 +93,7 @@
 		//mutation:refusal-after-failed-read
 		return r.forwardOrRefuse(err)
 	case found:
-		return answerState(http.StatusOK, id, view.State)
+		return stateAnswer(http.StatusOK, id, view.State)
 	case refusal.Status == http.StatusServiceUnavailable && r.origin == FromUser:
 		return r.forwardOrRefuse(errors.New(refusal.Error))
 	}
@@ -98,18 +101,19 @@
 	return refusal
 }
 
-// submission is a valid submission while it is committed. Its fields belong to the goroutine
-// of run, but for the channels, which are never closed and never block their one sender.
+// submission is a valid submission that is being committed. Only the goroutine of run uses
+// forwarded and maybeCommitted; the other fields do not change. The channels are never closed, and
+// each has one sender at a time, which their buffers keep from blocking.
 type submission struct {
 	request userRequest
 	jobID   string
 	txn     wire.Txn
 
-	committed   chan error  // the outcome of each try, of which there is one at a time
-	peerAnswers chan Answer // of a peer that decided
-	peerAsked   bool        // or must not be asked
-	// maybeCommitted is set when an earlier try, here or at a peer, may have been carried
-	// out: then a conflict does not mean that the job was known before.
+	commitResults chan error  // outcome of each commit attempt; one runs at a time
+	peerAnswers   chan Answer // a peer's answer that has the job's state
+	forwarded     bool        // whether this controller or a peer has forwarded the submission
+	// maybeCommitted is set when an earlier attempt of this controller or a peer may have been
+	// executed. A conflict then does not prove that the job existed before the submission.
 	maybeCommitted bool
 }
 
@@ -122,13 +126,14 @@
 			If:   []wire.Compare{{Key: records.JobKey(id)}, {Key: records.EndedJobKey(id)}},
 			Then: []wire.Op{{Set: records.JobKey(id), Value: record}},
 		},
-		committed:   make(chan error, 1),
-		peerAnswers: make(chan Answer, 1),
-		peerAsked:   request.origin == FromPeer,
+		commitResults: make(chan error, 1),
+		peerAnswers:   make(chan Answer, 1),
+		forwarded:     request.origin == FromPeer,
 	}
 }
 
-// run commits the submission and has a peer try as well where that takes long.
+// run commits the submission and returns its answer. If the commit takes longer than
+// tuning.HedgeDelay or its outcome is unknown, run also forwards the submission to a peer.
 func (s *submission) run(ctx context.Context) Answer {
 	commit := func() { s.commit(ctx) }
 	go commit()
@@ -136,17 +141,18 @@
 	defer hedge.Stop()
 	for {
 		select {
-		case err := <-s.committed:
+		case err := <-s.commitResults:
 			if !errors.Is(err, kvstore.ErrOutcomeUnknown) {
 				return s.answer(ctx, err)
 			}
-			// Carried out or not, the same write again is safe: its comparisons let it
-			// happen once. But not in a hot loop, and a peer may be in a better place.
+			// Whether or not the write was executed, it is safe to repeat: its comparisons
+			// let it succeed only once. The delay avoids a busy loop. A peer may have a better
+			// connection to the key-value store.
 			s.maybeCommitted = true
-			s.askPeer()
+			s.forwardToPeer()
 			time.AfterFunc(tuning.StoreRetryDelay, commit)
 		case <-hedge.C:
-			s.askPeer()
+			s.forwardToPeer()
 		case answer := <-s.peerAnswers:
 			return answer
 		case <-ctx.Done():
@@ -157,44 +163,45 @@
 
 func (s *submission) commit(ctx context.Context) {
 	_, _, err := s.request.controller.store.Commit(ctx, kvstore.PriorityUser, s.txn)
-	s.committed <- err
+	s.commitResults <- err
 }
 
-// askPeer forwards the submission once.
-func (s *submission) askPeer() {
-	if s.peerAsked {
+// forwardToPeer forwards the submission, unless it has been forwarded already.
+func (s *submission) forwardToPeer() {
+	if s.forwarded {
 		return
 	}
-	s.peerAsked, s.maybeCommitted = true, true
+	s.forwarded, s.maybeCommitted = true, true
 	go func() {
-		// A peer that refuses the job for good knows other machine types, or came too early
-		// to know the job. Our own try may have been carried out: a user who is told 422
-		// gives up a job that runs.
+		// A peer's refusal is ignored. The peer may know other machine types, or may have
+		// looked for the job before it was committed. This controller's own attempt may have
+		// been executed, and a user who receives 422 gives up a job that runs.
 		//mutation:peer-refusal
-		if answer, ok := s.request.controller.forward(s.request.message); ok && answer.State != nil {
+		if answer, ok := s.request.controller.forward(s.request.forwardRequest); ok && answer.State != nil {
 			s.peerAnswers <- answer
 		}
 	}()
 }
 
-// answer says what became of the submission by the outcome of the last try.
+// answer returns the answer to the submission by the outcome of its last commit attempt.
 func (s *submission) answer(ctx context.Context, err error) Answer {
 	switch {
 	case err == nil:
-		return answerState(http.StatusCreated, s.jobID, wire.JobPending)
+		return stateAnswer(http.StatusCreated, s.jobID, wire.JobPending)
 	case errors.Is(err, kvstore.ErrConflict):
-		return s.answerKnown(ctx)
-	case s.peerAsked:
-		s.request.logUndecided(err)
-		return undecided
+		return s.answerExistingJob(ctx)
+	case s.forwarded:
+		s.request.logNotServedLocally(err)
+		return unavailableAnswer
 	}
 	return s.request.forwardOrRefuse(err)
 }
 
-var errStateNotRead = errors.New("job is known, but its state was not read")
+var errStateNotRead = errors.New("job exists, but its state was not read")
 
-// answerKnown answers the submission of a job that is in the store already.
-func (s *submission) answerKnown(ctx context.Context) Answer {
+// answerExistingJob answers a submission whose job exists in the key-value store, possibly because
+// an earlier attempt to commit this submission was executed.
+func (s *submission) answerExistingJob(ctx context.Context) Answer {
 	view, found, err := s.request.controller.lookUpJob(ctx, s.jobID)
 	if err != nil || !found {
 		return s.request.forwardOrRefuse(errors.Join(err, errStateNotRead))
@@ -203,5 +210,5 @@
 	if s.maybeCommitted {
 		status = http.StatusCreated
 	}
-	return answerState(status, s.jobID, view.State)
+	return stateAnswer(status, s.jobID, view.State)
 }
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -12,7 +12,8 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// LeaderView says who leads, as far as a controller knows.
+// LeaderView is what a controller knows about the leader. Node is the controller that was asked,
+// and UpS the uptime of its process, in seconds.
 type LeaderView struct {
 	Node    string  `json:"node"`
 	Leader  string  `json:"leader"`
@@ -21,7 +22,7 @@
 	UpS     float64 `json:"up_s"`
 }
 
-// LeaderView says who leads, as far as this controller knows.
+// LeaderView returns what this controller knows about the leader.
 func (c *Controller) LeaderView() LeaderView {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -34,26 +35,27 @@
 	}
 }
 
-// queryScheduler reads the scheduler's state; ok is false where this controller does not lead.
-func queryScheduler[T any](c *Controller, read func(scheduler.View, scheduler.Now) T) (answer T, ok bool) {
+// queryScheduler reads the scheduler's state. ok is false if this controller does not lead.
+func queryScheduler[T any](c *Controller, read func(scheduler.View, scheduler.Now) T) (result T, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.leadership.leading() {
-		return answer, false
+		return result, false
 	}
 	return read(c.leadership.scheduler.View(), c.now()), true
 }
 
-// MachinesView lists machines.
-func (c *Controller) MachinesView(from string, most int) ([]scheduler.MachineView, bool) {
+// MachinesView lists up to limit machines by name, those after the given name. It returns false if
+// this controller does not lead.
+func (c *Controller) MachinesView(after string, limit int) ([]scheduler.MachineView, bool) {
 	return queryScheduler(c, func(view scheduler.View, now scheduler.Now) []scheduler.MachineView {
-		return view.Machines(now, from, most)
+		return view.Machines(now, after, limit)
 	})
 }
 
-// JobView describes a job: in full while it is live and this controller leads, else by its
-// stored state. found is false for a job that nobody submitted; an error says that this
-// cannot be told here and now.
+// JobView describes a job. The description has all details if the job is live and this controller
+// leads; otherwise it has only the job's state and task counts. found is false if the job does not
+// exist; an error means that this controller cannot determine the state now.
 func (c *Controller) JobView(ctx context.Context, id string) (detail *scheduler.JobDetail, found bool, err error) {
 	detail, _ = queryScheduler(c, func(view scheduler.View, now scheduler.Now) *scheduler.JobDetail { return view.Job(now, id) })
 	if detail != nil {
@@ -68,25 +70,28 @@
 	return &scheduler.JobDetail{ID: id, State: view.State, Done: view.Done, Running: view.Running, Attempts: []scheduler.TaskView{}}, true, nil
 }
 
-// WaitingView lists waiting jobs, with the reason.
-func (c *Controller) WaitingView(from string, most int) ([]scheduler.JobDetail, bool) {
+// WaitingView lists up to limit jobs with waiting tasks by id, those after the given id, with the
+// reason for the wait. It returns false if this controller does not lead.
+func (c *Controller) WaitingView(after string, limit int) ([]scheduler.JobDetail, bool) {
 	return queryScheduler(c, func(view scheduler.View, now scheduler.Now) []scheduler.JobDetail {
-		return view.Waiting(now, from, most)
+		return view.Waiting(now, after, limit)
 	})
 }
 
-// FailuresView lists failed attempts of this term, the newest first.
-func (c *Controller) FailuresView(skip, most int) ([]scheduler.Failure, bool) {
+// FailuresView lists up to limit failed attempts of this term, the newest first, after skipping
+// the given number. It returns false if this controller does not lead.
+func (c *Controller) FailuresView(skip, limit int) ([]scheduler.Failure, bool) {
 	return queryScheduler(c, func(view scheduler.View, _ scheduler.Now) []scheduler.Failure {
-		return view.Failures(skip, most)
+		return view.Failures(skip, limit)
 	})
 }
 
-// ErrNoRecovery says that there has been no recovery, as far as the controller knows.
+// ErrNoRecovery means that there is no recovery to describe, because this controller has not known
+// any leader since its process started.
 var ErrNoRecovery = errors.New("there has been no recovery yet: nobody has led since this node began")
 
-// RecoveryView describes the restart reconciliation of the current term. ok is false where
-// this controller does not lead; ErrNoRecovery says that nobody has led yet.
+// RecoveryView describes the restart reconciliation of the current term. ok is false if this
+// controller does not lead; err is ErrNoRecovery if no leader is known since the process started.
 func (c *Controller) RecoveryView() (status reconcile.Status, ok bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -105,68 +110,71 @@
 	return status, false, nil
 }
 
-// DifferencesView lists what the reconciliation of the current term found.
-func (c *Controller) DifferencesView(class reconcile.Class, skip, most int) ([]reconcile.DifferenceView, bool) {
+// DifferencesView lists up to limit differences of the given class, or of all classes for
+// reconcile.None, that the reconciliation of the current term has found, after skipping the given
+// number. It returns false if this controller does not lead.
+func (c *Controller) DifferencesView(class reconcile.Class, skip, limit int) ([]reconcile.DifferenceView, bool) {
 	return queryScheduler(c, func(view scheduler.View, _ scheduler.Now) []reconcile.DifferenceView {
-		return view.ReconciliationDifferences(class, skip, most)
+		return view.ReconciliationDifferences(class, skip, limit)
 	})
 }
 
-// Latency summarizes a histogram, in milliseconds.
-type Latency struct {
-	Count int64 `json:"count"`
-	P50   int64 `json:"p50_ms"`
-	P99   int64 `json:"p99_ms"`
-	Max   int64 `json:"max_ms"`
+// LatencySummary summarizes a latency histogram.
+type LatencySummary struct {
+	Count    int64 `json:"count"`
+	P50Milli int64 `json:"p50_ms"`
+	P99Milli int64 `json:"p99_ms"`
+	MaxMilli int64 `json:"max_ms"`
 }
 
-func summarize(histogram *hdrhistogram.Histogram) Latency {
-	return Latency{
-		Count: histogram.TotalCount(),
-		P50:   histogram.ValueAtQuantile(50),
-		P99:   histogram.ValueAtQuantile(99),
-		Max:   histogram.Max(),
+func summarize(histogram *hdrhistogram.Histogram) LatencySummary {
+	return LatencySummary{
+		Count:    histogram.TotalCount(),
+		P50Milli: histogram.ValueAtQuantile(50),
+		P99Milli: histogram.ValueAtQuantile(99),
+		MaxMilli: histogram.Max(),
 	}
 }
 
-// Metrics are the signals of a process since it started.
+// Metrics are the counters and latencies of a controller process since it started. Counters cover
+// the terms in which it led.
 type Metrics struct {
-	DispatchRetries      uint64  `json:"start_probes_total_retry"`
-	DispatchGiveUps      uint64  `json:"start_probes_total_giveup"`
-	Retried              uint64  `json:"attempts_retried_total"`
-	Started              uint64  `json:"tasks_started_total"`
-	Finished             uint64  `json:"tasks_finished_total"`
-	Preempted            uint64  `json:"tasks_preempted_total"`
-	Provisioned          uint64  `json:"machines_rented_total"`
-	Released             uint64  `json:"machines_returned_total"`
-	RecoveryOrders       uint64  `json:"recovery_orders_total"`
-	RecoveryOrdersTraced uint64  `json:"recovery_orders_total_traced"`
-	Differences          uint64  `json:"recovery_differences_total"`
-	StartToAck           Latency `json:"start_to_ack"`
-	SubmitToAnswer       Latency `json:"submit_to_answer"`
+	DispatchRetries               uint64         `json:"start_probes_total_retry"`
+	DispatchGiveUps               uint64         `json:"start_probes_total_giveup"`
+	TaskRetries                   uint64         `json:"attempts_retried_total"`
+	TasksStarted                  uint64         `json:"tasks_started_total"`
+	TasksFinished                 uint64         `json:"tasks_finished_total"`
+	TasksPreempted                uint64         `json:"tasks_preempted_total"`
+	MachinesProvisioned           uint64         `json:"machines_rented_total"`
+	MachinesReleased              uint64         `json:"machines_returned_total"`
+	ReconcileOperations           uint64         `json:"recovery_orders_total"`
+	ReconcileOperationsAttributed uint64         `json:"recovery_orders_total_traced"`
+	Differences                   uint64         `json:"recovery_differences_total"`
+	StartToAck                    LatencySummary `json:"start_to_ack"`
+	SubmitToAnswer                LatencySummary `json:"submit_to_answer"`
 }
 
-// MetricsView returns the signals.
+// MetricsView returns the metrics of this process.
 func (c *Controller) MetricsView() Metrics {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	counters := c.metrics.earlierTerms
+	counters := c.metrics.endedTermCounters
 	if c.leadership.leading() {
 		addCounters(&counters, c.leadership.scheduler.Counters())
 	}
 	return Metrics{
-		DispatchRetries:      counters.DispatchRetries,
-		DispatchGiveUps:      counters.DispatchGiveUps,
-		Retried:              counters.TaskRetries,
-		Started:              counters.Started,
-		Finished:             counters.Finished,
-		Preempted:            counters.Preempted,
-		Provisioned:          counters.MachinesProvisioned,
-		Released:             counters.MachinesReleased,
-		RecoveryOrders:       counters.ReconcileOperations,
-		RecoveryOrdersTraced: counters.ReconcileAttributed,
-		Differences:          counters.Differences,
-		StartToAck:           summarize(c.metrics.startToAck),
-		SubmitToAnswer:       summarize(c.metrics.submitToAnswer),
+		DispatchRetries:               counters.DispatchRetries,
+		DispatchGiveUps:               counters.DispatchGiveUps,
+		TaskRetries:                   counters.TaskRetries,
+		TasksStarted:                  counters.Started,
+		TasksFinished:                 counters.Finished,
+		TasksPreempted:                counters.Preempted,
+		MachinesProvisioned:           counters.MachinesProvisioned,
+		MachinesReleased:              counters.MachinesReleased,
+		ReconcileOperations:           counters.ReconcileOperations,
+		ReconcileOperationsAttributed: counters.ReconcileAttributed,
+		Differences:                   counters.Differences,
+		StartToAck:                    summarize(c.metrics.startToAck),
+		SubmitToAnswer:                summarize(c.metrics.submitToAnswer),
 	}
 }
