--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -211,7 +211,7 @@
 		// A newer leader could not notify this controller, and the workers would keep sending
 		// their heartbeats here. After the step-down their leases are renewed as a follower does it.
 		c.stepDown(sched, stepDownIsolated)
-	case !c.mayRenewLeases():
+	case !c.mayRenewWorkerLeases():
 		c.stepDown(sched, stepDownWatermarkTooOld)
 	default:
 		sched.Tick(c.now())
--- a/internal/controller/replication.go
+++ b/internal/controller/replication.go
@@ -119,7 +119,7 @@
 func (s *jobSync) applyChanges(changes wire.WatchReply, sentAt time.Time) {
 	c := s.controller
 	c.update(func() {
-		c.updateWatermark()
+		c.updateCancellationWatermark()
 		c.replication.markCaughtUp(sentAt)
 		changedJobs, unreadable := c.replication.replica.Apply(changes)
 		logUnreadableRecords(c.log, unreadable)
@@ -146,7 +146,7 @@
 		if revision < c.replication.replica.Revision {
 			return
 		}
-		c.updateWatermark()
+		c.updateCancellationWatermark()
 		c.replication.markCaughtUp(sentAt)
 		logUnreadableRecords(c.log, c.replication.replica.Reset(items, revision))
 		if c.leadership.leading() {
