--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -40,12 +40,12 @@
 }
 
 func (r userRequest) logNotServedLocally(cause error) {
-	r.controller.log.Debug("request not served locally", "kind", string(r.forwardRequest.Kind), "job", r.forwardRequest.ID, "err", cause)
+	r.controller.log.Debug("request not decided here", "kind", string(r.forwardRequest.Kind), "job", r.forwardRequest.ID, "err", cause)
 }
 
 // forward sends a request to the peers, one after the other, until one serves it, and reports
 // whether one did. A peer that fails to serve a request gets no further ones for
-// tuning.UnablePeerBackoff: otherwise, in an outage, all controllers would keep forwarding
+// tuning.DeclinedPeerBackoff: otherwise, in an outage, all controllers would keep forwarding
 // requests to each other.
 func (c *Controller) forward(request peer.ForwardRequest) (Answer, bool) {
 	c.mu.Lock()
--- a/internal/controller/leader_watch.go
+++ b/internal/controller/leader_watch.go
@@ -16,7 +16,7 @@
 // connections in a row, and another peer answers. If no other peer answers, a filter between the
 // controllers may be refusing the connections, and the lease is left to expire. The three signs
 // can still be misleading. This causes a needless election, at most one per
-// MinLeaderVoteInterval, but does not affect safety, which depends on fencing tokens and
+// MinLeaderRevocationInterval, but does not affect safety, which depends on fencing tokens and
 // compare-and-swap and not on the duration of the lease.
 //
 // leaderWatch runs in one goroutine, without the lock.
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -38,7 +38,7 @@
 		if err == nil {
 			return t.installScheduler(stored)
 		}
-		logCallFailure(c.log, "stored records not loaded", err)
+		logCallFailure(c.log, "records not read", err)
 		sleep(ctx, tuning.StoreRetryDelay)
 	}
 	return nil
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -98,7 +98,7 @@
 }
 
 // forwardTargets returns the peers that may be able to decide a forwarded request, the leader
-// first: those with recent contact that have not declined a request within UnablePeerBackoff.
+// first: those with recent contact that have not declined a request within DeclinedPeerBackoff.
 func (m *membership) forwardTargets() []*peerState {
 	var targets []*peerState
 	for _, p := range m.peers {
--- a/internal/scheduler/attempt_outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -219,7 +219,7 @@
 	return remainingS <= timeLeft.Seconds() || !c.fitsSomewhereCached(j)
 }
 
-// fitsSomewhereCached caches the result of fitsSomewhere for tuning.FreeCapacityMemory, since
+// fitsSomewhereCached caches the result of fitsSomewhere for tuning.FreeCapacityCacheTTL, since
 // many tasks of a job are checked at the same time.
 func (c *clusterState) fitsSomewhereCached(j *job) bool {
 	if j.capacityCheck.checkedAt == 0 || c.now.Mono-j.capacityCheck.checkedAt > tuning.FreeCapacityCacheTTL {
