--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,4 +1,4 @@
-// Package cloud is the client of the cloud's API.
+// Package cloud is a client for the cloud provider's API.
 package cloud
 
 import (
@@ -15,72 +15,75 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Errors of a request, tested by errors.Is. After all but ErrOutcomeUnknown the request
-// was not carried out.
+// Errors that a request can return; test for them with errors.Is. Every error except
+// ErrOutcomeUnknown means that the request was not executed.
 var (
-	// ErrNoCapacity means that there are no machines of the type and zone now.
+	// ErrNoCapacity means that the zone currently has no free machines of the requested type.
 	ErrNoCapacity = errors.New("cloud has no capacity")
-	// ErrUnavailable means that the cloud's interface is down.
+	// ErrUnavailable means that the cloud's API is down.
 	ErrUnavailable = errors.New("cloud unavailable")
-	// ErrRateLimited means that there were too many requests.
+	// ErrRateLimited means that the cloud's request rate limit was exceeded.
 	ErrRateLimited = errors.New("cloud request rate exceeded")
-	// ErrOutcomeUnknown means that there was no usable answer: the request may have been
-	// carried out, or may yet be carried out later.
+	// ErrOutcomeUnknown means that no usable response was received: the request may have been
+	// executed, or may still be executed later.
 	ErrOutcomeUnknown = errors.New("cloud request has an unknown outcome")
-	// ErrRejected means that the cloud rejected the request.
+	// ErrRejected means that the cloud rejected the request with another error status.
 	ErrRejected = errors.New("cloud rejected the request")
 )
 
-// noCapacityReply tells ErrNoCapacity from ErrUnavailable, which have the same status.
-const noCapacityReply = "no capacity"
+// noCapacityMessage is the error message that distinguishes ErrNoCapacity from ErrUnavailable:
+// the cloud returns status 503 for both.
+const noCapacityMessage = "no capacity"
 
-// Bounds on connections to the cloud and on the size of an answer.
+// Limits on the connections to the cloud and on the size of a response.
 const (
-	maxConns       = 4
-	maxAnswerBytes = 4 << 20
+	maxConns         = 4
+	maxResponseBytes = 4 << 20
 )
 
-// Client talks to the cloud. It is safe for concurrent use.
+// Client sends requests to the cloud. It is safe for concurrent use.
 type Client struct {
 	baseURL string
 	rpc     *rpc.Client
 }
 
-// New makes a client for the cloud at addr.
+// New returns a client for the cloud at addr.
 func New(addr string) *Client {
-	return &Client{baseURL: "http://" + addr, rpc: rpc.New(maxConns, maxConns, tuning.CloudTimeout, maxAnswerBytes)}
+	return &Client{baseURL: "http://" + addr, rpc: rpc.New(maxConns, maxConns, tuning.CloudTimeout, maxResponseBytes)}
 }
 
-func (c *Client) call(ctx context.Context, method, path string, request, answer any) error {
+// call sends a request and decodes the body of a successful response into response, unless
+// that is nil. It returns one of the package's errors for every other response.
+func (c *Client) call(ctx context.Context, method, path string, request, response any) error {
 	ctx, cancel := context.WithTimeout(ctx, tuning.CloudTimeout)
 	defer cancel()
 	var raw wire.Raw
-	code, err := c.rpc.Call(ctx, method, c.baseURL+path, request, &raw)
+	status, err := c.rpc.Call(ctx, method, c.baseURL+path, request, &raw)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
-	switch code {
+	switch status {
 	case http.StatusOK:
-		if answer == nil {
+		if response == nil {
 			return nil
 		}
-		if err := wire.Unmarshal(raw, answer); err != nil {
-			return fmt.Errorf("%w: %w: %w", ErrOutcomeUnknown, rpc.ErrMalformedAnswer, err)
+		if err := wire.Unmarshal(raw, response); err != nil {
+			return fmt.Errorf("%w: %w: %w", ErrOutcomeUnknown, rpc.ErrMalformedResponse, err)
 		}
 		return nil
 	case http.StatusTooManyRequests:
 		return ErrRateLimited
 	case http.StatusServiceUnavailable:
 		var e wire.ErrorReply
-		if wire.Unmarshal(raw, &e) == nil && e.Message == noCapacityReply {
+		if wire.Unmarshal(raw, &e) == nil && e.Message == noCapacityMessage {
 			return ErrNoCapacity
 		}
 		return ErrUnavailable
 	}
-	return fmt.Errorf("%w: status %d", ErrRejected, code)
+	return fmt.Errorf("%w: status %d", ErrRejected, status)
 }
 
-// MachineTypes reads the machine types with their current prices.
+// MachineTypes returns the machine types with their current prices.
 func (c *Client) MachineTypes(ctx context.Context) ([]wire.MachineType, error) {
 	var reply wire.MachineTypeList
 	if err := c.call(ctx, http.MethodGet, "/flavors", nil, &reply); err != nil {
@@ -88,23 +91,23 @@
 	}
 	for _, t := range reply.Types {
 		if t.Name == "" || !(t.CPUs > 0) || !(t.MemoryGB >= 0) {
-			return nil, fmt.Errorf("read machine types: %w: %w: type %q", ErrOutcomeUnknown, rpc.ErrMalformedAnswer, t.Name)
+			return nil, fmt.Errorf("read machine types: %w: %w: type %q", ErrOutcomeUnknown, rpc.ErrMalformedResponse, t.Name)
 		}
 	}
 	return reply.Types, nil
 }
 
-// Provision requests machines and returns their names. After ErrOutcomeUnknown they may
-// have been provisioned, or may yet be.
+// Provision requests machines and returns their names. After ErrOutcomeUnknown the machines
+// may have been provisioned, or may still be provisioned later.
 func (c *Client) Provision(ctx context.Context, request wire.ProvisionRequest) ([]string, error) {
 	var reply wire.MachineNames
 	if err := c.call(ctx, http.MethodPost, "/rentals", request, &reply); err != nil {
-		return nil, fmt.Errorf("provision %s: %w", request.RequestID, err)
+		return nil, fmt.Errorf("provision machines for request %s: %w", request.RequestID, err)
 	}
 	return reply.Machines, nil
 }
 
-// Release releases machines. Without an error they are gone.
+// Release releases machines. When it returns nil, the machines no longer exist.
 func (c *Client) Release(ctx context.Context, names []string) error {
 	if err := c.call(ctx, http.MethodPost, "/rentals/release", wire.MachineNames{Machines: names}, nil); err != nil {
 		return fmt.Errorf("release machines: %w", err)
@@ -112,14 +115,15 @@
 	return nil
 }
 
-// ListMachines reads the whole list of machines, which lags behind the cloud's state.
+// ListMachines returns all pages of the machine list, which lags behind the cloud's actual
+// state.
 func (c *Client) ListMachines(ctx context.Context) ([]wire.ListedMachine, error) {
-	var all []wire.ListedMachine
-	from := ""
+	var machines []wire.ListedMachine
+	afterName := ""
 	for {
 		query := url.Values{"most": {strconv.Itoa(tuning.MachineListPageSize)}}
-		if from != "" {
-			query.Set("from", from)
+		if afterName != "" {
+			query.Set("from", afterName)
 		}
 		var page wire.MachineList
 		if err := c.call(ctx, http.MethodGet, "/rentals?"+query.Encode(), nil, &page); err != nil {
@@ -127,13 +131,13 @@
 		}
 		for _, m := range page.Machines {
 			if m.Name == "" || strings.ContainsAny(m.Name, " /") {
-				return nil, fmt.Errorf("list machines: %w: %w: machine %q", ErrOutcomeUnknown, rpc.ErrMalformedAnswer, m.Name)
+				return nil, fmt.Errorf("list machines: %w: %w: machine %q", ErrOutcomeUnknown, rpc.ErrMalformedResponse, m.Name)
 			}
 		}
-		all = append(all, page.Machines...)
+		machines = append(machines, page.Machines...)
 		if !page.More || len(page.Machines) == 0 {
-			return all, nil
+			return machines, nil
 		}
-		from = page.Machines[len(page.Machines)-1].Name
+		afterName = page.Machines[len(page.Machines)-1].Name
 	}
 }
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -10,8 +10,8 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Each answer to a request has its error, from which callers tell whether machines may have
-// been provisioned.
+// Callers decide by the error whether machines may have been provisioned, so each response has
+// to map to the right error.
 func TestProvisionErrors(t *testing.T) {
 	encode := func(message any) []byte {
 		body, err := wire.Marshal(message)
@@ -21,14 +21,14 @@
 		return body
 	}
 	for _, test := range []struct {
-		name   string
-		status int
-		body   []byte
-		want   error
+		name    string
+		status  int
+		body    []byte
+		wantErr error
 	}{
 		{"provisioned", http.StatusOK, encode(wire.MachineNames{Machines: []string{"n-1"}}), nil},
-		{"malformed answer", http.StatusOK, []byte("?"), ErrOutcomeUnknown},
-		{"malformed answer breaks the protocol", http.StatusOK, []byte("?"), rpc.ErrMalformedAnswer},
+		{"malformed response", http.StatusOK, []byte("?"), ErrOutcomeUnknown},
+		{"malformed response is a protocol error", http.StatusOK, []byte("?"), rpc.ErrMalformedResponse},
 		{"no capacity", http.StatusServiceUnavailable, encode(wire.ErrorReply{Message: "no capacity"}), ErrNoCapacity},
 		{"unavailable", http.StatusServiceUnavailable, encode(wire.ErrorReply{Message: "down"}), ErrUnavailable},
 		{"unavailable without a body", http.StatusServiceUnavailable, nil, ErrUnavailable},
@@ -42,11 +42,11 @@
 			}))
 			defer srv.Close()
 			names, err := New(srv.Listener.Addr().String()).Provision(t.Context(), wire.ProvisionRequest{RequestID: "r-1", Count: 1})
-			if !errors.Is(err, test.want) {
-				t.Errorf("%v, not %v", err, test.want)
+			if !errors.Is(err, test.wantErr) {
+				t.Errorf("got error %v, want %v", err, test.wantErr)
 			}
-			if (len(names) > 0) != (test.want == nil) {
-				t.Errorf("machines %v", names)
+			if (len(names) > 0) != (test.wantErr == nil) {
+				t.Errorf("unexpected machines %v for this error", names)
 			}
 		})
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -95,7 +95,7 @@
 		admission:       newAdmission(),
 		directCallSlots: make(chan struct{}, maxDirectCalls(cfg)),
 	}
-	c.membership = newMembership(cfg.Peers, c.store.UnservedFor)
+	c.membership = newMembership(cfg.Peers, c.store.UnavailableFor)
 	c.jobSync = newJobSync(c)
 	return c
 }
--- a/internal/controller/executor.go
+++ b/internal/controller/executor.go
@@ -167,7 +167,7 @@
 // as an error if the other side does not keep to the protocol.
 func logCallFailure(log *slog.Logger, message string, err error, attributes ...any) {
 	level := slog.LevelDebug
-	if errors.Is(err, rpc.ErrMalformedAnswer) {
+	if errors.Is(err, rpc.ErrMalformedResponse) {
 		level = slog.LevelError
 	}
 	log.Log(context.Background(), level, message, append([]any{"err", err}, attributes...)...)
--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -1,5 +1,5 @@
-// Package eventqueue orders the events of a simulation by their times, and events of the
-// same time by when they were added.
+// Package eventqueue provides the event queue of a discrete-event simulation. Events run in
+// order of their time; events with the same time run in insertion order.
 package eventqueue
 
 import (
@@ -7,25 +7,26 @@
 	"time"
 )
 
-// Queue holds the events that are to come. The zero value is empty.
+// Queue holds the pending events. The zero value is an empty queue.
 type Queue struct {
-	events      eventHeap
-	addedEvents int
+	events       eventHeap
+	lastSequence int
 }
 
 type event struct {
-	at       time.Duration
-	sequence int
+	at       time.Duration // since the start of the simulation
+	sequence int           // position in insertion order
 	run      func()
 }
 
-// Add adds an event.
+// Add schedules run at the simulated time at.
 func (q *Queue) Add(at time.Duration, run func()) {
-	q.addedEvents++
-	heap.Push(&q.events, event{at, q.addedEvents, run})
+	q.lastSequence++
+	heap.Push(&q.events, event{at, q.lastSequence, run})
 }
 
-// Next takes the first event out of the queue, unless it comes after until.
+// Next removes and returns the earliest event. ok is false if there is no event at or before
+// until.
 func (q *Queue) Next(until time.Duration) (at time.Duration, run func(), ok bool) {
 	if len(q.events) == 0 || q.events[0].at > until {
 		return 0, nil, false
@@ -34,18 +35,19 @@
 	return next.at, next.run, true
 }
 
+// eventHeap implements heap.Interface, with the earliest event first.
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
-func (h eventHeap) Less(a, b int) bool {
-	return h[a].at < h[b].at || h[a].at == h[b].at && h[a].sequence < h[b].sequence
+func (h eventHeap) Less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].sequence < h[j].sequence
 }
-func (h eventHeap) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push is heap.Interface's.
+// Push implements heap.Interface.
 func (h *eventHeap) Push(x any) { *h = append(*h, x.(event)) }
 
-// Pop is heap.Interface's.
+// Pop implements heap.Interface.
 func (h *eventHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
--- a/internal/eventqueue/eventqueue_test.go
+++ b/internal/eventqueue/eventqueue_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestEventsComeByTimeThenInTheOrderOfTheirAddition(t *testing.T) {
+func TestEventsAreOrderedByTimeThenInsertion(t *testing.T) {
 	var queue Queue
 	var names []string
 	add := func(at time.Duration, name string) {
@@ -24,9 +24,9 @@
 		run()
 	}
 	if want := []string{"first", "second", "third"}; !slices.Equal(names, want) {
-		t.Errorf("the events came as %q, want %q", names, want)
+		t.Errorf("events ran in order %q, want %q", names, want)
 	}
 	if at, _, ok := queue.Next(4); !ok || at != 4 {
-		t.Errorf("the last event comes at %v, %v", at, ok)
+		t.Errorf("last event: got time %v and ok %v, want 4ns and true", at, ok)
 	}
 }
--- a/internal/httpserver/conn.go
+++ b/internal/httpserver/conn.go
@@ -15,14 +15,14 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// conn is one connection.
+// conn is one connection from a client.
 type conn struct {
-	server        *Server
-	netConn       net.Conn
-	limitedReader io.LimitedReader // bounds what is read of the present request
-	reader        *bufio.Reader
-	idle          atomic.Bool // between two requests
-	hasUnreadBody bool        // something of the last request was not read
+	server         *Server
+	netConn        net.Conn
+	limitedReader  io.LimitedReader // limits how much is read for the current request
+	reader         *bufio.Reader
+	idle           atomic.Bool // waiting for a request
+	hasUnreadInput bool        // part of the last request was not read
 }
 
 func newConn(server *Server, netConn net.Conn) *conn {
@@ -32,14 +32,14 @@
 	return c
 }
 
-// closeIfIdle closes a connection that is between two requests.
+// closeIfIdle closes the connection if it is waiting for a request.
 func (c *conn) closeIfIdle() {
 	if c.idle.Load() {
 		_ = c.netConn.Close()
 	}
 }
 
-// serve handles one request after the other until the connection ends.
+// serve handles requests one after another until the connection is closed.
 func (c *conn) serve() {
 	defer c.server.untrack(c)
 	defer c.netConn.Close()
@@ -49,21 +49,22 @@
 		keepAlive = c.awaitRequest() && c.serveRequest()
 	}
 	//mutation:linger-after-refusal
-	if c.hasUnreadBody {
+	if c.hasUnreadInput {
 		c.linger()
 	}
 }
 
-// linger reads what the client still sends, for a moment. A connection that is closed with
-// something unread is reset, and the reset may overtake the answer: the client would not
-// learn why its request was rejected.
+// linger reads and discards what the client still sends, for at most tuning.LingerTimeout and
+// tuning.MaxRequestBytes. Closing a connection with unread input resets it, and the reset may
+// reach the client before the response: the client would not learn why its request was rejected.
 func (c *conn) linger() {
 	if c.netConn.SetReadDeadline(time.Now().Add(tuning.LingerTimeout)) == nil {
 		_, _ = io.CopyN(io.Discard, c.netConn, tuning.MaxRequestBytes)
 	}
 }
 
-// recoverPanic logs a panic of the handler; http.ErrAbortHandler just ends the connection.
+// recoverPanic logs a panic of the handler, except http.ErrAbortHandler, which a handler uses to
+// close the connection without a response.
 func (c *conn) recoverPanic() {
 	cause := recover()
 	if cause == nil {
@@ -75,7 +76,8 @@
 	c.server.log.Error("panic in request handler", "from", c.netConn.RemoteAddr().String(), "panic", fmt.Sprint(cause), "stack", string(debug.Stack()))
 }
 
-// awaitRequest waits for the first bytes of a request.
+// awaitRequest waits for the first byte of a request. It returns false if the connection has to
+// be closed.
 func (c *conn) awaitRequest() bool {
 	c.idle.Store(true)
 	defer c.idle.Store(false)
@@ -91,7 +93,8 @@
 	return err == nil
 }
 
-// serveRequest reads a request and answers it. It reports whether another may follow.
+// serveRequest reads a request and sends the response. It reports whether the connection stays
+// open for another request.
 func (c *conn) serveRequest() bool {
 	slot := c.server.acquireSlot()
 	defer slot.release()
@@ -107,26 +110,27 @@
 	response := acquireResponse()
 	defer response.release()
 	c.server.handler.ServeHTTP(response, request)
-	c.hasUnreadBody = !drainBody(request.Body)
-	keepAlive := !request.Close && !response.closesConnection() && !c.hasUnreadBody
+	c.hasUnreadInput = !drainBody(request.Body)
+	keepAlive := !request.Close && !response.hasConnectionClose() && !c.hasUnreadInput
 	if !keepAlive {
-		response.close()
+		response.setConnectionClose()
 	}
 	return c.send(response.encode(request.Method)) && keepAlive
 }
 
-// send writes an answer, and reports whether that went well.
-func (c *conn) send(answer []byte) bool {
+// send writes an encoded response and reports whether that succeeded.
+func (c *conn) send(response []byte) bool {
 	if err := c.netConn.SetWriteDeadline(time.Now().Add(tuning.BodyTimeout)); err != nil {
 		return false
 	}
-	_, err := c.netConn.Write(answer)
+	_, err := c.netConn.Write(response)
 	return err == nil
 }
 
-var errMissingHost = errors.New("no Host")
+var errMissingHost = errors.New("missing Host header")
 
-// readRequest reads a request's head. Its body is read by the handler, within the limits.
+// readRequest reads a request's header and sends 100 Continue if the client expects it. The
+// handler reads the body later, within the deadline and the size limit that are set here.
 func (c *conn) readRequest() (*http.Request, error) {
 	if err := c.netConn.SetReadDeadline(time.Now().Add(tuning.HeaderTimeout + tuning.BodyTimeout)); err != nil {
 		return nil, err
@@ -146,8 +150,8 @@
 	return request, err
 }
 
-// reject answers what is not a request. After the end of the input, a timeout or a reset
-// there is nobody to answer.
+// reject sends an error response to a malformed or oversized request header. It sends nothing
+// after the end of the input, a timeout or a reset, since the client no longer expects a response.
 func (c *conn) reject(err error) {
 	var netError net.Error
 	status := http.StatusBadRequest
@@ -157,13 +161,13 @@
 	case errors.Is(err, io.EOF), errors.As(err, &netError):
 		return
 	}
-	c.hasUnreadBody = true
+	c.hasUnreadInput = true
 	_ = c.netConn.SetWriteDeadline(time.Now().Add(tuning.BodyTimeout))
 	_, _ = fmt.Fprintf(c.netConn, "HTTP/1.1 %d %s\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", status, http.StatusText(status))
 }
 
-// drainBody reports whether nothing of a request's body is left, or so little that it was
-// read now.
+// drainBody reads and discards up to tuning.MaxDrainBytes of the rest of a request's body. It
+// reports whether that reached the end of the body.
 func drainBody(body io.ReadCloser) bool {
 	_, err := io.CopyN(io.Discard, body, tuning.MaxDrainBytes)
 	return errors.Is(err, io.EOF)
--- a/internal/httpserver/harness_test.go
+++ b/internal/httpserver/harness_test.go
@@ -9,11 +9,11 @@
 	"testing"
 )
 
-// testServer is a server on a loopback address.
+// testServer is a Server that listens on a loopback address.
 type testServer struct {
 	*Server
 	addr     string
-	serveErr chan error
+	serveErr chan error // receives the result of Serve
 }
 
 func startServer(t *testing.T, handler http.HandlerFunc, nonBlocking func(*http.Request) bool) *testServer {
@@ -35,7 +35,7 @@
 func allNonBlocking(*http.Request) bool { return true }
 func allBlocking(*http.Request) bool    { return false }
 
-// echoBody answers with the request's body.
+// echoBody responds with the request's body.
 func echoBody(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -47,7 +47,7 @@
 	_, _ = w.Write(body)
 }
 
-// testClient is one connection to a server.
+// testClient is a client's connection to a server.
 type testClient struct {
 	net.Conn
 	reader *bufio.Reader
@@ -63,14 +63,14 @@
 	return &testClient{netConn, bufio.NewReader(netConn)}
 }
 
-// answer is what a client received.
-type answer struct {
-	status int
-	closes bool // the server says that it closes the connection
-	body   string
+// receivedResponse is what a client received.
+type receivedResponse struct {
+	status     int
+	closesConn bool // the server announces that it closes the connection
+	body       string
 }
 
-// write sends text as it is.
+// write sends text unchanged.
 func (c *testClient) write(t *testing.T, text string) {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
@@ -78,8 +78,8 @@
 	}
 }
 
-// read reads one answer.
-func (c *testClient) read(t *testing.T) answer {
+// read reads one response.
+func (c *testClient) read(t *testing.T) receivedResponse {
 	t.Helper()
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
@@ -90,11 +90,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return answer{response.StatusCode, response.Close, string(body)}
+	return receivedResponse{response.StatusCode, response.Close, string(body)}
 }
 
-// send writes a request as it is and reads the answer.
-func (c *testClient) send(t *testing.T, request string) answer {
+// send sends a request unchanged and reads the response.
+func (c *testClient) send(t *testing.T, request string) receivedResponse {
 	t.Helper()
 	c.write(t, request)
 	return c.read(t)
@@ -104,6 +104,6 @@
 func (c *testClient) expectClosed(t *testing.T) {
 	t.Helper()
 	if b, err := c.reader.ReadByte(); err == nil {
-		t.Errorf("the connection is open, with %q", b)
+		t.Errorf("the connection is still open, received byte %q", b)
 	}
 }
--- a/internal/httpserver/response.go
+++ b/internal/httpserver/response.go
@@ -10,12 +10,13 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// response buffers an answer, so that it is sent with one write.
+// response implements http.ResponseWriter. It buffers the response, which is then sent with one
+// write.
 type response struct {
 	header  http.Header
-	status  int
+	status  int // 0 until the handler sets it
 	body    bytes.Buffer
-	encoded bytes.Buffer
+	encoded bytes.Buffer // status line, header and body
 }
 
 var responsePool = sync.Pool{New: func() any { return &response{header: http.Header{}} }}
@@ -24,7 +25,7 @@
 	return responsePool.Get().(*response)
 }
 
-// release returns the response to the pool, unless its buffers have grown large.
+// release returns the response to the pool, unless its buffers exceed tuning.MaxPooledBytes.
 func (w *response) release() {
 	if w.body.Cap()+w.encoded.Cap() > tuning.MaxPooledBytes {
 		return
@@ -36,28 +37,30 @@
 	responsePool.Put(w)
 }
 
-// Header is what is sent before the body.
+// Header returns the header that is sent before the body.
 func (w *response) Header() http.Header { return w.header }
 
-// WriteHeader sets the status; the first one counts.
+// WriteHeader sets the status. Calls after the first have no effect.
 func (w *response) WriteHeader(status int) {
 	if w.status == 0 {
 		w.status = status
 	}
 }
 
-// Write adds to the body.
+// Write appends to the body and sets the status to 200 if none is set.
 func (w *response) Write(b []byte) (int, error) {
 	w.WriteHeader(http.StatusOK)
 	return w.body.Write(b)
 }
 
-func (w *response) closesConnection() bool { return w.header.Get("Connection") == "close" }
+// hasConnectionClose reports whether the response announces that the server closes the connection.
+func (w *response) hasConnectionClose() bool { return w.header.Get("Connection") == "close" }
 
-// close has the connection end with this answer.
-func (w *response) close() { w.header.Set("Connection", "close") }
+// setConnectionClose announces that the server closes the connection after this response.
+func (w *response) setConnectionClose() { w.header.Set("Connection", "close") }
 
-// encode returns the whole answer to a request of the method.
+// encode returns the encoded response to a request with the given method. The result is valid
+// until release.
 func (w *response) encode(method string) []byte {
 	w.WriteHeader(http.StatusOK)
 	out := &w.encoded
@@ -68,7 +71,7 @@
 	out.WriteString("Date: ")
 	out.Write(time.Now().UTC().AppendFormat(out.AvailableBuffer(), http.TimeFormat))
 	out.WriteString("\r\n")
-	_ = w.header.Write(out) // a bytes.Buffer takes everything
+	_ = w.header.Write(out) // writing to a bytes.Buffer does not fail
 	out.WriteString("\r\n")
 	if method != http.MethodHead {
 		out.Write(w.body.Bytes())
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -1,11 +1,12 @@
-// Package httpserver serves HTTP/1.1 on connections of which thousands are open and few are
-// busy: workers send heartbeats every few seconds, users poll, and each keeps its connection.
+// Package httpserver is an HTTP/1.1 server for thousands of open connections of which few are
+// active at a time: workers send heartbeats every few seconds, users poll, and all of them keep
+// their connections open.
 //
-// It omits what net/http's server does for other uses: it reads nothing while a request is
-// handled, holds a small buffer for an idle connection, and sends an answer with one write.
-// It also bounds how many requests are worked on at once. Requests over that wait for a slot
-// and not in the run queue of the Go scheduler, so that they do not delay the process's own
-// timers and calls. Requests are parsed by net/http.
+// Unlike net/http's server, it does not read from a connection while a request is handled, it
+// keeps only a small buffer for an idle connection, and it sends each response with one write.
+// It also limits the number of requests that are processed at once. Further requests wait for a
+// slot, not in the run queue of the Go scheduler, where they would delay the process's own timers
+// and calls. Requests are parsed by net/http.
 package httpserver
 
 import (
@@ -22,26 +23,26 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// Server serves a handler. It is made by New.
+// Server serves HTTP requests with a handler. Use New to create one.
 type Server struct {
 	handler     http.Handler
 	nonBlocking func(*http.Request) bool
 	log         *slog.Logger
 
-	slots          chan struct{} // of requests that are worked on
-	lastQueueDelay atomic.Int64  // how long the last request waited for a slot, in nanoseconds
-	queued         atomic.Int64  // requests that wait for a slot
+	slots          chan struct{} // holds one element per slot in use
+	lastQueueDelay atomic.Int64  // wait for the most recently acquired slot, in nanoseconds
+	queued         atomic.Int64  // number of waiters for a slot
 
-	mu       sync.Mutex // guards the fields below
-	closing  bool
-	listener net.Listener
-	conns    map[*conn]struct{}
-	serving  sync.WaitGroup
+	mu        sync.Mutex // guards the fields below
+	closing   bool
+	listener  net.Listener
+	conns     map[*conn]struct{}
+	openConns sync.WaitGroup // counts conns
 }
 
-// New makes a server. nonBlocking reports whether a request's handler does not wait for
-// anything: such a request is handled in the slot in which it was read, others release the
-// slot before.
+// New returns a server. nonBlocking reports whether the handler processes a request without
+// waiting for anything. Such a request holds its slot until the response is sent; every other
+// request releases its slot once its header is read, before it is handled.
 func New(handler http.Handler, nonBlocking func(*http.Request) bool, log *slog.Logger) *Server {
 	return &Server{
 		handler:     handler,
@@ -52,7 +53,8 @@
 	}
 }
 
-// QueueDelay estimates how long a request that arrives now waits until it is read.
+// QueueDelay estimates how long a request that arrives now waits for a slot before it is read. It
+// returns the last measured wait, or 0 if nothing is waiting.
 func (s *Server) QueueDelay() time.Duration {
 	if s.queued.Load() == 0 {
 		return 0
@@ -60,8 +62,8 @@
 	return time.Duration(s.lastQueueDelay.Load())
 }
 
-// Serve accepts connections until the listener fails, or Shutdown closes it; then it
-// returns http.ErrServerClosed.
+// Serve accepts connections until the listener fails or the server is closed. It returns
+// http.ErrServerClosed after Shutdown or Close.
 func (s *Server) Serve(listener net.Listener) error {
 	s.mu.Lock()
 	s.listener = listener
@@ -80,7 +82,8 @@
 		case err != nil:
 			return err
 		}
-		// Connections are accepted no faster than requests are worked on.
+		// Waits until a slot is free, so that no connections are accepted while all slots are in
+		// use.
 		slot := s.acquireSlot()
 		slot.release()
 		c := newConn(s, netConn)
@@ -89,8 +92,8 @@
 	}
 }
 
-// Shutdown closes the listener and idle connections, and waits for requests that are
-// being handled, at most until ctx ends.
+// Shutdown closes the listener and idle connections, and waits until the requests in progress
+// are finished or ctx is done.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.mu.Lock()
 	s.closing = true
@@ -104,7 +107,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		s.serving.Wait()
+		s.openConns.Wait()
 	}()
 	select {
 	case <-done:
@@ -114,7 +117,8 @@
 	}
 }
 
-// Close closes the listener and all connections at once.
+// Close closes the listener and all connections immediately, also those with a request in
+// progress.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,23 +141,23 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns[c] = struct{}{}
-	s.serving.Add(1)
+	s.openConns.Add(1)
 }
 
 func (s *Server) untrack(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
-	s.serving.Done()
+	s.openConns.Done()
 }
 
-// slot is the right to work on a request.
+// slot is one of the tuning.MaxConcurrentRequests slots of a server. A request is processed in one.
 type slot struct {
 	server   *Server
 	released bool
 }
 
-// acquireSlot waits for a slot.
+// acquireSlot waits until a slot is free and takes it.
 func (s *Server) acquireSlot() slot {
 	select {
 	case s.slots <- struct{}{}:
@@ -165,14 +169,14 @@
 }
 
 func (s *Server) waitForSlot() {
-	startedAt := time.Now()
+	queuedAt := time.Now()
 	s.queued.Add(1)
 	s.slots <- struct{}{}
 	s.queued.Add(-1)
-	s.lastQueueDelay.Store(int64(time.Since(startedAt)))
+	s.lastQueueDelay.Store(int64(time.Since(queuedAt)))
 }
 
-// release frees the slot, if that was not done before.
+// release frees the slot. Calls after the first have no effect.
 func (s *slot) release() {
 	if s.released {
 		return
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -19,8 +19,8 @@
 // plainRequest is a request without a body.
 const plainRequest = "GET / HTTP/1.1\r\nHost: n\r\n\r\n"
 
-// Whatever the sizes and the form of the bodies, each request of a connection gets its own
-// answer, and net/http's client understands it.
+// Checks with net/http's client that each request on a connection gets its own response, for
+// bodies of different sizes, with and without chunked encoding.
 func TestSequentialRequestsOnOneConnection(t *testing.T) {
 	server := startServer(t, echoBody, allNonBlocking)
 	client := &http.Client{Transport: &http.Transport{}}
@@ -30,7 +30,7 @@
 		body := bytes.Repeat([]byte{byte(rapid.IntRange(0, 255).Draw(rt, "fill"))}, size)
 		var reader io.Reader = bytes.NewReader(body)
 		if rapid.Bool().Draw(rt, "chunked") {
-			reader = io.MultiReader(reader) // of unknown length
+			reader = io.MultiReader(reader) // hides the length, so that the client sends chunks
 		}
 		response, err := client.Post("http://"+server.addr+"/", "text/plain", reader)
 		if err != nil {
@@ -39,7 +39,7 @@
 		defer response.Body.Close()
 		got, err := io.ReadAll(response.Body)
 		if err != nil || response.StatusCode != http.StatusAccepted || !bytes.Equal(got, body) {
-			rt.Fatalf("%d with %d bytes of %d: %v", response.StatusCode, len(got), size, err)
+			rt.Fatalf("got status %d and %d bytes, want %d bytes: %v", response.StatusCode, len(got), size, err)
 		}
 	})
 }
@@ -54,41 +54,41 @@
 		}
 		echoBody(w, r)
 	}, allNonBlocking)
-	long := strings.Repeat("x", tuning.MaxDrainBytes+1)
+	longBody := strings.Repeat("x", tuning.MaxDrainBytes+1)
 	for _, tc := range []struct {
 		name, request string
 		status        int
-		keeps         bool
+		keepsConn     bool
 	}{
 		{"plain", plainRequest, http.StatusAccepted, true},
-		{"asked to close", "GET / HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n", http.StatusAccepted, false},
+		{"client asks to close", "GET / HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n", http.StatusAccepted, false},
 		{"closed by the handler", "GET /close HTTP/1.1\r\nHost: n\r\n\r\n", http.StatusAccepted, false},
-		{"an old client", "GET / HTTP/1.0\r\n\r\n", http.StatusAccepted, false},
-		{"a short body unread", "POST /unread HTTP/1.1\r\nHost: n\r\nContent-Length: 3\r\n\r\nabc", http.StatusOK, true},
-		{"a long body unread", "POST /unread HTTP/1.1\r\nHost: n\r\nContent-Length: " + fmt.Sprint(len(long)) + "\r\n\r\n" + long, http.StatusOK, false},
-		{"no host", "GET / HTTP/1.1\r\n\r\n", http.StatusBadRequest, false},
+		{"HTTP/1.0 client", "GET / HTTP/1.0\r\n\r\n", http.StatusAccepted, false},
+		{"short unread body", "POST /unread HTTP/1.1\r\nHost: n\r\nContent-Length: 3\r\n\r\nabc", http.StatusOK, true},
+		{"long unread body", "POST /unread HTTP/1.1\r\nHost: n\r\nContent-Length: " + fmt.Sprint(len(longBody)) + "\r\n\r\n" + longBody, http.StatusOK, false},
+		{"missing Host header", "GET / HTTP/1.1\r\n\r\n", http.StatusBadRequest, false},
 		{"not HTTP", "what is this\r\n\r\n", http.StatusBadRequest, false},
-		{"a length that is none", "POST / HTTP/1.1\r\nHost: n\r\nContent-Length: x\r\n\r\n", http.StatusBadRequest, false},
-		{"a head without end", "GET / HTTP/1.1\r\nHost: n\r\nX: " + strings.Repeat("x", tuning.MaxHeaderBytes), http.StatusRequestHeaderFieldsTooLarge, false},
+		{"invalid Content-Length", "POST / HTTP/1.1\r\nHost: n\r\nContent-Length: x\r\n\r\n", http.StatusBadRequest, false},
+		{"endless header", "GET / HTTP/1.1\r\nHost: n\r\nX: " + strings.Repeat("x", tuning.MaxHeaderBytes), http.StatusRequestHeaderFieldsTooLarge, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			client := server.dial(t)
 			got := client.send(t, tc.request)
-			if got.status != tc.status || got.closes == tc.keeps {
-				t.Errorf("status %d, closes %v", got.status, got.closes)
+			if got.status != tc.status || got.closesConn == tc.keepsConn {
+				t.Errorf("got status %d, closes the connection: %v", got.status, got.closesConn)
 			}
-			if !tc.keeps {
+			if !tc.keepsConn {
 				client.expectClosed(t)
 				return
 			}
 			if next := client.send(t, plainRequest); next.status != http.StatusAccepted {
-				t.Errorf("the next request: %d", next.status)
+				t.Errorf("next request on the connection: status %d", next.status)
 			}
 		})
 	}
 }
 
-// A panic in a handler ends its connection, and no other.
+// A panic in a handler closes only the connection of its request.
 func TestHandlerPanicClosesConnection(t *testing.T) {
 	server := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/panic" {
@@ -100,12 +100,12 @@
 	client.write(t, "GET /panic HTTP/1.1\r\nHost: n\r\n\r\n")
 	client.expectClosed(t)
 	if got := server.dial(t).send(t, plainRequest); got.status != http.StatusAccepted {
-		t.Errorf("after a panic elsewhere: %d", got.status)
+		t.Errorf("status %d on another connection after a panic", got.status)
 	}
 }
 
-// A client that still sends its body when its request is rejected receives the answer: no
-// reset overtakes it.
+// A client that is still sending its body when its request is rejected receives the response
+// before the connection is reset.
 func TestRejectionOfLargeBodyIsDelivered(t *testing.T) {
 	server := startServer(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusRequestEntityTooLarge) }, allNonBlocking)
 	url := "http://" + server.addr
@@ -113,16 +113,17 @@
 	for i := range 100 {
 		response, err := http.Post(url, "application/cbor", bytes.NewReader(body))
 		if err != nil {
-			t.Fatalf("after %d: %v", i, err)
+			t.Fatalf("request %d: %v", i, err)
 		}
 		response.Body.Close()
 		if response.StatusCode != http.StatusRequestEntityTooLarge {
-			t.Fatalf("after %d: %s", i, response.Status)
+			t.Fatalf("request %d: status %s", i, response.Status)
 		}
 	}
 }
 
-// A client that waits for leave to send its body gets it; HEAD gets no body.
+// The server sends 100 Continue to a client that asks for it before it sends its body. The
+// response to a HEAD request has no body.
 func TestExpectContinueAndHead(t *testing.T) {
 	server := startServer(t, echoBody, allNonBlocking)
 	client := server.dial(t)
@@ -131,7 +132,7 @@
 		t.Fatalf("status %d", got.status)
 	}
 	if got := client.send(t, "ok"); got.status != http.StatusAccepted || got.body != "ok" {
-		t.Errorf("%d %q", got.status, got.body)
+		t.Errorf("got status %d and body %q", got.status, got.body)
 	}
 	httpClient := &http.Client{Transport: &http.Transport{}}
 	defer httpClient.CloseIdleConnections()
@@ -142,13 +143,13 @@
 		}
 		response.Body.Close()
 		if response.StatusCode != http.StatusAccepted {
-			t.Fatalf("HEAD: %s", response.Status)
+			t.Fatalf("HEAD: status %s", response.Status)
 		}
 	}
 }
 
-// No more requests are worked on at once than there are slots, one whose handler blocks
-// releases its slot, and how long others wait is known.
+// The number of requests processed at once is limited to the number of slots. A request whose
+// handler blocks releases its slot. QueueDelay is 0 once no request is waiting.
 func TestConcurrentRequestLimit(t *testing.T) {
 	const clients = 3 * tuning.MaxConcurrentRequests
 	for _, tc := range []struct {
@@ -193,13 +194,13 @@
 				}
 			}
 			if len(entered) != 0 || server.QueueDelay() != 0 {
-				t.Errorf("%d entered, a queue delay of %v with nobody waiting", len(entered), server.QueueDelay())
+				t.Errorf("%d extra handler calls, queue delay %v after all requests", len(entered), server.QueueDelay())
 			}
 		})
 	}
 }
 
-// Shutdown lets what is being handled end, and closes what is idle.
+// Shutdown waits for requests in progress and closes idle connections.
 func TestShutdownWaitsForRequests(t *testing.T) {
 	entered, release := make(chan struct{}), make(chan struct{})
 	server := startServer(t, func(http.ResponseWriter, *http.Request) {
@@ -212,7 +213,7 @@
 	done := make(chan error, 1)
 	go func() { done <- server.Shutdown(context.Background()) }()
 	if err := <-server.serveErr; !errors.Is(err, http.ErrServerClosed) {
-		t.Errorf("Serve ended with %v", err)
+		t.Errorf("Serve returned %v", err)
 	}
 	idle.expectClosed(t)
 	close(release)
@@ -224,8 +225,9 @@
 	}
 }
 
-// What an open connection holds between two requests stays under what limits are
-// derived from. Both ends are in this process, so the server's is less.
+// An idle connection uses at most tuning.BytesPerConn, from which the connection limits are
+// derived. The measurement includes the client's side of the connection, which is in the same
+// process, so the server's side uses less.
 func TestIdleConnectionMemory(t *testing.T) {
 	server := startServer(t, echoBody, allNonBlocking)
 	const conns = 500
@@ -235,18 +237,18 @@
 	for range conns {
 		server.dial(t).send(t, request)
 	}
-	// The clients' readers are dropped; their sockets stay open.
-	if each := (heapAndStackBytes() - before) / conns; each > tuning.BytesPerConn {
-		t.Errorf("%d bytes a connection, over %d", each, tuning.BytesPerConn)
+	// The clients' readers can be garbage-collected here; their sockets stay open.
+	if bytesPerConn := (heapAndStackBytes() - before) / conns; bytesPerConn > tuning.BytesPerConn {
+		t.Errorf("%d bytes per connection, limit %d", bytesPerConn, tuning.BytesPerConn)
 	} else {
-		t.Logf("%d bytes a connection, both ends", each)
+		t.Logf("%d bytes per connection, both sides included", bytesPerConn)
 	}
 }
 
-// heapAndStackBytes is what the heap and the stacks hold.
+// heapAndStackBytes returns the bytes in use by the heap and the stacks after garbage collection.
 func heapAndStackBytes() uint64 {
 	for range 3 {
-		runtime.GC() // stacks shrink by half each time
+		runtime.GC() // each collection shrinks a stack by at most half
 	}
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -5,46 +5,50 @@
 	"time"
 )
 
-// Priority orders requests under the client's budget.
+// Priority determines how much of the client's request budget a request may use.
 type Priority int
 
-// Priorities, highest first: the lease and the leader's transactions, then what users wait
-// for, then the rest.
+// Priorities, highest first.
 const (
+	// PriorityLeader is for the leader: its election, lease, reads and transactions.
 	PriorityLeader Priority = iota
+	// PriorityUser is for requests whose result a user waits for.
 	PriorityUser
+	// PriorityBackground is for all other requests.
 	PriorityBackground
 )
 
-// reservedShare is the share of a second's requests that each priority has to leave to the
-// higher ones. The leader may run up a debt of a whole second.
-var reservedShare = [...]float64{PriorityLeader: -1, PriorityUser: 0.1, PriorityBackground: 0.3}
+// minRemainingShare is the share of the bucket's capacity that a request of each priority has to
+// leave for higher priorities. The negative share of PriorityLeader lets the leader overdraw the
+// bucket by the requests of one second.
+var minRemainingShare = [...]float64{PriorityLeader: -1, PriorityUser: 0.1, PriorityBackground: 0.3}
 
-// requestBudget is a token bucket that holds the requests of one second. It is safe for
-// concurrent use.
+// requestBudget is a token bucket with the capacity of one second's requests. Each request takes
+// one token. It is safe for concurrent use.
 type requestBudget struct {
 	mu                sync.Mutex
 	requestsPerSecond float64
-	available         float64 // requests that may be sent now
+	tokens            float64 // negative while PriorityLeader has overdrawn the bucket
 	refilledAt        time.Time
 }
 
 func newRequestBudget(requestsPerSecond float64, now time.Time) *requestBudget {
-	return &requestBudget{requestsPerSecond: requestsPerSecond, available: requestsPerSecond, refilledAt: now}
+	return &requestBudget{requestsPerSecond: requestsPerSecond, tokens: requestsPerSecond, refilledAt: now}
 }
 
-// take uses the budget for one request, or fails with ErrRateLimited.
+// take takes a token for one request. It returns ErrRateLimited if the priority does not allow
+// that now.
 func (b *requestBudget) take(priority Priority) error { return b.takeAt(time.Now(), priority) }
 
 func (b *requestBudget) takeAt(now time.Time, priority Priority) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	refill := now.Sub(b.refilledAt).Seconds() * b.requestsPerSecond
-	b.available = min(b.requestsPerSecond, b.available+refill)
+	b.tokens = min(b.requestsPerSecond, b.tokens+refill)
 	b.refilledAt = now
-	if b.available-1 < reservedShare[priority]*b.requestsPerSecond {
+	if b.tokens-1 < minRemainingShare[priority]*b.requestsPerSecond {
 		return ErrRateLimited
 	}
-	b.available--
+	b.tokens--
 	return nil
 }
--- a/internal/kvstore/budget_test.go
+++ b/internal/kvstore/budget_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Each priority leaves a share of the budget to the higher ones, and the leader may run up a
-// debt of a second.
+// Each priority leaves a share of the budget for higher priorities, and the leader may overdraw
+// the budget by the requests of one second.
 func TestBudgetReservesSharesForHigherPriorities(t *testing.T) {
 	const requestsPerSecond = 100
 	for _, test := range []struct {
-		priority Priority
-		granted  int
+		priority    Priority
+		wantGranted int
 	}{
 		{PriorityBackground, 70},
 		{PriorityUser, 90},
@@ -24,14 +24,14 @@
 		for budget.takeAt(now, test.priority) == nil {
 			granted++
 		}
-		if granted != test.granted {
-			t.Errorf("priority %v: %d requests at once, not %d", test.priority, granted, test.granted)
+		if granted != test.wantGranted {
+			t.Errorf("priority %v: %d requests granted at once, want %d", test.priority, granted, test.wantGranted)
 		}
 		if err := budget.takeAt(now, test.priority); !errors.Is(err, ErrRateLimited) {
-			t.Errorf("priority %v: %v", test.priority, err)
+			t.Errorf("priority %v: got error %v from an exhausted budget", test.priority, err)
 		}
 		if err := budget.takeAt(now.Add(2*time.Second/requestsPerSecond), test.priority); err != nil {
-			t.Errorf("priority %v: %v after a refill", test.priority, err)
+			t.Errorf("priority %v: got error %v after a refill", test.priority, err)
 		}
 	}
 }
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -1,5 +1,5 @@
-// Package kvstore is the client of the consensus-backed key-value store: reads, watches,
-// leases and compare-and-swap transactions, within a request budget of its own.
+// Package kvstore is a client for the consensus-backed key-value store. It provides reads,
+// watches, leases and compare-and-swap transactions, and limits its own request rate.
 package kvstore
 
 import (
@@ -16,31 +16,32 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Errors of a request, tested by errors.Is.
+// Errors that a request can return; test for them with errors.Is.
 var (
 	// ErrUnavailable means that the request was not executed: the store is down or refuses
 	// this controller.
 	ErrUnavailable = errors.New("key-value store unavailable")
-	// ErrRateLimited means that the request was not executed: there were too many requests,
-	// by the store's count or by the client's own budget.
+	// ErrRateLimited means that the request was not executed: the store's rate limit or the
+	// client's own request budget was exceeded.
 	ErrRateLimited = errors.New("key-value store request rate exceeded")
-	// ErrOutcomeUnknown means that there was no usable answer: the request may have been
-	// executed, or may yet be executed later.
+	// ErrOutcomeUnknown means that no usable response was received: the request may have been
+	// executed, or may still be executed later.
 	ErrOutcomeUnknown = errors.New("key-value store request has an unknown outcome")
-	// ErrConflict means that a comparison of a transaction did not hold.
+	// ErrConflict means that a comparison of a transaction failed, so nothing was changed.
 	ErrConflict = errors.New("compare-and-swap conflict")
-	// ErrLeaseNotFound means that the lease has ended.
+	// ErrLeaseNotFound means that the lease has expired or was revoked.
 	ErrLeaseNotFound = errors.New("lease not found")
-	// ErrCompacted means that the revision that a watch starts from is no longer kept.
+	// ErrCompacted means that a watch cannot return all changes since its start revision: the
+	// store no longer keeps them, or they exceed the limit on the size of a response.
 	ErrCompacted = errors.New("revision compacted")
-	// ErrMalformedRequest means that the store called the request malformed.
-	ErrMalformedRequest = errors.New("key-value store calls the request malformed")
+	// ErrMalformedRequest means that the store rejected the request as malformed.
+	ErrMalformedRequest = errors.New("key-value store rejected the request as malformed")
 )
 
-// leaseNotFoundReply is what the store answers to a transaction with a lease that has ended.
-const leaseNotFoundReply = "no such lease"
+// leaseNotFoundMessage is the store's error message for a transaction with a lease that has ended.
+const leaseNotFoundMessage = "no such lease"
 
-// Client talks to the key-value store. It is safe for concurrent use.
+// Client sends requests to the key-value store. It is safe for concurrent use.
 type Client struct {
 	baseURL string
 	rpc     *rpc.Client
@@ -48,7 +49,7 @@
 	health  healthTracker
 }
 
-// New makes a client for the store at addr that allows itself requestsPerSecond.
+// New returns a client for the store at addr that sends at most requestsPerSecond on average.
 func New(addr string, requestsPerSecond float64) *Client {
 	now := time.Now()
 	return &Client{
@@ -59,21 +60,22 @@
 	}
 }
 
-// UnservedFor returns for how long the store has not served this client; 0 if the last
-// request that it is known of was served.
-func (c *Client) UnservedFor() time.Duration { return c.health.unservedFor() }
+// UnavailableFor returns how long the store has not served this client: the time since the last
+// request that it served, or since New if there is none. It is 0 if the store served the last
+// request whose result is known.
+func (c *Client) UnavailableFor() time.Duration { return c.health.unavailableFor() }
 
-// call describes one request.
+// call holds the parameters of one request.
 type call struct {
 	priority Priority
 	timeout  time.Duration
 	method   string
 	path     string
-	body     any // nil: none
-	answer   any // decoded into; nil: not read
+	body     any // nil for none
+	response any // what the response's body is decoded into; nil to discard it
 }
 
-// do sends a request and returns the status of the answer.
+// do sends a request and returns the HTTP status of the response.
 func (c *Client) do(ctx context.Context, request call) (status int, err error) {
 	if err = c.budget.take(request.priority); err != nil {
 		return 0, err
@@ -81,37 +83,37 @@
 	ctx, cancel := context.WithTimeout(ctx, request.timeout)
 	defer cancel()
 	sentAt := time.Now()
-	status, err = c.rpc.Call(ctx, request.method, c.baseURL+request.path, request.body, request.answer)
+	status, err = c.rpc.Call(ctx, request.method, c.baseURL+request.path, request.body, request.response)
 	if err == nil && request.method == http.MethodGet && time.Since(sentAt) > request.timeout {
-		// A process pause: what the answer says was true long ago.
+		// The process was paused, so the response to a read is outdated.
 		err = context.DeadlineExceeded
 	}
 	if err != nil {
-		c.health.failed(sentAt)
+		c.health.recordFailure(sentAt)
 		return 0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	if status == http.StatusServiceUnavailable {
-		c.health.failed(sentAt)
+		c.health.recordFailure(sentAt)
 		return status, ErrUnavailable
 	}
-	c.health.served(sentAt)
+	c.health.recordSuccess(sentAt)
 	if status == http.StatusTooManyRequests {
 		return status, ErrRateLimited
 	}
 	return status, nil
 }
 
-// unexpectedStatus is the error of an answer that the protocol does not have.
+// unexpectedStatus returns the error for an HTTP status that the protocol does not define.
 func unexpectedStatus(status int) error {
 	return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, status)
 }
 
-// Get reads a key. A missing one has ModRevision 0.
+// Get returns a key and its value. A missing key has ModRevision 0.
 func (c *Client) Get(ctx context.Context, priority Priority, key string) (wire.KeyValue, error) {
 	var item wire.KeyValue
 	status, err := c.do(ctx, call{
 		priority: priority, timeout: tuning.StoreTimeout,
-		method: http.MethodGet, path: "/kv/" + key, answer: &item,
+		method: http.MethodGet, path: "/kv/" + key, response: &item,
 	})
 	switch {
 	case err != nil:
@@ -124,16 +126,16 @@
 	return item, nil
 }
 
-// Range reads one page of at most limit keys that start with prefix, after the key from.
-func (c *Client) Range(ctx context.Context, priority Priority, prefix, from string, limit int) (wire.RangeReply, error) {
+// Range returns a page of at most limit keys that start with prefix and are greater than afterKey.
+func (c *Client) Range(ctx context.Context, priority Priority, prefix, afterKey string, limit int) (wire.RangeReply, error) {
 	query := url.Values{"starts": {prefix}, "most": {strconv.Itoa(limit)}}
-	if from != "" {
-		query.Set("from", from)
+	if afterKey != "" {
+		query.Set("from", afterKey)
 	}
 	var reply wire.RangeReply
 	status, err := c.do(ctx, call{
 		priority: priority, timeout: 2 * tuning.StoreTimeout,
-		method: http.MethodGet, path: "/kv?" + query.Encode(), answer: &reply,
+		method: http.MethodGet, path: "/kv?" + query.Encode(), response: &reply,
 	})
 	if err != nil {
 		return reply, fmt.Errorf("range %s: %w", prefix, err)
@@ -144,33 +146,33 @@
 	return reply, nil
 }
 
-// RangeAll reads every key that starts with prefix. The revision is that of the first page:
-// a watch from there misses nothing.
+// RangeAll returns all keys that start with prefix. It returns the revision of the first page, so
+// that a watch from that revision misses no change made while later pages were read.
 func (c *Client) RangeAll(ctx context.Context, priority Priority, prefix string) (items []wire.KeyValue, revision uint64, err error) {
-	from := ""
+	afterKey := ""
 	for {
-		page, err := c.Range(ctx, priority, prefix, from, tuning.StorePageSize)
+		page, err := c.Range(ctx, priority, prefix, afterKey, tuning.StorePageSize)
 		if err != nil {
 			return nil, 0, err
 		}
-		if from == "" {
+		if afterKey == "" {
 			revision = page.Revision
 		}
 		items = append(items, page.Items...)
 		if !page.More || len(page.Items) == 0 {
 			return items, revision, nil
 		}
-		from = page.Items[len(page.Items)-1].Key
+		afterKey = page.Items[len(page.Items)-1].Key
 	}
 }
 
-// Commit runs a transaction and returns the revision of its changes. With ErrConflict it
-// also returns the keys whose comparison did not hold.
+// Commit runs a transaction and returns the revision of its changes. With ErrConflict it also
+// returns the keys whose comparisons failed.
 func (c *Client) Commit(ctx context.Context, priority Priority, txn wire.Txn) (revision uint64, failedKeys []string, err error) {
 	var reply wire.TxnReply
 	status, err := c.do(ctx, call{
 		priority: priority, timeout: tuning.StoreTimeout,
-		method: http.MethodPost, path: "/commit", body: txn, answer: &reply,
+		method: http.MethodPost, path: "/commit", body: txn, response: &reply,
 	})
 	if err == nil {
 		err = commitError(status, reply)
@@ -181,15 +183,17 @@
 	return reply.Revision, reply.FailedKeys, err
 }
 
+// commitError returns the error for the store's response to a transaction, or nil if the
+// transaction was committed.
 func commitError(status int, reply wire.TxnReply) error {
 	switch {
 	case status == http.StatusOK && reply.Revision == 0:
-		return fmt.Errorf("%w: no revision", ErrOutcomeUnknown)
+		return fmt.Errorf("%w: response without a revision", ErrOutcomeUnknown)
 	case status == http.StatusOK:
 		return nil
 	case status == http.StatusConflict:
 		return ErrConflict
-	case status == http.StatusBadRequest && reply.Error == leaseNotFoundReply:
+	case status == http.StatusBadRequest && reply.Error == leaseNotFoundMessage:
 		return ErrLeaseNotFound
 	case status == http.StatusBadRequest:
 		return fmt.Errorf("%w: %s", ErrMalformedRequest, reply.Error)
@@ -197,12 +201,12 @@
 	return unexpectedStatus(status)
 }
 
-// GrantLease makes a lease and returns its id.
-func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (lease uint64, err error) {
+// GrantLease creates a lease and returns its ID.
+func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (leaseID uint64, err error) {
 	var reply wire.LeaseReply
 	status, err := c.do(ctx, call{
 		priority: PriorityLeader, timeout: tuning.StoreTimeout,
-		method: http.MethodPost, path: "/holds", body: wire.LeaseRequest{TTLMilli: ttl.Milliseconds()}, answer: &reply,
+		method: http.MethodPost, path: "/holds", body: wire.LeaseRequest{TTLMilli: ttl.Milliseconds()}, response: &reply,
 	})
 	if err != nil {
 		return 0, fmt.Errorf("grant lease: %w", err)
@@ -213,56 +217,58 @@
 	return reply.ID, nil
 }
 
-// RenewLease renews a lease; ErrLeaseNotFound says that it has ended.
-func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
+// RenewLease renews a lease. It returns ErrLeaseNotFound if the lease has ended.
+func (c *Client) RenewLease(ctx context.Context, leaseID uint64) error {
 	status, err := c.do(ctx, call{
 		priority: PriorityLeader, timeout: tuning.StoreTimeout,
-		method: http.MethodPost, path: fmt.Sprintf("/holds/%d/renew", lease), body: struct{}{},
+		method: http.MethodPost, path: fmt.Sprintf("/holds/%d/renew", leaseID), body: struct{}{},
 	})
 	switch {
 	case err != nil:
-		return fmt.Errorf("renew lease %d: %w", lease, err)
+		return fmt.Errorf("renew lease %d: %w", leaseID, err)
 	case status == http.StatusNotFound:
-		return fmt.Errorf("renew lease %d: %w", lease, ErrLeaseNotFound)
+		return fmt.Errorf("renew lease %d: %w", leaseID, ErrLeaseNotFound)
 	case status != http.StatusOK:
-		return fmt.Errorf("renew lease %d: %w", lease, unexpectedStatus(status))
+		return fmt.Errorf("renew lease %d: %w", leaseID, unexpectedStatus(status))
 	}
 	return nil
 }
 
-// RevokeLease ends a lease, and with it the keys that are on it.
-func (c *Client) RevokeLease(ctx context.Context, lease uint64) error {
+// RevokeLease ends a lease, which deletes the keys attached to it.
+func (c *Client) RevokeLease(ctx context.Context, leaseID uint64) error {
 	_, err := c.do(ctx, call{
 		priority: PriorityLeader, timeout: tuning.StoreTimeout,
-		method: http.MethodDelete, path: fmt.Sprintf("/holds/%d", lease),
+		method: http.MethodDelete, path: fmt.Sprintf("/holds/%d", leaseID),
 	})
 	if err != nil {
-		return fmt.Errorf("revoke lease %d: %w", lease, err)
+		return fmt.Errorf("revoke lease %d: %w", leaseID, err)
 	}
 	return nil
 }
 
-// Watch returns the changes of keys with the prefix after the revision from, and waits up
-// to block for the first of them. ErrCompacted says that the keys have to be read again.
-func (c *Client) Watch(ctx context.Context, priority Priority, prefix string, from uint64, block time.Duration) (wire.WatchReply, error) {
+// Watch returns the changes after afterRevision to keys that start with prefix. If there are none
+// yet, it waits up to maxWait for the first. It returns ErrCompacted if the caller has to read the
+// keys again.
+func (c *Client) Watch(ctx context.Context, priority Priority, prefix string, afterRevision uint64, maxWait time.Duration) (wire.WatchReply, error) {
 	query := url.Values{
 		"starts":   {prefix},
-		"from":     {strconv.FormatUint(from, 10)},
-		"block_ms": {strconv.FormatInt(block.Milliseconds(), 10)},
+		"from":     {strconv.FormatUint(afterRevision, 10)},
+		"block_ms": {strconv.FormatInt(maxWait.Milliseconds(), 10)},
 	}
 	timeout := tuning.StoreTimeout
-	if block > 0 {
-		timeout = block + tuning.WatchTimeoutMargin
+	if maxWait > 0 {
+		timeout = maxWait + tuning.WatchTimeoutMargin
 	}
 	var reply wire.WatchReply
 	status, err := c.do(ctx, call{
 		priority: priority, timeout: timeout,
-		method: http.MethodGet, path: "/changes?" + query.Encode(), answer: &reply,
+		method: http.MethodGet, path: "/changes?" + query.Encode(), response: &reply,
 	})
 	switch {
-	case errors.Is(err, rpc.ErrAnswerTooLarge):
-		// This answer alone has no size limit. Whoever was away for thousands of
-		// changes reads the keys again, in pages; else it would never catch up.
+	case errors.Is(err, rpc.ErrResponseTooLarge):
+		// The store limits the size of every response except that of a watch. A caller that
+		// has missed thousands of changes reads the keys again, page by page. It would never
+		// catch up by repeating the watch.
 		return reply, fmt.Errorf("watch %s: %w", prefix, ErrCompacted)
 	case err != nil:
 		return reply, fmt.Errorf("watch %s: %w", prefix, err)
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -15,27 +15,27 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// A watch's answer over the limit on answers counts as compacted, so that the caller reads
-// the keys again instead of repeating the watch for ever.
-func TestWatchAnswerOverLimitIsCompacted(t *testing.T) {
-	big := strings.Repeat("x", tuning.MaxStoreResponseBytes+1)
-	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(big)) }))
+// A response to a watch that exceeds the size limit is reported as ErrCompacted, so that the caller
+// reads the keys again instead of repeating the watch forever.
+func TestOversizedWatchResponseIsCompacted(t *testing.T) {
+	oversized := strings.Repeat("x", tuning.MaxStoreResponseBytes+1)
+	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(oversized)) }))
 	defer srv.Close()
 	client := New(srv.Listener.Addr().String(), 100)
 	if _, err := client.Watch(context.Background(), PriorityLeader, records.JobsPrefix, 1, 0); !errors.Is(err, ErrCompacted) {
-		t.Errorf("an answer over the limit: %v", err)
+		t.Errorf("got error %v for an oversized response", err)
 	}
 }
 
-// The store counts as serving us from when a request was sent. An answer that is read late,
-// after a process pause, says nothing of what came after the request.
-func TestServedTimeCountsFromRequestNotAnswer(t *testing.T) {
-	received, answer := make(chan struct{}), make(chan struct{})
+// UnavailableFor goes by the times at which requests were sent. A response that is read late, as
+// after a process pause, does not show that the store has served the client since the request.
+func TestUnavailabilityIsMeasuredFromRequestTime(t *testing.T) {
+	received, respond := make(chan struct{}), make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
 		case "/kv/slow":
 			close(received)
-			<-answer
+			<-respond
 			w.WriteHeader(http.StatusNotFound)
 		case "/kv/refused":
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -51,32 +51,32 @@
 		done <- err
 	}()
 	<-received
-	time.Sleep(time.Millisecond) // so that the next one is sent later
+	time.Sleep(time.Millisecond) // so that the next request has a later time
 	if _, err := client.Get(context.Background(), PriorityLeader, "refused"); !errors.Is(err, ErrUnavailable) {
 		t.Fatal(err)
 	}
-	close(answer)
+	close(respond)
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
-	if client.UnservedFor() == 0 {
-		t.Error("served, by an answer to a request of before the refusal")
+	if client.UnavailableFor() == 0 {
+		t.Error("store counts as available after a late response to a request that was sent before the refused one")
 	}
-	if _, err := client.Get(context.Background(), PriorityLeader, "other"); err != nil || client.UnservedFor() != 0 {
-		t.Errorf("not served after an answer: %v, %v", err, client.UnservedFor())
+	if _, err := client.Get(context.Background(), PriorityLeader, "other"); err != nil || client.UnavailableFor() != 0 {
+		t.Errorf("after a served request: error %v, store unavailable for %v", err, client.UnavailableFor())
 	}
 }
 
-// Each answer to a transaction has its error, from which callers tell whether it may have been
-// carried out.
+// Callers decide by the error whether a transaction may have been executed, so each response has to
+// map to the right error.
 func TestCommitErrors(t *testing.T) {
 	for _, test := range []struct {
-		name   string
-		status int
-		reply  wire.TxnReply
-		want   error
+		name    string
+		status  int
+		reply   wire.TxnReply
+		wantErr error
 	}{
-		{"carried out", http.StatusOK, wire.TxnReply{Revision: 7}, nil},
+		{"executed", http.StatusOK, wire.TxnReply{Revision: 7}, nil},
 		{"no revision", http.StatusOK, wire.TxnReply{}, ErrOutcomeUnknown},
 		{"conflict", http.StatusConflict, wire.TxnReply{Revision: 7, FailedKeys: []string{"a"}}, ErrConflict},
 		{"lease ended", http.StatusBadRequest, wire.TxnReply{Error: "no such lease"}, ErrLeaseNotFound},
@@ -97,14 +97,14 @@
 			defer srv.Close()
 			client := New(srv.Listener.Addr().String(), 1000)
 			revision, failedKeys, err := client.Commit(context.Background(), PriorityLeader, wire.Txn{})
-			if !errors.Is(err, test.want) {
-				t.Errorf("%v, not %v", err, test.want)
+			if !errors.Is(err, test.wantErr) {
+				t.Errorf("got error %v, want %v", err, test.wantErr)
 			}
-			if test.want == nil && revision != test.reply.Revision {
-				t.Errorf("revision %d", revision)
+			if test.wantErr == nil && revision != test.reply.Revision {
+				t.Errorf("got revision %d", revision)
 			}
 			if errors.Is(err, ErrConflict) && !slices.Equal(failedKeys, test.reply.FailedKeys) {
-				t.Errorf("failed keys %v", failedKeys)
+				t.Errorf("got failed keys %v", failedKeys)
 			}
 		})
 	}
--- a/internal/kvstore/health.go
+++ b/internal/kvstore/health.go
@@ -5,35 +5,36 @@
 	"time"
 )
 
-// healthTracker knows when the last request that the store served was sent, and the last
-// that it did not. It goes by when a request was sent, not by when its answer was read:
-// after a process pause, answers of long ago are read. Safe for concurrent use.
+// healthTracker records when the last request that the store served was sent, and when the last
+// request that it did not serve was sent. It uses the times of the requests, not those of the
+// responses, because a process that was paused reads outdated responses when it resumes. It is
+// safe for concurrent use.
 type healthTracker struct {
-	createdAt  time.Time
-	lastServed atomic.Int64 // when it was sent, in nanoseconds since createdAt
-	lastFailed atomic.Int64
+	createdAt   time.Time
+	lastSuccess atomic.Int64 // when it was sent, in nanoseconds since createdAt; 0 for none
+	lastFailure atomic.Int64 // like lastSuccess
 }
 
-func (h *healthTracker) served(sentAt time.Time) { h.advance(&h.lastServed, sentAt) }
-func (h *healthTracker) failed(sentAt time.Time) { h.advance(&h.lastFailed, sentAt) }
+func (h *healthTracker) recordSuccess(sentAt time.Time) { h.advance(&h.lastSuccess, sentAt) }
+func (h *healthTracker) recordFailure(sentAt time.Time) { h.advance(&h.lastFailure, sentAt) }
 
-// advance raises a time, unless a later one is known already.
-func (h *healthTracker) advance(known *atomic.Int64, sentAt time.Time) {
-	sent := int64(sentAt.Sub(h.createdAt))
+// advance sets latest to sentAt, unless it already holds a later time.
+func (h *healthTracker) advance(latest *atomic.Int64, sentAt time.Time) {
+	sentNanos := int64(sentAt.Sub(h.createdAt))
 	for {
-		previous := known.Load()
-		if sent <= previous || known.CompareAndSwap(previous, sent) {
+		previous := latest.Load()
+		if sentNanos <= previous || latest.CompareAndSwap(previous, sentNanos) {
 			return
 		}
 	}
 }
 
-// unservedFor returns for how long the store has served nothing; 0 if the latest request
-// that has an outcome was served.
-func (h *healthTracker) unservedFor() time.Duration {
-	served, failed := h.lastServed.Load(), h.lastFailed.Load()
-	if failed <= served {
+// unavailableFor returns the time since the last request that the store served, or since createdAt
+// if there is none. It returns 0 if the store served the last request whose result is known.
+func (h *healthTracker) unavailableFor() time.Duration {
+	lastSuccess, lastFailure := h.lastSuccess.Load(), h.lastFailure.Load()
+	if lastFailure <= lastSuccess {
 		return 0
 	}
-	return time.Since(h.createdAt) - time.Duration(served)
+	return time.Since(h.createdAt) - time.Duration(lastSuccess)
 }
--- a/internal/mutation/load_test.go
+++ b/internal/mutation/load_test.go
@@ -60,7 +60,7 @@
 		scenario: "a request's header does not end",
 		marker:   "header-size-limit",
 		operator: replace("1 << 30"),
-		test:     "internal/httpserver:^TestConnectionReuse$/a_head_without_end",
+		test:     "internal/httpserver:^TestConnectionReuse$/endless_header",
 	},
 	{
 		scenario: "a refused client still sends its body, and a reset overtakes the reply",
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -1,6 +1,6 @@
-// Package rpc makes CBOR calls over HTTP with bounds on connections and on the size of an
-// answer. The clients of the key-value store, the cloud, the workers and the peers are
-// built on it.
+// Package rpc provides a client for CBOR over HTTP that limits the number of connections and
+// the size of a response. The clients of the key-value store, the cloud, the workers and the
+// peer controllers use it.
 package rpc
 
 import (
@@ -16,26 +16,27 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// idleConnTimeout is how long a connection without a call is kept; bufferBytes is the size
-// of each of its buffers, small since there are thousands of connections.
 const (
+	// idleConnTimeout is how long an unused connection stays open.
 	idleConnTimeout = 20 * time.Second
-	bufferBytes     = 4 << 10
+	// connBufferBytes is the size of a connection's read buffer and of its write buffer. The
+	// buffers are small because there are thousands of connections.
+	connBufferBytes = 4 << 10
 )
 
-// Client calls one kind of server. It is safe for concurrent use.
+// Client calls servers of one kind. It is safe for concurrent use.
 type Client struct {
-	httpClient     *http.Client
-	maxAnswerBytes int64
+	httpClient       *http.Client
+	maxResponseBytes int64
 }
 
-// New makes a client with at most connsPerHost connections to a host, which reads at most
-// maxAnswerBytes of an answer and keeps at most maxIdleConns connections without a call, to
-// all hosts together.
-func New(connsPerHost, maxIdleConns int, dialTimeout time.Duration, maxAnswerBytes int64) *Client {
+// New returns a client that opens at most connsPerHost connections to each host, keeps at most
+// maxIdleConns idle connections to all hosts together, and rejects responses with a body of
+// more than maxResponseBytes.
+func New(connsPerHost, maxIdleConns int, dialTimeout time.Duration, maxResponseBytes int64) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	return &Client{
-		maxAnswerBytes: maxAnswerBytes,
+		maxResponseBytes: maxResponseBytes,
 		httpClient: &http.Client{
 			Transport: &http.Transport{
 				DialContext:           dialer.DialContext,
@@ -45,29 +46,31 @@
 				IdleConnTimeout:       idleConnTimeout,
 				DisableCompression:    true,
 				ResponseHeaderTimeout: 0,
-				WriteBufferSize:       bufferBytes,
-				ReadBufferSize:        bufferBytes,
+				WriteBufferSize:       connBufferBytes,
+				ReadBufferSize:        connBufferBytes,
 			},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
 	}
 }
 
-// ErrMalformedAnswer is returned for an answer that is not what the protocol says.
-var ErrMalformedAnswer = errors.New("malformed answer")
+// ErrMalformedResponse means that a response does not conform to the protocol.
+var ErrMalformedResponse = errors.New("malformed response")
 
-// ErrAnswerTooLarge is returned for an answer over the limit.
-var ErrAnswerTooLarge = errors.New("answer too large")
+// ErrResponseTooLarge means that a response exceeds the client's size limit.
+var ErrResponseTooLarge = errors.New("response too large")
 
-// Call sends the request (nil for no body), decodes the answer, whatever its status, and
-// returns the status. An answer of type *wire.Raw gets the undecoded body. An error means
-// that there was no usable answer: the request may or may not have been carried out.
-func (c *Client) Call(ctx context.Context, method, url string, request, answer any) (int, error) {
+// Call sends request as the CBOR body of an HTTP request, or no body if request is nil. It
+// decodes the body of the response into response, whatever the HTTP status, and returns that
+// status. If response is a *wire.Raw, it receives the undecoded body; if it is nil, the body is
+// discarded. An error means that no usable response was received: the request may or may not
+// have been executed.
+func (c *Client) Call(ctx context.Context, method, url string, request, response any) (int, error) {
 	var body io.Reader
 	if request != nil {
 		b, err := wire.Marshal(request)
 		if err != nil {
-			return 0, fmt.Errorf("encode: %w", err)
+			return 0, fmt.Errorf("encode request: %w", err)
 		}
 		body = bytes.NewReader(b)
 	}
@@ -77,31 +80,31 @@
 	}
 	if request != nil {
 		httpRequest.Header.Set("Content-Type", wire.ContentType)
-		// A request that may have been carried out is repeated by our callers,
-		// who know whether that is safe, and never by the transport.
+		// Prevents the transport from retrying a request that may have been executed. Only
+		// the callers know whether a retry is safe.
 		httpRequest.GetBody = nil
 	}
-	response, err := c.httpClient.Do(httpRequest)
+	httpResponse, err := c.httpClient.Do(httpRequest)
 	if err != nil {
 		return 0, err
 	}
-	defer response.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(response.Body, c.maxAnswerBytes+1))
+	defer httpResponse.Body.Close()
+	responseBody, err := io.ReadAll(io.LimitReader(httpResponse.Body, c.maxResponseBytes+1))
 	if err != nil {
 		return 0, err
 	}
-	if int64(len(b)) > c.maxAnswerBytes {
-		return 0, ErrAnswerTooLarge
+	if int64(len(responseBody)) > c.maxResponseBytes {
+		return 0, ErrResponseTooLarge
 	}
-	if raw, ok := answer.(*wire.Raw); ok {
-		*raw = b
-	} else if answer != nil && len(b) > 0 {
-		if err := wire.Unmarshal(b, answer); err != nil {
-			return 0, fmt.Errorf("%w: %w", ErrMalformedAnswer, err)
+	if raw, ok := response.(*wire.Raw); ok {
+		*raw = responseBody
+	} else if response != nil && len(responseBody) > 0 {
+		if err := wire.Unmarshal(responseBody, response); err != nil {
+			return 0, fmt.Errorf("%w: %w", ErrMalformedResponse, err)
 		}
 	}
-	return response.StatusCode, nil
+	return httpResponse.StatusCode, nil
 }
 
-// CloseIdleConnections closes idle connections, so that the next call dials anew.
+// CloseIdleConnections closes idle connections, so that the next call opens a new one.
 func (c *Client) CloseIdleConnections() { c.httpClient.CloseIdleConnections() }
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -1,4 +1,5 @@
-// Package worker is the client of the workers' direct interface.
+// Package worker is a client for the endpoint at which workers accept commands outside of
+// heartbeat replies.
 package worker
 
 import (
@@ -12,35 +13,41 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Bounds on connections to one worker and on the size of an answer.
+// Limits on the connections to one worker and on the size of a response.
 const (
-	connsPerWorker = 2
-	maxAnswerBytes = 1 << 20
+	connsPerWorker   = 2
+	maxResponseBytes = 1 << 20
 )
 
-// ErrUnexpectedStatus means that a worker's answer has a status that the protocol does not.
-var ErrUnexpectedStatus = errors.New("unexpected status of a worker's answer")
+// ErrUnexpectedStatus means that a worker returned an HTTP status that the protocol does not
+// define.
+var ErrUnexpectedStatus = errors.New("worker returned an unexpected status")
 
-// Client talks to workers. It is safe for concurrent use.
+// Client sends commands to workers. It is safe for concurrent use.
 type Client struct{ rpc *rpc.Client }
 
-// New makes a client.
+// New returns a client.
 func New() *Client {
-	return &Client{rpc: rpc.New(connsPerWorker, tuning.MaxIdleWorkerConns, tuning.CommandTimeout, maxAnswerBytes)}
+	return &Client{rpc: rpc.New(connsPerWorker, tuning.MaxIdleWorkerConns, tuning.CommandTimeout, maxResponseBytes)}
 }
 
-// Outcome is what became of a direct call.
+// Outcome is the result of SendCommands.
 type Outcome int
 
-// Outcomes of a direct call.
+// Outcomes of SendCommands.
 const (
-	OutcomeUnknown Outcome = iota // the commands may have been executed, or may yet be later
-	Executed                      // comes with the worker's heartbeat
-	Rejected                      // by the fencing token or incarnation; comes with the worker's heartbeat
+	// OutcomeUnknown means that the commands may have been executed, or may still be executed
+	// later.
+	OutcomeUnknown Outcome = iota
+	// Executed means that the worker executed the commands.
+	Executed
+	// Rejected means that the worker executed none of the commands: it has seen a higher
+	// fencing token, or the request names another incarnation.
+	Rejected
 )
 
-// SendCommands sends commands to the worker at addr. The heartbeat is nil unless the
-// outcome is known.
+// SendCommands sends commands to the worker at addr. It returns the heartbeat with which the
+// worker responded if the outcome is Executed or Rejected, and a nil heartbeat otherwise.
 func (c *Client) SendCommands(ctx context.Context, addr string, commands wire.DirectCommands) (Outcome, *wire.Heartbeat, error) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.CommandTimeout)
 	defer cancel()
@@ -53,7 +60,7 @@
 		return OutcomeUnknown, nil, fmt.Errorf("send commands to %s: %w: %d", addr, ErrUnexpectedStatus, status)
 	}
 	if err := heartbeat.Validate(); err != nil {
-		return OutcomeUnknown, nil, fmt.Errorf("send commands to %s: %w: %w", addr, rpc.ErrMalformedAnswer, err)
+		return OutcomeUnknown, nil, fmt.Errorf("send commands to %s: %w: %w", addr, rpc.ErrMalformedResponse, err)
 	}
 	if status == http.StatusConflict {
 		return Rejected, &heartbeat, nil
