--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -97,7 +97,7 @@
 		admission:       newAdmission(),
 		workerCallSlots: make(chan struct{}, maxConcurrentWorkerCalls(cfg)),
 	}
-	c.membership = newMembership(cfg.Peers, c.store.UnservedFor)
+	c.membership = newMembership(cfg.Peers, c.store.UnavailableFor)
 	c.jobSync = newJobSync(c)
 	return c
 }
--- a/internal/controller/executor.go
+++ b/internal/controller/executor.go
@@ -168,7 +168,7 @@
 // error if the other side violates the protocol.
 func logCallFailure(log *slog.Logger, message string, err error, attributes ...any) {
 	level := slog.LevelDebug
-	if errors.Is(err, rpc.ErrMalformedAnswer) {
+	if errors.Is(err, rpc.ErrMalformedResponse) {
 		level = slog.LevelError
 	}
 	log.Log(context.Background(), level, message, append([]any{"err", err}, attributes...)...)
