--- a/internal/controller/pings.go
+++ b/internal/controller/pings.go
@@ -75,8 +75,8 @@
 		c.leadership.scheduler.Cancelled(c.now(), pong.Confirmed)
 	}
 	c.learnLeader(pong.Leader, pong.Term)
-	if pong.Term == c.membership.leader.term && pong.EnforcedAgoMilli > 0 {
-		c.cancellations.raiseEnforced(sentAt.Add(-milliseconds(pong.EnforcedAgoMilli)))
+	if pong.Term == c.membership.leader.term && pong.EnforcedWatermarkAgeMilli > 0 {
+		c.cancellations.raiseEnforced(sentAt.Add(-milliseconds(pong.EnforcedWatermarkAgeMilli)))
 	}
 }
 
@@ -105,7 +105,7 @@
 		pong.Running = c.leadership.scheduler.View().RunningTasks()
 	}
 	if age := time.Since(c.cancellations.enforcedUntil); age < maxEnforcedAge {
-		pong.EnforcedAgoMilli = age.Milliseconds() + 1
+		pong.EnforcedWatermarkAgeMilli = age.Milliseconds() + 1
 	}
 	seen := ping.ConfirmationsSeen
 	if ping.ConfirmationsBootID != c.bootID {
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -22,9 +22,9 @@
 	golden.CheckCoverage(t, all...)
 }
 
-// TestWordsOfTheProtocolMatchGoldenFile covers paths, request kinds and the text form
-// of bytes.
-func TestWordsOfTheProtocolMatchGoldenFile(t *testing.T) {
+// TestProtocolConstantsMatchGoldenFile covers paths, request kinds and the encoding of bytes as
+// text.
+func TestProtocolConstantsMatchGoldenFile(t *testing.T) {
 	golden.CheckLines(t, "words.txt",
 		peer.PingPath, peer.ForwardPath, peer.WatchProcessPath,
 		peer.KindSubmit, peer.KindQuery, peer.KindCancel,
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,7 +1,7 @@
-// Package peer is the protocol between controllers, in CBOR over HTTP: pings that carry who
-// leads and which cancellations were confirmed, and users' requests that a controller
-// cannot serve itself. Controllers of different versions run side by side during an
-// upgrade, so messages keep their form.
+// Package peer implements the protocol between controllers, CBOR over HTTP. Controllers ping
+// each other to exchange the known leader and the cancellations that were confirmed to users,
+// and forward users' requests that they cannot serve themselves. Messages must stay compatible,
+// since controllers of different versions run side by side during an upgrade.
 package peer
 
 import (
@@ -23,49 +23,51 @@
 	WatchProcessPath = "/mesh/v1/hold"
 )
 
-// ErrUnexpectedAnswer means that a peer's answer is not what the protocol has.
-var ErrUnexpectedAnswer = errors.New("unexpected answer of a peer")
+// ErrUnexpectedResponse means that a peer's response does not conform to the protocol.
+var ErrUnexpectedResponse = errors.New("unexpected response from peer")
 
-// Ping says who sends it, and what it knows of the leader.
+// Ping identifies its sender and the leader that the sender knows of.
 type Ping struct {
 	Node   string `cbor:"node"`
-	BootID uint64 `cbor:"boot"` // of the sender's process
+	BootID uint64 `cbor:"boot"` // identifies the sender's process
 	Leader string `cbor:"leader,omitempty"`
 	Term   uint64 `cbor:"term,omitempty"`
-	// StoreAvailable says that the key-value store has served the sender lately.
+	// StoreAvailable is set if the key-value store has recently answered the sender.
 	StoreAvailable bool `cbor:"served,omitempty"`
-	// ConfirmationsSeen is how many entries the sender has of the receiver's list of
-	// confirmed cancellations, in the process that ConfirmationsBootID names.
+	// ConfirmationsSeen is the number of entries that the sender has received of the
+	// receiver's list of confirmed cancellations. Each process of the receiver has its own
+	// list; ConfirmationsBootID identifies the process.
 	ConfirmationsSeen   uint64 `cbor:"have,omitempty"`
 	ConfirmationsBootID uint64 `cbor:"have_boot,omitempty"`
 }
 
-// Pong answers a ping.
+// Pong is the response to a Ping.
 type Pong struct {
 	Node           string `cbor:"node"`
-	BootID         uint64 `cbor:"boot"` // of the sender's process
+	BootID         uint64 `cbor:"boot"` // identifies the sender's process
 	Leader         string `cbor:"leader,omitempty"`
 	Term           uint64 `cbor:"term,omitempty"`
 	StoreAvailable bool   `cbor:"served,omitempty"`
-	// Running has the number of running tasks of each job. Only the leader sends it, so that
-	// others can answer queries.
+	// Running is the number of running tasks by job ID. Only the leader sends it; the other
+	// controllers need it to answer queries.
 	Running map[string]int `cbor:"running,omitempty"`
 
-	// IsLeader says that the sender leads and has loaded the records.
+	// IsLeader is set if the sender is the leader and has loaded the records.
 	IsLeader bool `cbor:"leading,omitempty"`
-	// EnforcedAgoMilli is one more than for how long the leader of Term has enforced all
-	// cancellations; 0: not known.
-	EnforcedAgoMilli int64 `cbor:"led_ms,omitempty"`
-	// UptimeMilli is one more than the age of the sender's process; 0: the sender is of a
-	// version that lists no confirmations.
+	// EnforcedWatermarkAgeMilli is 1 plus the age of the enforced cancellation watermark: the
+	// leader of Term has enforced every cancellation that was confirmed before that time. 0
+	// means that the watermark is unknown or too old to be useful.
+	EnforcedWatermarkAgeMilli int64 `cbor:"led_ms,omitempty"`
+	// UptimeMilli is 1 plus the age of the sender's process. 0 means that the sender runs a
+	// version that does not list confirmed cancellations.
 	UptimeMilli int64 `cbor:"up_ms,omitempty"`
-	// Confirmed continues the sender's list of confirmed cancellations: entries
-	// ConfirmedFrom+1 to ConfirmedFrom+len(Confirmed).
+	// Confirmed holds the job IDs in entries ConfirmedFrom+1 to ConfirmedFrom+len(Confirmed)
+	// of the sender's list of confirmed cancellations.
 	ConfirmedFrom uint64   `cbor:"from,omitempty"`
 	Confirmed     []string `cbor:"told,omitempty"`
 }
 
-// RequestKind is what a forwarded request asks for.
+// RequestKind is the kind of a forwarded request.
 type RequestKind string
 
 // Kinds of forwarded requests.
@@ -75,15 +77,16 @@
 	KindCancel RequestKind = "cancel"
 )
 
-// ForwardRequest is a user's request passed to a peer. It is never passed on again.
+// ForwardRequest is a user's request that is forwarded to a peer. The peer does not forward it
+// again.
 type ForwardRequest struct {
 	Kind RequestKind `cbor:"kind"`
-	ID   string      `cbor:"id,omitempty"`
-	Body string      `cbor:"body,omitempty"` // a submission's bytes, see EncodeBytes
+	ID   string      `cbor:"id,omitempty"`   // job ID of a query or a cancellation
+	Body string      `cbor:"body,omitempty"` // submission, encoded with EncodeBytes
 }
 
-// ForwardReply is the answer to a ForwardRequest. It has the view of a query or the state of
-// another request, or an error.
+// ForwardReply is the response to a ForwardRequest. Status is the HTTP status for the user. View
+// is set for a successful query, State for another successful request, and Error on failure.
 type ForwardReply struct {
 	Status int                 `cbor:"status"`
 	View   *wire.JobView       `cbor:"view,omitempty"`
@@ -91,21 +94,22 @@
 	Error  string              `cbor:"error,omitempty"`
 }
 
-// Connections to peers: at most so many to each, and idle ones to all together.
+// Limits on connections.
 const (
-	connsPerPeer = 8
-	maxIdleConns = 64
+	maxConnsPerPeer = 8
+	maxIdleConns    = 64 // to all peers together
 )
 
-// Client talks to peers. It is safe for concurrent use.
+// Client calls peers. It is safe for concurrent use.
 type Client struct{ rpc *rpc.Client }
 
-// New makes a client.
+// New returns a Client.
 func New() *Client {
-	return &Client{rpc.New(connsPerPeer, maxIdleConns, tuning.PeerTimeout, tuning.MaxPeerResponseBytes)}
+	return &Client{rpc.New(maxConnsPerPeer, maxIdleConns, tuning.PeerTimeout, tuning.MaxPeerResponseBytes)}
 }
 
-// Ping pings the peer at addr. A refused connection is syscall.ECONNREFUSED.
+// Ping pings the peer at addr. If the peer refuses the connection, the error wraps
+// syscall.ECONNREFUSED.
 func (c *Client) Ping(ctx context.Context, addr string, ping Ping) (Pong, error) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.PeerTimeout)
 	defer cancel()
@@ -115,13 +119,13 @@
 	case err != nil:
 		return pong, fmt.Errorf("ping %s: %w", addr, err)
 	case status != http.StatusOK || pong.Node == "":
-		return pong, fmt.Errorf("ping %s: %w: status %d", addr, ErrUnexpectedAnswer, status)
+		return pong, fmt.Errorf("ping %s: %w: status %d", addr, ErrUnexpectedResponse, status)
 	}
 	return pong, nil
 }
 
-// WatchProcess waits for an answer that the peer holds back. It returns early, with an
-// error, when the peer's process ends.
+// WatchProcess sends a request that the peer answers only after tuning.PeerWatchTimeout. If the
+// peer's process ends earlier, the connection breaks and WatchProcess returns an error at once.
 func (c *Client) WatchProcess(ctx context.Context, addr string) error {
 	ctx, cancel := context.WithTimeout(ctx, tuning.PeerWatchTimeout+tuning.PeerTimeout)
 	defer cancel()
@@ -131,7 +135,7 @@
 	return nil
 }
 
-// Forward passes a user's request to the peer at addr.
+// Forward forwards a user's request to the peer at addr.
 func (c *Client) Forward(ctx context.Context, addr string, request ForwardRequest, timeout time.Duration) (ForwardReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -141,12 +145,13 @@
 	case err != nil:
 		return reply, fmt.Errorf("forward to %s: %w", addr, err)
 	case status != http.StatusOK || reply.Status == 0:
-		return reply, fmt.Errorf("forward to %s: %w: status %d", addr, ErrUnexpectedAnswer, status)
+		return reply, fmt.Errorf("forward to %s: %w: status %d", addr, ErrUnexpectedResponse, status)
 	}
 	return reply, nil
 }
 
-// EncodeBytes writes bytes as Latin-1 text, since messages have no binary data.
+// EncodeBytes converts bytes to Latin-1 text, one rune per byte, since messages hold no binary
+// data.
 func EncodeBytes(b []byte) string {
 	runes := make([]rune, len(b))
 	for i, c := range b {
@@ -155,7 +160,8 @@
 	return string(runes)
 }
 
-// DecodeBytes undoes Text. ok is false for a text that Text did not make.
+// DecodeBytes reverses EncodeBytes. ok is false if text contains a rune that EncodeBytes does not
+// produce.
 func DecodeBytes(text string) (b []byte, ok bool) {
 	b = make([]byte, 0, len(text))
 	for _, r := range text {
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -1,6 +1,6 @@
-// Package wire holds the message formats that yarrowgap speaks with users, workers, the
-// cloud and the key-value store. Clients may import it. Struct tags carry the protocol's
-// names; Go names carry the usual terms (job, task, attempt, team, zone, machine,
+// Package wire defines the messages that yarrowgap exchanges with users, workers, the cloud
+// and the key-value store. Clients may import it. Struct tags hold the field names of the
+// protocol; Go identifiers use the standard terms (job, task, attempt, team, zone, machine,
 // incarnation, fencing token, revision, lease).
 package wire
 
@@ -12,11 +12,11 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MaxBody is the protocol's limit on request bodies, and on responses to
-// workers and users, in bytes.
+// MaxBody is the protocol's limit, in bytes, on request bodies and on responses to workers
+// and users.
 const MaxBody = 64 << 10
 
-// ContentType is the media type of every body.
+// ContentType is the media type of all request and response bodies.
 const ContentType = "application/cbor"
 
 var (
@@ -28,9 +28,9 @@
 	var err error
 	decMode, err = cbor.DecOptions{
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
-		MaxNestedLevels:   16,     // the deepest message of the protocol has 4
-		MaxArrayElements:  131072, // a heartbeat or a list stays far below
-		MaxMapPairs:       4096,   // the widest message has under 30 fields
+		MaxNestedLevels:   16,     // the most deeply nested message has 4 levels
+		MaxArrayElements:  131072, // far more than a heartbeat or a list holds
+		MaxMapPairs:       4096,   // the largest message has fewer than 30 fields
 		FieldNameMatching: cbor.FieldNameMatchingCaseSensitive,
 		UTF8:              cbor.UTF8RejectInvalid,
 		TagsMd:            cbor.TagsForbidden,
@@ -50,8 +50,8 @@
 // ErrNotMap is returned by Unmarshal for a body that is not a map.
 var ErrNotMap = errors.New("body is not a CBOR map")
 
-// Unmarshal decodes a CBOR map into v. Trailing bytes, duplicate keys, deep
-// nesting and anything that is not a map are errors; unknown fields are not.
+// Unmarshal decodes a CBOR map into v. It rejects trailing bytes, duplicate keys, deep nesting
+// and values other than maps. It ignores unknown fields.
 func Unmarshal(b []byte, v any) error {
 	if len(b) == 0 || b[0]>>5 != 5 {
 		return ErrNotMap
@@ -62,8 +62,8 @@
 // Raw is an undecoded CBOR value.
 type Raw = cbor.RawMessage
 
-// JSONSize is the size of v in the JSON form, in which the protocol measures
-// its limits.
+// JSONSize returns the size of v encoded as JSON, in bytes. The protocol's size limits refer to
+// the JSON encoding. A value that cannot be encoded counts as larger than any limit.
 func JSONSize(v any) int {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -72,4 +72,4 @@
 	return len(b)
 }
 
-func finite(f float64) bool { return !math.IsNaN(f) && !math.IsInf(f, 0) }
+func isFinite(f float64) bool { return !math.IsNaN(f) && !math.IsInf(f, 0) }
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -8,8 +8,7 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// goldenMessages has every message with its CBOR form, and with its JSON form where
-// the message has one.
+// goldenMessages lists every message. json is set for those that are also encoded as JSON.
 var goldenMessages = []struct {
 	name    string
 	message any
@@ -55,8 +54,8 @@
 	golden.CheckCoverage(t, messages...)
 }
 
-// TestSubmissionMatchesGoldenFile covers the decoder of submissions, whose field tags
-// stand apart from those of Job.
+// TestSubmissionMatchesGoldenFile covers the decoding of submissions, which uses a struct with
+// its own field tags, separate from those of Job.
 func TestSubmissionMatchesGoldenFile(t *testing.T) {
 	deadline := 900.5
 	job := &wire.Job{
@@ -74,12 +73,13 @@
 		t.Errorf("parsed as %+v, want %+v", parsed, job)
 	}
 	if id := wire.JobIDOf(submission); id != job.ID {
-		t.Errorf("the id in the submission is read as %q, want %q", id, job.ID)
+		t.Errorf("JobIDOf returned %q, want %q", id, job.ID)
 	}
 }
 
-// TestWordsOfTheProtocolMatchGoldenFile covers the values of constants.
-func TestWordsOfTheProtocolMatchGoldenFile(t *testing.T) {
+// TestProtocolConstantsMatchGoldenFile covers the protocol's constants and the format of task
+// names.
+func TestProtocolConstantsMatchGoldenFile(t *testing.T) {
 	golden.CheckLines(t, "words.txt",
 		wire.ContentType, wire.MaxBody, wire.MaxTasks,
 		wire.ShapeArray, wire.ShapeService, wire.ShapeGang,
--- a/wire/job.go
+++ b/wire/job.go
@@ -7,9 +7,9 @@
 
 // Shapes of a job.
 const (
-	ShapeArray   = "batch"  // independent tasks that end by themselves
+	ShapeArray   = "batch"  // independent tasks that run to completion
 	ShapeService = "daemon" // tasks that run until the job is cancelled
-	ShapeGang    = "gang"   // gang scheduling: tasks that run at the same time, or not at all
+	ShapeGang    = "gang"   // gang scheduling: all tasks run at the same time, or none does
 )
 
 // Priorities, highest first.
@@ -28,11 +28,12 @@
 	JobCancelled = "cancelled"
 )
 
-// MaxTasks is the largest number of tasks of one job.
+// MaxTasks is the maximum number of tasks in a job.
 const MaxTasks = 100_000
 
 // Job is a validated submission. It is also the immutable part of a job's stored record.
-// An empty, non-nil list of machine types allows none: the job never fits.
+// A nil MachineTypes allows every machine type. An empty, non-nil list allows none, so that
+// the job is never placed. CPUs, GPUs and MemoryGB are the resources of one task.
 type Job struct {
 	ID                  string   `cbor:"uid" json:"uid"`
 	Class               string   `cbor:"docket" json:"docket"`
@@ -50,28 +51,28 @@
 	SameZone            bool     `cbor:"together,omitempty" json:"together,omitempty"`
 	SpreadZones         bool     `cbor:"scatter,omitempty" json:"scatter,omitempty"`
 	Spot                bool     `cbor:"loaners,omitempty" json:"loaners,omitempty"`
-	EstimatedRunS       float64  `cbor:"reckon_s" json:"reckon_s"`
-	CheckpointIntervalS float64  `cbor:"tally_s" json:"tally_s"`
-	CheckpointSaveS     float64  `cbor:"stow_s" json:"stow_s"`
-	DeadlineS           *float64 `cbor:"due_s,omitempty" json:"due_s,omitempty"`
-	CreatedAtMilli      int64    `cbor:"made_ms,omitempty" json:"made_ms,omitempty"` // time of day of the acceptance; not part of a submission
+	EstimatedRunS       float64  `cbor:"reckon_s" json:"reckon_s"`                   // estimated run time of a task
+	CheckpointIntervalS float64  `cbor:"tally_s" json:"tally_s"`                     // 0: the tasks write no checkpoints
+	CheckpointSaveS     float64  `cbor:"stow_s" json:"stow_s"`                       // time to write a checkpoint
+	DeadlineS           *float64 `cbor:"due_s,omitempty" json:"due_s,omitempty"`     // from the submission; nil: no deadline
+	CreatedAtMilli      int64    `cbor:"made_ms,omitempty" json:"made_ms,omitempty"` // Unix time of acceptance; not part of a submission
 }
 
-// Service reports whether the job's tasks run until it is cancelled.
+// Service reports whether the job's tasks run until the job is cancelled.
 func (j *Job) Service() bool { return j.Shape == ShapeService }
 
-// Gang reports whether the job's tasks run at the same time or not at all.
+// Gang reports whether the job is gang-scheduled: its tasks run at the same time or not at all.
 func (j *Job) Gang() bool { return j.Shape == ShapeGang }
 
-// The form of a job id.
+// Format of a job ID.
 const (
 	jobIDPrefix    = "run-"
 	minJobIDDigits = 6
 	maxJobIDDigits = 18
 )
 
-// ValidJobID reports whether id has the form of a job id, run-000412: the prefix
-// and six to eighteen digits.
+// ValidJobID reports whether id has the format of a job ID: the prefix run- followed by six to
+// eighteen digits, for example run-000412.
 func ValidJobID(id string) bool {
 	digits, hasPrefix := strings.CutPrefix(id, jobIDPrefix)
 	return hasPrefix && len(digits) >= minJobIDDigits && len(digits) <= maxJobIDDigits && onlyDigits(digits)
@@ -86,7 +87,8 @@
 	return true
 }
 
-// PriorityOrder returns a priority's order, 0 for the highest, or -1 if it is unknown.
+// PriorityOrder returns the position of a priority, counted from 0 for the highest, or -1 if the
+// priority is unknown.
 func PriorityOrder(priority string) int {
 	switch priority {
 	case PriorityProduction:
@@ -101,7 +103,7 @@
 	return -1
 }
 
-// MaxTasksPerZone returns how many tasks of the job one zone may hold at the most.
+// MaxTasksPerZone returns the maximum number of the job's tasks in one zone.
 func (j *Job) MaxTasksPerZone() int {
 	if j.SpreadZones {
 		return (j.Tasks + 1) / 2
@@ -109,7 +111,7 @@
 	return math.MaxInt
 }
 
-// JobView is the answer to a query about a job.
+// JobView is the response to a query about a job. Done and Running count tasks.
 type JobView struct {
 	ID      string `cbor:"uid" json:"uid"`
 	State   string `cbor:"standing" json:"standing"`
@@ -117,13 +119,13 @@
 	Running int    `cbor:"running" json:"running"`
 }
 
-// JobStateReply is the answer to a submission or a cancellation.
+// JobStateReply is the response to a submission or a cancellation.
 type JobStateReply struct {
 	ID    string `cbor:"uid" json:"uid"`
 	State string `cbor:"standing" json:"standing"`
 }
 
-// ErrorReply is the body of an error answer.
+// ErrorReply is the body of an error response.
 type ErrorReply struct {
 	Message string `cbor:"error" json:"error"`
 }
--- a/wire/submission.go
+++ b/wire/submission.go
@@ -2,24 +2,24 @@
 
 import "fmt"
 
-// Bounds on what a submission may ask, so that sums of amounts stay exact.
+// Limits on the fields of a submission.
 const (
 	maxNameBytes    = 200 // in a class, team, image, type or zone name
-	maxAmount       = 1e9
+	maxAmount       = 1e9 // bounds sums of amounts, so that they stay exact
 	maxMachineTypes = 64
 )
 
-// FieldError says what is wrong with a field of a message.
+// FieldError reports an invalid field of a message.
 type FieldError struct {
-	Field   string // its name on the wire
+	Field   string // name of the field on the wire
 	Problem string
 }
 
-// Error names the field, then the problem.
+// Error returns the field's name followed by the problem.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
-// submission is a submission as received. Pointers tell an omitted field, or a null,
-// from a zero value.
+// submission is a decoded submission before validation. Pointers distinguish an omitted or
+// null field from a zero value.
 type submission struct {
 	ID                  *string  `cbor:"uid"`
 	Class               *string  `cbor:"docket"`
@@ -43,8 +43,8 @@
 	DeadlineS           *float64 `cbor:"due_s"`
 }
 
-// ParseJob decodes and validates a submission. A malformed one is answered with status 400;
-// the error of the first invalid field, a FieldError, names it.
+// ParseJob decodes and validates a submission. If fields are invalid, it returns a FieldError
+// for the first of them. A malformed submission is answered with status 400.
 func ParseJob(body []byte) (*Job, error) {
 	var received submission
 	if err := Unmarshal(body, &received); err != nil {
@@ -53,24 +53,24 @@
 	var fields fieldValidator
 	job := &Job{
 		ID:                  fields.jobID("uid", received.ID),
-		Class:               fields.text("docket", received.Class),
-		Team:                fields.text("crew", received.Team),
+		Class:               fields.requiredText("docket", received.Class),
+		Team:                fields.requiredText("crew", received.Team),
 		Shape:               fields.oneOf("shape", received.Shape, validShape),
 		Priority:            fields.oneOf("rank", received.Priority, validPriority),
 		Tasks:               fields.taskCount("shifts", received.Tasks),
-		CPUs:                fields.amount("cpus", received.CPUs),
-		GPUs:                fields.amount("gpus", received.GPUs),
-		MemoryGB:            fields.amount("memory_gb", received.MemoryGB),
-		Image:               fields.text("kit", received.Image),
-		ImageGB:             fields.amount("pull_gb", received.ImageGB),
+		CPUs:                fields.requiredAmount("cpus", received.CPUs),
+		GPUs:                fields.requiredAmount("gpus", received.GPUs),
+		MemoryGB:            fields.requiredAmount("memory_gb", received.MemoryGB),
+		Image:               fields.requiredText("kit", received.Image),
+		ImageGB:             fields.requiredAmount("pull_gb", received.ImageGB),
 		MachineTypes:        fields.machineTypes("breeds", received.MachineTypes),
 		Zone:                fields.optionalText("pasture", received.Zone),
-		SameZone:            fields.flag("together", received.SameZone),
-		SpreadZones:         fields.flag("scatter", received.SpreadZones),
-		Spot:                fields.flag("loaners", received.Spot),
-		EstimatedRunS:       fields.amount("reckon_s", received.EstimatedRunS),
-		CheckpointIntervalS: fields.amount("tally_s", received.CheckpointIntervalS),
-		CheckpointSaveS:     fields.amount("stow_s", received.CheckpointSaveS),
+		SameZone:            fields.requiredFlag("together", received.SameZone),
+		SpreadZones:         fields.requiredFlag("scatter", received.SpreadZones),
+		Spot:                fields.requiredFlag("loaners", received.Spot),
+		EstimatedRunS:       fields.requiredAmount("reckon_s", received.EstimatedRunS),
+		CheckpointIntervalS: fields.requiredAmount("tally_s", received.CheckpointIntervalS),
+		CheckpointSaveS:     fields.requiredAmount("stow_s", received.CheckpointSaveS),
 		DeadlineS:           fields.optionalAmount("due_s", received.DeadlineS),
 	}
 	if fields.err != nil {
@@ -85,8 +85,8 @@
 
 func validPriority(priority string) bool { return PriorityOrder(priority) >= 0 }
 
-// fieldValidator checks the fields of a message one after the other and keeps the first
-// error. Each method returns the field's value, which has no meaning once there is an error.
+// fieldValidator checks the fields of a message in turn and keeps the first error. Each method
+// returns the field's value, which is meaningless once err is set.
 type fieldValidator struct{ err error }
 
 func (v *fieldValidator) fail(field, problem string) {
@@ -95,8 +95,8 @@
 	}
 }
 
-// text is a required text.
-func (v *fieldValidator) text(field string, value *string) string {
+// requiredText checks a string that must be present and not empty.
+func (v *fieldValidator) requiredText(field string, value *string) string {
 	if value == nil {
 		v.fail(field, "missing")
 		return ""
@@ -104,7 +104,7 @@
 	return v.optionalText(field, value)
 }
 
-// optionalText is a text that may be omitted, but not be empty.
+// optionalText checks a string that may be omitted but must not be empty.
 func (v *fieldValidator) optionalText(field string, value *string) string {
 	if value == nil {
 		return ""
@@ -119,7 +119,7 @@
 }
 
 func (v *fieldValidator) jobID(field string, value *string) string {
-	id := v.text(field, value)
+	id := v.requiredText(field, value)
 	if !ValidJobID(id) {
 		v.fail(field, "malformed")
 	}
@@ -127,7 +127,7 @@
 }
 
 func (v *fieldValidator) oneOf(field string, value *string, valid func(string) bool) string {
-	text := v.text(field, value)
+	text := v.requiredText(field, value)
 	if !valid(text) {
 		v.fail(field, fmt.Sprintf("unknown: %q", text))
 	}
@@ -146,14 +146,14 @@
 	return int(*value)
 }
 
-// amount is a required number.
-func (v *fieldValidator) amount(field string, value *float64) float64 {
+// requiredAmount checks a number that must be present, finite and between 0 and maxAmount.
+func (v *fieldValidator) requiredAmount(field string, value *float64) float64 {
 	if value == nil {
 		v.fail(field, "missing")
 		return 0
 	}
 	//mutation:amount-is-finite
-	if !finite(*value) || *value < 0 || *value > maxAmount {
+	if !isFinite(*value) || *value < 0 || *value > maxAmount {
 		v.fail(field, "out of range")
 		return 0
 	}
@@ -164,11 +164,11 @@
 	if value == nil {
 		return nil
 	}
-	amount := v.amount(field, value)
+	amount := v.requiredAmount(field, value)
 	return &amount
 }
 
-func (v *fieldValidator) flag(field string, value *bool) bool {
+func (v *fieldValidator) requiredFlag(field string, value *bool) bool {
 	if value == nil {
 		//mutation:required-flag
 		v.fail(field, "missing")
@@ -177,7 +177,8 @@
 	return *value
 }
 
-// machineTypes keeps a list that was sent empty apart from one that was not sent.
+// machineTypes checks a list of machine types. It returns nil for an omitted list and a non-nil
+// empty slice for an empty one.
 func (v *fieldValidator) machineTypes(field string, names []string) []string {
 	if names == nil {
 		return nil
@@ -188,12 +189,13 @@
 	}
 	types := make([]string, 0, len(names))
 	for i := range names {
-		types = append(types, v.text(field, &names[i]))
+		types = append(types, v.requiredText(field, &names[i]))
 	}
 	return types
 }
 
-// JobIDOf returns the job id in a body that is not a valid submission, or "".
+// JobIDOf returns the job ID in the body of a submission whose other fields may be invalid. It
+// returns "" if the body cannot be decoded or the ID is invalid.
 func JobIDOf(body []byte) string {
 	var received struct {
 		ID string `cbor:"uid"`
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { os.Exit(fixedseed.Run(m)) }
 
-// validSubmission is a submission with every field, as a map in which tests can break one.
+// validSubmission returns a valid submission with every field, as a map that tests can modify.
 func validSubmission() map[string]any {
 	return map[string]any{
 		"uid": "run-000412", "docket": "train", "crew": "vision", "shape": "batch", "rank": "urgent", "shifts": 16,
@@ -37,32 +37,32 @@
 func TestJobRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		amount := rapid.Float64Range(0, 1e6)
-		f := validSubmission()
-		f["shifts"] = rapid.IntRange(1, wire.MaxTasks).Draw(t, "tasks")
+		submission := validSubmission()
+		submission["shifts"] = rapid.IntRange(1, wire.MaxTasks).Draw(t, "tasks")
 		for _, k := range []string{"cpus", "gpus", "memory_gb", "pull_gb", "reckon_s", "tally_s", "stow_s", "due_s"} {
-			f[k] = amount.Draw(t, k)
+			submission[k] = amount.Draw(t, k)
 			if rapid.Bool().Draw(t, k+" whole") {
-				f[k] = int(f[k].(float64)) // integers are read where an amount stands
+				submission[k] = int(submission[k].(float64)) // an amount may be encoded as an integer
 			}
 		}
 		for _, k := range []string{"docket", "crew", "kit"} {
-			f[k] = rapid.StringMatching(`[a-z0-9-]{1,40}`).Draw(t, k)
+			submission[k] = rapid.StringMatching(`[a-z0-9-]{1,40}`).Draw(t, k)
 		}
 		if rapid.Bool().Draw(t, "omit") {
-			delete(f, "pasture")
-			delete(f, "due_s")
-			f["later"] = map[string]any{"unknown": true}
+			delete(submission, "pasture")
+			delete(submission, "due_s")
+			submission["later"] = map[string]any{"unknown": true}
 		}
-		j, err := wire.ParseJob(encode(t, f))
+		j, err := wire.ParseJob(encode(t, submission))
 		if err != nil {
 			t.Fatal(err)
 		}
-		again := &wire.Job{}
-		if err := wire.Unmarshal(encode(t, j), again); err != nil || !reflect.DeepEqual(j, again) {
-			t.Fatalf("%v: %+v became %+v", err, j, again)
+		decoded := &wire.Job{}
+		if err := wire.Unmarshal(encode(t, j), decoded); err != nil || !reflect.DeepEqual(j, decoded) {
+			t.Fatalf("%v: %+v became %+v", err, j, decoded)
 		}
-		if j.Tasks != f["shifts"].(int) || j.Class != f["docket"] || (j.DeadlineS == nil) != (f["due_s"] == nil) {
-			t.Fatalf("%v was read as %+v", f, j)
+		if j.Tasks != submission["shifts"].(int) || j.Class != submission["docket"] || (j.DeadlineS == nil) != (submission["due_s"] == nil) {
+			t.Fatalf("%v was parsed as %+v", submission, j)
 		}
 	})
 }
@@ -82,10 +82,10 @@
 		"due_s":     {-5, math.NaN()},
 	} {
 		for _, v := range values {
-			f := validSubmission()
-			f[field] = v
-			if j, err := wire.ParseJob(encode(t, f)); err == nil {
-				t.Errorf("%s = %v is accepted: %+v", field, v, j)
+			submission := validSubmission()
+			submission[field] = v
+			if j, err := wire.ParseJob(encode(t, submission)); err == nil {
+				t.Errorf("%s = %v was accepted: %+v", field, v, j)
 			} else if fieldErr := (*wire.FieldError)(nil); !strings.Contains(err.Error(), field) || errors.As(err, &fieldErr) && fieldErr.Field != field {
 				t.Errorf("%s = %v: the error does not name the field: %v", field, v, err)
 			}
@@ -96,10 +96,10 @@
 func TestUnmarshalRejectsDuplicateKeysAndTrailingBytes(t *testing.T) {
 	b := encode(t, validSubmission())
 	if _, err := wire.ParseJob(append(b[:len(b):len(b)], 0xf6)); err == nil {
-		t.Error("trailing bytes are accepted")
+		t.Error("trailing bytes were accepted")
 	}
 	if err := wire.Unmarshal([]byte{0xa2, 0x61, 'a', 1, 0x61, 'a', 2}, &map[string]int{}); err == nil {
-		t.Error("a map with the same key twice is accepted")
+		t.Error("a map with a duplicate key was accepted")
 	}
 }
 
@@ -114,31 +114,31 @@
 			return
 		}
 		if !wire.ValidJobID(j.ID) || j.Tasks < 1 || j.Tasks > wire.MaxTasks || !(j.CPUs >= 0) || wire.PriorityOrder(j.Priority) < 0 {
-			t.Errorf("accepted: %+v", j)
+			t.Errorf("accepted an invalid job: %+v", j)
 		}
 		if wire.JobIDOf(b) != j.ID {
-			t.Errorf("id of the same body: %q and %q", wire.JobIDOf(b), j.ID)
+			t.Errorf("JobIDOf returned %q, ParseJob %q", wire.JobIDOf(b), j.ID)
 		}
 	})
 }
 
 func FuzzHeartbeat(f *testing.F) {
-	r := wire.Heartbeat{Machine: "n-000231", Address: "10.1.0.232:9000", Incarnation: 1, Sequence: 88,
+	heartbeat := wire.Heartbeat{Machine: "n-000231", Address: "10.1.0.232:9000", Incarnation: 1, Sequence: 88,
 		Tasks: []wire.TaskStatus{{Task: "run-000412/3", Attempt: 2, State: wire.TaskRunning}}}
-	f.Add(encode(f, r))
+	f.Add(encode(f, heartbeat))
 	f.Add([]byte{0xa1, 0x63, 'r', 'i', 'g', 0xf6})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		var r wire.Heartbeat
-		if wire.Unmarshal(b, &r) != nil || r.Validate() != nil {
+		var heartbeat wire.Heartbeat
+		if wire.Unmarshal(b, &heartbeat) != nil || heartbeat.Validate() != nil {
 			return
 		}
-		if r.Incarnation == 0 || r.Machine == "" {
-			t.Errorf("accepted: %+v", r)
+		if heartbeat.Incarnation == 0 || heartbeat.Machine == "" {
+			t.Errorf("accepted an invalid heartbeat: %+v", heartbeat)
 		}
-		for _, task := range r.Tasks {
+		for _, task := range heartbeat.Tasks {
 			id, index, ok := wire.ParseTaskName(task.Task)
 			if !ok || !wire.ValidJobID(id) || index < 0 {
-				t.Errorf("accepted task %q", task.Task)
+				t.Errorf("accepted an invalid task name %q", task.Task)
 			}
 		}
 	})
--- a/wire/worker.go
+++ b/wire/worker.go
@@ -23,14 +23,15 @@
 	CauseUnknown    = "unknown"
 )
 
-// Verbs of a command.
+// Verbs of commands.
 const (
 	VerbRun    = "run"
 	VerbStop   = "halt"
 	VerbForget = "forget"
 )
 
-// TaskStatus is the state of one task in a worker's heartbeat.
+// TaskStatus is the state of one task in a worker's heartbeat. Cause is set once the task has
+// exited.
 type TaskStatus struct {
 	Task         string `cbor:"shift" json:"shift"`
 	Attempt      uint64 `cbor:"try" json:"try"`
@@ -39,8 +40,9 @@
 	Checkpointed bool   `cbor:"saved,omitempty" json:"saved,omitempty"`
 }
 
-// Heartbeat is a worker's periodic report of itself and all its tasks. Incarnation tells
-// the worker's process from its predecessors; Sequence counts its messages.
+// Heartbeat is a worker's periodic report on itself and all its tasks. Incarnation identifies the
+// worker's process and grows with each restart; Sequence counts the process's heartbeats.
+// InterruptionInS is the time until a spot machine is interrupted, or nil if none is announced.
 type Heartbeat struct {
 	Machine         string       `cbor:"rig" json:"rig"`
 	Address         string       `cbor:"address" json:"address"`
@@ -54,13 +56,13 @@
 	Tasks           []TaskStatus `cbor:"shifts" json:"shifts"`
 }
 
-// Bounds on the texts of a heartbeat.
+// Limits on the strings in a heartbeat.
 const (
 	maxMachineNameBytes = 100
 	maxAddressBytes     = 100
 )
 
-// Validate returns a FieldError for the first malformed field.
+// Validate returns a FieldError for the first invalid field, or nil.
 func (h *Heartbeat) Validate() error {
 	switch {
 	case h.Machine == "" || len(h.Machine) > maxMachineNameBytes || strings.ContainsAny(h.Machine, " /"):
@@ -69,7 +71,7 @@
 		return &FieldError{Field: "address", Problem: "malformed"}
 	case h.Incarnation == 0:
 		return &FieldError{Field: "tenure", Problem: "missing"}
-	case h.InterruptionInS != nil && (!finite(*h.InterruptionInS) || *h.InterruptionInS < 0):
+	case h.InterruptionInS != nil && (!isFinite(*h.InterruptionInS) || *h.InterruptionInS < 0):
 		return &FieldError{Field: "recall_s", Problem: "out of range"}
 	}
 	for i := range h.Tasks {
@@ -80,13 +82,13 @@
 	return nil
 }
 
-// NewerThan reports whether h was sent later than the message with the given incarnation
-// and sequence.
+// NewerThan reports whether h was sent after the heartbeat with the given incarnation and
+// sequence.
 func (h *Heartbeat) NewerThan(incarnation, sequence uint64) bool {
 	return h.Incarnation > incarnation || h.Incarnation == incarnation && h.Sequence > sequence
 }
 
-// Command is one command to a worker.
+// Command is a command to a worker.
 type Command struct {
 	Verb         string   `cbor:"verb" json:"verb"`
 	Task         string   `cbor:"shift" json:"shift"`
@@ -94,31 +96,33 @@
 	GracePeriodS *float64 `cbor:"leeway_s,omitempty" json:"leeway_s,omitempty"`
 }
 
-// HeartbeatReply is the answer to a heartbeat.
+// HeartbeatReply is the response to a heartbeat.
 type HeartbeatReply struct {
 	FencingToken uint64    `cbor:"baton" json:"baton"`
 	Commands     []Command `cbor:"orders" json:"orders"`
 }
 
-// Redirect sends a worker to the leader, or to the next controller if it is empty.
+// Redirect tells a worker to send its heartbeats to the leader. If Leader is empty, the worker
+// tries the next controller.
 type Redirect struct {
 	Leader string `cbor:"foreman,omitempty" json:"foreman,omitempty"`
 }
 
-// DirectCommands is the body of POST /commands.
+// DirectCommands is the body of POST /commands, by which the leader sends commands to a worker
+// without waiting for its next heartbeat.
 type DirectCommands struct {
 	FencingToken uint64    `cbor:"baton" json:"baton"`
 	Incarnation  uint64    `cbor:"tenure" json:"tenure"`
 	Commands     []Command `cbor:"orders" json:"orders"`
 }
 
-// maxTaskIndexDigits bounds the index in a task's name.
+// maxTaskIndexDigits is the maximum length of the index in a task name.
 const maxTaskIndexDigits = 6
 
-// TaskName returns the name of a task on the wire, run-000412/3.
+// TaskName returns the name of a task on the wire, for example run-000412/3.
 func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
-// ParseTaskName returns the parts of a task's name; ok is false if it is malformed.
+// ParseTaskName splits a task name into job ID and index. ok is false if the name is malformed.
 func ParseTaskName(name string) (job string, index int, ok bool) {
 	job, digits, found := strings.Cut(name, "/")
 	if !found || !ValidJobID(job) || digits == "" || len(digits) > maxTaskIndexDigits || !onlyDigits(digits) {
