--- a/internal/controller/candidate.go
+++ b/internal/controller/candidate.go
@@ -52,7 +52,7 @@
 		return 0, writeErr
 	}
 	var stored records.Leader
-	if wire.Unmarshal(item.Value, &stored) != nil || stored.Boot != c.record.Boot {
+	if wire.Unmarshal(item.Value, &stored) != nil || stored.BootID != c.record.BootID {
 		return 0, writeErr
 	}
 	return item.ModRevision, nil
--- a/internal/controller/candidate_test.go
+++ b/internal/controller/candidate_test.go
@@ -45,7 +45,7 @@
 				case r.URL.Path == "/holds":
 					answer(w, wire.LeaseReply{ID: lease})
 				case strings.HasSuffix(r.URL.Path, records.LeaderKey) && test.stored.ModRevision != 0:
-					raw, err := wire.Marshal(records.Leader{Node: "drover-0", Boot: test.bootID})
+					raw, err := wire.Marshal(records.Leader{Node: "drover-0", BootID: test.bootID})
 					if err != nil {
 						t.Error(err)
 					}
@@ -59,7 +59,7 @@
 			defer srv.Close()
 			self := candidate{
 				store:  kvstore.New(srv.Listener.Addr().String(), 1000),
-				record: records.Leader{Node: "drover-0", Boot: bootID},
+				record: records.Leader{Node: "drover-0", BootID: bootID},
 			}
 			gotRevision, gotLease, err := self.acquire(t.Context(), time.Second)
 			if won := err == nil; won != test.won || revoked == test.won {
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -92,7 +92,7 @@
 func (e election) tryToLead(ctx context.Context) bool {
 	c := e.controller
 	askedAt := time.Now()
-	self := candidate{store: c.store, record: records.Leader{Node: c.cfg.Node, Addr: c.cfg.PeerAddr, Boot: c.bootID}}
+	self := candidate{store: c.store, record: records.Leader{Node: c.cfg.Node, Addr: c.cfg.PeerAddr, BootID: c.bootID}}
 	revision, lease, err := self.acquire(ctx, leaderLeaseTTL(c.cfg))
 	if err != nil {
 		logCallFailure(c.log, "leadership not acquired", err)
--- a/internal/reconcile/classify.go
+++ b/internal/reconcile/classify.go
@@ -1,27 +1,33 @@
 package reconcile
 
-// Class is the one class that an attempt from before the term falls into.
+// Class is the class of an attempt that was started before this term. Each such attempt is in
+// exactly one class.
 type Class uint8
 
-// Classes of attempts. None is that of attempts of the term itself.
+// Classes of attempts.
 const (
+	// None is the class of attempts that were started in this term.
 	None Class = iota
-	// MissingUnproven is recorded, and nothing shows yet whether it is there.
+	// MissingUnproven means that the attempt is recorded, and it is not known yet whether its
+	// worker has it.
 	MissingUnproven
-	// MissingProven is recorded, and proven to be gone.
+	// MissingProven means that the attempt is recorded, and proven to be gone.
 	MissingProven
-	// Confirmed is recorded, and its worker lists it.
+	// Confirmed means that the attempt is recorded, and its worker lists it.
 	Confirmed
-	// Failed is recorded, and has ended without completing.
+	// Failed means that the attempt is recorded, and has ended without completing its task.
 	Failed
-	// FinishedUnrecorded has completed, and its task was not recorded as done.
+	// FinishedUnrecorded means that the attempt has completed its task, and the task is not
+	// recorded as done.
 	FinishedUnrecorded
-	// Unrecorded is listed by a worker, and no record names it.
+	// Unrecorded means that a worker lists the attempt, and no record names it.
 	Unrecorded
-	// Superseded is listed beside another attempt of its task.
+	// Superseded means that a worker lists the attempt, and another attempt of its task is
+	// kept instead.
 	Superseded
-	// Obsolete is recorded or listed although its job has ended, or its task is recorded
-	// as done.
+	// Obsolete means that the attempt is recorded or listed, but its task need not run any
+	// more: the job has ended or been cancelled, or the task is recorded as done. An attempt
+	// without a record that has ended without completing its task is Obsolete, too.
 	Obsolete
 
 	classCount
@@ -41,7 +47,7 @@
 
 func (c Class) String() string { return classNames[c] }
 
-// ParseClass finds a class by its name. There is none for None.
+// ParseClass returns the class with the given name. It does not accept the name of None.
 func ParseClass(name string) (Class, bool) {
 	for c, n := range classNames {
 		if n == name && Class(c) != None {
@@ -51,22 +57,22 @@
 	return None, false
 }
 
-// Action is what a leader has to do about an attempt.
+// Action is what the leader does about an attempt.
 type Action uint8
 
-// Actions. Only Replace and Stop lead to operations on machines.
+// Actions. Only Replace and Stop cause operations on machines.
 const (
 	// Keep leaves the attempt as it is.
 	Keep Action = iota
-	// Await waits for a heartbeat, or for the release of the machine.
+	// Await waits for a heartbeat from the machine, or for the machine's release.
 	Await
-	// Replace starts the task again, as a new attempt.
+	// Replace starts a new attempt of the task.
 	Replace
-	// Drop forgets the attempt, which is not needed any more.
+	// Drop discards the attempt, which is gone, without starting its task again.
 	Drop
-	// Adopt keeps and records an attempt that runs without a record.
+	// Adopt keeps an active attempt that has no record, and records it.
 	Adopt
-	// Stop ends the attempt on its machine.
+	// Stop stops the attempt on its machine.
 	Stop
 	// RecordDone records that the task is done.
 	RecordDone
@@ -80,49 +86,51 @@
 
 func (a Action) String() string { return actionNames[a] }
 
-// Observation is how a worker's heartbeat lists an attempt.
+// Observation is what is known about an attempt from its worker's heartbeats, or from the release
+// of its machine.
 type Observation uint8
 
 // Observations.
 const (
-	// Unreported means that there was no heartbeat of the worker yet.
+	// Unreported means that the worker has not sent a heartbeat yet.
 	Unreported Observation = iota
-	// Absent means that a heartbeat, or the machine's release, proves that it is gone.
+	// Absent means that a heartbeat, or the machine's release, proves that the attempt is gone.
 	Absent
-	// Active means that it fetches its image, runs or writes a checkpoint.
+	// Active means that the attempt is fetching its image, running or writing a checkpoint.
 	Active
-	// Completed means that it has ended, and its task is done.
+	// Completed means that the attempt has ended and completed its task.
 	Completed
-	// Ended means that it has ended otherwise.
+	// Ended means that the attempt has ended without completing its task.
 	Ended
 
 	observationCount
 )
 
-// Evidence is what is known of an attempt from before the term.
+// Evidence is what is known about an attempt that was started before this term.
 type Evidence struct {
-	Observation    Observation
-	Recorded       bool // a record names the attempt
-	JobIsLive      bool // its job has a live record and is not cancelled
-	TaskIsDone     bool // its task is recorded as done
-	HasDuplicate   bool // another attempt of its task has the better claim
-	MachineAllowed bool // its job allows the machine
-	OverQuota      bool // its team's quota limit leaves no space for it
+	Observation           Observation
+	Recorded              bool // a record names the attempt
+	JobIsLive             bool // the job has a live record and is not cancelled
+	TaskIsDone            bool // the task is recorded as done
+	HasPreferredDuplicate bool // another attempt of the task takes precedence
+	MachineAllowed        bool // the job allows the machine
+	OverQuota             bool // adopting the attempt would exceed the team's quota limit
 }
 
-// Verdict is an attempt's class and what follows from it.
+// Verdict is the class of an attempt and the resulting action.
 type Verdict struct {
 	Class  Class
 	Action Action
 }
 
-// Classify gives the one verdict on an attempt. It never starts a task again while an
-// attempt of it may still be there: Replace needs the proof that Absent and Ended are.
+// Classify determines the class of an attempt and the resulting action. It never starts a task
+// again while an attempt of the task may still be running: it returns Replace only for Absent
+// and Ended, which prove that the attempt is gone.
 func Classify(e Evidence) Verdict {
 	switch e.Observation {
 	case Unreported:
 		if !e.JobIsLive {
-			return Verdict{Obsolete, Stop} // the record alone says so
+			return Verdict{Obsolete, Stop} // the records alone show it
 		}
 		return Verdict{MissingUnproven, Await}
 	case Absent:
@@ -141,12 +149,12 @@
 	return classifyActive(e)
 }
 
-// taskIsNeeded reports whether the task still has to be run to completion.
+// taskIsNeeded reports whether the task still has to run to completion.
 func (e *Evidence) taskIsNeeded() bool { return e.JobIsLive && !e.TaskIsDone }
 
-// replaceOrDrop is what follows from an attempt that is proven to be gone.
+// replaceOrDrop returns the action for an attempt that is proven to be gone.
 func (e *Evidence) replaceOrDrop() Action {
-	if e.taskIsNeeded() && !e.HasDuplicate {
+	if e.taskIsNeeded() && !e.HasPreferredDuplicate {
 		return Replace
 	}
 	return Drop
@@ -156,7 +164,7 @@
 	switch {
 	case !e.taskIsNeeded():
 		return Verdict{Obsolete, Stop}
-	case e.HasDuplicate:
+	case e.HasPreferredDuplicate:
 		return Verdict{Superseded, Stop}
 	case e.Recorded:
 		return Verdict{Confirmed, Keep}
--- a/internal/reconcile/golden_test.go
+++ b/internal/reconcile/golden_test.go
@@ -6,9 +6,10 @@
 	"github.com/yarrowgap/yarrowgap/internal/golden"
 )
 
-// TestOperatorAnswersMatchGoldenFiles covers what operators are shown of a recovery.
-func TestOperatorAnswersMatchGoldenFiles(t *testing.T) {
-	answers := map[string]any{
+// TestOperatorResponsesMatchGoldenFiles covers the JSON that the operator API returns about a
+// reconciliation.
+func TestOperatorResponsesMatchGoldenFiles(t *testing.T) {
+	responses := map[string]any{
 		"status":      &Status{},
 		"phase-time":  &PhaseTime{},
 		"order-count": &OperationCount{},
@@ -16,16 +17,15 @@
 		"attempt":     &Attempt{},
 	}
 	var all []any
-	for name, answer := range answers {
-		golden.CheckEncoding(t, name, golden.JSON, answer)
-		all = append(all, answer)
+	for name, response := range responses {
+		golden.CheckEncoding(t, name, golden.JSON, response)
+		all = append(all, response)
 	}
 	golden.CheckCoverage(t, all...)
 }
 
-// TestWordsInAnswersMatchGoldenFile covers the names of classes, actions, kinds of
-// orders and phases.
-func TestWordsInAnswersMatchGoldenFile(t *testing.T) {
+// TestEnumNamesMatchGoldenFile covers the names of classes, actions, operation kinds and phases.
+func TestEnumNamesMatchGoldenFile(t *testing.T) {
 	golden.CheckLines(t, "words.txt",
 		None, MissingUnproven, MissingProven, Confirmed, Failed, FinishedUnrecorded, Unrecorded, Superseded, Obsolete,
 		Keep, Await, Replace, Drop, Adopt, Stop, RecordDone,
--- a/internal/reconcile/operations.go
+++ b/internal/reconcile/operations.go
@@ -10,20 +10,20 @@
 type Attempt struct {
 	Machine string `json:"machine"`
 	Task    string `json:"task"`
-	Number  uint64 `json:"attempt"`
+	Number  uint64 `json:"attempt"` // attempt number
 }
 
-// Difference is an attempt whose record and listing do not agree, and what follows.
+// Difference is an attempt whose record and heartbeat listing disagree, and the resulting action.
 type Difference struct {
 	Attempt
 	Class    Class
 	Action   Action
 	Recorded bool // a record names the attempt
-	Late     bool // found after the reconciliation was settled
-	At       time.Duration
+	Late     bool // found after the reconciliation had settled
+	FoundAt  time.Duration
 }
 
-// OperationKind is a kind of operation.
+// OperationKind is the kind of an operation.
 type OperationKind uint8
 
 // Kinds of operations.
@@ -45,21 +45,21 @@
 func (k OperationKind) String() string { return operationKindNames[k] }
 
 // Operation is the first command or cloud call of its kind for an attempt, a machine or a
-// provisioning request. Retries are not counted.
+// provisioning request. Retries are not operations.
 type Operation struct {
 	Kind    OperationKind
 	Machine string // empty for provisioning
 	Task    string // empty for provisioning and releases
-	Number  uint64 // the attempt
+	Number  uint64 // attempt number; 0 for provisioning and releases
 }
 
-// OperationCount counts operations: all, and those that a difference asked for.
+// OperationCount counts all operations of a kind, and those attributed to a difference.
 type OperationCount struct {
 	Total      int `json:"total"`
 	Attributed int `json:"traced"`
 }
 
-// EventKind is a kind of event.
+// EventKind is the kind of an event.
 type EventKind uint8
 
 // Kinds of events.
@@ -69,54 +69,55 @@
 	OperationCounted
 )
 
-// Event is something that traces and logs show.
+// Event is an occurrence that is shown in traces and logs.
 type Event struct {
 	Kind       EventKind
 	At         time.Duration
-	Phase      Phase     // of PhaseEntered
-	Operation  Operation // of OperationCounted; of MachineConfirmed only the machine
-	Attributed bool      // a difference asked for the operation
+	Phase      Phase     // set for PhaseEntered
+	Operation  Operation // set for OperationCounted; for MachineConfirmed only the machine
+	Attributed bool      // whether a difference caused the operation
 }
 
-// operationLedger counts operations, and attributes them to differences.
-type operationLedger struct {
+// operationTracker counts operations and attributes them to the differences that caused them.
+type operationTracker struct {
 	counts         [operationKindCount]OperationCount
-	expectedStops  map[Attempt]bool // attempts that differences stop
-	expectedStarts map[string]bool  // tasks that differences start again
+	expectedStops  map[Attempt]bool // attempts to stop because of a difference
+	expectedStarts map[string]bool  // tasks to start again because of a difference
 }
 
-func newOperationLedger() operationLedger {
-	return operationLedger{expectedStops: map[Attempt]bool{}, expectedStarts: map[string]bool{}}
+func newOperationTracker() operationTracker {
+	return operationTracker{expectedStops: map[Attempt]bool{}, expectedStarts: map[string]bool{}}
 }
 
-// expect notes the operations that a difference leads to.
-func (l *operationLedger) expect(d Difference) {
+// expect registers the operations that a difference will cause.
+func (t *operationTracker) expect(d Difference) {
 	switch d.Action {
 	case Stop:
-		l.expectedStops[d.Attempt] = true
+		t.expectedStops[d.Attempt] = true
 	case Replace:
-		l.expectedStarts[d.Task] = true
+		t.expectedStarts[d.Task] = true
 	}
 }
 
-// attribute reports whether a difference asked for the operation. Each asks once.
-func (l *operationLedger) attribute(o Operation) bool {
+// attribute reports whether a difference caused the operation. Each expected operation is
+// attributed once.
+func (t *operationTracker) attribute(o Operation) bool {
 	switch o.Kind {
 	case StartOperation:
-		expected := l.expectedStarts[o.Task]
-		delete(l.expectedStarts, o.Task)
+		expected := t.expectedStarts[o.Task]
+		delete(t.expectedStarts, o.Task)
 		return expected
 	case StopOperation:
 		key := Attempt{o.Machine, o.Task, o.Number}
-		expected := l.expectedStops[key]
-		delete(l.expectedStops, key)
+		expected := t.expectedStops[key]
+		delete(t.expectedStops, key)
 		return expected
 	}
 	return false
 }
 
-// recordDifference keeps a difference for operators, and notes the operations that it
-// leads to.
+// recordDifference adds a difference to the list for operators and registers the operations that
+// it will cause.
 func (r *Reconciler) recordDifference(d Difference) {
 	if !d.Late {
 		r.operations.expect(d)
@@ -128,7 +129,7 @@
 	r.differences = append(r.differences, d)
 }
 
-// CountOperation counts an operation, unless the reconciliation is settled.
+// CountOperation counts an operation, unless the reconciliation has settled.
 func (r *Reconciler) CountOperation(now time.Duration, o Operation) {
 	if r.phase == Settled {
 		return
@@ -136,7 +137,7 @@
 	attributed := r.operations.attribute(o)
 	switch m := r.machines[o.Machine]; o.Kind {
 	case ReleaseOperation:
-		// The release of a machine is the proof that attempts on it are gone.
+		// Releasing a machine proves that the attempts on it are gone.
 		attributed = m != nil && m.unproven > 0
 	case ForgetOperation:
 		attributed = m != nil
@@ -151,8 +152,8 @@
 	}
 }
 
-// Totals counts the operations until the reconciliation was settled, those of them that
-// a difference asked for, and all differences.
+// Totals returns the number of operations before the reconciliation settled, the number of these
+// that are attributed to a difference, and the number of differences.
 func (r *Reconciler) Totals() (operations, attributed, differences int) {
 	for _, c := range r.operations.counts {
 		operations += c.Total
@@ -161,7 +162,7 @@
 	return operations, attributed, len(r.differences) + r.droppedDifferences
 }
 
-// TakeEvents returns the events since the last call.
+// TakeEvents returns and clears the events since the last call.
 func (r *Reconciler) TakeEvents() []Event {
 	events := r.events
 	r.events = nil
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -1,8 +1,8 @@
-// Package reconcile compares what a new leader has read from its records with what
-// machines list in their heartbeats, and holds back what would be needed only if the
-// machines without a heartbeat in this term were gone. Like package scheduler, which
-// consults it, it is a state machine without I/O, clock or goroutines.
-// docs/recovery.md has the alternatives that were weighed.
+// Package reconcile compares the records that a new leader has read with the tasks that machines
+// list in their heartbeats. Until machines without a heartbeat in this term are proven to be
+// gone, it holds back operations that would be needed only if they were. Like package scheduler,
+// which uses it, the package is a state machine without I/O, clock or goroutines.
+// docs/recovery.md describes the alternatives that were considered.
 package reconcile
 
 import (
@@ -13,16 +13,16 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// Phase is how far a reconciliation is.
+// Phase is a phase of a reconciliation.
 type Phase uint8
 
-// Phases, in their order. A leader that still reads the records is Loading; a Reconciler
-// begins with Collecting.
+// Phases, in order. Loading is the phase of a leader that is still reading the records; a
+// Reconciler starts in Collecting.
 const (
 	Loading     Phase = iota
-	Collecting        // waits for a heartbeat of each machine
-	Reconciling       // waits for what the differences lead to
-	Settled           // holds nothing back any more
+	Collecting        // waits for a heartbeat from each machine
+	Reconciling       // waits for the remaining machines, unproven attempts and pending stops
+	Settled           // holds nothing back
 
 	phaseCount
 )
@@ -31,65 +31,67 @@
 
 func (p Phase) String() string { return phaseNames[p] }
 
-// Config is what a reconciliation depends on.
+// Config configures a reconciliation.
 type Config struct {
-	// Enabled is whether anything is held back. Without it differences are still
-	// found, counted and shown.
+	// Enabled sets whether operations are held back. Differences are found, counted and
+	// listed in any case.
 	Enabled bool
-	// Cold is whether all controllers were down: machines without a heartbeat are then
-	// late for a reason that is not theirs.
+	// Cold is set after a cold restart: all controllers were down, so that machines are late
+	// with their heartbeats for no fault of their own.
 	Cold                           bool
 	HeartbeatInterval, WorkerLease time.Duration
-	// CollectTimeout bounds the collecting phase; 0: it follows from the heartbeat
-	// interval and the worker lease.
+	// CollectTimeout is the maximum duration of the Collecting phase. If it is 0, the maximum
+	// is derived from the heartbeat interval and the worker lease.
 	CollectTimeout time.Duration
-	CloudRate      float64 // requests a second that the cloud takes; 0: unknown
-	Trace          bool    // have an event for each machine that is confirmed and each operation
+	CloudRate      float64 // requests per second that the cloud accepts; 0: unknown, calls are not limited
+	Trace          bool    // emit an event for each confirmed machine and each operation
 }
 
-// CollectBound is how long machines may take for a heartbeat once the records are read:
-// one that hangs at a dead controller until it times out, the delay before the retry, a
-// heartbeat interval, and the heartbeat that follows a new token.
-func (c Config) CollectBound() time.Duration {
+// MaxCollectTime returns the maximum duration of the Collecting phase, which starts once the
+// records have been read. By default it leaves time for a heartbeat that hangs at a dead
+// controller until it times out, the delay before the retry, a heartbeat interval, and the
+// heartbeat that follows a new token. It is at most the worker lease.
+func (c Config) MaxCollectTime() time.Duration {
 	if c.CollectTimeout > 0 {
 		return min(c.CollectTimeout, c.WorkerLease)
 	}
 	return min(c.HeartbeatInterval*5/4+tuning.WorkerHeartbeatTimeout+2*tuning.WorkerRetryDelay, c.WorkerLease)
 }
 
-// machineState is what is known of a machine that was there before the term.
+// machineState is the state of a machine that existed before this term.
 type machineState struct {
-	confirmed bool // it needs no heartbeat any more
-	unproven  int  // attempts in class MissingUnproven
+	confirmed bool // a heartbeat has arrived, or the machine was released
+	unproven  int  // attempts on the machine in class MissingUnproven
 }
 
-// Reconciler is the state of the reconciliation of one term.
+// Reconciler holds the state of the reconciliation in one term. All times are durations since the
+// start of the process.
 type Reconciler struct {
 	config         Config
 	startedAt      time.Duration
 	phase          Phase
-	phaseStartedAt [phaseCount]time.Duration // when each phase began
+	phaseStartedAt [phaseCount]time.Duration // zero for phases that have not started
 
 	machines           map[string]*machineState
-	unconfirmed        int              // machines without a heartbeat under this term's token
-	cloudListed        bool             // the cloud's list was read in this term
-	unproven           int              // attempts in class MissingUnproven
-	pendingStops       int              // attempts that a difference has stopped, not proven to be gone yet
-	unrecordedAttempts map[Attempt]bool // attempts without a record that were found
-	recordsIncomplete  bool             // a task without a record ran: there may be more
+	unconfirmed        int              // number of machines that are not confirmed
+	cloudListed        bool             // the cloud's list of machines was read in this term
+	unproven           int              // number of attempts in class MissingUnproven
+	pendingStops       int              // number of attempts stopped because of a difference and not proven gone
+	unrecordedAttempts map[Attempt]bool // attempts without a record found so far
+	recordsIncomplete  bool             // an Unrecorded attempt was found, so that there may be more
 
 	counts             [classCount]int
 	differences        []Difference
-	droppedDifferences int // those beyond tuning.MaxListedDifferences
-	operations         operationLedger
-	cloudLimiter       *rate.Limiter // nil: calls are not paced
+	droppedDifferences int // number of differences beyond tuning.MaxListedDifferences, not kept
+	operations         operationTracker
+	cloudLimiter       *rate.Limiter // nil: calls are not limited
 	events             []Event
 }
 
-// New begins a reconciliation, once the records have been read.
+// New starts a reconciliation. It is called once the records have been read.
 func New(now time.Duration, config Config) *Reconciler {
 	r := &Reconciler{config: config, startedAt: now, phase: Collecting, machines: map[string]*machineState{},
-		unrecordedAttempts: map[Attempt]bool{}, operations: newOperationLedger()}
+		unrecordedAttempts: map[Attempt]bool{}, operations: newOperationTracker()}
 	r.phaseStartedAt[Collecting] = now
 	if config.CloudRate > 0 {
 		r.cloudLimiter = rate.NewLimiter(rate.Limit(config.CloudRate*tuning.ReconcileCloudRateShare), tuning.ReconcileCloudBurst)
@@ -97,12 +99,11 @@
 	return r
 }
 
-// ControllerSurvived takes note that some controller was up throughout the change of
-// leader, so that machines which miss heartbeats do so for reasons of their own.
+// ControllerSurvived records that a controller stayed up throughout the change of leader, so that
+// this is no cold restart: machines that miss heartbeats do so because of their own faults.
 func (r *Reconciler) ControllerSurvived() { r.config.Cold = false }
 
-// ExpectMachine adds a machine from before the term that a record or the cloud's list
-// names.
+// ExpectMachine adds a machine from before the term that is named by a record or the cloud's list.
 func (r *Reconciler) ExpectMachine(machine string) {
 	if r.machines[machine] == nil {
 		r.machines[machine] = &machineState{}
@@ -110,7 +111,7 @@
 	}
 }
 
-// ExpectAttempt adds an attempt that a record names.
+// ExpectAttempt adds a recorded attempt on the machine, in class MissingUnproven.
 func (r *Reconciler) ExpectAttempt(machine string) {
 	r.ExpectMachine(machine)
 	r.machines[machine].unproven++
@@ -118,14 +119,16 @@
 	r.counts[MissingUnproven]++
 }
 
-// CloudListed takes note that the cloud's list was read, with all its machines expected.
+// CloudListed records that the cloud's list was read and ExpectMachine was called for all machines
+// in it.
 func (r *Reconciler) CloudListed(now time.Duration) {
 	r.cloudListed = true
 	r.Advance(now)
 }
 
-// UnexpectAttempt takes an attempt back that a later record of the same machine replaces.
-func (r *Reconciler) UnexpectAttempt(machine string) {
+// RemoveExpectedAttempt reverts ExpectAttempt for an attempt that a later record of the same
+// machine replaces.
+func (r *Reconciler) RemoveExpectedAttempt(machine string) {
 	r.resolveAttempt(machine)
 	r.counts[MissingUnproven]--
 }
@@ -137,7 +140,7 @@
 	}
 }
 
-// ConfirmMachine takes note of a machine's first heartbeat under this term's token.
+// ConfirmMachine records a machine's first heartbeat under this term's fencing token.
 func (r *Reconciler) ConfirmMachine(now time.Duration, machine string) {
 	if m := r.machines[machine]; m != nil && !m.confirmed {
 		m.confirmed = true
@@ -149,16 +152,17 @@
 	}
 }
 
-// MachineReleased takes note that a machine is gone: no heartbeat of it is awaited.
+// MachineReleased records that a machine is gone, so that no heartbeat from it is awaited.
 func (r *Reconciler) MachineReleased(now time.Duration, machine string) {
 	r.ConfirmMachine(now, machine)
 }
 
-// AddDifference takes the verdict on an attempt, one for each: for a recorded one the
-// first that is not MissingUnproven, and for one without a record that on its first
-// listing. It reports whether the attempt is new.
+// AddDifference adds a difference. It is called once for each recorded attempt, with its first
+// verdict other than MissingUnproven. For an attempt without a record, only the first call
+// counts, with the verdict on its first listing. AddDifference reports whether the attempt was
+// new.
 func (r *Reconciler) AddDifference(now time.Duration, d Difference) bool {
-	d.At = now
+	d.FoundAt = now
 	d.Late = r.phase == Settled
 	switch {
 	case d.Recorded:
@@ -179,9 +183,9 @@
 	return true
 }
 
-// ConfirmAttempt takes note that a heartbeat lists a recorded attempt, as AddDifference
-// would, without a difference to keep. That is most of them, and thousands come in the
-// seconds in which a new leader has most to do.
+// ConfirmAttempt records that a heartbeat lists a recorded attempt. It does the same as
+// AddDifference, but keeps no difference. Most attempts are confirmed, and thousands of them
+// arrive in the first seconds of a new leader, when its load is highest.
 func (r *Reconciler) ConfirmAttempt(now time.Duration, machine string) {
 	r.resolveAttempt(machine)
 	r.counts[MissingUnproven]--
@@ -191,30 +195,30 @@
 	}
 }
 
-// ExpectOperations takes note of the operations that a difference will lead to, ahead of
-// AddDifference.
+// ExpectOperations registers the operations that a difference will cause, before the difference
+// is added by AddDifference.
 func (r *Reconciler) ExpectOperations(d Difference) {
 	if r.phase != Settled {
 		r.operations.expect(d)
 	}
 }
 
-// AwaitStop takes note that an attempt is being stopped because of a difference, and
-// StopProven that it is proven to be gone.
+// AwaitStop records that an attempt is being stopped because of a difference. StopProven must
+// follow once the attempt is proven to be gone.
 func (r *Reconciler) AwaitStop() { r.pendingStops++ }
 
-// StopProven is the end of an AwaitStop.
+// StopProven records that an attempt for which AwaitStop was called is proven to be gone.
 func (r *Reconciler) StopProven(now time.Duration) {
 	r.pendingStops--
 	r.Advance(now)
 }
 
-// Advance enters the phases that are due.
+// Advance enters the next phases whose conditions are met or whose deadlines have passed.
 func (r *Reconciler) Advance(now time.Duration) {
-	if r.phase == Collecting && (r.unconfirmed == 0 && r.cloudListed || now >= r.collectUntil()) {
+	if r.phase == Collecting && (r.unconfirmed == 0 && r.cloudListed || now >= r.collectDeadline()) {
 		r.enterPhase(now, Reconciling)
 	}
-	if r.phase == Reconciling && (r.unconfirmed == 0 && r.unproven == 0 && r.pendingStops == 0 || now >= r.settleUntil()) {
+	if r.phase == Reconciling && (r.unconfirmed == 0 && r.unproven == 0 && r.pendingStops == 0 || now >= r.settleDeadline()) {
 		r.enterPhase(now, Settled)
 	}
 }
@@ -227,17 +231,18 @@
 	r.events = append(r.events, Event{Kind: PhaseEntered, At: now, Phase: phase})
 }
 
-// collectUntil bounds the collecting phase.
-func (r *Reconciler) collectUntil() time.Duration { return r.startedAt + r.config.CollectBound() }
+// collectDeadline returns the latest end of the Collecting phase.
+func (r *Reconciler) collectDeadline() time.Duration { return r.startedAt + r.config.MaxCollectTime() }
 
-// settleUntil bounds the reconciliation: by then leases that nobody renewed have expired,
-// and their machines have been released. What is unproven then is ordinary business.
-func (r *Reconciler) settleUntil() time.Duration {
+// settleDeadline returns the latest end of the reconciliation. By then, worker leases that were
+// not renewed have expired and their machines have been released. Attempts that are still
+// unproven are left to the scheduler's regular handling.
+func (r *Reconciler) settleDeadline() time.Duration {
 	return r.startedAt + r.config.WorkerLease + tuning.SettleGrace
 }
 
-// Config is what the reconciliation depends on.
+// Config returns the reconciliation's configuration.
 func (r *Reconciler) Config() Config { return r.config }
 
-// Phase is how far the reconciliation is.
+// Phase returns the current phase.
 func (r *Reconciler) Phase() Phase { return r.phase }
--- a/internal/reconcile/reconciler_test.go
+++ b/internal/reconcile/reconciler_test.go
@@ -14,60 +14,61 @@
 
 func TestMain(m *testing.M) { os.Exit(fixedseed.Run(m)) }
 
-// allEvidence is every combination of what can be known of an attempt.
+// allEvidence returns every possible Evidence.
 func allEvidence() (all []Evidence) {
-	for s := range observationCount {
+	for observation := range observationCount {
 		for bits := range 1 << 6 {
 			has := func(i int) bool { return bits&(1<<i) != 0 }
-			all = append(all, Evidence{s, has(0), has(1), has(2), has(3), has(4), has(5)})
+			all = append(all, Evidence{observation, has(0), has(1), has(2), has(3), has(4), has(5)})
 		}
 	}
 	return all
 }
 
-// Each attempt gets one class and one action, and none that a rule forbids: a task is
-// placed again only on proof, and an attempt is stopped or adopted for a reason.
+// Checks Classify for every possible evidence: each attempt gets a class and an action, a task is
+// started again only if its attempt is proven to be gone, and an attempt is kept, stopped or
+// adopted only if the rules allow it.
 func TestClassifyObeysEveryRule(t *testing.T) {
 	seen := map[Class]int{}
 	for _, e := range allEvidence() {
 		v := Classify(e)
 		needed := e.JobIsLive && !e.TaskIsDone
 		seen[v.Class]++
-		wrong := ""
+		violation := ""
 		switch {
 		case v.Class == None || v.Class >= classCount || v.Action >= actionCount:
-			wrong = "no verdict"
-		case v.Action == Replace && (e.Observation != Absent && e.Observation != Ended || !needed || e.HasDuplicate):
-			wrong = "placed again without proof, or though not needed"
-		case v.Action == Adopt && (e.Recorded || e.HasDuplicate || !needed || !e.MachineAllowed || e.OverQuota):
-			wrong = "adopted against a rule"
+			violation = "invalid class or action"
+		case v.Action == Replace && (e.Observation != Absent && e.Observation != Ended || !needed || e.HasPreferredDuplicate):
+			violation = "replaced without proof that it is gone, or although not needed"
+		case v.Action == Adopt && (e.Recorded || e.HasPreferredDuplicate || !needed || !e.MachineAllowed || e.OverQuota):
+			violation = "adopted although a rule forbids it"
 		case v.Action == Keep && (!e.Recorded || !needed):
-			wrong = "kept though nobody needs it"
+			violation = "kept although not recorded or not needed"
 		case v.Action == Stop && e.Observation != Active && (e.Observation != Unreported || e.JobIsLive):
-			wrong = "stopped though it does not run"
+			violation = "stopped although not active"
 		case e.Observation == Active && !needed && v.Action != Stop:
-			wrong = "runs on though its job has ended"
+			violation = "active and not needed, but not stopped"
 		case e.Observation == Completed && needed && v.Action != RecordDone:
-			wrong = "its completion is lost"
+			violation = "its completion is not recorded"
 		}
-		if wrong != "" {
-			t.Errorf("%+v: %v, %v: %s", e, v.Class, v.Action, wrong)
+		if violation != "" {
+			t.Errorf("%+v: %v, %v: %s", e, v.Class, v.Action, violation)
 		}
 	}
 	for c := MissingUnproven; c < classCount; c++ {
 		if parsed, ok := ParseClass(c.String()); seen[c] == 0 || !ok || parsed != c {
-			t.Errorf("class %v: given %d times, parsed as %v", c, seen[c], parsed)
+			t.Errorf("class %v: returned %d times by Classify, name parsed as %v", c, seen[c], parsed)
 		}
 	}
 	if _, ok := ParseClass("none"); ok {
-		t.Error("none is a class that operators can ask for")
+		t.Error("ParseClass accepts none")
 	}
 }
 
-// inventory is a generated cluster: what the records say, and what its workers will list.
+// inventory is a generated cluster: the recorded attempts and those that its workers list.
 type inventory struct {
-	expected, reported map[Attempt]Evidence // reported ones only of workers that send heartbeats
-	silent             map[string]bool
+	expected, reported map[Attempt]Evidence // recorded attempts; attempts on machines that send heartbeats
+	silent             map[string]bool      // machines that send no heartbeats
 	machines           []string
 }
 
@@ -84,7 +85,7 @@
 			if e.Recorded {
 				inv.expected[a] = e
 			} else if e.Observation == Unreported || e.Observation == Absent {
-				continue // nobody could know of it
+				continue // neither recorded nor listed
 			}
 			if !inv.silent[name] {
 				inv.reported[a] = e
@@ -94,8 +95,8 @@
 	return inv
 }
 
-// reportMachine hands all that a worker lists to the reconciler, as a scheduler does, and
-// says how many operations followed.
+// reportMachine passes all attempts that a worker lists to the reconciler, as the scheduler does,
+// and returns the number of operations that resulted. It removes resolved attempts from unproven.
 func (inv inventory) reportMachine(r *Reconciler, now time.Duration, machine string, unproven map[Attempt]bool) (operations int) {
 	for a, e := range inv.reported {
 		v := Classify(e)
@@ -125,9 +126,9 @@
 	return operations
 }
 
-// Over generated inventories: every attempt is in exactly one class, each operation belongs
-// to one difference, a second pass over the same heartbeats finds nothing and leads to
-// nothing, phases only go forward, and nothing is held back for longer than the bounds.
+// Checks with generated inventories that every attempt is in exactly one class, each operation is
+// attributed to one difference, repeating the same heartbeats finds no differences and causes no
+// operations, phases only advance, and nothing is held back beyond the time limits.
 func TestReconciliationOfGeneratedInventories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		inv := generateInventory(t)
@@ -146,7 +147,7 @@
 		step := func(now time.Duration) {
 			r.Advance(now)
 			if r.Phase() < phase {
-				t.Fatalf("from %v back to %v", phase, r.Phase())
+				t.Fatalf("phase went back from %v to %v", phase, r.Phase())
 			}
 			phase = r.Phase()
 		}
@@ -156,10 +157,10 @@
 				step(time.Duration(i) * time.Second)
 			}
 		}
-		first := r.Status(10 * time.Second)
+		firstStatus := r.Status(10 * time.Second)
 		for _, m := range inv.machines {
 			if again := inv.reportMachine(r, 11*time.Second, m, unproven); !inv.silent[m] && again != 0 {
-				t.Fatalf("%s: %d operations in a second pass", m, again)
+				t.Fatalf("%s: %d operations when its heartbeat is repeated", m, again)
 			}
 		}
 		unrecorded := 0
@@ -173,37 +174,38 @@
 			classified += n
 		}
 		if classified != len(inv.expected)+unrecorded {
-			t.Fatalf("%d attempts in classes, there are %d and %d: %+v", classified, len(inv.expected), unrecorded, first.Classes)
+			t.Fatalf("%d attempts in classes, want %d recorded and %d unrecorded: %+v", classified, len(inv.expected), unrecorded, firstStatus.Classes)
 		}
 		total, attributed := 0, 0
-		for _, c := range first.Operations {
+		for _, c := range firstStatus.Operations {
 			total, attributed = total+c.Total, attributed+c.Attributed
 		}
-		// What comes after the reconciliation is settled is late, and no operation.
+		// Operations after the reconciliation has settled are not counted.
 		if total != attributed || total > operations || phase != Settled && total != operations {
-			t.Fatalf("%d operations counted, %d attributed, %d given", total, attributed, operations)
+			t.Fatalf("%d operations counted, %d attributed, %d passed to the reconciler", total, attributed, operations)
 		}
 		for _, m := range inv.machines {
-			if r.MayHaveCapacity(m, 0) && config.CollectBound() <= 11*time.Second {
-				t.Fatalf("%s is waited for after the bound", m)
+			if r.MayHaveCapacity(m, 0) && config.MaxCollectTime() <= 11*time.Second {
+				t.Fatalf("%s may have capacity after the collect timeout", m)
 			}
 		}
 		step(config.WorkerLease)
 		if r.AwaitsCapacity() || r.HoldsIdleReleases() || r.HoldsRecoveredWork() || len(inv.machines) > 0 && r.HoldsRelease(config.WorkerLease, inv.machines[0]) {
-			t.Fatal("something is held back after the lease")
+			t.Fatal("something is held back after the worker lease")
 		}
 		step(config.WorkerLease + tuning.SettleGrace)
 		if phase != Settled {
-			t.Fatalf("still %v after the last bound", phase)
+			t.Fatalf("phase is still %v after the settle deadline", phase)
 		}
 	})
 }
 
-// What is held back, and until when; and with the setting off, or after a failover that a
-// controller survived, nothing that would make the failover slower.
-func TestWhatReconciliationHoldsBack(t *testing.T) {
+// Checks what is held back when reconciliation is disabled, after a failover and after a cold
+// restart. Nothing is held back when it is disabled. After a failover that a controller survived,
+// nothing is held back that is needed only after a cold restart: it would slow the failover.
+func TestHoldsByReconciliationMode(t *testing.T) {
 	const machine, other = "n-1", "n-2"
-	begin := func(enabled, cold bool) *Reconciler {
+	newReconciler := func(enabled, cold bool) *Reconciler {
 		r := New(0, Config{Enabled: enabled, Cold: cold, HeartbeatInterval: time.Second, WorkerLease: 20 * time.Second})
 		r.ExpectAttempt(machine)
 		r.ExpectMachine(other)
@@ -213,46 +215,46 @@
 		return r
 	}
 	for _, tc := range []struct {
-		name                             string
-		enabled, cold                    bool
-		capacity, unanswered, kept, work bool
+		name                                                                             string
+		enabled, cold                                                                    bool
+		capacity, capacityAfterUnansweredProbe, heldAfterColdRestart, holdsRecoveredWork bool
 	}{
 		{"off", false, true, false, false, false, false},
 		{"failover", true, false, true, false, false, true},
 		{"cold restart", true, true, true, true, true, true},
 	} {
-		r := begin(tc.enabled, tc.cold)
+		r := newReconciler(tc.enabled, tc.cold)
 		now := time.Second
 		if got := r.MayHaveCapacity(machine, 0); got != tc.capacity {
-			t.Errorf("%s: capacity of a machine that is probed: %v", tc.name, got)
+			t.Errorf("%s: MayHaveCapacity of a machine without unanswered probes: %v", tc.name, got)
 		}
-		if got := r.MayHaveCapacity(machine, 1); got != tc.unanswered {
-			t.Errorf("%s: capacity of one that did not answer: %v", tc.name, got)
+		if got := r.MayHaveCapacity(machine, 1); got != tc.capacityAfterUnansweredProbe {
+			t.Errorf("%s: MayHaveCapacity of a machine with an unanswered probe: %v", tc.name, got)
 		}
 		if r.MayHaveCapacity(other, 0) {
-			t.Errorf("%s: a confirmed machine is waited for", tc.name)
+			t.Errorf("%s: MayHaveCapacity of a confirmed machine: true", tc.name)
 		}
-		if got := r.HoldsRelease(now, machine); got != tc.kept {
-			t.Errorf("%s: kept: %v", tc.name, got)
+		if got := r.HoldsRelease(now, machine); got != tc.heldAfterColdRestart {
+			t.Errorf("%s: HoldsRelease: %v", tc.name, got)
 		}
 		if r.HoldsRelease(20*time.Second-tuning.EarlyReleaseMargin, machine) {
-			t.Errorf("%s: kept though its lease has expired", tc.name)
+			t.Errorf("%s: HoldsRelease although the lease has expired", tc.name)
 		}
-		if got := r.HoldsRecoveredWork(); got != tc.work {
-			t.Errorf("%s: work held after a task without a record: %v", tc.name, got)
+		if got := r.HoldsRecoveredWork(); got != tc.holdsRecoveredWork {
+			t.Errorf("%s: HoldsRecoveredWork after an unrecorded attempt: %v", tc.name, got)
 		}
-		if got := r.HoldsTeamLimits(); got != tc.kept {
-			t.Errorf("%s: team limits held: %v", tc.name, got)
+		if got := r.HoldsQuotaPreemption(); got != tc.heldAfterColdRestart {
+			t.Errorf("%s: HoldsQuotaPreemption: %v", tc.name, got)
 		}
 	}
-	r := begin(true, true)
+	r := newReconciler(true, true)
 	r.ControllerSurvived()
 	if r.HoldsRelease(time.Second, machine) || r.MayHaveCapacity(machine, 1) {
-		t.Error("held as after a cold restart though a controller survived")
+		t.Error("release or capacity held as after a cold restart although a controller survived")
 	}
 }
 
-// Calls to the cloud are paced until the reconciliation is settled, and free afterwards.
+// Calls to the cloud are rate-limited until the reconciliation has settled, and not afterwards.
 func TestCloudCallsArePaced(t *testing.T) {
 	r := New(0, Config{Enabled: true, HeartbeatInterval: time.Second, WorkerLease: 20 * time.Second, CloudRate: 4})
 	r.ExpectAttempt("n-1")
@@ -260,23 +262,24 @@
 	for now := time.Duration(0); now < 10*time.Second; now += 100 * time.Millisecond {
 		for r.CloudCallReady(now) && calls < 1000 {
 			if !r.TakeCloudCall(now) {
-				t.Fatal("ready, and not taken")
+				t.Fatal("CloudCallReady, but TakeCloudCall refuses the call")
 			}
 			calls++
 		}
 	}
-	if most := int(4*tuning.ReconcileCloudRateShare*10) + tuning.ReconcileCloudBurst; calls > most || calls < most-2 {
-		t.Errorf("%d calls in 10 s, wanted about %d", calls, most)
+	if wantCalls := int(4*tuning.ReconcileCloudRateShare*10) + tuning.ReconcileCloudBurst; calls > wantCalls || calls < wantCalls-2 {
+		t.Errorf("%d calls in 10 s, want about %d", calls, wantCalls)
 	}
 	r.Advance(time.Minute)
 	for range 1000 {
 		if !r.TakeCloudCall(time.Minute) {
-			t.Fatal("paced after the reconciliation")
+			t.Fatal("call refused after the reconciliation has settled")
 		}
 	}
 }
 
-// The list of differences is bounded, and says so; pages and filters hold.
+// The list of differences is bounded, the number of those not kept is reported, and paging and
+// filtering by class work.
 func TestDifferencesAreBounded(t *testing.T) {
 	r := New(0, Config{HeartbeatInterval: time.Second, WorkerLease: 20 * time.Second})
 	const found = tuning.MaxListedDifferences + 10
@@ -289,9 +292,9 @@
 	}
 	page := r.Differences(Obsolete, 3, 2)
 	if len(page) != 2 || page[0].Number != 7 || page[1].Number != 9 {
-		t.Errorf("page: %+v", page)
+		t.Errorf("page of class obsolete: %+v", page)
 	}
-	if rest := r.Differences(None, tuning.MaxListedDifferences-1, 100); len(rest) != 1 {
-		t.Errorf("last page: %d", len(rest))
+	if lastPage := r.Differences(None, tuning.MaxListedDifferences-1, 100); len(lastPage) != 1 {
+		t.Errorf("last page has %d differences, want 1", len(lastPage))
 	}
 }
--- a/internal/reconcile/status.go
+++ b/internal/reconcile/status.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// PhaseTime says when a phase began, after the reconciliation did.
+// PhaseTime is the start of a phase, relative to the start of the reconciliation.
 type PhaseTime struct {
 	Phase  string  `json:"phase"`
 	AfterS float64 `json:"after_s"`
 }
 
-// Status is a reconciliation as operators see it.
+// Status describes a reconciliation to operators.
 type Status struct {
 	Phase               string                    `json:"phase"`
 	Enabled             bool                      `json:"enabled"`
 	Cold                bool                      `json:"cold"`
 	AgeS                float64                   `json:"age_s"`
 	History             []PhaseTime               `json:"history"`
-	WaitsUntilS         float64                   `json:"waits_until_s"` // after its start; 0: it waits for nothing
+	WaitsUntilS         float64                   `json:"waits_until_s"` // latest end of the phase after the reconciliation's start; 0: none
 	Machines            int                       `json:"machines"`
 	Unconfirmed         int                       `json:"unheard"`
 	Unproven            int                       `json:"unproven"`
@@ -27,13 +27,13 @@
 	Operations          map[string]OperationCount `json:"orders"`
 	Differences         int                       `json:"differences"`
 	DifferencesDropped  int                       `json:"differences_not_kept"`
-	UnconfirmedMachines []string                  `json:"waiting"` // the first few of them
+	UnconfirmedMachines []string                  `json:"waiting"` // the first maxMachinesShown, by name
 }
 
-// maxMachinesShown is how many machines a Status names.
+// maxMachinesShown is the maximum number of machines that a Status names.
 const maxMachinesShown = 20
 
-// Status describes the reconciliation.
+// Status returns the state of the reconciliation.
 func (r *Reconciler) Status(now time.Duration) Status {
 	status := Status{
 		Phase: r.phase.String(), Enabled: r.config.Enabled, Cold: r.config.Cold, AgeS: (now - r.startedAt).Seconds(),
@@ -47,9 +47,9 @@
 	}
 	switch r.phase {
 	case Collecting:
-		status.WaitsUntilS = r.config.CollectBound().Seconds()
+		status.WaitsUntilS = r.config.MaxCollectTime().Seconds()
 	case Reconciling:
-		status.WaitsUntilS = (r.settleUntil() - r.startedAt).Seconds()
+		status.WaitsUntilS = (r.settleDeadline() - r.startedAt).Seconds()
 	}
 	for c := MissingUnproven; c < classCount; c++ {
 		status.Classes[c.String()] = r.counts[c]
@@ -60,7 +60,7 @@
 	return status
 }
 
-// DifferenceView is a difference as operators see it.
+// DifferenceView describes a difference to operators.
 type DifferenceView struct {
 	Attempt
 	Class  string  `json:"class"`
@@ -69,8 +69,8 @@
 	AfterS float64 `json:"after_s"`
 }
 
-// Differences lists differences of a class, or of all for None, in the order in which
-// they were found, up to the limit after those to skip.
+// Differences returns the differences of a class, or of all classes for None, in the order in
+// which they were found. It omits the first skip differences and returns at most limit.
 func (r *Reconciler) Differences(class Class, skip, limit int) []DifferenceView {
 	views := []DifferenceView{}
 	for _, d := range r.differences {
@@ -84,17 +84,17 @@
 		if len(views) == limit {
 			break
 		}
-		views = append(views, DifferenceView{d.Attempt, d.Class.String(), d.Action.String(), d.Late, (d.At - r.startedAt).Seconds()})
+		views = append(views, DifferenceView{d.Attempt, d.Class.String(), d.Action.String(), d.Late, (d.FoundAt - r.startedAt).Seconds()})
 	}
 	return views
 }
 
-// UnconfirmedMachines lists machines without a heartbeat in this term by name, those
-// after from, up to the limit.
-func (r *Reconciler) UnconfirmedMachines(from string, limit int) []string {
+// UnconfirmedMachines returns the names of machines that are not confirmed and whose names sort
+// after the given one, in order, at most limit.
+func (r *Reconciler) UnconfirmedMachines(after string, limit int) []string {
 	var names []string
 	for name, m := range r.machines {
-		if !m.confirmed && name > from {
+		if !m.confirmed && name > after {
 			names = append(names, name)
 		}
 	}
--- a/internal/records/golden_test.go
+++ b/internal/records/golden_test.go
@@ -8,8 +8,8 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// TestRecordEncodingsMatchGoldenFiles covers every stored record, so that what an
-// earlier version has stored stays readable.
+// TestRecordEncodingsMatchGoldenFiles covers every stored record, so that records written by
+// earlier versions stay readable.
 func TestRecordEncodingsMatchGoldenFiles(t *testing.T) {
 	records := map[string]any{
 		"leader":        &records.Leader{},
@@ -19,7 +19,7 @@
 		"batch":         &records.Batch{},
 		"batch-machine": &records.BatchMachine{},
 		"machine":       &records.LegacyMachine{}, // the layout before batches
-		"machine-task":  &records.AssignedTask{},
+		"machine-task":  &records.LegacyAssignment{},
 		"machine-type":  &wire.MachineType{},
 	}
 	var all []any
@@ -41,7 +41,7 @@
 	)
 }
 
-// TestBitmapEncodingMatchesGoldenFile covers the text form of both chunks of a set.
+// TestBitmapEncodingMatchesGoldenFile covers the encoding of every chunk of a bitmap.
 func TestBitmapEncodingMatchesGoldenFile(t *testing.T) {
 	done := records.NewBitmap(wire.MaxTasks)
 	for task := 0; task < wire.MaxTasks; task += 4999 {
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -1,4 +1,4 @@
-// Package records holds the layouts and keys of what is stored in the key-value store.
+// Package records defines the records that are stored in the key-value store, and their keys.
 package records
 
 import (
@@ -8,19 +8,21 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// ErrInconsistent means that a record decodes, but cannot be what was written.
+// ErrInconsistent means that a record can be decoded, but has contents that are never written.
 var ErrInconsistent = errors.New("inconsistent record")
 
-// Job is a live job: what was submitted, and its progress.
+// Job is the record of a live job: the submission and the job's progress.
 type Job struct {
 	Job       wire.Job `cbor:"job" json:"job"`
 	Cancelled bool     `cbor:"cancelled,omitempty" json:"cancelled,omitempty"`
-	// Done has a bit for each of the first tuning.TasksPerBitmap tasks, in base64;
-	// further tasks have theirs under BitmapKey.
+	// Done is the first chunk of the bitmap of done tasks, see Bitmap.EncodeChunk. It covers
+	// the first tuning.TasksPerBitmap tasks; the chunks of further tasks are stored under
+	// BitmapKey.
 	Done string `cbor:"done,omitempty" json:"done,omitempty"`
 }
 
-// EndedJob is the permanent record of a job that has ended.
+// EndedJob is the permanent record of a job that has ended. Done is the number of tasks that
+// were done.
 type EndedJob struct {
 	State string `cbor:"standing" json:"standing"`
 	Done  int    `cbor:"done" json:"done"`
@@ -28,23 +30,23 @@
 	Class string `cbor:"class,omitempty" json:"class,omitempty"`
 }
 
-// BitmapChunk is a chunk of done bits after the first, which is in the job itself.
+// BitmapChunk is a chunk of a job's done bitmap after the first chunk, which is part of Job.
 type BitmapChunk struct {
 	Done string `cbor:"done" json:"done"`
 }
 
-// AssignedTask is a task of a LegacyMachine.
-type AssignedTask struct {
+// LegacyAssignment is an attempt of a task in a LegacyMachine.
+type LegacyAssignment struct {
 	Index   int    `cbor:"i" json:"i"`
 	Attempt uint64 `cbor:"a" json:"a"`
 }
 
-// Batch holds attempts that were assigned together, with the machines that have them. It is
-// immutable; it is deleted when none of its attempts is left, or those left have been
-// written again in another batch. One value for many machines, and none of it written
-// twice, keeps within the write rate.
+// Batch records attempts that were assigned together, grouped by machine. It is immutable. It is
+// deleted once each of its attempts is gone or has been written again in another batch. Storing
+// the attempts of many machines in one value that is never rewritten keeps the number of writes
+// within the key-value store's write rate.
 type Batch struct {
-	Base     uint64         `cbor:"base" json:"base"` // the lowest attempt
+	Base     uint64         `cbor:"base" json:"base"` // the lowest attempt number
 	Types    []string       `cbor:"types" json:"types"`
 	Zones    []string       `cbor:"zones" json:"zones"`
 	Jobs     []string       `cbor:"jobs" json:"jobs"`
@@ -52,8 +54,8 @@
 	Machines []BatchMachine `cbor:"machines" json:"machines"`
 }
 
-// BatchMachine is a machine in a batch. Type, zone, images and jobs are indices of the
-// batch's lists.
+// BatchMachine is a machine in a batch. Its type, zone and images, and the jobs of its runs, are
+// indices into the batch's lists.
 type BatchMachine struct {
 	Name    string `cbor:"n" json:"n"`
 	Type    int    `cbor:"t" json:"t"`
@@ -64,20 +66,20 @@
 	Runs    []Run  `cbor:"r" json:"r"`
 }
 
-// Run is a sequence of consecutive tasks of a job, with consecutive attempts. It is stored as
-// an array; the constants name its elements.
+// Run is a sequence of consecutive tasks of a job with consecutive attempt numbers. It is stored
+// as an array; the constants below are the indices of its elements.
 type Run [4]uint64
 
 // Elements of a Run.
 const (
-	RunJob          = iota // an index of the batch's jobs
-	RunFirstTask           // the first task's index
-	RunTasks               // the number of tasks
-	RunFirstAttempt        // the first task's attempt, above the batch's base
+	RunJobIndex     = iota // index of the job in the batch's Jobs
+	RunFirstTask           // index of the first task
+	RunTaskCount           // number of tasks
+	RunFirstAttempt        // attempt number of the first task, relative to the batch's Base
 )
 
-// DecodeBatch reads a batch and checks what reconciliation relies on. A batch that fails
-// must not be taken for an empty one.
+// DecodeBatch decodes a batch and checks the invariants that reconciliation relies on. Callers
+// must not treat a batch that cannot be decoded as an empty one.
 func DecodeBatch(value wire.Raw) (*Batch, error) {
 	batch := &Batch{}
 	if err := wire.Unmarshal(value, batch); err != nil {
@@ -91,7 +93,8 @@
 	return batch, nil
 }
 
-// consistent reports whether all indices of the machine are within the batch's lists.
+// consistent reports whether the machine has a name and runs, all its indices are within the
+// batch's lists, and its tasks are within wire.MaxTasks.
 func (b *Batch) consistent(machine *BatchMachine) bool {
 	if machine.Name == "" || !validIndex(b.Types, machine.Type) || !validIndex(b.Zones, machine.Zone) || len(machine.Runs) == 0 {
 		return false
@@ -102,7 +105,7 @@
 		}
 	}
 	for _, run := range machine.Runs {
-		job, firstTask, tasks := run[RunJob], run[RunFirstTask], run[RunTasks]
+		job, firstTask, tasks := run[RunJobIndex], run[RunFirstTask], run[RunTaskCount]
 		if job >= uint64(len(b.Jobs)) || firstTask >= wire.MaxTasks || tasks == 0 || tasks > wire.MaxTasks-firstTask {
 			return false
 		}
@@ -112,25 +115,26 @@
 
 func validIndex(list []string, index int) bool { return index >= 0 && index < len(list) }
 
-// LegacyMachine is a machine with all attempts that it may have been sent, in the layout
-// before batches.
+// LegacyMachine is the record of a machine in the layout before batches. Tasks holds, by job ID,
+// all attempts that may have been sent to the machine.
 type LegacyMachine struct {
-	Type    string                    `cbor:"type" json:"type"`
-	Zone    string                    `cbor:"zone" json:"zone"`
-	Spot    bool                      `cbor:"spot,omitempty" json:"spot,omitempty"`
-	Address string                    `cbor:"address" json:"address"`
-	Tasks   map[string][]AssignedTask `cbor:"tasks,omitempty" json:"tasks,omitempty"`
-	Images  []string                  `cbor:"images,omitempty" json:"images,omitempty"`
+	Type    string                        `cbor:"type" json:"type"`
+	Zone    string                        `cbor:"zone" json:"zone"`
+	Spot    bool                          `cbor:"spot,omitempty" json:"spot,omitempty"`
+	Address string                        `cbor:"address" json:"address"`
+	Tasks   map[string][]LegacyAssignment `cbor:"tasks,omitempty" json:"tasks,omitempty"`
+	Images  []string                      `cbor:"images,omitempty" json:"images,omitempty"`
 }
 
-// Leader names the leader. Boot tells its process from its predecessors.
+// Leader identifies the leader. BootID distinguishes its process from earlier processes of the
+// same controller.
 type Leader struct {
-	Node string `cbor:"node" json:"node"`
-	Addr string `cbor:"addr" json:"addr"`
-	Boot uint64 `cbor:"boot" json:"boot"`
+	Node   string `cbor:"node" json:"node"`
+	Addr   string `cbor:"addr" json:"addr"`
+	BootID uint64 `cbor:"boot" json:"boot"`
 }
 
-// DecodeJob reads a live job and checks what reconciliation relies on.
+// DecodeJob decodes a live job and checks the invariants that reconciliation relies on.
 func DecodeJob(item wire.KeyValue) (*Job, error) {
 	job := &Job{}
 	if err := wire.Unmarshal(item.Value, job); err != nil {
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -15,39 +15,40 @@
 
 func TestMain(m *testing.M) { os.Exit(fixedseed.Run(m)) }
 
-// Done bits survive their chunks, and a chunk fits the smallest value limit.
+// A bitmap survives being split into encoded chunks, and each chunk fits into the smallest value
+// limit.
 func TestBitmapChunksRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, wire.MaxTasks).Draw(t, "tasks")
 		b := records.NewBitmap(n)
-		set := rapid.SliceOfN(rapid.IntRange(0, n-1), 0, 200).Draw(t, "done")
+		members := rapid.SliceOfN(rapid.IntRange(0, n-1), 0, 200).Draw(t, "done")
 		want := map[int]bool{}
-		for _, i := range set {
+		for _, i := range members {
 			b.Add(i)
 			want[i] = true
 		}
 		got := records.NewBitmap(n)
-		for k := 0; k < b.ChunkCount(); k++ {
-			s := b.EncodeChunk(k)
-			if len(s) > 1500 {
-				t.Fatalf("chunk %d takes %d bytes", k, len(s))
+		for chunk := 0; chunk < b.ChunkCount(); chunk++ {
+			encoded := b.EncodeChunk(chunk)
+			if len(encoded) > 1500 {
+				t.Fatalf("chunk %d takes %d bytes, want at most 1500", chunk, len(encoded))
 			}
-			if err := got.MergeChunk(k, s); err != nil {
+			if err := got.MergeChunk(chunk, encoded); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if got.Count() != len(want) {
-			t.Fatalf("%d of %d", got.Count(), len(want))
+			t.Fatalf("%d members after the round trip, want %d", got.Count(), len(want))
 		}
 		for i := range want {
 			if !got.Has(i) {
-				t.Fatalf("%d was lost", i)
+				t.Fatalf("task %d is missing after the round trip", i)
 			}
 		}
 	})
 }
 
-// A record that does not fit its job is rejected.
+// Bitmap chunks that are too long or malformed, and incomplete job records, are rejected.
 func TestDecodingRejectsInconsistentRecords(t *testing.T) {
 	big := records.NewBitmap(5000)
 	big.Add(4999)
@@ -56,15 +57,15 @@
 		t.Error("a bitmap of 5000 tasks was merged into one of 16")
 	}
 	if err := small.MergeChunk(0, "not base64!"); err == nil {
-		t.Error("what is not base64 was merged")
+		t.Error("a chunk that is not base64 was merged")
 	}
 	if _, err := records.DecodeJob(wire.KeyValue{Key: records.JobKey("run-000001"), Value: wire.Raw{0xa0}}); err == nil {
 		t.Error("an empty job record was accepted")
 	}
 }
 
-// A batch whose machines refer to what it does not have is rejected as a whole: part of it
-// must not be taken for all.
+// A batch with an invalid machine is rejected as a whole: reconciliation must not take the
+// remaining machines for the complete batch.
 func TestDecodeBatchRejectsInconsistentMachines(t *testing.T) {
 	valid := func() records.Batch {
 		return records.Batch{
@@ -77,18 +78,18 @@
 		change func(*records.BatchMachine)
 		valid  bool
 	}{
-		{"as it is written", func(*records.BatchMachine) {}, true},
+		{"valid", func(*records.BatchMachine) {}, true},
 		{"no name", func(m *records.BatchMachine) { m.Name = "" }, false},
 		{"unknown type", func(m *records.BatchMachine) { m.Type = 1 }, false},
 		{"negative type", func(m *records.BatchMachine) { m.Type = -1 }, false},
 		{"unknown zone", func(m *records.BatchMachine) { m.Zone = 1 }, false},
 		{"unknown image", func(m *records.BatchMachine) { m.Images[0] = 1 }, false},
 		{"no runs", func(m *records.BatchMachine) { m.Runs = nil }, false},
-		{"unknown job", func(m *records.BatchMachine) { m.Runs[0][records.RunJob] = 1 }, false},
-		{"no tasks", func(m *records.BatchMachine) { m.Runs[0][records.RunTasks] = 0 }, false},
+		{"unknown job", func(m *records.BatchMachine) { m.Runs[0][records.RunJobIndex] = 1 }, false},
+		{"no tasks", func(m *records.BatchMachine) { m.Runs[0][records.RunTaskCount] = 0 }, false},
 		{"task out of range", func(m *records.BatchMachine) { m.Runs[0][records.RunFirstTask] = wire.MaxTasks }, false},
-		{"tasks out of range", func(m *records.BatchMachine) { m.Runs[0][records.RunTasks] = wire.MaxTasks }, false},
-		{"tasks overflow", func(m *records.BatchMachine) { m.Runs[0][records.RunTasks] = math.MaxUint64 }, false},
+		{"tasks out of range", func(m *records.BatchMachine) { m.Runs[0][records.RunTaskCount] = wire.MaxTasks }, false},
+		{"tasks overflow", func(m *records.BatchMachine) { m.Runs[0][records.RunTaskCount] = math.MaxUint64 }, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			batch := valid()
@@ -99,7 +100,7 @@
 			}
 			_, err = records.DecodeBatch(raw)
 			if test.valid && err != nil || !test.valid && !errors.Is(err, records.ErrInconsistent) {
-				t.Errorf("%v", err)
+				t.Errorf("DecodeBatch returned error: %v", err)
 			}
 		})
 	}
--- a/internal/scheduler/assignmentrestore.go
+++ b/internal/scheduler/assignmentrestore.go
@@ -113,7 +113,7 @@
 		case known.number > number:
 			return // the task was placed there again only after this one was proven absent
 		}
-		s.reconciler.UnexpectAttempt(m.name)
+		s.reconciler.RemoveExpectedAttempt(m.name)
 		s.detach(known)
 	}
 	a := &attempt{
--- a/internal/scheduler/leadership_change_test.go
+++ b/internal/scheduler/leadership_change_test.go
@@ -16,7 +16,7 @@
 	j := wire.Job{ID: "run-000001", Tasks: 2, CPUs: 1, Team: "red", Shape: wire.ShapeService, Priority: wire.PriorityProduction}
 	live := map[string]*LiveJob{j.ID: {Record: &records.Job{Job: j, Cancelled: true}, ModRevision: 5}}
 	items := []wire.KeyValue{machineRecordItem(t, "n-1", records.LegacyMachine{Type: "box", Zone: "a", Address: "n-1:1",
-		Tasks: map[string][]records.AssignedTask{j.ID: {{Index: 0, Attempt: 9}, {Index: 1, Attempt: 10}}}})}
+		Tasks: map[string][]records.LegacyAssignment{j.ID: {{Index: 0, Attempt: 9}, {Index: 1, Attempt: 10}}}})}
 	h := newHarnessWith(t, harnessConfig{live: live, records: items})
 	stops := 0
 	for _, c := range h.calls {
@@ -46,7 +46,7 @@
 	j := wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1, Team: "red", Shape: wire.ShapeArray, Priority: wire.PriorityNormal}
 	live := map[string]*LiveJob{j.ID: {Record: &records.Job{Job: j}, ModRevision: 5}}
 	items := []wire.KeyValue{machineRecordItem(t, "n-1", records.LegacyMachine{Type: "box", Zone: "a", Address: "n-1:1",
-		Tasks: map[string][]records.AssignedTask{j.ID: {{Index: 0, Attempt: 9}}}})}
+		Tasks: map[string][]records.LegacyAssignment{j.ID: {{Index: 0, Attempt: 9}}}})}
 	h := newHarnessWith(t, harnessConfig{live: live, records: items})
 	h.answerAll(CallLost)
 	h.bringUp("n-2")
--- a/internal/scheduler/machine_faults_test.go
+++ b/internal/scheduler/machine_faults_test.go
@@ -22,7 +22,7 @@
 		on := map[string]map[string]wire.TaskStatus{}
 		for i, name := range []string{"n-1", "n-2"} {
 			storedRecords = append(storedRecords, machineRecordItem(t, name, records.LegacyMachine{Type: "box", Zone: "a", Address: name + ":1",
-				Tasks: map[string][]records.AssignedTask{j.ID: {{Index: i, Attempt: 9}}}}))
+				Tasks: map[string][]records.LegacyAssignment{j.ID: {{Index: i, Attempt: 9}}}}))
 			task := wire.TaskName(j.ID, i)
 			on[name] = map[string]wire.TaskStatus{task: {Task: task, Attempt: 9, State: wire.TaskRunning}}
 		}
@@ -118,7 +118,7 @@
 				"run-000004": {Record: &records.Job{Job: job("run-000004", 1)}, ModRevision: 5},
 			}
 			h := newHarnessWith(t, harnessConfig{live: live, records: []wire.KeyValue{machineRecordItem(t, "n-1", records.LegacyMachine{Type: "box", Zone: "a", Address: "n-1:1",
-				Tasks: map[string][]records.AssignedTask{"run-000002": {{Index: 1, Attempt: 8}}, "run-000004": {{Index: 0, Attempt: 9}}}})}})
+				Tasks: map[string][]records.LegacyAssignment{"run-000002": {{Index: 1, Attempt: 8}}, "run-000004": {{Index: 0, Attempt: 9}}}})}})
 			h.calls = nil // n-1 sends no heartbeat, so the cancelled job stays live
 			stops := 0
 			count := func(cmds []wire.Command) {
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -18,7 +18,7 @@
 // preemptWithinTeam preempts lower work of the production job's own team until the team's
 // limit allows n tasks of the job.
 func (r *placementRound) preemptWithinTeam(j *job, n int) {
-	if !r.settings.Policy.Preempt || !j.isProduction() || r.reconciler.HoldsTeamLimits() {
+	if !r.settings.Policy.Preempt || !j.isProduction() || r.reconciler.HoldsQuotaPreemption() {
 		return
 	}
 	shortfall := r.cluster.quotaShortfall(j, n)
--- a/internal/scheduler/reconciliation.go
+++ b/internal/scheduler/reconciliation.go
@@ -58,7 +58,7 @@
 	//mutation:recovered-attempt-of-done-task
 	e.TaskIsDone = j.progress.done.Has(a.ref.index)
 	//mutation:recovered-attempt-duplicate
-	e.HasDuplicate = a.hasConflictingAttempt(e)
+	e.HasPreferredDuplicate = a.hasConflictingAttempt(e)
 	if !e.Recorded && observation == reconcile.Active {
 		//mutation:unrecorded-attempt-placement
 		e.MachineAllowed = j.mayAdoptOn(a.machine)
--- a/internal/scheduler/reconciliation_test.go
+++ b/internal/scheduler/reconciliation_test.go
@@ -34,7 +34,7 @@
 func assignmentRecord(t *testing.T, machine string, attempt uint64) wire.KeyValue {
 	t.Helper()
 	return machineRecordItem(t, machine, records.LegacyMachine{Type: "box", Zone: "a", Address: machine + ":1",
-		Tasks: map[string][]records.AssignedTask{restartedJobID: {{Index: 0, Attempt: attempt}}}})
+		Tasks: map[string][]records.LegacyAssignment{restartedJobID: {{Index: 0, Attempt: attempt}}}})
 }
 
 func taskReport(attempt uint64, state string) wire.TaskStatus {
@@ -228,7 +228,7 @@
 		if held := len(stops) == 0 && len(h.provisionRequests) == 0; held != enabled {
 			t.Errorf("recorded %v, with reconciliation %v: stops %v, provisioning requests %d", recorded, enabled, stops, len(h.provisionRequests))
 		}
-		for end := h.now + h.scheduler.reconciler.Config().CollectBound(); h.now < end; {
+		for end := h.now + h.scheduler.reconciler.Config().MaxCollectTime(); h.now < end; {
 			h.heartbeat("n-1", idle...)
 			h.advance(tuning.TickInterval)
 			h.calls = nil
@@ -353,7 +353,7 @@
 	}
 	h.calls = nil
 	h.bringUp("n-2")
-	h.advance(h.scheduler.reconciler.Config().CollectBound(), "n-2")
+	h.advance(h.scheduler.reconciler.Config().MaxCollectTime(), "n-2")
 	if s := h.startCommands(); len(s) != 2 {
 		t.Errorf("after the bound: %+v", s)
 	}
@@ -369,7 +369,7 @@
 		for i := range machines {
 			name := fmt.Sprintf("n-%06d", i)
 			storedRecords = append(storedRecords, machineRecordItem(t, name, records.LegacyMachine{Type: "box", Zone: "a", Address: name + ":1",
-				Tasks: map[string][]records.AssignedTask{restartedJobID: {{Index: i, Attempt: uint64(i + 1)}}}}))
+				Tasks: map[string][]records.LegacyAssignment{restartedJobID: {{Index: i, Attempt: uint64(i + 1)}}}}))
 			if i%2 == 0 {
 				list = append(list, wire.ListedMachine{Name: name, Address: name + ":1", Type: "box", Zone: "a", State: wire.MachineRunning, AgeS: 900})
 			}
--- a/internal/scheduler/simulation_controllers_test.go
+++ b/internal/scheduler/simulation_controllers_test.go
@@ -133,7 +133,7 @@
 	}
 	var leader records.Leader
 	must(wire.Unmarshal(item.Value, &leader))
-	if leader.Node == c.name && leader.Boot != uint64(c.incarnation) {
+	if leader.Node == c.name && leader.BootID != uint64(c.incarnation) {
 		c.sim.kvStore.RevokeLease(item.Lease)
 	}
 	return false
@@ -145,7 +145,7 @@
 	c.storeLease = sim.kvStore.GrantLease(sim.now, tuning.LeaderLeaseTTL)
 	status, reply := sim.kvStore.Commit(sim.now, wire.Txn{
 		If:   []wire.Compare{{Key: records.LeaderKey}},
-		Then: []wire.Op{{Set: records.LeaderKey, Value: records.Leader{Node: c.name, Boot: uint64(c.incarnation)}, Lease: &c.storeLease}},
+		Then: []wire.Op{{Set: records.LeaderKey, Value: records.Leader{Node: c.name, BootID: uint64(c.incarnation)}, Lease: &c.storeLease}},
 	})
 	if status != 200 {
 		return
