--- a/internal/controller/candidate.go
+++ b/internal/controller/candidate.go
@@ -52,7 +52,7 @@
 		return 0, writeErr
 	}
 	var stored records.Leader
-	if wire.Unmarshal(current.Value, &stored) != nil || stored.Boot != c.record.Boot {
+	if wire.Unmarshal(current.Value, &stored) != nil || stored.BootID != c.record.BootID {
 		return 0, writeErr
 	}
 	return current.ModRevision, nil
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -96,7 +96,7 @@
 func (e election) tryToLead(ctx context.Context) bool {
 	c := e.controller
 	leaseRequestedAt := time.Now()
-	self := candidate{store: c.store, record: records.Leader{Node: c.cfg.Node, Addr: c.cfg.PeerAddr, Boot: c.bootID}}
+	self := candidate{store: c.store, record: records.Leader{Node: c.cfg.Node, Addr: c.cfg.PeerAddr, BootID: c.bootID}}
 	revision, leaseID, err := self.acquire(ctx, leaderLeaseTTL(c.cfg))
 	if err != nil {
 		logCallFailure(c.log, "leadership not acquired", err)
--- a/internal/scheduler/assignmentrestore.go
+++ b/internal/scheduler/assignmentrestore.go
@@ -114,7 +114,7 @@
 		case known.number > number:
 			return // the later attempt was placed only after this one was proven absent
 		}
-		s.reconciler.UnexpectAttempt(m.name)
+		s.reconciler.RemoveExpectedAttempt(m.name)
 		s.detach(known)
 	}
 	a := &attempt{
--- a/internal/scheduler/reconciliation.go
+++ b/internal/scheduler/reconciliation.go
@@ -58,7 +58,7 @@
 	//mutation:recovered-attempt-of-done-task
 	evidence.TaskIsDone = j.progress.done.Has(a.ref.index)
 	//mutation:recovered-attempt-duplicate
-	evidence.HasDuplicate = a.hasConflictingAttempt(evidence)
+	evidence.HasPreferredDuplicate = a.hasConflictingAttempt(evidence)
 	if !evidence.Recorded && observation == reconcile.Active {
 		//mutation:unrecorded-attempt-placement
 		evidence.MachineAllowed = j.allowsAdoptionOn(a.machine)
