--- a/internal/docscheck/docs_test.go
+++ b/internal/docscheck/docs_test.go
@@ -1,5 +1,5 @@
-// Package docscheck_test checks that the code names, file paths, links and commands in
-// the pages resolve in the tree.
+// Package docscheck_test checks that the identifiers, file paths, links and commands in the
+// documentation pages refer to something that exists in the repository.
 package docscheck_test
 
 import (
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-// root is the repository as seen from this directory.
+// root is the path of the repository's root directory, relative to this package.
 const root = "../.."
 
-// checkedPages are the pages whose code names and paths are checked.
+// checkedPages are glob patterns of the pages whose code spans and commands are checked.
 var checkedPages = []string{"README.md", "CONTRIBUTING.md", "docs/*.md"}
 
-// linkedPages are the pages whose links are checked.
+// linkedPages are glob patterns of the pages whose links are checked.
 var linkedPages = append([]string{"docs/*/*.md"}, checkedPages...)
 
 func TestCodeNamesInPagesResolve(t *testing.T) {
@@ -21,7 +21,7 @@
 	for _, page := range readPages(t, checkedPages) {
 		for _, span := range page.codeSpans() {
 			if !tree.resolves(page, span.text) {
-				t.Errorf("%s: `%s` is nowhere in the tree", span.position, span.text)
+				t.Errorf("%s: `%s` does not exist in the tree", span.position, span.text)
 			}
 		}
 	}
@@ -32,7 +32,7 @@
 	for _, page := range readPages(t, checkedPages) {
 		for _, line := range page.codeBlockLines() {
 			if !tree.resolvesCommand(page, line.text) {
-				t.Errorf("%s: the command names what is not in the tree: %s", line.position, line.text)
+				t.Errorf("%s: the command names a path or test that does not exist in the tree: %s", line.position, line.text)
 			}
 		}
 	}
--- a/internal/docscheck/markdown_test.go
+++ b/internal/docscheck/markdown_test.go
@@ -11,12 +11,12 @@
 
 // page is a Markdown page.
 type page struct {
-	path  string
-	lines []string
-	code  []bool // by line: whether it is part of a code block
+	path        string
+	lines       []string
+	inCodeBlock []bool // for each line, whether it is part of a code block
 }
 
-// reference is a piece of a page that refers to something.
+// reference is a code span, a link target or a line of a code block, and its position.
 type reference struct {
 	position string // page:line
 	text     string
@@ -29,12 +29,12 @@
 		t.Fatal(err)
 	}
 	lines := strings.Split(string(content), "\n")
-	return page{path: path, lines: lines, code: codeLines(lines)}
+	return page{path: path, lines: lines, inCodeBlock: markCodeBlocks(lines)}
 }
 
-// codeLines tells for each line whether it is part of a fenced or an indented code
-// block, with the fences.
-func codeLines(lines []string) []bool {
+// markCodeBlocks reports for each line whether it is part of a fenced or indented code block.
+// The fences count as part of the block.
+func markCodeBlocks(lines []string) []bool {
 	const (
 		fence  = "```"
 		indent = "    "
@@ -61,28 +61,28 @@
 	return reference{fmt.Sprintf("%s:%d", relative, line+1), text}
 }
 
-// prose is the page's text with its code blocks blanked, so that line numbers stay.
+// prose returns the page's text with the lines of code blocks blanked, which keeps line numbers.
 func (p page) prose() string {
 	lines := make([]string, len(p.lines))
 	for i, line := range p.lines {
-		if !p.code[i] {
+		if !p.inCodeBlock[i] {
 			lines[i] = line
 		}
 	}
 	return strings.Join(lines, "\n")
 }
 
-var codeSpan = regexp.MustCompile("`([^`]+)`")
+var codeSpanPattern = regexp.MustCompile("`([^`]+)`")
 
-// codeSpans are the pieces of prose in backticks.
-func (p page) codeSpans() []reference { return p.matches(codeSpan) }
+// codeSpans returns the texts in backticks in the prose.
+func (p page) codeSpans() []reference { return p.matches(codeSpanPattern) }
 
-var link = regexp.MustCompile(`\]\(([^)\s]+)\)`)
+var linkPattern = regexp.MustCompile(`\]\(([^)\s]+)\)`)
 
-// links are the targets of links.
-func (p page) links() []reference { return p.matches(link) }
+// links returns the targets of the links in the prose.
+func (p page) links() []reference { return p.matches(linkPattern) }
 
-// matches lists the first groups of a pattern's matches in the prose.
+// matches returns the first capturing group of each match of the pattern in the prose.
 func (p page) matches(pattern *regexp.Regexp) []reference {
 	var found []reference
 	prose := p.prose()
@@ -94,18 +94,19 @@
 	return found
 }
 
-// codeBlockLines are the lines of code blocks.
+// codeBlockLines returns the lines of the code blocks.
 func (p page) codeBlockLines() []reference {
 	var found []reference
 	for i, line := range p.lines {
-		if p.code[i] {
+		if p.inCodeBlock[i] {
 			found = append(found, p.reference(i, strings.TrimSpace(line)))
 		}
 	}
 	return found
 }
 
-// checkLink checks that the target of a link is a file, or a heading of a page.
+// checkLink checks that the target of a link is an existing file or directory and that its
+// fragment, if any, is a heading of the linked page. External links are not checked.
 func (p page) checkLink(target string) error {
 	if strings.Contains(target, "://") || strings.HasPrefix(target, "mailto:") {
 		return nil
@@ -120,23 +121,23 @@
 		return nil
 	}
 	if err != nil {
-		return fmt.Errorf("the link to %s leads nowhere", target)
+		return fmt.Errorf("the link target %s does not exist", target)
 	}
 	if fragment != "" && !hasHeading(string(content), fragment) {
-		return fmt.Errorf("the link to %s leads to no heading", target)
+		return fmt.Errorf("the link target %s is not a heading of the page", target)
 	}
 	return nil
 }
 
 var (
-	heading     = regexp.MustCompile(`(?m)^#+ +(.*)$`)
-	notInAnchor = regexp.MustCompile(`[^a-z0-9 _-]`)
+	headingPattern      = regexp.MustCompile(`(?m)^#+ +(.*)$`)
+	nonAnchorCharacters = regexp.MustCompile(`[^a-z0-9 _-]`)
 )
 
-// hasHeading reports whether a page has a heading with the anchor.
+// hasHeading reports whether a page has a heading with the given anchor.
 func hasHeading(content, anchor string) bool {
-	for _, match := range heading.FindAllStringSubmatch(content, -1) {
-		plain := notInAnchor.ReplaceAllString(strings.ToLower(match[1]), "")
+	for _, match := range headingPattern.FindAllStringSubmatch(content, -1) {
+		plain := nonAnchorCharacters.ReplaceAllString(strings.ToLower(match[1]), "")
 		if strings.ReplaceAll(plain, " ", "-") == anchor {
 			return true
 		}
--- a/internal/docscheck/resolve_self_test.go
+++ b/internal/docscheck/resolve_self_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// The checks above are worth nothing if everything resolves.
+// References to things that are not in the tree do not resolve, so the checks of the pages can
+// fail.
 func TestOnlyWhatIsInTheTreeResolves(t *testing.T) {
 	tree := indexTree(t)
 	readme := page{path: filepath.Join(root, "README.md")}
@@ -33,7 +34,7 @@
 		"go test ./wire -run TestNoSuchThing":      false,
 		"go test ./wire -run NoSuchThing -bench=.": false,
 		"go test ./wire -run XXX -bench .":         true,
-		"/v2/runs":                                 true, // a path of a URL is not checked
+		"/v2/runs":                                 true, // the path of a URL is not checked
 	} {
 		if got := tree.resolves(readme, text); got != want {
 			t.Errorf("%q resolves: %t, want %t", text, got, want)
@@ -53,7 +54,7 @@
 		"#no-such-heading":              false,
 	} {
 		if err := readme.checkLink(target); (err == nil) != want {
-			t.Errorf("%s: %v, want it to be right: %t", target, err, want)
+			t.Errorf("link to %s: error %v, want valid: %t", target, err, want)
 		}
 	}
 }
--- a/internal/docscheck/resolve_test.go
+++ b/internal/docscheck/resolve_test.go
@@ -9,48 +9,48 @@
 )
 
 var (
-	identifier = regexp.MustCompile(`^[A-Za-z_][A-Za-z0-9_]*(\.[A-Za-z_][A-Za-z0-9_]*)*$`)
-	sourceFile = regexp.MustCompile(`\.(go|md|toml|star|mod|sum|sh)$`)
-	lineNumber = regexp.MustCompile(`:[0-9]+$`)
+	identifierPattern = regexp.MustCompile(`^[A-Za-z_][A-Za-z0-9_]*(\.[A-Za-z_][A-Za-z0-9_]*)*$`)
+	sourceFilePattern = regexp.MustCompile(`\.(go|md|toml|star|mod|sum|sh)$`)
+	lineNumberPattern = regexp.MustCompile(`:[0-9]+$`)
 )
 
-// foreignWords are names in pages that belong to programs outside this repository.
-var foreignWords = map[string]bool{
-	"best": true, "gap": true, // the users' bench: a figure of its table and a kind of day
-	"gathering": true, "gang_wait_s": true, "gang_peer_s": true, // the users' workers, that the questions ask about
+// externalNames are names in the pages that belong to programs outside this repository.
+var externalNames = map[string]bool{
+	"best": true, "gap": true, // the users' benchmark: a figure of its table and a kind of day
+	"gathering": true, "gang_wait_s": true, "gang_peer_s": true, // the users' workers, which the pages' questions mention
 }
 
-// resolves reports whether a piece of prose in backticks is in the tree. What is neither
-// a path, a command nor a single name is not checked.
+// resolves reports whether what a code span refers to exists in the tree. Only paths, commands
+// and identifiers are checked; anything else counts as resolved.
 func (tr *tree) resolves(page page, text string) bool {
 	switch name := strings.TrimSuffix(text, "()"); {
 	case strings.Contains(text, " "):
 		return tr.resolvesCommand(page, text)
 	case tr.isPath(text):
 		return tr.resolvesPath(page, text)
-	case identifier.MatchString(name):
+	case identifierPattern.MatchString(name):
 		return tr.resolvesName(name)
 	}
 	return true
 }
 
-// isPath reports whether a text is a path in the tree, or would be one.
+// isPath reports whether a text has the form of a path in the tree. The path need not exist.
 func (tr *tree) isPath(text string) bool {
 	trimmed := strings.TrimPrefix(text, "./")
 	first, _, nested := strings.Cut(trimmed, "/")
 	switch {
 	case first == "" || skippedDirectories[first]:
 		return false
-	case nested && tr.topLevel[first]:
+	case nested && tr.rootEntries[first]:
 		return true
 	}
-	return sourceFile.MatchString(lineNumber.ReplaceAllString(text, ""))
+	return sourceFilePattern.MatchString(lineNumberPattern.ReplaceAllString(text, ""))
 }
 
-// resolvesPath looks for a path from the root, from the page, and as the end of another
-// path: pages name files of a package that they speak of by their names alone.
+// resolvesPath reports whether a path exists relative to the root or to the page, or is the end
+// of an existing path: pages may give only the file name of a file whose package they describe.
 func (tr *tree) resolvesPath(page page, text string) bool {
-	trimmed := lineNumber.ReplaceAllString(text, "")
+	trimmed := lineNumberPattern.ReplaceAllString(text, "")
 	trimmed = strings.TrimSuffix(strings.TrimSuffix(trimmed, "..."), "/")
 	wanted := path.Clean(trimmed)
 	directory, err := filepath.Rel(root, filepath.Dir(page.path))
@@ -65,10 +65,10 @@
 	return false
 }
 
-// resolvesName looks for an identifier, alone or with its package or type, and for a
-// word of the protocol, the settings or a log message.
+// resolvesName reports whether a name is an identifier, alone or qualified by its package or
+// type, or a word of the protocol, of the settings or of a log message.
 func (tr *tree) resolvesName(name string) bool {
-	if tr.declared[name] || tr.words[name] || tr.topLevel[name] || foreignWords[name] {
+	if tr.declared[name] || tr.words[name] || tr.rootEntries[name] || externalNames[name] {
 		return true
 	}
 	owner, member, qualified := strings.Cut(name, ".")
@@ -78,10 +78,11 @@
 	if members, known := tr.members[owner]; known {
 		return members[member]
 	}
-	return tr.imported[owner] || tr.words[owner] && tr.words[member]
+	return tr.importedPackages[owner] || tr.words[owner] && tr.words[member]
 }
 
-// resolvesCommand checks the paths in a command, and that a test that it picks is there.
+// resolvesCommand reports whether the paths in a command exist and its -run pattern, if any,
+// matches a test.
 func (tr *tree) resolvesCommand(page page, command string) bool {
 	arguments := strings.Fields(command)
 	for i, argument := range arguments {
@@ -89,15 +90,15 @@
 		if nested && tr.isPath(argument) && !tr.resolvesPath(page, argument) {
 			return false
 		}
-		if argument == "-run" && i+1 < len(arguments) && !tr.picksTest(arguments, arguments[i+1]) {
+		if argument == "-run" && i+1 < len(arguments) && !tr.matchesTest(arguments, arguments[i+1]) {
 			return false
 		}
 	}
 	return true
 }
 
-// picksTest reports whether a pattern picks a test. Beside benchmarks it may pick none.
-func (tr *tree) picksTest(arguments []string, pattern string) bool {
+// matchesTest reports whether a -run pattern matches a test. With -bench it need not match any.
+func (tr *tree) matchesTest(arguments []string, pattern string) bool {
 	if slices.Contains(arguments, "-bench") {
 		return true
 	}
--- a/internal/docscheck/tree_test.go
+++ b/internal/docscheck/tree_test.go
@@ -13,30 +13,31 @@
 	"testing"
 )
 
-// tree is what the repository holds that pages may refer to.
+// tree is an index of everything in the repository that pages may refer to.
 type tree struct {
-	files    map[string]bool            // paths of files and directories, from the root
-	topLevel map[string]bool            // names in the root
-	declared map[string]bool            // identifiers at package level, methods, fields, packages
-	members  map[string]map[string]bool // identifiers by package, and by type
-	imported map[string]bool            // names of packages from elsewhere
-	words    map[string]bool            // words in string literals, tags and settings files
-	tests    []string                   // names of test functions
+	files            map[string]bool            // paths of files and directories, from the root
+	rootEntries      map[string]bool            // names of the files and directories in the root
+	declared         map[string]bool            // package-level identifiers, methods, fields, packages
+	members          map[string]map[string]bool // identifiers by package name and by type name
+	importedPackages map[string]bool            // last elements of import paths
+	words            map[string]bool            // words in string literals, struct tags and the files of wordFilePattern
+	tests            []string                   // names of test functions
 }
 
-// skippedDirectories hold what builds, runs and git leave behind.
+// skippedDirectories hold build output, files of runs and git data.
 var skippedDirectories = map[string]bool{".git": true, "target": true, "journal": true}
 
+// ownDirectory is the directory of this package.
 const ownDirectory = "internal/docscheck/"
 
-// Files whose words pages may use as they use those of string literals.
-var wordFiles = regexp.MustCompile(`^(deploy|examples|\.ci|tools)/|^go\.mod$`)
+// wordFilePattern matches the files whose words pages may use like those of string literals.
+var wordFilePattern = regexp.MustCompile(`^(deploy|examples|\.ci|tools)/|^go\.mod$`)
 
 func indexTree(t *testing.T) *tree {
 	t.Helper()
 	indexed := &tree{
-		files: map[string]bool{}, topLevel: map[string]bool{}, declared: map[string]bool{},
-		members: map[string]map[string]bool{}, imported: map[string]bool{}, words: map[string]bool{},
+		files: map[string]bool{}, rootEntries: map[string]bool{}, declared: map[string]bool{},
+		members: map[string]map[string]bool{}, importedPackages: map[string]bool{}, words: map[string]bool{},
 	}
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
@@ -58,7 +59,7 @@
 	path = filepath.ToSlash(path)
 	tr.files[path] = true
 	if !strings.Contains(path, "/") {
-		tr.topLevel[path] = true
+		tr.rootEntries[path] = true
 	}
 	switch {
 	case entry.IsDir() && skippedDirectories[entry.Name()]:
@@ -67,7 +68,7 @@
 		return nil
 	case strings.HasSuffix(path, ".go"):
 		return tr.addSource(path)
-	case wordFiles.MatchString(path) && !entry.IsDir():
+	case wordFilePattern.MatchString(path) && !entry.IsDir():
 		content, err := os.ReadFile(filepath.Join(root, path))
 		tr.addWords(string(content))
 		return err
@@ -84,13 +85,13 @@
 	tr.declared[packageName] = true
 	for _, spec := range file.Imports {
 		importPath := strings.Trim(spec.Path.Value, `"`)
-		tr.imported[importPath[strings.LastIndex(importPath, "/")+1:]] = true
+		tr.importedPackages[importPath[strings.LastIndex(importPath, "/")+1:]] = true
 	}
 	for _, declaration := range file.Decls {
 		tr.addDeclaration(packageName, declaration)
 	}
 	if strings.HasPrefix(path, ownDirectory) {
-		return nil // its strings are names that resolve and names that do not
+		return nil // its test cases contain names that must not resolve
 	}
 	ast.Inspect(file, func(node ast.Node) bool {
 		literal, ok := node.(*ast.BasicLit)
@@ -118,10 +119,10 @@
 
 func (tr *tree) addFunction(packageName string, function *ast.FuncDecl) {
 	if function.Recv != nil {
-		tr.add(receiverType(function.Recv.List[0].Type), function.Name)
+		tr.addIdentifier(receiverType(function.Recv.List[0].Type), function.Name)
 		return
 	}
-	tr.add(packageName, function.Name)
+	tr.addIdentifier(packageName, function.Name)
 	if strings.HasPrefix(function.Name.Name, "Test") {
 		tr.tests = append(tr.tests, function.Name.Name)
 	}
@@ -131,10 +132,10 @@
 	switch s := spec.(type) {
 	case *ast.ValueSpec:
 		for _, name := range s.Names {
-			tr.add(packageName, name)
+			tr.addIdentifier(packageName, name)
 		}
 	case *ast.TypeSpec:
-		tr.add(packageName, s.Name)
+		tr.addIdentifier(packageName, s.Name)
 		tr.addFields(s)
 	}
 }
@@ -152,13 +153,13 @@
 	}
 	for _, field := range fields.List {
 		for _, name := range field.Names {
-			tr.add(spec.Name.Name, name)
+			tr.addIdentifier(spec.Name.Name, name)
 		}
 	}
 }
 
-// add adds an identifier that an owner, a package or a type, declares.
-func (tr *tree) add(owner string, name *ast.Ident) {
+// addIdentifier adds an identifier that is declared in its owner, a package or a type.
+func (tr *tree) addIdentifier(owner string, name *ast.Ident) {
 	if tr.members[owner] == nil {
 		tr.members[owner] = map[string]bool{}
 	}
@@ -179,13 +180,13 @@
 }
 
 var (
-	dottedWord = regexp.MustCompile(`[A-Za-z_][A-Za-z0-9_]*([.-][A-Za-z0-9_]+)*`)
-	plainWord  = regexp.MustCompile(`[A-Za-z_][A-Za-z0-9_]*`)
-	partOfWord = regexp.MustCompile(`[A-Za-z0-9]+`) // of a name such as start_probes_total_retry
+	dottedWordPattern = regexp.MustCompile(`[A-Za-z_][A-Za-z0-9_]*([.-][A-Za-z0-9_]+)*`)
+	plainWordPattern  = regexp.MustCompile(`[A-Za-z_][A-Za-z0-9_]*`)
+	wordPartPattern   = regexp.MustCompile(`[A-Za-z0-9]+`) // parts of a name such as start_probes_total_retry
 )
 
 func (tr *tree) addWords(text string) {
-	for _, pattern := range []*regexp.Regexp{dottedWord, plainWord, partOfWord} {
+	for _, pattern := range []*regexp.Regexp{dottedWordPattern, plainWordPattern, wordPartPattern} {
 		for _, word := range pattern.FindAllString(text, -1) {
 			tr.words[word] = true
 		}
