--- a/internal/mutation/blankuses_test.go
+++ b/internal/mutation/blankuses_test.go
@@ -10,14 +10,15 @@
 	"strings"
 )
 
-// addBlankUses keeps in use what the mutation has left unused, as the compiler asks for: a
-// local variable by "_ = x" behind its declaration, an import by the blank name.
+// addBlankUses makes the mutated source compile although the mutation removed uses: it adds
+// "_ = x" after the declaration of an unused local variable, and gives an import that has become
+// unused the blank name.
 func addBlankUses(src, mutated []byte) ([]byte, error) {
-	before, err := usesIn(src)
+	before, err := analyzeUsage(src)
 	if err != nil {
 		return nil, err
 	}
-	after, err := usesIn(mutated)
+	after, err := analyzeUsage(mutated)
 	if err != nil {
 		return nil, err
 	}
@@ -30,13 +31,13 @@
 		edits = append(edits, edit{from, to, "_ "})
 	}
 	for _, v := range after.unused {
-		at, ok := after.behindDeclaration(v)
+		offset, ok := after.afterDeclaration(v)
 		switch {
-		case !ok: // the compiler will say so
-		case mutated[at-1] == '{' || mutated[at-1] == ':':
-			edits = append(edits, edit{at, at, " _ = " + v.Name + ";"})
+		case !ok: // the compiler reports the unused variable
+		case mutated[offset-1] == '{' || mutated[offset-1] == ':':
+			edits = append(edits, edit{offset, offset, " _ = " + v.Name + ";"})
 		default:
-			edits = append(edits, edit{at, at, "; _ = " + v.Name})
+			edits = append(edits, edit{offset, offset, "; _ = " + v.Name})
 		}
 	}
 	out := applyEdits(mutated, edits)
@@ -44,11 +45,11 @@
 	return out, err
 }
 
-// uses says what a file uses of its imports, and which of its local variables it does not use.
-type uses struct {
+// fileUsage holds which imports a file uses, and which of its local variables it does not use.
+type fileUsage struct {
 	fset    *token.FileSet
 	file    *ast.File
-	imports map[string]*importUse // by path
+	imports map[string]*importUse // by import path
 	unused  []*ast.Ident
 }
 
@@ -57,16 +58,16 @@
 	used bool
 }
 
-func usesIn(src []byte) (*uses, error) {
-	u := &uses{fset: token.NewFileSet(), imports: map[string]*importUse{}}
+func analyzeUsage(src []byte) (*fileUsage, error) {
+	u := &fileUsage{fset: token.NewFileSet(), imports: map[string]*importUse{}}
 	var err error
 	if u.file, err = parser.ParseFile(u.fset, "", src, parser.SkipObjectResolution); err != nil {
 		return nil, err
 	}
 	info := &types.Info{Defs: map[*ast.Ident]types.Object{}, Uses: map[*ast.Ident]types.Object{}, Implicits: map[ast.Node]types.Object{}}
-	// The file is checked alone and without what it imports. Only the scopes are of
-	// interest here; the compiler checks the rest.
-	config := types.Config{Importer: noPackages{}, Error: func(error) {}}
+	// The file is checked alone, with empty packages for its imports, so type errors are expected
+	// and ignored. Only the resolution of identifiers is needed; the compiler checks the rest.
+	config := types.Config{Importer: emptyPackageImporter{}, Error: func(error) {}}
 	_, _ = config.Check("", u.fset, []*ast.File{u.file}, info)
 
 	assigned := map[*ast.Ident]bool{}
@@ -87,19 +88,19 @@
 		return true
 	})
 	used := map[types.Object]bool{}
-	for id, o := range info.Uses {
-		used[o] = used[o] || !assigned[id]
+	for id, object := range info.Uses {
+		used[object] = used[object] || !assigned[id]
 	}
 	for _, spec := range u.file.Imports {
-		o := info.Implicits[spec]
+		object := info.Implicits[spec]
 		if spec.Name != nil {
-			o = info.Defs[spec.Name]
+			object = info.Defs[spec.Name]
 		}
 		importPath, err := strconv.Unquote(spec.Path.Value)
 		if err != nil {
 			return nil, err
 		}
-		u.imports[importPath] = &importUse{spec, o != nil && used[o]}
+		u.imports[importPath] = &importUse{spec, object != nil && used[object]}
 	}
 	ast.Inspect(u.file, func(n ast.Node) bool {
 		if id, ok := n.(*ast.Ident); ok && !parameters[id] {
@@ -112,70 +113,72 @@
 	return u, nil
 }
 
-func (u *uses) offset(pos token.Pos) int { return u.fset.Position(pos).Offset }
+func (u *fileUsage) offset(pos token.Pos) int { return u.fset.Position(pos).Offset }
 
-// behindDeclaration gives where a statement about a local variable may stand at the
-// earliest: behind the statement that declares it, or in the block that that one is for.
-func (u *uses) behindDeclaration(v *ast.Ident) (offset int, ok bool) {
-	var at token.Pos
+// afterDeclaration returns the first offset at which a statement may use the local variable:
+// after the statement that declares it, or at the start of the block if the variable is declared
+// in the header of an if, for, switch or select case.
+func (u *fileUsage) afterDeclaration(v *ast.Ident) (offset int, ok bool) {
+	var earliest token.Pos
 	ast.Inspect(u.file, func(n ast.Node) bool {
 		if n == nil || v.Pos() < n.Pos() || v.Pos() >= n.End() {
 			return false
 		}
-		inList := func(list []ast.Stmt) {
+		searchStatements := func(list []ast.Stmt) {
 			for _, s := range list {
 				switch s.(type) {
 				case *ast.AssignStmt, *ast.DeclStmt:
 					if s.Pos() <= v.Pos() && v.Pos() < s.End() {
-						at = s.End()
+						earliest = s.End()
 					}
 				}
 			}
 		}
 		switch n := n.(type) {
 		case *ast.BlockStmt:
-			inList(n.List)
+			searchStatements(n.List)
 		case *ast.CaseClause:
-			inList(n.Body)
+			searchStatements(n.Body)
 		case *ast.CommClause:
-			inList(n.Body)
+			searchStatements(n.Body)
 			if n.Comm != nil && v.Pos() < n.Comm.End() {
-				at = n.Colon + 1
+				earliest = n.Colon + 1
 			}
 		case *ast.IfStmt:
 			if n.Init != nil && v.Pos() < n.Init.End() {
-				at = n.Body.Lbrace + 1
+				earliest = n.Body.Lbrace + 1
 			}
 		case *ast.ForStmt:
 			if n.Init != nil && v.Pos() < n.Init.End() {
-				at = n.Body.Lbrace + 1
+				earliest = n.Body.Lbrace + 1
 			}
 		case *ast.RangeStmt:
 			if v.Pos() < n.X.Pos() {
-				at = n.Body.Lbrace + 1
+				earliest = n.Body.Lbrace + 1
 			}
 		case *ast.SwitchStmt:
 			if n.Init != nil && v.Pos() < n.Init.End() && len(n.Body.List) > 0 {
-				at = n.Body.List[0].(*ast.CaseClause).Colon + 1
+				earliest = n.Body.List[0].(*ast.CaseClause).Colon + 1
 			}
 		}
 		return true
 	})
-	if !at.IsValid() {
+	if !earliest.IsValid() {
 		return 0, false
 	}
-	return u.offset(at), true
+	return u.offset(earliest), true
 }
 
-// noPackages gives an empty package for each import, of the name that its path suggests.
-type noPackages struct{}
+// emptyPackageImporter imports each path as an empty package, named after the last element of the
+// path that is not a major version.
+type emptyPackageImporter struct{}
 
-func (noPackages) Import(importPath string) (*types.Package, error) {
+func (emptyPackageImporter) Import(importPath string) (*types.Package, error) {
 	name := path.Base(importPath)
 	if strings.HasPrefix(name, "v") && strings.Trim(name[1:], "0123456789") == "" {
 		name = path.Base(path.Dir(importPath))
 	}
-	p := types.NewPackage(importPath, name)
-	p.MarkComplete()
-	return p, nil
+	emptyPackage := types.NewPackage(importPath, name)
+	emptyPackage.MarkComplete()
+	return emptyPackage, nil
 }
--- a/internal/mutation/controller_test.go
+++ b/internal/mutation/controller_test.go
@@ -1,6 +1,7 @@
 package mutation_test
 
-// controllerMutations are those of the controllers: what they know, and what they confirm to whom.
+// controllerMutations remove safeguards of the controllers: what they know of cancellations, and
+// what they confirm to workers, peers and users.
 var controllerMutations = []mutation{
 	{
 		scenario: "the leader may have missed cancellations for longer than leaves time for one",
@@ -29,7 +30,7 @@
 	{
 		scenario: "a new leader renews a lease before the machine has reported under its fencing token",
 		marker:   "stops-before-confirmation",
-		// No constant has this type; nil would be null on the wire.
+		// There are no constants of this type, and nil would be encoded as null.
 		operator: replaceExpr("[]wire.Command{}"),
 		test:     "internal/scheduler:^TestEveryLeaseRenewalStopsCancelledTasks$",
 	},
--- a/internal/mutation/faults_test.go
+++ b/internal/mutation/faults_test.go
@@ -1,6 +1,7 @@
 package mutation_test
 
-// faultMutations are those that the simulated services' injected faults have shown to be needed.
+// faultMutations remove safeguards whose need was shown by faults injected into simulated
+// services.
 var faultMutations = []mutation{
 	{
 		scenario: "a deletion is delayed while its machine runs on, and jobs there are cancelled",
@@ -11,7 +12,7 @@
 	{
 		scenario: "machines hang past their lease, and their deletion is delayed",
 		marker:   "release-needs-proof",
-		// The mutation takes a call without an answer for an answer; the two are values of one type.
+		// The mutation treats an unanswered release call as done. The results are values of one type.
 		operator: replaceExpr("result == ReleaseRefused"),
 		test:     "internal/scheduler:^TestTasksOfHungMachinesRestartOnlyAfterProof$",
 	},
@@ -24,7 +25,7 @@
 	{
 		scenario: "a malformed retry of an accepted submission comes while the key-value store refuses",
 		marker:   "refusal-after-failed-read",
-		// The refusal is a parameter of the function.
+		// refusal is a parameter of the function, so no constant can replace the expression.
 		operator: replaceExpr("refusal"),
 		test:     "internal/api:^TestIdempotentSubmissionIsNeverInvalid$",
 	},
--- a/internal/mutation/heartbeat_test.go
+++ b/internal/mutation/heartbeat_test.go
@@ -1,32 +1,32 @@
 package mutation_test
 
-// Tests that several rows name.
+// Tests that several rows use.
 const (
-	heartbeatFaults = "internal/scheduler:^TestCombinedMessageFaults$/"
-	absenceTest     = "internal/scheduler:^TestEachConditionDefeatsProofOfAbsence$"
-	unexpectedTest  = "internal/scheduler:^TestUnexpectedMachineIsAdopted$"
+	messageFaultsTest     = "internal/scheduler:^TestCombinedMessageFaults$/"
+	absenceProofTest      = "internal/scheduler:^TestEachConditionDefeatsProofOfAbsence$"
+	unexpectedMachineTest = "internal/scheduler:^TestUnexpectedMachineIsAdopted$"
 )
 
-// heartbeatMutations are those of what heartbeats prove, of commands in flight, and of
-// what a leader that fails leaves to the next.
+// heartbeatMutations remove safeguards of what heartbeats prove, of commands in flight, and of
+// the state that a new leader recovers from a failed one.
 var heartbeatMutations = []mutation{
 	{
 		scenario: "a delayed heartbeat arrives after newer ones",
 		marker:   "heartbeat-sequence",
 		operator: replace("true"),
-		test:     heartbeatFaults + "after_newer_ones",
+		test:     messageFaultsTest + "after_newer_ones",
 	},
 	{
 		scenario: "a delayed heartbeat reaches every controller just as a new leader takes over",
 		marker:   "absence-needs-fencing-token",
 		operator: replace("false"),
-		test:     heartbeatFaults + "just_as_a_new_leader_begins",
+		test:     messageFaultsTest + "just_as_a_new_leader_begins",
 	},
 	{
 		scenario: "a heartbeat is delayed until a new leader has acted",
 		marker:   "absence-needs-fencing-token",
 		operator: replace("false"),
-		test:     heartbeatFaults + "held_back",
+		test:     messageFaultsTest + "held_back",
 	},
 	{
 		scenario: "a duplicate heartbeat is the first that a new leader receives from a machine",
@@ -44,19 +44,19 @@
 		scenario: "a direct reply is delayed and newer heartbeats overtake it",
 		marker:   "direct-reply-sequence",
 		operator: setCondition(true),
-		test:     heartbeatFaults + "a_command_or_its_answer",
+		test:     messageFaultsTest + "a_command_or_its_answer",
 	},
 	{
 		scenario: "a duplicate start arrives after its attempt was forgotten",
 		marker:   "forget-raises-fencing-token",
 		operator: setCondition(false),
-		test:     heartbeatFaults + "a_command_or_its_answer",
+		test:     messageFaultsTest + "a_command_or_its_answer",
 	},
 	{
 		scenario: "a start is delayed past its stop, and no fencing token is ever raised",
 		marker:   "fencing-counter-raised",
 		operator: remove(),
-		test:     heartbeatFaults + "a_command_or_its_answer",
+		test:     messageFaultsTest + "a_command_or_its_answer",
 	},
 	{
 		scenario: "a start that is still in flight is stopped",
@@ -68,25 +68,25 @@
 		scenario: "a heartbeat carries a fencing token below the one the start needs",
 		marker:   "absence-needs-fencing-token",
 		operator: replace("0", term(1, 2), argument(1, 2)),
-		test:     absenceTest,
+		test:     absenceProofTest,
 	},
 	{
 		scenario: "a heartbeat arrives while the call with the start is in flight",
 		marker:   "absence-needs-finished-call",
 		operator: replace("false"),
-		test:     absenceTest,
+		test:     absenceProofTest,
 	},
 	{
 		scenario: "a direct reply overtakes the heartbeat reply that carried the start",
 		marker:   "absence-needs-next-heartbeat",
 		operator: dropOperands(3, 1),
-		test:     absenceTest,
+		test:     absenceProofTest,
 	},
 	{
 		scenario: "the heartbeat whose reply carried the start does not list it",
 		marker:   "absence-needs-next-heartbeat",
 		operator: dropOperands(3, 2),
-		test:     absenceTest,
+		test:     absenceProofTest,
 	},
 	{
 		scenario: "a new attempt meets an ended one of its task",
@@ -98,19 +98,19 @@
 		scenario: "machines get work at once while writes lag, and the leader fails",
 		marker:   "start-after-record",
 		operator: dropOperands(7, 0),
-		test:     heartbeatFaults + "writes_lag",
+		test:     messageFaultsTest + "writes_lag",
 	},
 	{
 		scenario: "a leader fails while machines with long tasks are unreachable",
 		marker:   "recovered-attempt-counts-as-sent",
 		operator: replace("false", element(0, 1)),
-		test:     heartbeatFaults + "long_tasks",
+		test:     messageFaultsTest + "long_tasks",
 	},
 	{
 		scenario: "a leader fails before a cancellation has reached unreachable machines",
 		marker:   "recovered-attempt-of-cancelled-job",
 		operator: dropOperands(2, 0),
-		test:     heartbeatFaults + "long_tasks",
+		test:     messageFaultsTest + "long_tasks",
 	},
 	{
 		scenario: "a one-way partition: a machine's heartbeats arrive, and no command reaches it",
@@ -128,19 +128,19 @@
 		scenario: "workers open no connections, and the leader fails",
 		marker:   "recovered-attempt-counts-as-sent",
 		operator: replace("false", element(0, 1)),
-		test:     heartbeatFaults + "workers_open_no_connections",
+		test:     messageFaultsTest + "workers_open_no_connections",
 	},
 	{
 		scenario: "workers open no connections, and their incarnations end",
 		marker:   "direct-call-incarnation",
 		operator: keepArgument(0, 2, element(1, 3)),
-		test:     heartbeatFaults + "workers_open_no_connections",
+		test:     messageFaultsTest + "workers_open_no_connections",
 	},
 	{
 		scenario: "unexpected machines come up, and the leader fails",
 		marker:   "recovered-attempt-counts-as-sent",
 		operator: replace("false", element(0, 1)),
-		test:     heartbeatFaults + "nobody_expected",
+		test:     messageFaultsTest + "nobody_expected",
 	},
 	{
 		scenario: "machines open no connections, and only status probes tell of them",
@@ -163,7 +163,8 @@
 	{
 		scenario: "a leader fails between a task's end and the write of it",
 		marker:   "forget-after-durable-end",
-		// The mutation confuses two sets of the same type, what is durable and what is done.
+		// The mutation confuses two sets of the same type: tasks durably recorded as done, and
+		// tasks that are done.
 		operator: replaceName("saved", "done"),
 		test:     "internal/scheduler:^TestSpreadCompletionsSurviveFailovers$",
 	},
@@ -171,25 +172,25 @@
 		scenario: "an unexpected machine runs a task of a cancelled job",
 		marker:   "recovered-attempt-of-cancelled-job",
 		operator: dropOperands(2, 0),
-		test:     unexpectedTest,
+		test:     unexpectedMachineTest,
 	},
 	{
 		scenario: "an unexpected machine runs a task that is done",
 		marker:   "recovered-attempt-of-done-task",
 		operator: remove(),
-		test:     unexpectedTest,
+		test:     unexpectedMachineTest,
 	},
 	{
 		scenario: "an unexpected machine runs a task that runs elsewhere too",
 		marker:   "recovered-attempt-duplicate",
 		operator: remove(),
-		test:     unexpectedTest,
+		test:     unexpectedMachineTest,
 	},
 	{
 		scenario: "an unexpected machine's task is not recorded",
 		marker:   "record-unexpected-attempt",
 		operator: remove(),
-		test:     unexpectedTest,
+		test:     unexpectedMachineTest,
 	},
 	{
 		scenario: "another machine answers at a machine's address",
--- a/internal/mutation/leadership_test.go
+++ b/internal/mutation/leadership_test.go
@@ -2,7 +2,7 @@
 
 import "go/token"
 
-// leadershipMutations are those of failovers and of cancellations.
+// leadershipMutations remove safeguards of failovers and of cancellations.
 var leadershipMutations = []mutation{
 	{
 		scenario: "all controllers are down for longer than a lease, and jobs were cancelled right before",
--- a/internal/mutation/load_test.go
+++ b/internal/mutation/load_test.go
@@ -1,12 +1,12 @@
 package mutation_test
 
-// Tests that several rows name.
+// Tests that several rows use.
 const (
 	probeBudgetTest = "internal/scheduler:^TestStatusProbesAreSpacedByCPUShare$"
 )
 
-// loadMutations are those of a failover's load: the leader's lease that outlasts it, and what
-// bounds connections, requests and status probes meanwhile.
+// loadMutations remove safeguards against the load of a failover: the leader's lease, which must
+// outlast it, and the limits of connections, requests and status probes.
 var loadMutations = []mutation{
 	{
 		scenario: "all workers come to a new leader whose processor share is small",
--- a/internal/mutation/markers_test.go
+++ b/internal/mutation/markers_test.go
@@ -18,26 +18,26 @@
 
 var markerPattern = regexp.MustCompile(`^//mutation:([a-z0-9]+(?:-[a-z0-9]+)*)$`)
 
-// markers says where each marker of the tree stands. A marker that stands in several
-// places has several entries.
-type markers struct {
-	root string
-	at   map[string][]markerPlace
+// markerLocations holds the positions of all markers in the module's Go files, by marker name.
+// A marker that occurs several times has several positions.
+type markerLocations struct {
+	root      string
+	positions map[string][]markerPosition
 }
 
-type markerPlace struct {
+type markerPosition struct {
 	path string
 	line int
 }
 
 // scanMarkers finds the markers of all Go files of the module.
-func scanMarkers(t *testing.T) *markers {
+func scanMarkers(t *testing.T) *markerLocations {
 	t.Helper()
 	root, err := filepath.Abs("../..")
 	if err != nil {
 		t.Fatal(err)
 	}
-	all := &markers{root: root, at: map[string][]markerPlace{}}
+	found := &markerLocations{root: root, positions: map[string][]markerPosition{}}
 	err = filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 		switch {
 		case err != nil:
@@ -47,15 +47,15 @@
 		case d.IsDir() || !strings.HasSuffix(path, ".go"):
 			return nil
 		}
-		return all.scanFile(path)
+		return found.scanFile(path)
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return all
+	return found
 }
 
-func (a *markers) scanFile(path string) error {
+func (m *markerLocations) scanFile(path string) error {
 	src, err := os.ReadFile(path)
 	if err != nil {
 		return err
@@ -73,76 +73,76 @@
 			if !strings.HasPrefix(c.Text, markerPrefix) {
 				continue
 			}
-			at := fset.Position(c.Pos())
+			position := fset.Position(c.Pos())
 			name := markerPattern.FindStringSubmatch(c.Text)
 			switch {
 			case name == nil:
-				return fmt.Errorf("%s: malformed marker %q", at, c.Text)
+				return fmt.Errorf("%s: malformed marker %q", position, c.Text)
 			case strings.HasSuffix(path, "_test.go"):
-				return fmt.Errorf("%s: marker %q in a test file", at, c.Text)
+				return fmt.Errorf("%s: marker %q in a test file", position, c.Text)
 			}
-			a.at[name[1]] = append(a.at[name[1]], markerPlace{path, at.Line})
+			m.positions[name[1]] = append(m.positions[name[1]], markerPosition{path, position.Line})
 		}
 	}
 	return nil
 }
 
-// mutate gives the file of the marker as the mutation leaves it.
-func (a *markers) mutate(m mutation) (path string, mutated []byte, err error) {
-	places := a.at[m.marker]
-	if len(places) != 1 {
-		return "", nil, fmt.Errorf("marker %q stands in %d places, not in one: %v", m.marker, len(places), places)
+// mutate returns the path of the file that contains the row's marker, and its mutated source.
+func (m *markerLocations) mutate(row mutation) (path string, mutated []byte, err error) {
+	positions := m.positions[row.marker]
+	if len(positions) != 1 {
+		return "", nil, fmt.Errorf("marker %q occurs %d times, want 1: %v", row.marker, len(positions), positions)
 	}
-	path = places[0].path
+	path = positions[0].path
 	src, err := os.ReadFile(path)
 	if err != nil {
 		return "", nil, err
 	}
-	mutated, err = m.operator.applyTo(src, places[0].line)
+	mutated, err = row.operator.applyTo(src, positions[0].line)
 	if err != nil {
-		return "", nil, fmt.Errorf("marker %q: %s:%d: %w", m.marker, path, places[0].line, err)
+		return "", nil, fmt.Errorf("marker %q: %s:%d: %w", row.marker, path, positions[0].line, err)
 	}
 	return path, mutated, nil
 }
 
-// The table and the code agree: each marker is unique and used, each operator applies to
-// what is marked, and each test is there.
+// The mutation table matches the code: each marker is unique and used, each operator applies to
+// the marked place, and each test exists.
 func TestTableFitsTheCode(t *testing.T) {
-	all := scanMarkers(t)
+	markers := scanMarkers(t)
 	unused := map[string]bool{}
-	for name, places := range all.at {
+	for name, positions := range markers.positions {
 		unused[name] = true
-		if len(places) != 1 {
-			t.Errorf("marker %q stands in %d places: %v", name, len(places), places)
+		if len(positions) != 1 {
+			t.Errorf("marker %q occurs %d times: %v", name, len(positions), positions)
 		}
 	}
 	declared := map[string]map[string]bool{}
 	for _, m := range mutations() {
 		delete(unused, m.marker)
-		// mutate parses what it returns.
-		if _, _, err := all.mutate(m); err != nil {
+		// mutate also checks that the mutated source parses.
+		if _, _, err := markers.mutate(m); err != nil {
 			t.Errorf("%s: %v", m.scenario, err)
 		}
-		pkg, run, ok := strings.Cut(m.test, ":")
-		name := regexp.MustCompile(`^\^(Test\w+)\$(/|$)`).FindStringSubmatch(run)
+		pkg, testPattern, ok := strings.Cut(m.test, ":")
+		name := regexp.MustCompile(`^\^(Test\w+)\$(/|$)`).FindStringSubmatch(testPattern)
 		if !ok || name == nil {
-			t.Errorf("%s: test %q is not of the form DIR:^TestName$ with subtests", m.scenario, m.test)
+			t.Errorf("%s: test %q does not have the form DIR:^TestName$ with optional subtests", m.scenario, m.test)
 			continue
 		}
 		if declared[pkg] == nil {
-			declared[pkg] = testsIn(t, filepath.Join(all.root, pkg))
+			declared[pkg] = functionsInTestFiles(t, filepath.Join(markers.root, pkg))
 		}
 		if !declared[pkg][name[1]] {
 			t.Errorf("%s: there is no test %s in %s", m.scenario, name[1], pkg)
 		}
 	}
 	for name := range unused {
-		t.Errorf("marker %q is used by no mutation: %v", name, all.at[name])
+		t.Errorf("marker %q is used by no mutation: %v", name, markers.positions[name])
 	}
 }
 
-// testsIn names the test functions of a package directory.
-func testsIn(t *testing.T, dir string) map[string]bool {
+// functionsInTestFiles returns the names of the functions in the test files of a package directory.
+func functionsInTestFiles(t *testing.T, dir string) map[string]bool {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(dir, "*_test.go"))
 	if err != nil {
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -1,11 +1,11 @@
-// Package mutation_test takes safeguards out of the program, one at a time, and shows
-// that the test of the scenario that a safeguard is for fails then. docs/combined-faults.md is
-// the table for people.
+// Package mutation_test removes safeguards from the program, one at a time, and checks that the
+// test of the scenario that needs the safeguard fails then. docs/combined-faults.md lists the
+// same scenarios for readers.
 //
-// A safeguard is marked in the code by a comment, //mutation:NAME, on the line above the
-// statement, case or element of a composite literal that it is. A row of the table names the
-// marker and an operator, which changes the marked place by its syntax: renames and
-// reformatting leave the rows as they are.
+// A safeguard is a statement, case or element of a composite literal. A comment on the line above
+// it, //mutation:NAME, marks it in the code. A row of the table names the marker and an operator,
+// which changes the marked place by its syntax, so most rows need no change when the code is
+// reformatted or identifiers are renamed.
 package mutation_test
 
 import (
@@ -17,30 +17,31 @@
 	"testing"
 )
 
-// mutation is a change to the program that a test has to notice.
+// mutation is a change to the program that must make a test fail.
 type mutation struct {
 	scenario string   // the combined faults that need the safeguard, as in docs/combined-faults.md
-	marker   string   // of the safeguard in the code, without "//mutation:"
-	operator operator // what takes the safeguard out
-	test     string   // the test that must fail then: package directory, colon, -run pattern
+	marker   string   // name of the safeguard's marker in the code, without "//mutation:"
+	operator operator // change that removes the safeguard
+	test     string   // test that must fail then: package directory, colon, -run pattern
 }
 
-// atOnce is how many mutations are tried at once: each builds a test binary of its own.
-const atOnce = 3
+// maxParallelMutations limits how many mutations are tried at once, because each builds its own
+// test binary.
+const maxParallelMutations = 3
 
-// Every safeguard is needed: without it, the test that names it fails.
+// Every safeguard is needed: with its mutation, the test that the row names fails.
 func TestEveryMutationIsNoticed(t *testing.T) {
 	if testing.Short() {
 		t.Skip("builds a test binary for each mutation")
 	}
-	all := scanMarkers(t)
-	running := make(chan struct{}, atOnce)
+	markers := scanMarkers(t)
+	slots := make(chan struct{}, maxParallelMutations)
 	for _, m := range mutations() {
 		t.Run(m.scenario, func(t *testing.T) {
 			t.Parallel()
-			running <- struct{}{}
-			defer func() { <-running }()
-			path, mutated, err := all.mutate(m)
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			path, mutated, err := markers.mutate(m)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -53,14 +54,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			list := filepath.Join(dir, "overlay.json")
-			if err = os.WriteFile(list, overlay, 0o600); err != nil {
+			overlayPath := filepath.Join(dir, "overlay.json")
+			if err = os.WriteFile(overlayPath, overlay, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			pkg, run, _ := strings.Cut(m.test, ":")
-			test := func(more ...string) (string, error) {
-				cmd := exec.Command("go", append(append([]string{"test"}, more...), "-run", run, "./"+pkg)...)
-				cmd.Dir = all.root
+			pkg, testPattern, _ := strings.Cut(m.test, ":")
+			runTest := func(extraArguments ...string) (string, error) {
+				cmd := exec.Command("go", append(append([]string{"test"}, extraArguments...), "-run", testPattern, "./"+pkg)...)
+				cmd.Dir = markers.root
 				output, runErr := cmd.CombinedOutput()
 				return string(output), runErr
 			}
@@ -68,14 +69,14 @@
 				return strings.Contains(out, "[build failed]") || strings.Contains(out, "[setup failed]") ||
 					strings.Contains(out, "no tests to run") || strings.Contains(out, "[no test files]")
 			}
-			out, err := test() // mostly from the cache
+			out, err := runTest() // usually from go test's cache
 			switch {
 			case err != nil:
 				t.Fatalf("%s fails without the mutation: %v\n%s", m.test, err, out)
 			case didNotRun(out):
 				t.Fatalf("%s did not run without the mutation:\n%s", m.test, out)
 			}
-			out, err = test("-overlay", list, "-count=1")
+			out, err = runTest("-overlay", overlayPath, "-count=1")
 			switch {
 			case didNotRun(out):
 				t.Fatalf("%s did not run:\n%s", m.test, out)
@@ -88,7 +89,7 @@
 	}
 }
 
-// mutations lists all of them.
+// mutations returns all rows of the table.
 func mutations() []mutation {
 	var all []mutation
 	for _, part := range [][]mutation{
--- a/internal/mutation/operators_test.go
+++ b/internal/mutation/operators_test.go
@@ -12,18 +12,18 @@
 	"strings"
 )
 
-// operator changes the marked place. It fails where it does not find what it expects.
-// Operators that choose among several operands, arguments or elements say how many there
-// have to be, so that a place that has changed since is noticed.
+// operator returns the edits that change a marked place, or an error if the place does not have
+// the expected form. Operators that select one of several operands, arguments or elements also
+// state how many there must be, so that they fail if the code at the place has changed.
 type operator func(*place) ([]edit, error)
 
-// edit replaces a stretch of the source.
+// edit replaces the source from byte offset start to end, exclusive, by a text.
 type edit struct {
-	from, to int // byte offsets
-	text     string
+	start, end int // byte offsets
+	text       string
 }
 
-// place is the statement, case or element of a composite literal that a marker is for.
+// place is the statement, case or element of a composite literal below a marker.
 type place struct {
 	src    []byte
 	fset   *token.FileSet
@@ -31,8 +31,8 @@
 	parent ast.Node
 }
 
-// applyTo gives the source with the change to the place that is marked on the line.
-// Variables and imports that the change leaves unused are kept by blank uses.
+// applyTo returns the source with the operator applied to the place below the marker's line.
+// Variables and imports that the change leaves unused get blank uses.
 func (op operator) applyTo(src []byte, markerLine int) ([]byte, error) {
 	p, err := findPlace(src, markerLine+1)
 	if err != nil {
@@ -49,7 +49,7 @@
 	return addBlankUses(src, mutated)
 }
 
-// findPlace gives the outermost statement or keyed element that begins the line.
+// findPlace returns the outermost statement or keyed element that begins the line.
 func findPlace(src []byte, line int) (*place, error) {
 	fset := token.NewFileSet()
 	file, err := parser.ParseFile(fset, "", src, parser.ParseComments|parser.SkipObjectResolution)
@@ -70,7 +70,7 @@
 		return true
 	})
 	if p.node == nil {
-		return nil, fmt.Errorf("no statement, case or keyed element begins line %d, below the marker", line)
+		return nil, fmt.Errorf("no statement, case or keyed element begins line %d below the marker", line)
 	}
 	return p, nil
 }
@@ -93,7 +93,7 @@
 	return []edit{{p.offset(n.Pos()), p.offset(n.End()), text}}
 }
 
-// delete deletes an element of a list with the comma behind it, or a statement.
+// delete returns the edit that deletes a statement, or a list element and the comma after it.
 func (p *place) delete(n ast.Node) []edit {
 	end := p.offset(n.End())
 	if !isStmt(n) {
@@ -104,7 +104,7 @@
 	return []edit{{p.offset(n.Pos()), end, ""}}
 }
 
-// statements gives the list of statements that the place is in, and its index there.
+// statements returns the statement list that contains the place, and its index there.
 func (p *place) statements() ([]ast.Stmt, int, error) {
 	var list []ast.Stmt
 	switch parent := p.parent.(type) {
@@ -120,10 +120,10 @@
 			return list, i, nil
 		}
 	}
-	return nil, 0, fmt.Errorf("%T is in no list of statements", p.node)
+	return nil, 0, fmt.Errorf("%T is not in a statement list", p.node)
 }
 
-// remove takes out the statement, the case or the keyed element.
+// remove deletes the statement, the case or the keyed element.
 func remove() operator {
 	return func(p *place) ([]edit, error) {
 		if _, ok := p.node.(*ast.KeyValueExpr); ok {
@@ -136,48 +136,48 @@
 	}
 }
 
-// removeStatements takes out the statement and those that follow it, n in all.
+// removeStatements deletes n statements, the marked one and those after it.
 func removeStatements(n int) operator {
 	return func(p *place) ([]edit, error) {
-		list, at, err := p.statements()
+		list, first, err := p.statements()
 		if err != nil {
 			return nil, err
 		}
-		if at+n > len(list) {
-			return nil, fmt.Errorf("only %d statements, not %d", len(list)-at, n)
+		if first+n > len(list) {
+			return nil, fmt.Errorf("there are only %d statements, not %d", len(list)-first, n)
 		}
 		var edits []edit
-		for _, s := range list[at : at+n] {
+		for _, s := range list[first : first+n] {
 			edits = append(edits, p.delete(s)...)
 		}
 		return edits, nil
 	}
 }
 
-// moveBehind moves the statement behind the one that stands by places further on, between
-// copies of the statements at the two distances: its lock and its unlock.
-func moveBehind(by, lock, unlock int) operator {
+// moveAfter moves the statement after the one at the given distance in its list. The lock and
+// unlock statements at the other two distances are copied around it.
+func moveAfter(distance, lockDistance, unlockDistance int) operator {
 	return func(p *place) ([]edit, error) {
-		list, at, err := p.statements()
+		list, position, err := p.statements()
 		if err != nil {
 			return nil, err
 		}
-		for _, i := range []int{at + by, at + lock, at + unlock} {
+		for _, i := range []int{position + distance, position + lockDistance, position + unlockDistance} {
 			if i < 0 || i >= len(list) {
-				return nil, fmt.Errorf("no statement at distance %d", i-at)
+				return nil, fmt.Errorf("no statement at distance %d", i-position)
 			}
 		}
-		locking, unlocking := p.text(list[at+lock]), p.text(list[at+unlock])
+		locking, unlocking := p.text(list[position+lockDistance]), p.text(list[position+unlockDistance])
 		if !strings.HasSuffix(locking, ".Lock()") || unlocking != strings.TrimSuffix(locking, "Lock()")+"Unlock()" {
-			return nil, fmt.Errorf("%q and %q are no lock and unlock", locking, unlocking)
+			return nil, fmt.Errorf("%q and %q are not a matching lock and unlock", locking, unlocking)
 		}
-		end := p.offset(list[at+by].End())
+		end := p.offset(list[position+distance].End())
 		moved := "\n" + locking + "\n" + p.text(p.node) + "\n" + unlocking
 		return append(p.delete(p.node), edit{end, end, moved}), nil
 	}
 }
 
-// onlyIf makes the statement depend on a condition.
+// onlyIf executes the statement only under a condition.
 func onlyIf(condition string) operator {
 	return func(p *place) ([]edit, error) {
 		if _, _, err := p.statements(); err != nil {
@@ -187,7 +187,7 @@
 	}
 }
 
-// condition gives what the if statement or the case asks for.
+// condition returns the condition of the if statement or the only expression of the case.
 func (p *place) condition() (ast.Expr, error) {
 	switch n := p.node.(type) {
 	case *ast.IfStmt:
@@ -197,10 +197,10 @@
 			return n.List[0], nil
 		}
 	}
-	return nil, fmt.Errorf("%T is no if and no case with one condition", p.node)
+	return nil, fmt.Errorf("%T is neither an if nor a case with one expression", p.node)
 }
 
-// setCondition replaces the condition of the if or the case.
+// setCondition replaces the condition of the if or the case by true or false.
 func setCondition(value bool) operator {
 	return func(p *place) ([]edit, error) {
 		c, err := p.condition()
@@ -211,7 +211,7 @@
 	}
 }
 
-// alwaysTrue makes the condition true, but still computes it, for its effects.
+// alwaysTrue makes the condition true but still evaluates it for its side effects.
 func alwaysTrue() operator {
 	return func(p *place) ([]edit, error) {
 		c, err := p.condition()
@@ -224,21 +224,22 @@
 
 var identifier = regexp.MustCompile(`\b[A-Za-z_]\w*\b`)
 
-// replace puts a constant, which names nothing of the program, in the place of the subject
-// or of what the steps lead to.
+// replace replaces the place's subject, or the part of it that the steps select, by a constant.
+// The constant may not contain identifiers other than true, false and nil.
 func replace(constant string, steps ...step) operator {
 	return func(p *place) ([]edit, error) {
 		for _, name := range identifier.FindAllString(constant, -1) {
 			if name != "true" && name != "false" && name != "nil" {
-				return nil, fmt.Errorf("%q names %s: that is for replaceExpr", constant, name)
+				return nil, fmt.Errorf("%q contains the identifier %s: use replaceExpr", constant, name)
 			}
 		}
 		return replaceExpr(constant, steps...)(p)
 	}
 }
 
-// replaceExpr puts an expression in the place of the subject or of what the steps lead to.
-// It is for the few mutations that have to name something; the row says why.
+// replaceExpr replaces the place's subject, or the part of it that the steps select, by an
+// expression. It is for the few mutations that need an identifier; a comment in the row gives
+// the reason.
 func replaceExpr(text string, steps ...step) operator {
 	return func(p *place) ([]edit, error) {
 		e, err := p.subject(steps)
@@ -249,9 +250,9 @@
 	}
 }
 
-// replaceName puts another name in the place of one that stands once in the statement's
-// first line. It is for mutations that confuse two things; the row says why.
-func replaceName(name, other string) operator {
+// replaceName replaces an identifier that must occur exactly once in the first line of the
+// statement. It is for mutations that confuse two values; a comment in the row gives the reason.
+func replaceName(name, replacement string) operator {
 	return func(p *place) ([]edit, error) {
 		var found []ast.Node
 		line := p.fset.Position(p.node.Pos()).Line
@@ -262,25 +263,25 @@
 			return true
 		})
 		if len(found) != 1 {
-			return nil, fmt.Errorf("%s stands there %d times, not once", name, len(found))
+			return nil, fmt.Errorf("%s occurs %d times in the first line, not once", name, len(found))
 		}
-		return p.replace(found[0], other), nil
+		return p.replace(found[0], replacement), nil
 	}
 }
 
 // compare changes the operator of a comparison.
-func compare(by token.Token, steps ...step) operator {
+func compare(replacement token.Token, steps ...step) operator {
 	return func(p *place) ([]edit, error) {
 		e, err := p.subject(steps)
 		if err != nil {
 			return nil, err
 		}
 		c, ok := e.(*ast.BinaryExpr)
-		if !ok || !isComparison(c.Op) || !isComparison(by) {
-			return nil, fmt.Errorf("%q is no comparison", p.text(e))
+		if !ok || !isComparison(c.Op) || !isComparison(replacement) {
+			return nil, fmt.Errorf("%q is not a comparison", p.text(e))
 		}
 		from := p.offset(c.OpPos)
-		return []edit{{from, from + len(c.Op.String()), by.String()}}, nil
+		return []edit{{from, from + len(c.Op.String()), replacement.String()}}, nil
 	}
 }
 
@@ -288,14 +289,14 @@
 	return slices.Contains([]token.Token{token.EQL, token.NEQ, token.LSS, token.LEQ, token.GTR, token.GEQ}, op)
 }
 
-// keepArgument puts one of a call's arguments in the place of the call.
-func keepArgument(index, of int, steps ...step) operator {
+// keepArgument replaces a call by one of its arguments.
+func keepArgument(index, count int, steps ...step) operator {
 	return func(p *place) ([]edit, error) {
 		call, err := p.subject(steps)
 		if err != nil {
 			return nil, err
 		}
-		kept, err := argument(index, of)(p, call)
+		kept, err := argument(index, count)(p, call)
 		if err != nil {
 			return nil, err
 		}
@@ -303,14 +304,14 @@
 	}
 }
 
-// dropElement takes an element out of the composite literal.
-func dropElement(index, of int) operator {
+// dropElement deletes an element of the composite literal.
+func dropElement(index, count int) operator {
 	return func(p *place) ([]edit, error) {
 		e, err := p.subject(nil)
 		if err != nil {
 			return nil, err
 		}
-		elements, err := elementsOf(p, e, index, of)
+		elements, err := elementsOf(p, e, index, count)
 		if err != nil {
 			return nil, err
 		}
@@ -318,23 +319,23 @@
 	}
 }
 
-// dropOperands takes operands out of a condition of so many, which are joined by && and ||.
-// They count from 0 in the order of the text, through parentheses and negations.
-func dropOperands(of int, indices ...int) operator {
+// dropOperands deletes operands of a condition that joins count operands by && and ||. The
+// indices count from 0 in source order, including operands in parentheses and negations.
+func dropOperands(count int, indices ...int) operator {
 	return func(p *place) ([]edit, error) {
 		e, err := p.subject(nil)
 		if err != nil {
 			return nil, err
 		}
 		operands := operandsOf(e)
-		if len(operands) != of || len(indices) == 0 || slices.Min(indices) < 0 || slices.Max(indices) >= of {
-			return nil, fmt.Errorf("%q has %d operands, not %d", p.text(e), len(operands), of)
+		if len(operands) != count || len(indices) == 0 || slices.Min(indices) < 0 || slices.Max(indices) >= count {
+			return nil, fmt.Errorf("%q has %d operands, not %d", p.text(e), len(operands), count)
 		}
 		dropped := map[ast.Expr]bool{}
 		for _, i := range indices {
 			dropped[operands[i]] = true
 		}
-		rest := p.without(e, dropped)
+		rest := p.textWithout(e, dropped)
 		if rest == "" {
 			return nil, fmt.Errorf("nothing remains of %q", p.text(e))
 		}
@@ -342,7 +343,8 @@
 	}
 }
 
-// operandsOf lists what && and || join.
+// operandsOf returns the operands that && and || join, including those in parentheses and
+// negations.
 func operandsOf(e ast.Expr) []ast.Expr {
 	switch e := e.(type) {
 	case *ast.ParenExpr:
@@ -361,19 +363,19 @@
 	return []ast.Expr{e}
 }
 
-// without is the text of a condition without some operands.
-func (p *place) without(e ast.Expr, dropped map[ast.Expr]bool) string {
+// textWithout returns the text of a condition without the dropped operands.
+func (p *place) textWithout(e ast.Expr, dropped map[ast.Expr]bool) string {
 	if dropped[e] {
 		return ""
 	}
 	switch e := e.(type) {
 	case *ast.ParenExpr:
-		if x := p.without(e.X, dropped); x != "" {
+		if x := p.textWithout(e.X, dropped); x != "" {
 			return "(" + x + ")"
 		}
 		return ""
 	case *ast.UnaryExpr:
-		if x := p.without(e.X, dropped); x != "" {
+		if x := p.textWithout(e.X, dropped); x != "" {
 			return e.Op.String() + x
 		}
 		return ""
@@ -381,7 +383,7 @@
 		if e.Op != token.LAND && e.Op != token.LOR {
 			break
 		}
-		x, y := p.without(e.X, dropped), p.without(e.Y, dropped)
+		x, y := p.textWithout(e.X, dropped), p.textWithout(e.Y, dropped)
 		if x == "" || y == "" {
 			return x + y
 		}
@@ -390,13 +392,14 @@
 	return p.text(e)
 }
 
-// step leads from an expression to a part of it.
+// step selects a part of an expression.
 type step func(*place, ast.Expr) (ast.Expr, error)
 
-// subject is the expression that an operator is about, or a part of it: what an if or a case
-// asks for, what is assigned or returned, an element's value, a call.
+// subject returns the expression that an operator changes, or the part of it that the steps
+// select. The expression is the condition of an if or a case, the assigned or returned value, the
+// value of an element, or a call.
 func (p *place) subject(steps []step) (ast.Expr, error) {
-	e, err := p.subjectOf(p.node)
+	e, err := p.expressionOf(p.node)
 	if err != nil {
 		return nil, err
 	}
@@ -408,7 +411,7 @@
 	return e, nil
 }
 
-func (p *place) subjectOf(n ast.Node) (ast.Expr, error) {
+func (p *place) expressionOf(n ast.Node) (ast.Expr, error) {
 	switch n := n.(type) {
 	case *ast.IfStmt, *ast.CaseClause:
 		return p.condition()
@@ -425,29 +428,30 @@
 	case *ast.ExprStmt:
 		return n.X, nil
 	}
-	return nil, fmt.Errorf("%T has no one expression", n)
+	return nil, fmt.Errorf("%T does not have exactly one expression", n)
 }
 
-// initializer leads to what the initial statement of an if assigns.
+// initializer selects the value that the initial statement of an if assigns.
 func initializer() step {
 	return func(p *place, _ ast.Expr) (ast.Expr, error) {
 		s, ok := p.node.(*ast.IfStmt)
 		if !ok || s.Init == nil {
-			return nil, errors.New("no if with an initial statement")
+			return nil, errors.New("the place is not an if with an initial statement")
 		}
-		return p.subjectOf(s.Init)
+		return p.expressionOf(s.Init)
 	}
 }
 
-// operand leads to one of the operands that && and || join, as dropOperands counts them.
-func operand(index, of int) step {
+// operand selects one of the operands that && and || join, counted as in dropOperands.
+func operand(index, count int) step {
 	return func(p *place, e ast.Expr) (ast.Expr, error) {
-		return choose(p, e, "operands", operandsOf(e), index, of)
+		return selectAt(p, e, "operands", operandsOf(e), index, count)
 	}
 }
 
-// term leads to one of the terms that binary operators of any kind join, through parentheses.
-func term(index, of int) step {
+// term selects one of the terms that binary operators of any kind join, including those in
+// parentheses.
+func term(index, count int) step {
 	var termsOf func(ast.Expr) []ast.Expr
 	termsOf = func(e ast.Expr) []ast.Expr {
 		switch e := e.(type) {
@@ -459,22 +463,22 @@
 		return []ast.Expr{e}
 	}
 	return func(p *place, e ast.Expr) (ast.Expr, error) {
-		return choose(p, e, "terms", termsOf(e), index, of)
+		return selectAt(p, e, "terms", termsOf(e), index, count)
 	}
 }
 
-// argument leads to an argument of a call.
-func argument(index, of int) step {
+// argument selects an argument of a call.
+func argument(index, count int) step {
 	return func(p *place, e ast.Expr) (ast.Expr, error) {
 		call, ok := e.(*ast.CallExpr)
 		if !ok {
-			return nil, fmt.Errorf("%q is no call", p.text(e))
+			return nil, fmt.Errorf("%q is not a call", p.text(e))
 		}
-		return choose(p, e, "arguments", call.Args, index, of)
+		return selectAt(p, e, "arguments", call.Args, index, count)
 	}
 }
 
-// receiver leads to what a method is called of.
+// receiver selects the receiver of a method call.
 func receiver() step {
 	return func(p *place, e ast.Expr) (ast.Expr, error) {
 		if call, ok := e.(*ast.CallExpr); ok {
@@ -482,24 +486,24 @@
 				return method.X, nil
 			}
 		}
-		return nil, fmt.Errorf("%q is no call of a method", p.text(e))
+		return nil, fmt.Errorf("%q is not a method call", p.text(e))
 	}
 }
 
-// index leads to the index of an element.
+// index selects the index of an index expression.
 func index() step {
 	return func(p *place, e ast.Expr) (ast.Expr, error) {
 		if i, ok := e.(*ast.IndexExpr); ok {
 			return i.Index, nil
 		}
-		return nil, fmt.Errorf("%q has no index", p.text(e))
+		return nil, fmt.Errorf("%q is not an index expression", p.text(e))
 	}
 }
 
-// element leads to the value of an element of a composite literal.
-func element(index, of int) step {
+// element selects the value of an element of a composite literal.
+func element(index, count int) step {
 	return func(p *place, e ast.Expr) (ast.Expr, error) {
-		elements, err := elementsOf(p, e, index, of)
+		elements, err := elementsOf(p, e, index, count)
 		if err != nil {
 			return nil, err
 		}
@@ -510,34 +514,34 @@
 	}
 }
 
-func elementsOf(p *place, e ast.Expr, index, of int) ([]ast.Expr, error) {
+func elementsOf(p *place, e ast.Expr, index, count int) ([]ast.Expr, error) {
 	literal := e
 	if u, ok := literal.(*ast.UnaryExpr); ok && u.Op == token.AND {
 		literal = u.X
 	}
 	c, ok := literal.(*ast.CompositeLit)
 	if !ok {
-		return nil, fmt.Errorf("%q is no composite literal", p.text(e))
+		return nil, fmt.Errorf("%q is not a composite literal", p.text(e))
 	}
-	_, err := choose(p, e, "elements", c.Elts, index, of)
+	_, err := selectAt(p, e, "elements", c.Elts, index, count)
 	return c.Elts, err
 }
 
-func choose(p *place, e ast.Expr, what string, list []ast.Expr, index, of int) (ast.Expr, error) {
-	if len(list) != of || index < 0 || index >= of {
-		return nil, fmt.Errorf("%q has %d %s, not %d", p.text(e), len(list), what, of)
+func selectAt(p *place, e ast.Expr, kind string, list []ast.Expr, index, count int) (ast.Expr, error) {
+	if len(list) != count || index < 0 || index >= count {
+		return nil, fmt.Errorf("%q has %d %s, not %d", p.text(e), len(list), kind, count)
 	}
 	return list[index], nil
 }
 
 func applyEdits(src []byte, edits []edit) []byte {
 	edits = slices.Clone(edits)
-	slices.SortStableFunc(edits, func(a, b edit) int { return a.from - b.from })
+	slices.SortStableFunc(edits, func(a, b edit) int { return a.start - b.start })
 	var out []byte
-	at := 0
+	copied := 0
 	for _, e := range edits {
-		out = append(append(out, src[at:e.from]...), e.text...)
-		at = e.to
+		out = append(append(out, src[copied:e.start]...), e.text...)
+		copied = e.end
 	}
-	return append(out, src[at:]...)
+	return append(out, src[copied:]...)
 }
--- a/internal/mutation/placement_test.go
+++ b/internal/mutation/placement_test.go
@@ -2,7 +2,7 @@
 
 import "go/token"
 
-// placementMutations are those of quota limits, free capacity and placement.
+// placementMutations remove safeguards of quota limits, free capacity and placement.
 var placementMutations = []mutation{
 	{
 		scenario: "a job that missed all its deadlines is alone with large tasks",
@@ -85,7 +85,7 @@
 	{
 		scenario: "jobs that are bound to a zone lose machines there",
 		marker:   "zone-counts-unconfirmed-attempts",
-		// Only a condition on the attempt tells confirmed attempts from unconfirmed ones.
+		// Only a condition on the attempt distinguishes confirmed attempts from unconfirmed ones.
 		operator: onlyIf("a.start.acknowledged"),
 		test:     "internal/scheduler:^TestZonalJobsSurviveMachineLoss$",
 	},
--- a/internal/mutation/reconcile_test.go
+++ b/internal/mutation/reconcile_test.go
@@ -1,6 +1,6 @@
 package mutation_test
 
-// reconcileMutations are those of restarts of all controllers.
+// reconcileMutations remove safeguards of the reconciliation after a restart of all controllers.
 var reconcileMutations = []mutation{
 	{
 		scenario: "all controllers restart while fifty machines work: the reconciler",
@@ -11,7 +11,8 @@
 	{
 		scenario: "all controllers restart, and peers have been up for long when machines are late",
 		marker:   "survived-from-election",
-		// The age is taken now instead of at the election; names the standard library alone.
+		// The age is computed as of now instead of the election. The expression names only the
+		// standard library.
 		operator: replaceExpr("time.Now()", operand(1, 2), term(0, 3), receiver()),
 		test:     "internal/api:^TestCommandsAfterColdRestart$",
 	},
--- a/internal/mutation/userapi_test.go
+++ b/internal/mutation/userapi_test.go
@@ -1,20 +1,22 @@
 package mutation_test
 
-// userAPIMutations are those of what users are told, at all controllers, whatever becomes of
-// the transactions.
+// userAPIMutations remove safeguards of the answers that users get at all controllers, whether
+// transactions commit, fail or commit late.
 var userAPIMutations = []mutation{
 	{
 		scenario: "users query all controllers right after a job was accepted",
 		marker:   "query-reads-fresh",
-		// An unread copy counts as read now; names the standard library alone.
+		// The replica counts as read now without a read. The expression names only the standard
+		// library.
 		operator: replaceExpr("time.Now(), nil", initializer()),
 		test:     "internal/api:^TestAnswersNeverGoBackAcrossControllers$",
 	},
 	{
 		scenario: "a query comes while an earlier one's read is in flight",
 		marker:   "query-joins-no-earlier-read",
-		// The next call is taken after the read instead of before it, under the same lock.
-		operator: moveBehind(4, -2, 2),
+		// The field for the next call is cleared after the read instead of before it, under the
+		// same lock.
+		operator: moveAfter(4, -2, 2),
 		test:     "internal/api:^TestQueriesDoNotShareAnEarlierRead$",
 	},
 	{
