--- a/internal/scheduler/combined_faults_placement_test.go
+++ b/internal/scheduler/combined_faults_placement_test.go
@@ -11,10 +11,11 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// startBound is how long the largest jobs may wait for their first task.
-const startBound = 240 * time.Second
+// maxFirstStartWait is how long the largest jobs may wait for the start of their first task.
+const maxFirstStartWait = 240 * time.Second
 
-// acceptsWrites reports whether the key-value store takes n more changes now.
+// acceptsWrites reports whether the key-value store's write rate allows n more changes now, and
+// if so deducts them from the budget.
 func (sim *simulation) acceptsWrites(n int) bool {
 	if sim.writeRate == 0 {
 		return true
@@ -28,7 +29,7 @@
 	return true
 }
 
-// endedState gives the state in which a job has ended; empty: it is live.
+// endedState returns the state in which a job has ended, or "" if it has not ended.
 func (sim *simulation) endedState(id string) string {
 	item := sim.kvStore.Get(sim.now, records.EndedJobKey(id))
 	if item.ModRevision == 0 {
@@ -39,28 +40,30 @@
 	return record.State
 }
 
-func (sim *simulation) failOnViolations(t *testing.T, seed uint64) {
+func (sim *simulation) requireNoViolations(t *testing.T, seed uint64) {
 	t.Helper()
 	if n := len(sim.checker.Violations); n > 0 {
 		t.Fatalf("seed %d: %d violations:\n%s", seed, n, strings.Join(sim.checker.Violations[:min(4, n)], "\n"))
 	}
 }
 
-// The key-value store is unavailable while one-task jobs go on arriving and ending.
+// The key-value store is unavailable from outageStart to outageEnd, while one-task jobs still
+// arrive and end.
 const outageStart, outageEnd = 60 * time.Second, 85 * time.Second
 
-// outageEndAround is when the outage ends, for a moment in it or close to it, and 0 for others.
-func outageEndAround(at time.Duration) time.Duration {
+// outageEndNear returns when the outage ends if the given time is during the outage or within
+// 5 s of it, and 0 otherwise.
+func outageEndNear(at time.Duration) time.Duration {
 	if at > outageStart-5*time.Second && at < outageEnd+5*time.Second {
 		return outageEnd
 	}
 	return 0
 }
 
-// startTimes has when the first task of each job was first listed by a worker.
+// startTimes holds, by job ID, when a worker first listed a task of the job.
 type startTimes map[string]time.Duration
 
-// recordStarts has a startTimes follow the simulation.
+// recordStarts returns start times that are updated every 500 ms as the simulation runs.
 func (sim *simulation) recordStarts() startTimes {
 	starts := startTimes{}
 	sim.every(500*time.Millisecond, func() {
@@ -75,7 +78,7 @@
 	return starts
 }
 
-// smallJobs is a stream of one-task jobs, a quarter of which are cancelled.
+// smallJobs is a stream of one-task jobs, about a quarter of which are cancelled.
 type smallJobs struct {
 	sim         *simulation
 	count       int
@@ -83,7 +86,7 @@
 	cancelled   map[string]bool
 }
 
-// submitSmallJobs submits four jobs a second for two minutes.
+// submitSmallJobs submits four one-task jobs per second for two minutes.
 func (sim *simulation) submitSmallJobs() *smallJobs {
 	jobs := &smallJobs{sim: sim, submittedAt: map[string]time.Duration{}, cancelled: map[string]bool{}}
 	sim.every(250*time.Millisecond, func() {
@@ -103,15 +106,16 @@
 	return jobs
 }
 
-// checkStarts checks that all jobs have ended, and that hardly any that were not cancelled
-// started late. No start can be recorded in the outage.
+// checkStarts checks that all jobs have ended, and that at most 1% of them started more than
+// 10 s after their acceptance without being cancelled. No start can be recorded during the
+// outage, so for jobs accepted then the 10 s begin when it ends.
 func (jobs *smallJobs) checkStarts(t *testing.T, seed uint64, starts startTimes) {
 	t.Helper()
-	late, longest := 0, time.Duration(0)
+	late, longestWait := 0, time.Duration(0)
 	for id, submittedAt := range jobs.submittedAt {
 		acceptedAt := jobs.sim.acceptedAt[id]
-		if wait := starts[id] - max(acceptedAt, outageEndAround(acceptedAt)); !jobs.cancelled[id] {
-			longest = max(longest, wait)
+		if wait := starts[id] - max(acceptedAt, outageEndNear(acceptedAt)); !jobs.cancelled[id] {
+			longestWait = max(longestWait, wait)
 			if wait > 10*time.Second {
 				late++
 			}
@@ -121,41 +125,43 @@
 		}
 	}
 	if late > jobs.count/100 {
-		t.Errorf("seed %d: %d of %d jobs started later than 10 s after they could, the last %v", seed, late, jobs.count, longest)
+		t.Errorf("seed %d: %d of %d jobs started more than 10 s after they could; the longest wait was %v", seed, late, jobs.count, longestWait)
 	}
-	t.Logf("seed %d: %d jobs, %d late, the last after %v, %d transactions of leaders were refused", seed, jobs.count, late, longest, jobs.sim.refusedTransactions)
+	t.Logf("seed %d: %d jobs, %d started late, longest wait %v, %d leader transactions refused", seed, jobs.count, late, longestWait, jobs.sim.refusedTransactions)
 }
 
-// checkAcceptance checks that submissions were accepted in time.
+// checkAcceptance checks that submissions were accepted within 10 s, and during the outage or
+// close to it within 60 s.
 func (jobs *smallJobs) checkAcceptance(t *testing.T, seed uint64) {
 	t.Helper()
 	for _, j := range jobs.sim.jobs {
 		submittedAt := jobs.submittedAt[j.ID]
 		wait := jobs.sim.acceptedAt[j.ID] - submittedAt
-		if inOutage := outageEndAround(submittedAt) > 0; wait > 10*time.Second && !inOutage || wait > 60*time.Second {
+		if inOutage := outageEndNear(submittedAt) > 0; wait > 10*time.Second && !inOutage || wait > 60*time.Second {
 			t.Errorf("seed %d: %s was accepted after %v", seed, j.ID, wait)
 		}
 	}
 }
 
-// checkWriteRate checks that the leader kept to its share of the store's rate: in any ten
-// seconds of the first 200, and with the burst of one second.
+// checkWriteRate checks that the leader stays within its share of the key-value store's write
+// rate, 16 of 20 changes per second: in any 10 s of the first 200 s it makes at most the changes
+// of 10 s and a burst of one second.
 func (sim *simulation) checkWriteRate(t *testing.T, seed uint64) {
 	t.Helper()
-	for at := range 190 {
+	for firstSecond := range 190 {
 		sum := 0
-		for _, changes := range sim.changesBySecond[at : at+10] {
+		for _, changes := range sim.changesBySecond[firstSecond : firstSecond+10] {
 			sum += changes
 		}
 		if sum > 10*16+16 {
-			t.Fatalf("seed %d: the leader makes %d changes in the 10 s from %d s on", seed, sum, at)
+			t.Fatalf("seed %d: the leader makes %d changes in the 10 s from second %d", seed, sum, firstSecond)
 		}
 	}
 }
 
-// One-task jobs arrive four a second for two minutes, a quarter of them are cancelled, and
-// the key-value store takes twenty changes a second, and none for a while. The leader keeps
-// to its share of them; jobs are accepted, start and end.
+// Four one-task jobs arrive per second for two minutes, and a quarter of them are cancelled,
+// while the key-value store takes 20 changes per second, and none during an outage of 25 s. The
+// leader stays within its share of the write rate, and jobs are accepted, start and end in time.
 func TestSmallJobsUnderWriteBudgetAndOutage(t *testing.T) {
 	for seed := range uint64(3) {
 		size := smallSimulation
@@ -165,20 +171,20 @@
 		sim.changesBySecond, sim.acceptedAt = make([]int, 201), map[string]time.Duration{}
 		jobs := sim.submitSmallJobs()
 		starts := sim.recordStarts()
-		// Jobs that end in the outage are all written after it, together with new starts.
+		// The ends of jobs during the outage are all written after it, together with new starts.
 		sim.after(outageStart, func() { sim.kvStore.StartOutage() })
 		sim.after(outageEnd, func() { sim.kvStore.EndOutage(sim.now) })
 		sim.checkWaitingJobs(100 * time.Second)
 		sim.run(200 * time.Second)
-		sim.failOnViolations(t, seed)
+		sim.requireNoViolations(t, seed)
 		jobs.checkStarts(t, seed, starts)
 		sim.checkWriteRate(t, seed)
 		jobs.checkAcceptance(t, seed)
 	}
 }
 
-// overloadJobs is more work than there is capacity for. Jobs belong to groups: their class
-// and team, and the largest ones.
+// overloadJobs is a stream of jobs that needs more capacity than there is. Each job belongs to
+// the groups of its class and its team, and the largest jobs form another group.
 type overloadJobs struct {
 	sim         *simulation
 	groupsOf    map[string][]string
@@ -210,32 +216,33 @@
 	return jobs
 }
 
-// check checks that the largest jobs started in time, and that at least half of each group
-// has ended.
+// check checks that the largest jobs started within maxFirstStartWait, and that at least half
+// of the jobs of each group have ended.
 func (jobs *overloadJobs) check(t *testing.T, seed uint64, starts startTimes) {
 	t.Helper()
-	ended, all := map[string]int{}, map[string]int{}
+	ended, total := map[string]int{}, map[string]int{}
 	for id, groups := range jobs.groupsOf {
 		for _, group := range groups {
-			all[group]++
+			total[group]++
 			if jobs.sim.endedState(id) != "" {
 				ended[group]++
 			}
-			if group == largestGroup && (starts[id] == 0 || starts[id]-jobs.submittedAt[id] > startBound) {
+			if group == largestGroup && (starts[id] == 0 || starts[id]-jobs.submittedAt[id] > maxFirstStartWait) {
 				t.Errorf("seed %d: %s, one of the largest, was submitted at %v and started at %v", seed, id, jobs.submittedAt[id], starts[id])
 			}
 		}
 	}
-	for group := range all {
-		if 2*ended[group] < all[group] {
-			t.Errorf("seed %d: %d of %d of %s have ended", seed, ended[group], all[group], group)
+	for group := range total {
+		if 2*ended[group] < total[group] {
+			t.Errorf("seed %d: only %d of %d jobs of group %s have ended", seed, ended[group], total[group], group)
 		}
 	}
-	t.Logf("seed %d: ended %v of %v", seed, ended, all)
+	t.Logf("seed %d: jobs ended by group: %v of %v", seed, ended, total)
 }
 
-// There is more work than capacity, urgent and not, over slow links: the largest jobs start
-// within four minutes, and of each class, each team and the largest at least half end.
+// No job is starved when there is more work than capacity, urgent and normal, over slow links:
+// the largest jobs start within four minutes, and at least half of the jobs of each class, of
+// each team and of the largest jobs end.
 func TestOverloadStarvesNoJob(t *testing.T) {
 	for seed := range uint64(3) {
 		size := smallSimulation
@@ -246,12 +253,13 @@
 		starts := sim.recordStarts()
 		sim.checkWaitingJobs(20 * time.Second)
 		sim.run(640 * time.Second)
-		sim.failOnViolations(t, seed)
+		sim.requireNoViolations(t, seed)
 		jobs.check(t, seed, starts)
 	}
 }
 
-// crashLeaders crashes the controllers that lead, each for a while.
+// crashLeaders crashes the controllers that lead, each for a random time between the bounds in
+// milliseconds.
 func (sim *simulation) crashLeaders(minDownMS, maxDownMS int) {
 	for _, c := range sim.controllers {
 		if c.scheduler != nil {
@@ -260,8 +268,8 @@
 	}
 }
 
-// submitQuotaFillers submits arrays, and services that are cancelled later, which fill
-// their teams' quotas.
+// submitQuotaFillers submits arrays, and services that are cancelled later, until the given
+// time. They fill their teams' quotas.
 func (sim *simulation) submitQuotaFillers(until time.Duration) {
 	n := 0
 	sim.every(700*time.Millisecond, func() {
@@ -279,9 +287,9 @@
 	})
 }
 
-// disturbFailover has machines hang or partitioned, the leader crash and recent jobs be
-// cancelled, all within some seconds.
-func (sim *simulation) disturbFailover() {
+// injectFailoverFaults makes about half of the machines hang or partitions them for 4 to 20 s,
+// crashes the leader within 4 s, and cancels up to four recent jobs within 6 s.
+func (sim *simulation) injectFailoverFaults() {
 	duration := sim.randomDuration(4000, 20_000)
 	for _, name := range sim.machineNames {
 		switch sim.rng.IntN(4) {
@@ -300,25 +308,25 @@
 	}
 }
 
-// Teams are at their quota limits when the leader changes, while some machines hang or are
-// partitioned and jobs are cancelled: what may still be on those machines counts.
+// Teams stay within their quota limits across failovers while some machines hang or are
+// partitioned and jobs are cancelled: tasks that may still run on those machines count.
 func TestQuotaLimitsHoldAcrossFailovers(t *testing.T) {
 	for seed := range uint64(6) {
 		sim := newSimulation(seed)
 		sim.lossRate, sim.delayRate = 0.02, 0.02
 		sim.submitQuotaFillers(100 * time.Second)
 		for i := range 5 {
-			sim.after(time.Duration(15+18*i)*time.Second+sim.randomDuration(0, 3000), sim.disturbFailover)
+			sim.after(time.Duration(15+18*i)*time.Second+sim.randomDuration(0, 3000), sim.injectFailoverFaults)
 		}
 		sim.after(125*time.Second, func() { sim.faultsActive = false })
 		sim.checkWaitingJobs(160 * time.Second)
 		sim.run(330 * time.Second)
-		sim.failOnViolations(t, seed)
+		sim.requireNoViolations(t, seed)
 	}
 }
 
-// submitZonalJobs submits jobs with each rule for zones, some of them services that are
-// cancelled later.
+// submitZonalJobs submits jobs with each kind of zone constraint until the given time. Some of
+// them are services that are cancelled later.
 func (sim *simulation) submitZonalJobs(until time.Duration) {
 	n := 0
 	sim.every(1500*time.Millisecond, func() {
@@ -344,9 +352,10 @@
 	})
 }
 
-// disturbZone has machines terminate without notice or partitioned, those of one zone more
-// often, if there is one, and the leader crash every other time.
-func (sim *simulation) disturbZone() {
+// injectZoneFaults terminates machines without notice or partitions them. In two of three cases
+// it draws a zone, whose machines are affected more often. In half of the cases the leader
+// crashes as well.
+func (sim *simulation) injectZoneFaults() {
 	zone := []string{"a", "b", ""}[sim.rng.IntN(3)]
 	for _, name := range sim.machineNames {
 		if worker := sim.workers[name]; worker.Zone == zone || sim.rng.IntN(4) == 0 {
@@ -363,8 +372,8 @@
 	}
 }
 
-// Jobs that are bound to a zone lose machines, some in every zone and once all of one zone,
-// and leaders change: the jobs start again where they may, and only there.
+// Jobs with zone constraints lose machines, mostly those of one zone, while leaders change. The
+// jobs start again only where their constraints allow it, and the arrays complete.
 func TestZonalJobsSurviveMachineLoss(t *testing.T) {
 	for seed := range uint64(6) {
 		sim := newSimulation(seed)
@@ -372,22 +381,22 @@
 		sim.settings.Teams = map[string]scheduler.TeamQuota{"red": {CPUs: 12, MaxCPUs: 24}, "blue": {CPUs: 12, MaxCPUs: 24}}
 		sim.submitZonalJobs(110 * time.Second)
 		for i := range 6 {
-			sim.after(time.Duration(10+15*i)*time.Second+sim.randomDuration(0, 3000), sim.disturbZone)
+			sim.after(time.Duration(10+15*i)*time.Second+sim.randomDuration(0, 3000), sim.injectZoneFaults)
 		}
 		sim.after(130*time.Second, func() { sim.faultsActive = false })
 		sim.checkWaitingJobs(170 * time.Second)
 		sim.run(400 * time.Second)
-		sim.failOnViolations(t, seed)
+		sim.requireNoViolations(t, seed)
 		for _, j := range sim.jobs {
 			if sim.pollJob(j.ID) == wire.JobPending && !j.Service() {
-				t.Fatalf("seed %d: %s of %d tasks is not done\n%s", seed, j.ID, j.Tasks, sim.describeJob(j.ID))
+				t.Fatalf("seed %d: %s with %d tasks is not done\n%s", seed, j.ID, j.Tasks, sim.describeJob(j.ID))
 			}
 		}
 	}
 }
 
-// The checks of waitingChecker have to be able to fail: if leaders place nothing, a job waits
-// beside free capacity, and with no controller left no poll of it is answered.
+// The checks of waitingChecker can fail: if leaders place nothing, a job waits beside free
+// capacity, and if all controllers are down, no poll of the job is answered.
 func TestWaitingChecksCanFail(t *testing.T) {
 	for _, tc := range []struct {
 		name, want string
@@ -417,11 +426,11 @@
 			sim.checkWaitingJobs(21 * time.Second)
 			sim.run(100 * time.Second)
 			if len(sim.checker.Violations) > 0 && tc.want == "left_waiting" {
-				t.Fatalf("too early: %v", sim.checker.Violations)
+				t.Fatalf("violations are reported too early: %v", sim.checker.Violations)
 			}
 			sim.run(140 * time.Second)
 			if violations := strings.Join(sim.checker.Violations, "\n"); !strings.Contains(violations, tc.want) {
-				t.Errorf("%s is not noticed: %q", tc.want, violations)
+				t.Errorf("%s is not among the violations: %q", tc.want, violations)
 			}
 		})
 	}
--- a/internal/scheduler/combined_faults_test.go
+++ b/internal/scheduler/combined_faults_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Two faults at once, at random times, around services that are cancelled meanwhile: the rules
-// hold in each simulation, and in some the checker finds them broken once the safeguard that
-// the scenario is about is taken out.
+// No rule is broken when two faults coincide at random times while services are cancelled.
+// With the scenario's safeguard disabled, the rule checker finds a violation in at least one
+// of the same simulations, which shows that the scenario exercises the safeguard.
 func TestCombinedFaults(t *testing.T) {
 	for _, scenario := range []struct {
 		name      string
@@ -30,7 +30,7 @@
 				})
 				sim.after(70*time.Second, func() { sim.kvStore.EndOutage(sim.now) })
 			}},
-		{"the same, and all peers stay up", peerCancellationLists,
+		{"the key-value store refuses the leader alone, then everybody for longer than the cancellation bound, and all peers stay up", peerCancellationLists,
 			func(sim *simulation, leader *simController) {
 				leader.refusedUntil = sim.now + 10*time.Second
 				sim.after(sim.randomDuration(100, 1500), sim.cancelHalfOfServices)
@@ -56,7 +56,7 @@
 			}},
 		{"a leader is paused, and partitioned with its zone when it resumes; the cloud is down", watermarkAtReading,
 			func(sim *simulation, leader *simController) {
-				sim.cloudDown = true // or the zone's machines would be released in time
+				sim.cloudDown = true // otherwise the zone's machines would be released in time
 				leader.pausedUntil = sim.now + sim.randomDuration(4000, 9000)
 				sim.after(sim.randomDuration(50, 200), func() {
 					sim.zonePartitionedUntil[sim.zoneOf(leader.name)] = sim.now + 60*time.Second
@@ -70,9 +70,9 @@
 			}},
 	} {
 		t.Run(scenario.name, func(t *testing.T) {
-			broken := func(without safeguard, seed uint64) string {
+			runWithout := func(disabled safeguard, seed uint64) string {
 				sim := newSimulation(seed)
-				sim.disabled = without
+				sim.disabled = disabled
 				for i := range 8 {
 					sim.after(time.Duration(i)*100*time.Millisecond, func() {
 						sim.submit(sim.serviceJob(fmt.Sprintf("run-%06d", i), 3))
@@ -88,29 +88,30 @@
 				sim.run(140 * time.Second)
 				return strings.Join(sim.checker.Violations, "\n")
 			}
-			caught := 0
+			detected := 0
 			for seed := range uint64(25) {
-				if b := broken(noSafeguard, seed); b != "" {
-					t.Fatalf("seed %d: %s", seed, b)
+				if violations := runWithout(noSafeguard, seed); violations != "" {
+					t.Fatalf("seed %d: %s", seed, violations)
 				}
-				if broken(scenario.safeguard, seed) != "" {
-					caught++
+				if runWithout(scenario.safeguard, seed) != "" {
+					detected++
 				}
 			}
-			if caught == 0 {
-				t.Error("without its safeguard no simulation breaks a rule: the scenario shows nothing")
+			if detected == 0 {
+				t.Error("no simulation breaks a rule without the safeguard: the scenario does not exercise it")
 			}
-			t.Logf("without the safeguard, %d of 25 simulations break a rule", caught)
+			t.Logf("without the safeguard, %d of 25 simulations break a rule", detected)
 		})
 	}
 }
 
-// randomDuration draws a duration, with both bounds in milliseconds.
-func (sim *simulation) randomDuration(from, to int) time.Duration {
-	return time.Duration(from+sim.rng.IntN(to-from)) * time.Millisecond
+// randomDuration draws a whole number of milliseconds that is at least fromMS and below toMS.
+func (sim *simulation) randomDuration(fromMS, toMS int) time.Duration {
+	return time.Duration(fromMS+sim.rng.IntN(toMS-fromMS)) * time.Millisecond
 }
 
-// cancelHalfOfServices cancels half of the services.
+// cancelHalfOfServices cancels four of the eight services, one drawn from each pair of successive
+// numbers.
 func (sim *simulation) cancelHalfOfServices() {
 	for i := range 4 {
 		sim.cancel(fmt.Sprintf("run-%06d", 2*i+sim.rng.IntN(2)))
--- a/internal/scheduler/fault_injection_test.go
+++ b/internal/scheduler/fault_injection_test.go
@@ -10,8 +10,8 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// The simulation's own checks can fail: controllers that are all paused once faults are over
-// leave jobs waiting beside free capacity, and answer no poll.
+// The simulation's checks of waiting jobs can fail: if all controllers are paused after the
+// faults have ended, a job waits beside free capacity and no poll of it is answered.
 func TestSimulationNoticesWaitingAndForgottenJobs(t *testing.T) {
 	sim := newSimulation(5)
 	sim.faultsActive = false
@@ -28,12 +28,13 @@
 	violations := strings.Join(sim.checker.Violations, "\n")
 	for _, violation := range []string{"left_waiting: run-000001", "forgotten: no question about run-000001"} {
 		if !strings.Contains(violations, violation) {
-			t.Errorf("%q went unnoticed; violations: %s", violation, violations)
+			t.Errorf("%q is not among the violations: %s", violation, violations)
 		}
 	}
 }
 
-// A machine that hangs keeps its tasks past its lease, until its worker resumes.
+// The tasks of a machine that hangs stay on it, also past its lease, until its worker resumes.
+// If the lease has expired by then, the worker kills them and begins a new incarnation.
 func TestHungMachineKeepsItsTasksUntilItsWorkerResumes(t *testing.T) {
 	const lease = 12 * time.Second
 	for _, hungFor := range []time.Duration{3 * time.Second, 11 * time.Second, 13 * time.Second, 50 * time.Second} {
@@ -53,24 +54,24 @@
 			for now := hungAt; now <= resumedAt; now += 100 * time.Millisecond {
 				worker.Pause(now)
 				if checker.PlacedTasks(j.ID) != 1 {
-					t.Fatalf("its task is gone after %v", now-hungAt)
+					t.Fatalf("the task is gone after the machine hung for %v", now-hungAt)
 				}
 			}
 			worker.Advance(resumedAt + time.Millisecond)
 
 			if checker.IsCompleted("run-000001/0") {
-				t.Fatal("its task ran on while it hung")
+				t.Fatal("the task ran on while the machine hung")
 			}
 			leaseExpired := resumedAt+time.Millisecond > lease
 			if killed := checker.PlacedTasks(j.ID) == 0; killed != leaseExpired || (worker.Incarnation == 2) != leaseExpired {
-				t.Fatalf("killed %v in incarnation %d", killed, worker.Incarnation)
+				t.Fatalf("tasks killed: %v, incarnation: %d", killed, worker.Incarnation)
 			}
 		})
 	}
 }
 
-// runServicesWithFault runs a simulation of eight services, with a fault after 20 s, and
-// gives the violations of rules.
+// runServicesWithFault runs a simulation of eight services, injects the fault after 20 to
+// 22 s, and returns the rule violations.
 func runServicesWithFault(seed uint64, until time.Duration, fault func(sim *simulation)) string {
 	sim := newSimulation(seed)
 	for i := range 8 {
@@ -86,9 +87,9 @@
 	return strings.Join(sim.checker.Violations, "\n")
 }
 
-// Machines hang for less than a lease and are released; the release is delayed on its way
-// for longer than the bound on cancellations; the machines resume and send heartbeats, and
-// jobs that run there are cancelled.
+// Cancellations are enforced on machines whose release is delayed: machines hang for less
+// than a lease and are released, the release call is delayed for longer than the cancellation
+// bound, and the machines resume and send heartbeats while jobs that run there are cancelled.
 func TestCancellationDuringDelayedReleaseOfHungMachine(t *testing.T) {
 	for seed := range uint64(15) {
 		violations := runServicesWithFault(seed, 140*time.Second, func(sim *simulation) {
@@ -107,8 +108,8 @@
 	}
 }
 
-// Machines hang past their lease, and their release is delayed: until it is carried out, or
-// their workers resume, their tasks are on them and start nowhere else.
+// Machines hang past their lease, and their release is delayed. Their tasks may start
+// elsewhere only after the release is carried out or the workers have resumed.
 func TestTasksOfHungMachinesRestartOnlyAfterProof(t *testing.T) {
 	for seed := range uint64(15) {
 		violations := runServicesWithFault(seed, 100*time.Second, func(sim *simulation) {
@@ -125,9 +126,9 @@
 	}
 }
 
-// Machines appear that nobody expects, by provisioning requests that got no answer. Those
-// that never come up are released, though no answer ever named them, and the others are
-// adopted: none is charged for long without use.
+// Provisioning requests whose replies were lost create machines that no leader expects.
+// Machines that never come up are released, although no reply named them, and the others are
+// adopted, so that no unused machine is charged for long.
 func TestUnexpectedMachinesAreAdoptedOrReleased(t *testing.T) {
 	for seed := range uint64(10) {
 		sim := newSimulation(seed)
@@ -145,13 +146,13 @@
 		for _, name := range unexpected {
 			machine := sim.lifecycles[name]
 			if machine.removedAt == 0 && (machine.upAt > sim.now || !known[name]) {
-				t.Errorf("seed %d: %s, which nobody expected and is up at %v, is charged for nothing after %v", seed, name, machine.upAt, sim.now-machine.provisionedAt)
+				t.Errorf("seed %d: unexpected machine %s, up at %v, is neither adopted nor released %v after it was provisioned", seed, name, machine.upAt, sim.now-machine.provisionedAt)
 			}
 		}
 	}
 }
 
-// knownMachines are the machines that whoever leads knows.
+// knownMachines returns the names of the machines that the leaders know.
 func (sim *simulation) knownMachines() map[string]bool {
 	known := map[string]bool{}
 	for _, c := range sim.controllers {
@@ -165,14 +166,14 @@
 	return known
 }
 
-// maxStartAfterCancellation is how long after the confirmation of its job's cancellation a
-// task may still start if there are no faults ("those whose start command was still in
-// flight"): the leader's watch, up to 125 ms after, and the way of the stop, up to 20 ms.
+// maxStartAfterCancellation bounds how long after the confirmation of its job's cancellation a
+// task may still start without faults, because its start command was in flight: the leader's
+// watch shows the cancellation up to 125 ms later, and the stop takes up to 20 ms to arrive.
 const maxStartAfterCancellation = 150 * time.Millisecond
 
-// Without faults no task starts after its job's cancellation was confirmed but what was in
-// flight, though jobs of one task come four a second and a quarter of them is cancelled,
-// mostly as they start.
+// Without faults, only tasks whose start command was in flight start after the confirmation
+// of their job's cancellation. Four one-task jobs arrive per second, and a quarter of them
+// are cancelled, mostly as they start.
 func TestNoStartAfterConfirmedCancellation(t *testing.T) {
 	starts := 0
 	for seed := range uint64(8) {
@@ -182,7 +183,7 @@
 			sim.after(time.Duration(i)*250*time.Millisecond, func() {
 				id, image := fmt.Sprintf("run-%06d", i), "img"
 				if i%4 == 0 {
-					image = fmt.Sprintf("img-%d", i) // nowhere yet: it is fetched first
+					image = fmt.Sprintf("img-%d", i) // on no machine yet, so it is fetched first
 				}
 				sim.submit(&wire.Job{ID: id, Class: "c", Team: []string{"red", "blue"}[i%2], Shape: wire.ShapeArray, Priority: wire.PriorityNormal,
 					Tasks: 1, CPUs: 0.5, MemoryGB: 1, Image: image, ImageGB: 1, EstimatedRunS: 8})
@@ -196,14 +197,14 @@
 		if len(sim.checker.Violations) > 0 {
 			t.Errorf("seed %d: %s", seed, sim.checker.Violations[0])
 		}
-		for _, s := range sim.checker.LateStarts {
-			if s.AfterConfirmation > maxStartAfterCancellation {
-				t.Errorf("seed %d: %s starts %v after its job was confirmed as cancelled", seed, s.Task, s.AfterConfirmation)
+		for _, lateStart := range sim.checker.LateStarts {
+			if lateStart.AfterConfirmation > maxStartAfterCancellation {
+				t.Errorf("seed %d: %s starts %v after its job was confirmed as cancelled", seed, lateStart.Task, lateStart.AfterConfirmation)
 			}
 		}
 	}
 	if starts < 400 {
-		t.Errorf("%d starts: too few to show anything", starts)
+		t.Errorf("%d starts are too few for this test; want at least 400", starts)
 	}
 	t.Logf("%d starts", starts)
 }
--- a/internal/scheduler/golden_test.go
+++ b/internal/scheduler/golden_test.go
@@ -6,8 +6,8 @@
 	"github.com/yarrowgap/yarrowgap/internal/golden"
 )
 
-// TestOperatorAnswersMatchGoldenFiles covers what operators are shown of the leader's
-// state.
+// TestOperatorAnswersMatchGoldenFiles checks the encodings of the leader's state that operators
+// are shown.
 func TestOperatorAnswersMatchGoldenFiles(t *testing.T) {
 	answers := map[string]any{
 		"machine": &MachineView{},
--- a/internal/scheduler/leadership_faults_test.go
+++ b/internal/scheduler/leadership_faults_test.go
@@ -10,9 +10,9 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Failovers, outages and partitions combined with cancellations, at random times: no rule is
-// broken, and once the faults are over everything accepted runs, or is gone if it was
-// cancelled. internal/mutation takes the safeguards out and sees this fail.
+// No rule is broken when failovers, outages and partitions coincide with cancellations at random
+// times, and after the faults every accepted job is done or runs, or has no task left if it was
+// cancelled. internal/mutation removes the safeguards and checks that this test fails then.
 func TestCombinedLeadershipFaults(t *testing.T) {
 	for _, scenario := range []struct {
 		name   string
@@ -21,33 +21,33 @@
 		{"all_controllers_down", func(sim *simulation) {
 			// All controllers are down or paused for about a lease or longer, while
 			// machines hang or are partitioned for longer than that.
-			away := sim.randomDuration(9000, 20_000)
-			sim.cancelHalfOfServices() // just before the last fails, which has no time for the stops
+			downtime := sim.randomDuration(9000, 20_000)
+			sim.cancelHalfOfServices() // just before the controllers fail, too late for the stops to be sent
 			for range 2 {
 				name := sim.machineNames[sim.rng.IntN(len(sim.machineNames))]
 				sim.hungUntil[name] = sim.now + sim.randomDuration(3000, 11_000)
 			}
-			still := sim.rng.IntN(3) == 0
+			pauseOnly := sim.rng.IntN(3) == 0
 			sim.after(sim.randomDuration(0, 20), func() {
 				for _, c := range sim.controllers {
-					if still {
-						c.pausedUntil = sim.now + away + sim.randomDuration(0, 1500)
+					if pauseOnly {
+						c.pausedUntil = sim.now + downtime + sim.randomDuration(0, 1500)
 					} else {
-						c.crash(away + sim.randomDuration(0, 1500))
+						c.crash(downtime + sim.randomDuration(0, 1500))
 					}
 				}
 			})
-			sim.after(away-sim.randomDuration(0, 4000), func() {
+			sim.after(downtime-sim.randomDuration(0, 4000), func() {
 				for range 2 {
 					sim.partitionedUntil[sim.machineNames[sim.rng.IntN(len(sim.machineNames))]] = sim.now + sim.randomDuration(4000, 25_000)
 				}
 			})
-			sim.after(away+sim.randomDuration(100, 4000), sim.cancelHalfOfServices)
+			sim.after(downtime+sim.randomDuration(100, 4000), sim.cancelHalfOfServices)
 		}},
 		{"slow_store_then_outage", func(sim *simulation) {
-			// Answers to watches take seconds, and jobs are cancelled right after they
-			// were accepted, before the key-value store refuses the leader alone and
-			// then everybody.
+			// Watch replies take seconds, and jobs are cancelled right after they were
+			// accepted, before the key-value store refuses the leader alone and then
+			// every controller.
 			sim.slowWatchUntil = sim.now + 10*time.Second
 			for i := range 30 {
 				id := fmt.Sprintf("run-%06d", 500+i)
@@ -59,18 +59,18 @@
 			sim.after(sim.randomDuration(3000, 5000), func() { sim.refuseLeaderThenOutage(sim.randomDuration(100, 2000)) })
 		}},
 		{"store_refuses_leader_then_outage", func(sim *simulation) {
-			// Jobs are cancelled at the moment of the refusal, and a second later nobody
-			// is served.
+			// Jobs are cancelled as the key-value store begins to refuse the leader, and
+			// about a second later it refuses every controller.
 			sim.refuseLeaderThenOutage(sim.randomDuration(900, 1100))
 			sim.after(sim.randomDuration(1, 100), sim.cancelHalfOfServices)
 		}},
 		{"store_outage_and_confirmer_fails", func(sim *simulation) {
-			apart := sim.randomDuration(100, 5000)
-			sim.refuseLeaderThenOutage(apart)
-			fault := sim.rng.IntN(8) // half of the time there is none
+			refusalDuration := sim.randomDuration(100, 5000)
+			sim.refuseLeaderThenOutage(refusalDuration)
+			fault := sim.rng.IntN(8) // values from 4 on: no fault
 			for range 6 {
 				id := fmt.Sprintf("run-%06d", sim.rng.IntN(8))
-				sim.after(sim.randomDuration(0, int(apart/time.Millisecond)), func() {
+				sim.after(sim.randomDuration(0, int(refusalDuration/time.Millisecond)), func() {
 					c := sim.cancelLosingReply(id)
 					if c == nil || c.scheduler != nil {
 						return
@@ -90,8 +90,8 @@
 				})
 			}
 			if sim.rng.IntN(3) == 0 {
-				// The outage ends for a moment, and another begins.
-				sim.after(apart+sim.randomDuration(5000, 50_000), func() {
+				// The outage ends, and another begins up to 3 s later.
+				sim.after(refusalDuration+sim.randomDuration(5000, 50_000), func() {
 					sim.kvStore.EndOutage(sim.now)
 					sim.after(sim.randomDuration(50, 3000), func() { sim.refuseLeaderThenOutage(sim.randomDuration(0, 1000)) })
 					sim.after(sim.randomDuration(1, 3000), sim.cancelRandomService)
@@ -99,8 +99,8 @@
 			}
 		}},
 		{"repeated_failovers", func(sim *simulation) {
-			// Jobs are cancelled during failovers: the leader fails, or is paused, or
-			// loses its lease.
+			// Jobs are cancelled during failovers: the leader crashes, is paused or loses
+			// its lease.
 			for i := range 5 {
 				sim.after(time.Duration(i)*sim.randomDuration(3500, 9000), func() {
 					c := sim.currentLeader()
@@ -122,8 +122,8 @@
 			}
 		}},
 		{"alternating_leaders", func(sim *simulation) {
-			// Two controllers lead by turns, all fail, and one returns, also within a
-			// second; what they wrote may be executed late.
+			// Leadership alternates between controllers, then all crash, and one restarts
+			// within 1.5 s. Commands and heartbeats may arrive late or twice.
 			sim.lossRate, sim.delayRate, sim.duplicateRate, sim.heartbeatCopyRate = 0.05, 0.1, 0.2, 0.2
 			for i := range 4 {
 				sim.after(time.Duration(i)*sim.randomDuration(2700, 5000), func() {
@@ -134,10 +134,10 @@
 				})
 			}
 			sim.after(22*time.Second, func() {
-				first := sim.rng.IntN(len(sim.controllers))
+				firstToRestart := sim.rng.IntN(len(sim.controllers))
 				for i, c := range sim.controllers {
 					c.crash(sim.randomDuration(8000, 20_000))
-					if i == first {
+					if i == firstToRestart {
 						c.downUntil = sim.now + sim.randomDuration(50, 1500)
 						c.startedAt = c.downUntil
 					}
@@ -147,7 +147,7 @@
 			sim.after(60*time.Second, func() { sim.lossRate, sim.delayRate, sim.duplicateRate, sim.heartbeatCopyRate = 0, 0, 0, 0 })
 		}},
 		{"ten_leaders", func(sim *simulation) {
-			// Ten leaders in two minutes, with an outage among them.
+			// Ten leader crashes in two minutes, with an outage of the key-value store meanwhile.
 			sim.lossRate, sim.delayRate, sim.duplicateRate, sim.heartbeatCopyRate = 0.03, 0.05, 0.1, 0.2
 			for i := range 10 {
 				sim.after(time.Duration(i)*11*time.Second+sim.randomDuration(0, 5000), func() {
@@ -166,11 +166,11 @@
 		}},
 		{"zone_partition", func(sim *simulation) {
 			// A zone with workers and controllers is partitioned for longer than a
-			// lease, with the leader in it or not, while jobs are cancelled on either
-			// side.
+			// worker's lease, with or without the leader, while jobs are cancelled on
+			// either side.
 			zone := []string{"a", "b"}[sim.rng.IntN(2)]
 			if sim.rng.IntN(4) > 0 {
-				sim.cloudUnresponsiveUntil = sim.now + 60*time.Second // releases prove nothing
+				sim.cloudUnresponsiveUntil = sim.now + 60*time.Second // no release is carried out, so none proves tasks absent
 			}
 			for range 3 {
 				sim.after(sim.randomDuration(0, 25_000), sim.cancelRandomService)
@@ -193,8 +193,8 @@
 			}
 		}},
 		{"leader_partition", func(sim *simulation) {
-			// The leader is partitioned from the key-value store and its peers, not from
-			// workers and users; jobs are cancelled through its successor.
+			// The leader is partitioned from the key-value store and its peers, but not
+			// from workers and users. Jobs are cancelled through its successor.
 			c := sim.currentLeader()
 			c.partitionedUntil = sim.now + sim.randomDuration(15_000, 70_000)
 			for range 3 {
@@ -203,8 +203,8 @@
 			sim.after(sim.randomDuration(3000, 20_000), sim.cancelRandomService)
 		}},
 		{"release_unanswered", func(sim *simulation) {
-			// Machines hang until they are released, and resume within their lease; the
-			// cloud does not answer, and the leader's lease is in doubt.
+			// Machines hang until the leader releases them, and resume within their lease.
+			// The cloud does not answer, and the key-value store refuses the leader.
 			sim.cloudUnresponsiveUntil = sim.now + 75*time.Second
 			for _, i := range sim.rng.Perm(len(sim.machineNames))[:max(1, len(sim.machineNames)/4)] {
 				sim.hungUntil[sim.machineNames[i]] = sim.now + sim.randomDuration(8000, 11_000)
@@ -216,7 +216,7 @@
 		}},
 	} {
 		t.Run(scenario.name, func(t *testing.T) {
-			broken := 0
+			failedSeeds := 0
 			for seed := range uint64(leadershipFaultSeeds) {
 				sim := newSimulation(100 + seed)
 				for i := range 8 {
@@ -230,12 +230,12 @@
 				})
 				sim.run(210 * time.Second)
 				if failure := sim.firstFailure(); failure != "" {
-					broken++
+					failedSeeds++
 					t.Errorf("seed %d: %s", seed, failure)
 				}
 			}
-			if broken > 0 {
-				t.Logf("%d of %d simulations fail", broken, leadershipFaultSeeds)
+			if failedSeeds > 0 {
+				t.Logf("%d of %d simulations fail", failedSeeds, leadershipFaultSeeds)
 			}
 		})
 	}
@@ -244,7 +244,7 @@
 // leadershipFaultSeeds is how many simulations each combination of faults is injected into.
 const leadershipFaultSeeds = 12
 
-// serviceJob is a job of replicas, for both teams by turns.
+// serviceJob returns a service. Its team depends on the last digit of the job ID.
 func (sim *simulation) serviceJob(id string, tasks int) *wire.Job {
 	return &wire.Job{ID: id, Class: "c", Team: []string{"red", "blue"}[int(id[len(id)-1])%2], Shape: wire.ShapeService,
 		Priority: wire.PriorityProduction, Tasks: tasks, CPUs: 1, MemoryGB: 2, Image: "img", ImageGB: 1}
@@ -263,43 +263,42 @@
 	})
 }
 
-// currentLeader is the controller that leads as far as the key-value store knows, or else any
-// that takes itself for the leader.
+// currentLeader returns the controller that leads in the highest term, or nil if none leads.
 func (sim *simulation) currentLeader() *simController {
-	var out *simController
+	var leader *simController
 	for _, c := range sim.controllers {
-		if c.scheduler != nil && (out == nil || c.term > out.term) {
-			out = c
+		if c.scheduler != nil && (leader == nil || c.term > leader.term) {
+			leader = c
 		}
 	}
-	return out
+	return leader
 }
 
-// refuseLeaderThenOutage has the key-value store refuse the leader alone for that long, and
-// then everybody for longer than the cancellation bound.
-func (sim *simulation) refuseLeaderThenOutage(alone time.Duration) {
+// refuseLeaderThenOutage makes the key-value store refuse the leader alone for the given time,
+// and then every controller for longer than the cancellation bound.
+func (sim *simulation) refuseLeaderThenOutage(refusalDuration time.Duration) {
 	if c := sim.currentLeader(); c != nil {
-		c.refusedUntil = sim.now + alone + time.Second
+		c.refusedUntil = sim.now + refusalDuration + time.Second
 	}
-	sim.after(alone, func() {
+	sim.after(refusalDuration, func() {
 		sim.kvStore.StartOutage()
 		sim.after(sim.size.cancellationBound+sim.randomDuration(5000, 25_000), func() { sim.kvStore.EndOutage(sim.now) })
 	})
 }
 
-// cancelRandomService cancels one of the services.
+// cancelRandomService cancels one of the eight services.
 func (sim *simulation) cancelRandomService() { sim.cancel(fmt.Sprintf("run-%06d", sim.rng.IntN(8))) }
 
-// cancelLosingReply cancels a job at a controller, which it returns. In half of the cases the
-// reply of the key-value store is lost, and a repeated request confirms the cancellation to
-// the user.
+// cancelLosingReply cancels a job. In half of the cases it cancels it at a controller, which it
+// returns. In the other half the cancellation commits but the key-value store's reply is lost,
+// so that only a repeated request confirms the cancellation to the user; it returns nil then.
 func (sim *simulation) cancelLosingReply(id string) *simController {
 	if sim.rng.IntN(2) == 0 {
-		if it := sim.kvStore.Get(sim.now, records.JobKey(id)); it.ModRevision != 0 && sim.servingController() != nil {
-			rec, err := records.DecodeJob(it)
+		if item := sim.kvStore.Get(sim.now, records.JobKey(id)); item.ModRevision != 0 && sim.servingController() != nil {
+			record, err := records.DecodeJob(item)
 			must(err)
-			rec.Cancelled = true
-			sim.kvStore.Commit(sim.now, wire.Txn{If: []wire.Compare{{Key: it.Key, ModRevision: it.ModRevision}}, Then: []wire.Op{{Set: it.Key, Value: rec}}})
+			record.Cancelled = true
+			sim.kvStore.Commit(sim.now, wire.Txn{If: []wire.Compare{{Key: item.Key, ModRevision: item.ModRevision}}, Then: []wire.Op{{Set: item.Key, Value: record}}})
 			sim.after(sim.randomDuration(200, 2000), func() { sim.cancel(id) })
 		}
 		return nil
@@ -317,18 +316,19 @@
 	}
 }
 
-// firstFailure says which rule was broken, or which job is not served once the faults are over.
+// firstFailure describes the first rule violations, or a job that is in the wrong state after
+// the faults have ended. It returns "" if there is no failure.
 func (sim *simulation) firstFailure() string {
 	if len(sim.checker.Violations) > 0 {
 		return strings.Join(sim.checker.Violations[:min(3, len(sim.checker.Violations))], "\n")
 	}
 	for _, j := range sim.jobs {
-		on := sim.checker.PlacedTasks(j.ID)
+		placedTasks := sim.checker.PlacedTasks(j.ID)
 		switch state := sim.pollJob(j.ID); {
-		case state == wire.JobCancelled && on == 0, state == wire.JobDone && !j.Service(),
-			state == wire.JobPending && j.Service() && on == j.Tasks:
+		case state == wire.JobCancelled && placedTasks == 0, state == wire.JobDone && !j.Service(),
+			state == wire.JobPending && j.Service() && placedTasks == j.Tasks:
 		default:
-			return fmt.Sprintf("%s is %s with %d of %d tasks on machines\n%s", j.ID, state, on, j.Tasks, sim.describeJob(j.ID))
+			return fmt.Sprintf("%s is %s with %d of %d tasks on machines\n%s", j.ID, state, placedTasks, j.Tasks, sim.describeJob(j.ID))
 		}
 	}
 	return ""
--- a/internal/scheduler/message_faults_test.go
+++ b/internal/scheduler/message_faults_test.go
@@ -9,12 +9,12 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// messageFaultSeeds is how many simulations each combination of faults is injected into.
+// messageFaultSeeds is the number of simulations for each combination of faults.
 const messageFaultSeeds = 25
 
-// Combined faults of heartbeats, commands and machines at random times: no rule is broken,
-// and once the faults are over every accepted array is completed and every service is
-// complete again. internal/mutation takes the safeguards out and sees this fail.
+// No rule is broken when faults of heartbeats, commands and machines coincide at random times,
+// and after the faults every accepted array completes and every service has all of its tasks
+// running again. internal/mutation removes the safeguards and checks that this test fails then.
 func TestCombinedMessageFaults(t *testing.T) {
 	for _, scenario := range []struct {
 		name    string
@@ -46,7 +46,7 @@
 			func(sim *simulation, _ *simController) {
 				for _, name := range sim.machineNames {
 					if sim.rng.IntN(3) == 0 {
-						sim.hungUntil[name] = sim.now + sim.randomDuration(3000, 20_000) // some into their next incarnation
+						sim.hungUntil[name] = sim.now + sim.randomDuration(3000, 20_000) // some for longer than their lease, so that a new incarnation begins
 					}
 				}
 				for range 40 {
@@ -100,7 +100,7 @@
 			}},
 		{"machines that nobody expected appear by their heartbeats", nil,
 			func(sim *simulation, leader *simController) {
-				sim.cloudDown = true // the list does not show them
+				sim.cloudDown = true // so the cloud list does not show the machines
 				for range 4 {
 					sim.after(sim.randomDuration(0, 15_000), func() {
 						sim.bootMachine(sim.machineTypes[sim.rng.IntN(2)], []string{"a", "b"}[sim.rng.IntN(2)], sim.rng.IntN(2) == 0)
@@ -112,7 +112,7 @@
 	} {
 		t.Run(scenario.name, func(t *testing.T) {
 			failed := 0
-			first := ""
+			firstFailure := ""
 			for seed := range uint64(messageFaultSeeds) {
 				sim := newSimulation(seed)
 				if scenario.prepare != nil {
@@ -143,21 +143,21 @@
 				sim.run(185 * time.Second)
 				if failure := sim.firstFailure(); failure != "" {
 					failed++
-					if first == "" {
-						first = fmt.Sprintf("seed %d: %s", seed, failure)
+					if firstFailure == "" {
+						firstFailure = fmt.Sprintf("seed %d: %s", seed, failure)
 					}
 				}
 			}
 			if failed > 0 {
-				t.Errorf("%d of %d simulations; the first: %s", failed, messageFaultSeeds, first)
+				t.Errorf("%d of %d simulations fail; the first: %s", failed, messageFaultSeeds, firstFailure)
 			}
 		})
 	}
 }
 
-// The tasks of small jobs end far apart from each other across failovers, while writes lag
-// and duplicates of heartbeats come late: no job is done early, all become done, and no task
-// starts again that has completed.
+// The tasks of small jobs end at very different times across failovers, while writes are delayed
+// and duplicates of heartbeats arrive late. No job becomes done early, all become done, and no
+// completed task starts again.
 func TestSpreadCompletionsSurviveFailovers(t *testing.T) {
 	starts, repeated := 0, 0
 	for seed := range uint64(messageFaultSeeds) {
@@ -187,95 +187,98 @@
 		}
 		starts, repeated = starts+sim.checker.Starts, repeated+sim.checker.RepeatedStarts
 	}
-	// A completed attempt keeps its record until its task is durably done.
-	t.Logf("%d starts, %d of them of tasks that had completed", starts, repeated)
+	// Completed tasks do not start again, because an attempt keeps its record until its task is
+	// durably recorded as done.
+	t.Logf("%d starts, %d of them of completed tasks", starts, repeated)
 	if repeated > 0 {
-		t.Errorf("%d of %d starts are of tasks that had completed", repeated, starts)
+		t.Errorf("%d of %d starts are of completed tasks", repeated, starts)
 	}
 }
 
-// submitArray submits an array whose tasks end far apart from each other in some simulations.
-func (sim *simulation) submitArray(i, tasks int) {
-	sim.submit(&wire.Job{ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: []string{"red", "blue"}[i%2], Shape: wire.ShapeArray,
-		Priority: []string{wire.PriorityUrgent, wire.PriorityNormal, wire.PriorityIdle}[i%3], Tasks: tasks, CPUs: float64(1 + i%3), MemoryGB: 2,
-		Image: fmt.Sprintf("img-%d", i%3), ImageGB: 1, EstimatedRunS: 8, Spot: i%4 == 0, SameZone: i%5 == 0})
+// submitArray submits an array whose tasks end at very different times in some simulations. Its
+// priority, resources, image and zone constraint depend on its number.
+func (sim *simulation) submitArray(number, tasks int) {
+	sim.submit(&wire.Job{ID: fmt.Sprintf("run-%06d", number), Class: "c", Team: []string{"red", "blue"}[number%2], Shape: wire.ShapeArray,
+		Priority: []string{wire.PriorityUrgent, wire.PriorityNormal, wire.PriorityIdle}[number%3], Tasks: tasks, CPUs: float64(1 + number%3), MemoryGB: 2,
+		Image: fmt.Sprintf("img-%d", number%3), ImageGB: 1, EstimatedRunS: 8, Spot: number%4 == 0, SameZone: number%5 == 0})
 }
 
-// submitGang submits a gang: when a member ends, the others are stopped, also those whose
-// start is still in flight.
-func (sim *simulation) submitGang(i int) {
-	sim.submit(&wire.Job{ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: []string{"red", "blue"}[i%2], Shape: wire.ShapeGang,
-		Priority: wire.PriorityNormal, Tasks: 3, CPUs: 1, MemoryGB: 2, Image: fmt.Sprintf("img-%d", i%3), ImageGB: 0.2, EstimatedRunS: 8})
+// submitGang submits a gang of three tasks. When one of them ends, the others are stopped, also
+// those whose start is still in flight.
+func (sim *simulation) submitGang(number int) {
+	sim.submit(&wire.Job{ID: fmt.Sprintf("run-%06d", number), Class: "c", Team: []string{"red", "blue"}[number%2], Shape: wire.ShapeGang,
+		Priority: wire.PriorityNormal, Tasks: 3, CPUs: 1, MemoryGB: 2, Image: fmt.Sprintf("img-%d", number%3), ImageGB: 0.2, EstimatedRunS: 8})
 }
 
-// failTasksOnHalfOfMachines makes tasks fail on half of the machines, until the faults are over.
+// failTasksOnHalfOfMachines makes tasks fail on about half of the machines until the faults end.
 func (sim *simulation) failTasksOnHalfOfMachines() {
 	for _, name := range sim.machineNames {
 		sim.faultyMachines[name] = sim.rng.IntN(2) == 0
 	}
 }
 
-// replayHeartbeatsToNewLeader keeps heartbeats of each machine from the seconds before the
-// leader fails until a new one has led for some milliseconds, and then delivers them to every
-// controller. Half of the machines are partitioned meanwhile, so that the old heartbeat is
-// all that the new leader has of them.
-func (sim *simulation) replayHeartbeatsToNewLeader(leader *simController, from, to int) {
-	var kept []wire.Heartbeat
-	take := func() {
+// replayHeartbeatsToNewLeader captures heartbeats of each machine in the seconds before the
+// leader crashes. Once a new leader leads, each is delivered to every controller after a random
+// delay between the bounds in milliseconds. About half of the machines are partitioned meanwhile,
+// so that the new leader receives only the old heartbeats from them.
+func (sim *simulation) replayHeartbeatsToNewLeader(leader *simController, minDelayMS, maxDelayMS int) {
+	var captured []wire.Heartbeat
+	captureHeartbeats := func() {
 		for _, wk := range sim.respondingWorkers() {
-			kept = append(kept, wk.Heartbeat(sim.now))
+			captured = append(captured, wk.Heartbeat(sim.now))
 		}
 	}
-	ends := sim.randomDuration(2000, 5000)
+	crashAfter := sim.randomDuration(2000, 5000)
 	for range 4 {
-		sim.after(sim.randomDuration(0, int(ends/time.Millisecond)), take)
+		sim.after(sim.randomDuration(0, int(crashAfter/time.Millisecond)), captureHeartbeats)
 	}
-	var wait func()
-	wait = func() {
+	var replayToNewLeader func()
+	replayToNewLeader = func() {
 		for _, c := range sim.controllers {
 			if c.scheduler == nil {
 				continue
 			}
-			for i := range kept {
-				sim.after(sim.randomDuration(from, to), func() {
+			for i := range captured {
+				sim.after(sim.randomDuration(minDelayMS, maxDelayMS), func() {
 					for _, c := range sim.controllers {
-						c.heartbeat(&kept[i])
+						c.heartbeat(&captured[i])
 					}
 				})
 			}
 			return
 		}
-		sim.after(5*time.Millisecond, wait)
+		sim.after(5*time.Millisecond, replayToNewLeader)
 	}
-	sim.after(ends, func() {
+	sim.after(crashAfter, func() {
 		for _, name := range sim.machineNames {
 			if sim.rng.IntN(2) == 0 {
 				sim.partitionedUntil[name] = sim.now + sim.randomDuration(4000, 11_000)
 			}
 		}
 		leader.crash(sim.randomDuration(100, 1000))
-		wait()
+		replayToNewLeader()
 	})
 }
 
-// duplicateHeartbeats delivers a heartbeat of each machine to every controller after a while.
-func (sim *simulation) duplicateHeartbeats(late time.Duration) {
+// duplicateHeartbeats delivers a copy of each machine's current heartbeat to every controller
+// after the delay.
+func (sim *simulation) duplicateHeartbeats(delay time.Duration) {
 	for _, wk := range sim.respondingWorkers() {
-		r := wk.Heartbeat(sim.now)
-		sim.after(late, func() {
+		heartbeat := wk.Heartbeat(sim.now)
+		sim.after(delay, func() {
 			for _, c := range sim.controllers {
-				c.heartbeat(&r)
+				c.heartbeat(&heartbeat)
 			}
 		})
 	}
 }
 
-// respondingWorkers are the workers that are up and do not hang.
-func (sim *simulation) respondingWorkers() (out []*simulator.Worker) {
+// respondingWorkers returns the workers that have not terminated and do not hang.
+func (sim *simulation) respondingWorkers() (workers []*simulator.Worker) {
 	for _, name := range sim.machineNames {
 		if wk := sim.workers[name]; !wk.Terminated && sim.hungUntil[name] <= sim.now {
-			out = append(out, wk)
+			workers = append(workers, wk)
 		}
 	}
-	return out
+	return workers
 }
