--- a/internal/docscheck/tree_test.go
+++ b/internal/docscheck/tree_test.go
@@ -24,7 +24,7 @@
 	tests            []string                   // names of test functions
 }
 
-// skippedDirectories hold build output, files of runs and git data.
+// skippedDirectories hold build output, records of runs and git data.
 var skippedDirectories = map[string]bool{".git": true, "target": true, "journal": true}
 
 // ownDirectory is the directory of this package.
--- a/internal/mutation/markers_test.go
+++ b/internal/mutation/markers_test.go
@@ -141,7 +141,8 @@
 	}
 }
 
-// functionsInTestFiles returns the names of the functions in the test files of a package directory.
+// functionsInTestFiles returns the names of the functions in the test files of a package
+// directory.
 func functionsInTestFiles(t *testing.T, dir string) map[string]bool {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(dir, "*_test.go"))
--- a/internal/scheduler/leadership_faults_test.go
+++ b/internal/scheduler/leadership_faults_test.go
@@ -19,8 +19,8 @@
 		inject func(sim *simulation)
 	}{
 		{"all_controllers_down", func(sim *simulation) {
-			// All controllers are down or paused for about a lease or longer, while
-			// machines hang or are partitioned for longer than that.
+			// All controllers are down or paused for about a worker's lease or longer.
+			// Machines hang or are partitioned meanwhile, some for longer than a lease.
 			downtime := sim.randomDuration(9000, 20_000)
 			sim.cancelHalfOfServices() // just before the controllers fail, too late for the stops to be sent
 			for range 2 {
@@ -123,7 +123,8 @@
 		}},
 		{"alternating_leaders", func(sim *simulation) {
 			// Leadership alternates between controllers, then all crash, and one restarts
-			// within 1.5 s. Commands and heartbeats may arrive late or twice.
+			// within 1.5 s. Messages may be lost, delayed or duplicated, so that commands of
+			// an earlier leader may be executed late.
 			sim.lossRate, sim.delayRate, sim.duplicateRate, sim.heartbeatCopyRate = 0.05, 0.1, 0.2, 0.2
 			for i := range 4 {
 				sim.after(time.Duration(i)*sim.randomDuration(2700, 5000), func() {
@@ -241,7 +242,7 @@
 	}
 }
 
-// leadershipFaultSeeds is how many simulations each combination of faults is injected into.
+// leadershipFaultSeeds is the number of simulations for each combination of faults.
 const leadershipFaultSeeds = 12
 
 // serviceJob returns a service. Its team depends on the last digit of the job ID.
