--- a/cmd/restartbench/main.go
+++ b/cmd/restartbench/main.go
@@ -1,6 +1,6 @@
-// Command restartbench simulates restarts of all controllers, with the recovery off and
-// on, and writes a table and a self-contained HTML page. Its figures are simulated and
-// can only be compared with one another.
+// Command restartbench simulates restarts of all controllers, with the setting recovery off and
+// on, and writes a table to the standard output and a self-contained HTML page. Its figures are
+// simulated: they can be compared with one another, but not with those of a real cluster.
 package main
 
 import (
@@ -12,7 +12,7 @@
 
 const programName = "restartbench"
 
-// options are the command line.
+// options holds the flags of the command line.
 type options struct {
 	Machines []int     `default:"50,500,4000" help:"Numbers of machines."`
 	Changed  []float64 `default:"0,0.01,0.1,0.5" help:"Shares of machines that change while no controller runs."`
--- a/cmd/restartbench/main_test.go
+++ b/cmd/restartbench/main_test.go
@@ -18,6 +18,8 @@
 	}
 }
 
+// The table has one row per variant of each scenario, and the page has one plot per metric and
+// number of machines.
 func TestTableAndPageShowEveryScenario(t *testing.T) {
 	scenarios := newScenarios(options{Machines: []int{8, 12}, Changed: []float64{0, 0.5}, Seeds: 2})
 	runAll(scenarios, 2)
--- a/cmd/restartbench/metric.go
+++ b/cmd/restartbench/metric.go
@@ -6,13 +6,13 @@
 	"github.com/yarrowgap/yarrowgap/internal/restartsim"
 )
 
-// metric is one figure of a result.
+// metric is a value computed from the result of a simulated restart.
 type metric struct {
 	name  string
 	value func(restartsim.Result) float64
 }
 
-// metrics are what the table and the plots show.
+// metrics lists the columns of the table, each of which is also plotted.
 var metrics = []metric{
 	{"starts over need", func(r restartsim.Result) float64 { return float64(r.Issued.Starts - r.Needed.Starts) }},
 	{"stops over need", func(r restartsim.Result) float64 { return float64(r.Issued.Stops - r.Needed.Stops) }},
@@ -23,12 +23,12 @@
 	{"direct calls", func(r restartsim.Result) float64 { return float64(r.DirectCalls) }},
 	{"first new start, s", func(r restartsim.Result) float64 { return r.FirstStartAfter.Seconds() }},
 	{"settled, s", func(r restartsim.Result) float64 { return r.SettledAfter.Seconds() }},
-	{"last team complete, s", func(r restartsim.Result) float64 { return r.LastTeamAfter.Seconds() }},
-	{"last machine answered, s", func(r restartsim.Result) float64 { return r.LastMachineAfter.Seconds() }},
+	{"last team complete, s", func(r restartsim.Result) float64 { return r.TeamsCompleteAfter.Seconds() }},
+	{"last machine answered, s", func(r restartsim.Result) float64 { return r.MachinesAnsweredAfter.Seconds() }},
 	{"violations", func(r restartsim.Result) float64 { return float64(len(r.Violations)) }},
 }
 
-// summary is the lowest, the mean and the highest value of a metric over the seeds.
+// summary holds the lowest, mean and highest value of a metric over all seeds.
 type summary struct{ lowest, mean, highest float64 }
 
 func (m metric) summarize(results []restartsim.Result) summary {
--- a/cmd/restartbench/page.go
+++ b/cmd/restartbench/page.go
@@ -24,13 +24,14 @@
 </body></html>
 `))
 
-// page is what the template shows.
+// page holds the data for pageTemplate.
 type page struct {
 	Table   string
 	Figures []figure
 }
 
-// writePage writes a page that needs no other files.
+// writePage writes the HTML page to path, with all plots embedded in it. It creates missing parent
+// directories.
 func writePage(path string, scenarios []scenario) error {
 	content, err := newPage(scenarios)
 	if err != nil {
@@ -64,7 +65,7 @@
 	return content, nil
 }
 
-// machineCounts are the different numbers of machines, in the order of the scenarios.
+// machineCounts returns the distinct numbers of machines, in the order of the scenarios.
 func machineCounts(scenarios []scenario) []int {
 	var counts []int
 	for _, s := range scenarios {
--- a/cmd/restartbench/plot.go
+++ b/cmd/restartbench/plot.go
@@ -12,26 +12,26 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Sizes of a plot.
+// Dimensions of a plot.
 const (
-	plotWidth  = 16 * vg.Centimeter
-	plotHeight = 10 * vg.Centimeter
-	titleSize  = vg.Length(10) // points
+	plotWidth     = 16 * vg.Centimeter
+	plotHeight    = 10 * vg.Centimeter
+	titleFontSize = vg.Length(10) // points
 )
 
-// figure is a plot on the page.
+// figure is a plot on the page. Image is a data URL that contains the plot.
 type figure struct {
 	Title string
 	Image template.URL
 }
 
-// newFigure plots a metric of the scenarios with one number of machines over the shares
-// that changed.
+// newFigure plots a metric against the share of changed machines, for the scenarios with the given
+// number of machines.
 func newFigure(m metric, machines int, scenarios []scenario) (figure, error) {
 	title := fmt.Sprintf("%s, %d machines (simulated)", m.name, machines)
 	p := plot.New()
 	p.Title.Text = title
-	p.Title.TextStyle.Font.Size = titleSize
+	p.Title.TextStyle.Font.Size = titleFontSize
 	p.Legend.Top, p.Legend.Left = true, true
 	p.X.Label.Text = "machines changed, %"
 	p.Y.Label.Text = m.name
@@ -42,8 +42,8 @@
 	return figure{title, image}, err
 }
 
-// plotLines are a line of means and one of highest values for each variant, each after
-// its name, as plotutil.AddLinePoints takes them.
+// plotLines returns the arguments of plotutil.AddLinePoints, which alternate between a name and a
+// line. Each variant has a line of the mean values and a line of the highest values.
 func plotLines(m metric, machines int, scenarios []scenario) []any {
 	var names []string
 	lines := map[string]plotter.XYs{}
@@ -59,8 +59,8 @@
 		}
 		for _, v := range s.variants {
 			values := m.summarize(v.results)
-			add(v.name, percent(s.changed), values.mean)
-			add(v.name+", highest", percent(s.changed), values.highest)
+			add(v.name, percent(s.changedShare), values.mean)
+			add(v.name+", highest", percent(s.changedShare), values.highest)
 		}
 	}
 	var arguments []any
@@ -70,7 +70,7 @@
 	return arguments
 }
 
-// encodeImage draws a plot as an image that a page can contain.
+// encodeImage renders a plot as an SVG image in a data URL.
 func encodeImage(p *plot.Plot) (template.URL, error) {
 	writer, err := p.WriterTo(plotWidth, plotHeight, "svg")
 	if err != nil {
--- a/cmd/restartbench/scenario.go
+++ b/cmd/restartbench/scenario.go
@@ -7,14 +7,15 @@
 	"github.com/yarrowgap/yarrowgap/internal/restartsim"
 )
 
-// scenario is a restart that is run with several seeds, without and with the recovery.
+// scenario is a restart that is simulated with several seeds, each with the setting recovery off and
+// on.
 type scenario struct {
-	machines int
-	changed  float64
-	variants []variant
+	machines     int
+	changedShare float64 // share of the machines that change while no controller runs, 0 to 1
+	variants     []variant
 }
 
-// variant is the results of a scenario under one setting of the recovery.
+// variant holds the results of a scenario with the setting recovery either off or on.
 type variant struct {
 	name     string
 	recovery bool
@@ -22,30 +23,30 @@
 }
 
 func newScenarios(o options) []scenario {
-	var all []scenario
+	var scenarios []scenario
 	for _, machines := range o.Machines {
 		for _, changed := range o.Changed {
-			all = append(all, scenario{machines: machines, changed: changed, variants: []variant{
+			scenarios = append(scenarios, scenario{machines: machines, changedShare: changed, variants: []variant{
 				{name: "off", recovery: false, results: make([]restartsim.Result, o.Seeds)},
 				{name: "on", recovery: true, results: make([]restartsim.Result, o.Seeds)},
 			}})
 		}
 	}
-	return all
+	return scenarios
 }
 
-// plan is what a scenario runs for a seed, which counts from 0.
+// plan returns the plan of one simulated restart. Seeds are numbered from 0.
 func (s scenario) plan(v variant, seed int) restartsim.Plan {
-	return restartsim.Plan{Machines: s.machines, Changed: s.changed, Seed: uint64(seed + 1), Recovery: v.recovery}
+	return restartsim.Plan{Machines: s.machines, ChangedShare: s.changedShare, Seed: uint64(seed + 1), Recovery: v.recovery}
 }
 
-// runAll runs all scenarios, with a number of runs at once or, for 0, one for each
-// processor.
-func runAll(scenarios []scenario, parallel int) {
-	if parallel <= 0 {
-		parallel = runtime.NumCPU()
+// runAll simulates all scenarios and stores their results. It runs up to concurrency simulations
+// at a time, or one per processor if concurrency is 0 or negative.
+func runAll(scenarios []scenario, concurrency int) {
+	if concurrency <= 0 {
+		concurrency = runtime.NumCPU()
 	}
-	slots := make(chan struct{}, parallel)
+	slots := make(chan struct{}, concurrency)
 	var running sync.WaitGroup
 	for _, s := range scenarios {
 		for _, v := range s.variants {
--- a/cmd/restartbench/table.go
+++ b/cmd/restartbench/table.go
@@ -6,7 +6,8 @@
 	"text/tabwriter"
 )
 
-// writeTable writes a Markdown table: means over the seeds, with their range in brackets.
+// writeTable writes a Markdown table with the mean of each metric over all seeds, and the range in
+// parentheses if the values differ.
 func writeTable(w io.Writer, scenarios []scenario) error {
 	table := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
 	fmt.Fprint(table, "| machines, changed\t| recovery\t|")
@@ -23,7 +24,7 @@
 }
 
 func writeRow(w io.Writer, s scenario, v variant) {
-	fmt.Fprintf(w, "| %d, %g%%\t| %s\t|", s.machines, percent(s.changed), v.name)
+	fmt.Fprintf(w, "| %d, %g%%\t| %s\t|", s.machines, percent(s.changedShare), v.name)
 	for _, m := range metrics {
 		fmt.Fprintf(w, " %v\t|", m.summarize(v.results))
 	}
--- a/internal/restartsim/counts.go
+++ b/internal/restartsim/counts.go
@@ -7,18 +7,19 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// counts are the orders and calls of a scheduler.
+// counts holds the numbers of operations and calls that a scheduler has issued.
 type counts struct {
-	orders                                *simulator.OrderCounter
+	operations                            *simulator.OrderCounter
 	kvStoreCalls, cloudCalls, directCalls int
-	firstStartAt                          time.Duration // 0: none yet
+	firstStartAt                          time.Duration // when the first start was issued; 0: none yet
 }
 
-func newCounts() counts { return counts{orders: simulator.NewOrderCounter()} }
+func newCounts() counts { return counts{operations: simulator.NewOrderCounter()} }
 
+// countCommands counts commands to a machine, and records the time of the first start.
 func (c *counts) countCommands(now time.Duration, machine string, commands []wire.Command) {
-	c.orders.CountCommands(machine, commands)
-	if c.firstStartAt == 0 && c.orders.Counts.Starts > 0 {
+	c.operations.CountCommands(machine, commands)
+	if c.firstStartAt == 0 && c.operations.Counts.Starts > 0 {
 		c.firstStartAt = now
 	}
 }
--- a/internal/restartsim/doc.go
+++ b/internal/restartsim/doc.go
@@ -1,6 +1,7 @@
-// Package restartsim simulates restarts of all controllers: one scheduler with simulated
-// machines, a simulated key-value store and a simulated cloud, in simulated time. It
-// compares the scheduler's orders with those that are needed, which it knows from the
-// simulated machines. Processors cost nothing here: what is measured are orders, calls,
-// and delays that come from the protocol and from pacing.
+// Package restartsim simulates restarts of all controllers. It runs one scheduler against simulated
+// machines, a simulated key-value store and a simulated cloud, in simulated time. It counts the
+// operations that the scheduler issues (starts and stops of attempts, provisioned and released
+// machines) and compares them with the needed operations, which it derives from the state of the
+// simulated machines. Computation takes no simulated time: the results are numbers of operations and
+// calls, and the delays that are due to the protocol and to rate limits.
 package restartsim
--- a/internal/restartsim/machine.go
+++ b/internal/restartsim/machine.go
@@ -10,46 +10,48 @@
 )
 
 const (
-	// taskRunTime is longer than any run: tasks do not end by themselves.
+	// taskRunTime is longer than a simulation, so that no task completes.
 	taskRunTime = 24 * time.Hour
-	// heartbeatAfterCommands is when an agent that executed commands sends its next
-	// heartbeat.
-	heartbeatAfterCommands = 500 * time.Millisecond
+	// heartbeatDelayAfterCommands is the time after which an agent that has executed commands from
+	// a heartbeat reply sends its next heartbeat.
+	heartbeatDelayAfterCommands = 500 * time.Millisecond
 )
 
-// machine is a simulated machine.
+// machine is a simulated machine with its agent.
 type machine struct {
 	*simulator.Worker
 	provisionedAt    time.Duration
 	bootedAt         time.Duration
 	terminated       bool
-	partitionedUntil time.Duration // it neither sends nor receives anything before
-	firstAnsweredAt  time.Duration // by the controller that came back; 0: not yet
+	partitionedUntil time.Duration // until then, all messages to and from the machine are lost
+	// firstAnsweredAt is when the machine first handled a direct call or had a heartbeat accepted,
+	// counted anew from the restart; 0: not yet.
+	firstAnsweredAt time.Duration
 }
 
-// reachable reports whether messages to and from the machine arrive.
+// reachable reports whether messages to and from the machine arrive at the given time.
 func (m *machine) reachable(now time.Duration) bool {
 	return !m.terminated && now >= m.partitionedUntil && now >= m.bootedAt
 }
 
-func (m *machine) noteAnswer(now time.Duration) {
+func (m *machine) recordAnswer(now time.Duration) {
 	if m.firstAnsweredAt == 0 {
 		m.firstAnsweredAt = now
 	}
 }
 
-// bootMachine provisions a machine that is up after the boot time.
-func (c *cluster) bootMachine(zone string, boot time.Duration) (name string) {
+// bootMachine provisions a machine that is up after bootDelay, and returns its name.
+func (c *cluster) bootMachine(zone string, bootDelay time.Duration) (name string) {
 	name = fmt.Sprintf("n-%06d", len(c.machineNames)+1)
-	bootedAt := c.now + boot
+	bootedAt := c.now + bootDelay
 	worker := simulator.NewWorker(bootedAt, simulator.WorkerConfig{
-		Name: name, MachineType: c.machineType, Zone: zone, LeaseDuration: leaseDuration, Checker: c.checker,
+		Name: name, MachineType: c.machineType, Zone: zone, LeaseDuration: workerLeaseDuration, Checker: c.checker,
 		RunTime: func(string) time.Duration { return taskRunTime },
 	})
 	m := &machine{Worker: worker, provisionedAt: c.now, bootedAt: bootedAt}
 	c.machineNames = append(c.machineNames, name)
 	c.machines[name] = m
-	c.after(boot+c.randomUpTo(heartbeatInterval), func() { c.sendHeartbeat(m) })
+	c.after(bootDelay+c.randomUpTo(heartbeatInterval), func() { c.sendHeartbeat(m) })
 	return name
 }
 
@@ -59,8 +61,8 @@
 	m.Terminate()
 }
 
-// sendHeartbeat sends a machine's heartbeat. Without a controller that answers, the agent
-// tries again a second later, as the protocol has it.
+// sendHeartbeat sends a machine's heartbeat. If no controller is running, the agent retries after
+// about tuning.WorkerRetryDelay, as the protocol specifies.
 func (c *cluster) sendHeartbeat(m *machine) {
 	switch {
 	case m.terminated:
@@ -75,10 +77,11 @@
 		return
 	}
 	heartbeat, sentAt := m.Heartbeat(c.now), c.now
-	c.after(c.latency(), func() { c.receiveHeartbeat(m, sentAt, heartbeat) })
+	c.after(c.randomLatency(), func() { c.receiveHeartbeat(m, sentAt, heartbeat) })
 }
 
-// receiveHeartbeat gives a heartbeat to the scheduler and sends the reply.
+// receiveHeartbeat passes a heartbeat to the scheduler, sends the reply and schedules the next
+// heartbeat.
 func (c *cluster) receiveHeartbeat(m *machine, sentAt time.Duration, heartbeat wire.Heartbeat) {
 	if c.scheduler == nil {
 		c.after(tuning.WorkerRetryDelay, func() { c.sendHeartbeat(m) })
@@ -87,38 +90,39 @@
 	reply, accepted := c.scheduler.Heartbeat(c.schedulerNow(), &heartbeat)
 	c.applyEffects()
 	if accepted {
-		m.noteAnswer(c.now)
+		m.recordAnswer(c.now)
 	}
-	c.after(c.latency(), func() {
+	c.after(c.randomLatency(), func() {
 		delay := c.randomAround(heartbeatInterval, heartbeatInterval/4)
 		if accepted && c.now >= m.partitionedUntil &&
 			m.HandleHeartbeatReply(c.now, sentAt, heartbeat.Incarnation, reply) && len(reply.Commands) > 0 {
-			delay = heartbeatAfterCommands
+			delay = heartbeatDelayAfterCommands
 		}
 		c.counts.countCommands(c.now, m.Name, reply.Commands)
 		c.after(delay, func() { c.sendHeartbeat(m) })
 	})
 }
 
-// sendMachineList sends the cloud's list of machines, which lags behind.
+// sendMachineList sends the cloud's machine list to the scheduler.
 func (c *cluster) sendMachineList() {
-	term := c.scheduler
-	if term == nil {
+	recipient := c.scheduler
+	if recipient == nil {
 		return
 	}
 	c.counts.cloudCalls += 1 + len(c.machineNames)/tuning.MachineListPageSize
 	machines := c.listMachines()
-	c.after(c.latency(), func() {
-		c.inTerm(term, func() { term.MachinesListed(c.schedulerNow(), machines) })
+	c.after(c.randomLatency(), func() {
+		c.deliverIfCurrent(recipient, func() { recipient.MachinesListed(c.schedulerNow(), machines) })
 	})
 }
 
+// listMachines returns the cloud's machine list. New machines appear in it after machineListLag.
 func (c *cluster) listMachines() []wire.ListedMachine {
 	var machines []wire.ListedMachine
 	for _, name := range c.machineNames {
 		m := c.machines[name]
 		initial := m.provisionedAt == 0
-		if m.terminated || !initial && m.provisionedAt > c.now-listLag {
+		if m.terminated || !initial && m.provisionedAt > c.now-machineListLag {
 			continue
 		}
 		state := wire.MachineRunning
--- a/internal/restartsim/machine_changes.go
+++ b/internal/restartsim/machine_changes.go
@@ -8,70 +8,71 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// machineChange is what happens to a machine while no controller runs.
+// machineChange is a change to a machine while no controller runs.
 type machineChange int
 
 const (
-	changeTerminated  machineChange = iota // it is gone, and the cloud does not list it
-	changeRestarted                        // its tasks have ended, and its agent has a new incarnation
-	changeUnreachable                      // it stays unreachable for a while after the restart
-	changeUnknownTask                      // it runs a task of a job that no controller accepted
+	changeTerminated  machineChange = iota // the machine is terminated, and the cloud no longer lists it
+	changeRestarted                        // the tasks on the machine end, and its agent gets a new incarnation
+	changeUnreachable                      // the machine is unreachable until some seconds after the restart
+	changeUnknownTask                      // the machine runs a task of a job that no controller accepted
 
 	changeCount
 )
 
-// An unreachable machine comes back after a delay between these, counted from the
-// restart: within the lease that its agent has had since before the outage.
+// Range of the delay from the restart until an unreachable machine can be reached again. It ends
+// before the expiry of the lease that the machine's agent acquired before the outage.
 const (
-	minReturnDelay = 8 * time.Second
-	maxReturnDelay = 16 * time.Second
+	minReconnectDelay = 8 * time.Second
+	maxReconnectDelay = 16 * time.Second
 )
 
 // unknownJobTeam is the team of jobs that no controller accepted.
 const unknownJobTeam = "stray"
 
-// changeMachines changes a share of the machines and counts the orders that this needs.
+// changeMachines changes a share of the machines and counts the operations that a controller then
+// needs to issue.
 func (r *restartRun) changeMachines(share float64) {
-	count := len(r.machineNames)
-	changed := r.random.Perm(count)[:int(math.Round(share*float64(count)))]
-	for i, index := range changed {
+	machineCount := len(r.machineNames)
+	changedIndexes := r.random.Perm(machineCount)[:int(math.Round(share*float64(machineCount)))]
+	for i, index := range changedIndexes {
 		r.changeMachine(r.machines[r.machineNames[index]], machineChange(i)%changeCount, i)
 	}
 }
 
-// changeMachine changes a machine. number differs from machine to machine.
-func (r *restartRun) changeMachine(m *machine, change machineChange, number int) {
-	lost := len(m.ActiveAttempts())
+// changeMachine changes a machine. changeNumber is unique to the change.
+func (r *restartRun) changeMachine(m *machine, change machineChange, changeNumber int) {
+	lostAttempts := len(m.ActiveAttempts())
 	switch change {
 	case changeTerminated:
 		r.terminatedMachines++
-		r.needed.Starts += lost
-		if lost > 0 {
-			r.needed.Releases++ // the proof that allows its tasks to start elsewhere
+		r.needed.Starts += lostAttempts
+		if lostAttempts > 0 {
+			r.needed.Releases++ // it proves that the tasks ended, so that they may start on other machines
 		}
 		r.terminate(m.Name)
 	case changeRestarted:
-		r.needed.Starts += lost
+		r.needed.Starts += lostAttempts
 		m.Restart(r.now)
 	case changeUnreachable:
-		m.partitionedUntil = r.now + outageTime + minReturnDelay + r.randomUpTo(maxReturnDelay-minReturnDelay)
+		m.partitionedUntil = r.now + outageTime + minReconnectDelay + r.randomUpTo(maxReconnectDelay-minReconnectDelay)
 	case changeUnknownTask:
-		r.startUnknownTask(m, number)
+		r.startTaskOfUnknownJob(m, changeNumber)
 	}
 }
 
-// startUnknownTask starts a task of a job that no controller accepted.
-func (r *restartRun) startUnknownTask(m *machine, number int) {
+// startTaskOfUnknownJob starts a task of a job that no controller accepted.
+func (r *restartRun) startTaskOfUnknownJob(m *machine, changeNumber int) {
 	job := &wire.Job{
-		ID: fmt.Sprintf("run-9%05d", number), Team: unknownJobTeam, Shape: wire.ShapeArray, Priority: wire.PriorityNormal,
+		ID: fmt.Sprintf("run-9%05d", changeNumber), Team: unknownJobTeam, Shape: wire.ShapeArray, Priority: wire.PriorityNormal,
 		Tasks: 1, CPUs: 0.01, MemoryGB: 0.1, Image: "img-0", ImageGB: 1,
 	}
 	r.checker.AddJob(job)
-	start := wire.Command{Verb: wire.VerbRun, Task: wire.TaskName(job.ID, 0), Attempt: uint64(1 + number)}
+	start := wire.Command{Verb: wire.VerbRun, Task: wire.TaskName(job.ID, 0), Attempt: uint64(1 + changeNumber)}
 	m.HandleCommands(r.now, wire.DirectCommands{
 		FencingToken: m.FencingToken, Incarnation: m.Incarnation, Commands: []wire.Command{start},
 	})
-	if _, accepted := m.ActiveAttempts()[start.Task]; accepted { // a full machine refuses it
+	if _, accepted := m.ActiveAttempts()[start.Task]; accepted { // a full machine refuses the start
 		r.needed.Stops++
 	}
 }
--- a/internal/restartsim/restart.go
+++ b/internal/restartsim/restart.go
@@ -8,96 +8,99 @@
 	"github.com/yarrowgap/yarrowgap/internal/simulator"
 )
 
-// Plan describes a restart.
+// Plan describes a simulated restart of all controllers.
 type Plan struct {
-	Machines int
-	// Changed is the share of machines that change while no controller runs.
-	Changed  float64
-	Seed     uint64
-	Recovery bool // the operators' setting
+	Machines int // number of machines
+	// ChangedShare is the share of the machines that change while no controller runs, from 0 to 1.
+	ChangedShare float64
+	Seed         uint64
+	Recovery     bool // the operators' setting recovery
 }
 
-// Result is the outcome of a plan. Times count from the restart; 0 means never.
+// Result is the outcome of a simulated restart. Operations and calls are counted from the restart
+// on. Times are relative to the restart; 0 means never.
 type Result struct {
-	Needed, Issued   simulator.OrderCounts
-	KVStoreCalls     int
-	CloudCalls       int
-	DirectCalls      int
-	FirstStartAfter  time.Duration
-	SettledAfter     time.Duration // as the scheduler reports it
-	LastTeamAfter    time.Duration // when all tasks of the last team ran
-	LastMachineAfter time.Duration // when the last machine was first answered, of those still there
-	Violations       []string
+	Needed, Issued     simulator.OrderCounts // numbers of operations
+	KVStoreCalls       int
+	CloudCalls         int
+	DirectCalls        int
+	FirstStartAfter    time.Duration // when the first start was issued
+	SettledAfter       time.Duration // when the scheduler reported its reconciliation as settled
+	TeamsCompleteAfter time.Duration // when the tasks of all teams were running
+	// MachinesAnsweredAfter is when the last of the initial machines first handled a direct call or
+	// had a heartbeat accepted. Terminated machines and those that never did are ignored.
+	MachinesAnsweredAfter time.Duration
+	Violations            []string
 }
 
-// Times of a run.
+// Durations of the parts of a simulation.
 const (
-	fillTime            = 40 * time.Second
-	outageTime          = 8 * time.Second // well within the workers' lease
-	observationTime     = 90 * time.Second
+	fillTime            = 40 * time.Second // for the tasks to start before the outage
+	outageTime          = 8 * time.Second  // much shorter than the workers' lease
+	observationTime     = 90 * time.Second // from the restart to the end of the simulation
 	observationInterval = 100 * time.Millisecond
 )
 
-// Shares of the machines' capacity: what jobs use before the outage, and what jobs need
-// that are accepted right before it.
+// Shares of the machines' capacity: filledShare is used by tasks that run before the outage, and
+// backlogShare is needed by tasks of jobs that are accepted at its start.
 const (
 	filledShare  = 0.85
 	backlogShare = 0.05
 )
 
-// Run simulates a plan: machines are filled, all controllers end, some machines change,
-// and a controller comes back.
+// Run simulates a plan: tasks start on the machines, all controllers end, some machines change, and
+// a controller starts again.
 func Run(plan Plan) Result {
 	c := newCluster(plan)
-	slots := float64(plan.Machines) * machineCPUs / taskCPUs
-	filled, backlog := int(slots*filledShare), int(slots*backlogShare)
+	taskSlots := float64(plan.Machines) * machineCPUs / taskCPUs
+	filledTasks, backlogTasks := int(taskSlots*filledShare), int(taskSlots*backlogShare)
 
 	c.startTerm()
-	c.run(2 * heartbeatInterval)
-	nextJob := c.submitTasks(1, filled)
+	c.runUntil(2 * heartbeatInterval)
+	nextJobNumber := c.submitTasks(1, filledTasks)
 	c.applyChanges()
-	c.run(c.now + fillTime)
+	c.runUntil(c.now + fillTime)
 
 	c.scheduler = nil
-	c.submitTasks(nextJob, backlog)
-	r := &restartRun{cluster: c, initialMachines: plan.Machines, needed: simulator.OrderCounts{Starts: backlog}}
-	r.expectUsage(nextJob, backlog)
-	r.changeMachines(plan.Changed)
-	r.needed.Provisioned = machinesFor(filled+backlog) - (plan.Machines - r.terminatedMachines)
+	c.submitTasks(nextJobNumber, backlogTasks)
+	r := &restartRun{cluster: c, initialMachines: plan.Machines, needed: simulator.OrderCounts{Starts: backlogTasks}}
+	r.setExpectedUsage(nextJobNumber, backlogTasks)
+	r.changeMachines(plan.ChangedShare)
+	r.needed.Provisioned = machinesNeeded(filledTasks+backlogTasks) - (plan.Machines - r.terminatedMachines)
 	r.needed.Provisioned = max(0, r.needed.Provisioned)
-	c.run(c.now + outageTime)
+	c.runUntil(c.now + outageTime)
 	return r.restart()
 }
 
-// machinesFor is how many machines hold that many tasks.
-func machinesFor(tasks int) int {
+// machinesNeeded returns the number of machines that a number of tasks needs.
+func machinesNeeded(tasks int) int {
 	return int(math.Ceil(float64(tasks) * taskCPUs / machineCPUs))
 }
 
-// restartRun is the part of a run from the end of the controllers.
+// restartRun is the part of a simulation that begins when the controllers end.
 type restartRun struct {
 	*cluster
 	initialMachines    int
 	terminatedMachines int
-	expectedCPUs       map[string]float64 // by team, when all of its tasks run
+	expectedCPUs       map[string]float64 // by team, when all tasks of the team run
 	needed             simulator.OrderCounts
 	restartedAt        time.Duration
 	result             Result
 }
 
-// expectUsage sets what each team uses when all of its tasks run: what it uses now, and
-// its part of the backlog, whose first job is given.
-func (r *restartRun) expectUsage(firstJob, backlog int) {
+// setExpectedUsage sets expectedCPUs to the CPUs in use now plus those of the backlog. The jobs of
+// the backlog are numbered from firstJobNumber.
+func (r *restartRun) setExpectedUsage(firstJobNumber, backlogTasks int) {
 	r.expectedCPUs = map[string]float64{}
 	for team := range teamCount {
 		r.expectedCPUs[teamName(team)] = r.checker.CPUsInUse(teamName(team))
 	}
-	for job, left := firstJob, backlog; left > 0; job, left = job+1, left-tasksPerJob {
-		r.expectedCPUs[teamName(job)] += taskCPUs * float64(min(left, tasksPerJob))
+	for jobNumber, remaining := firstJobNumber, backlogTasks; remaining > 0; jobNumber, remaining = jobNumber+1, remaining-tasksPerJob {
+		r.expectedCPUs[teamName(jobNumber)] += taskCPUs * float64(min(remaining, tasksPerJob))
 	}
 }
 
-// restart brings a controller back and observes what it does.
+// restart starts a controller, observes the cluster for observationTime and returns the result.
 func (r *restartRun) restart() Result {
 	r.restartedAt, r.counts = r.now, newCounts()
 	for _, m := range r.machines {
@@ -105,26 +108,29 @@
 	}
 	r.startTerm()
 	for r.now < r.restartedAt+observationTime {
-		r.run(r.now + observationInterval)
+		r.runUntil(r.now + observationInterval)
 		r.observe()
 	}
-	r.collect()
+	r.completeResult()
 	return r.result
 }
 
-// observe notes what has been reached since the last observation.
+// observe records when the reconciliation settled and when all teams became complete. If a team is
+// no longer complete, the latter is reset.
 func (r *restartRun) observe() {
 	if r.result.SettledAfter == 0 {
 		r.result.SettledAfter = r.settledAfter()
 	}
 	switch {
 	case !r.allTeamsComplete():
-		r.result.LastTeamAfter = 0
-	case r.result.LastTeamAfter == 0:
-		r.result.LastTeamAfter = r.now - r.restartedAt
+		r.result.TeamsCompleteAfter = 0
+	case r.result.TeamsCompleteAfter == 0:
+		r.result.TeamsCompleteAfter = r.now - r.restartedAt
 	}
 }
 
+// allTeamsComplete reports whether each team uses its expected CPUs, with a tolerance of half a
+// task.
 func (r *restartRun) allTeamsComplete() bool {
 	const tolerance = taskCPUs / 2
 	for team, expected := range r.expectedCPUs {
@@ -135,27 +141,28 @@
 	return true
 }
 
-// settledAfter is when the reconciliation was settled, or 0.
+// settledAfter returns the time from the start of the reconciliation until it settled, or 0 if it
+// has not settled.
 func (r *restartRun) settledAfter() time.Duration {
-	for _, entered := range r.scheduler.View().ReconciliationStatus(r.schedulerNow()).History {
-		if entered.Phase == reconcile.Settled.String() {
-			return time.Duration(entered.AfterS * float64(time.Second))
+	for _, entry := range r.scheduler.View().ReconciliationStatus(r.schedulerNow()).History {
+		if entry.Phase == reconcile.Settled.String() {
+			return time.Duration(entry.AfterS * float64(time.Second))
 		}
 	}
 	return 0
 }
 
-// collect completes the result.
-func (r *restartRun) collect() {
+// completeResult sets the counts and the remaining times of the result.
+func (r *restartRun) completeResult() {
 	result := &r.result
-	result.Needed, result.Issued = r.needed, r.counts.orders.Counts
+	result.Needed, result.Issued = r.needed, r.counts.operations.Counts
 	result.KVStoreCalls, result.CloudCalls, result.DirectCalls = r.counts.kvStoreCalls, r.counts.cloudCalls, r.counts.directCalls
 	if r.counts.firstStartAt > 0 {
 		result.FirstStartAfter = r.counts.firstStartAt - r.restartedAt
 	}
 	for _, name := range r.machineNames[:r.initialMachines] {
 		if m := r.machines[name]; !m.terminated {
-			result.LastMachineAfter = max(result.LastMachineAfter, m.firstAnsweredAt-r.restartedAt)
+			result.MachinesAnsweredAfter = max(result.MachinesAnsweredAfter, m.firstAnsweredAt-r.restartedAt)
 		}
 	}
 	result.Violations = r.checker.Violations
--- a/internal/restartsim/restart_test.go
+++ b/internal/restartsim/restart_test.go
@@ -2,29 +2,30 @@
 
 import "testing"
 
-// With the recovery on, starts, stops and releases are exactly those that the simulation
-// knows to be needed, and provisioned machines close to it. Without it, the same plan
-// issues more of each. No rule is violated, and in the end everything runs.
-func TestRecoveryIssuesOnlyNeededOrders(t *testing.T) {
+// With the setting recovery on, the scheduler issues exactly the needed starts, stops and releases,
+// and at most 5% of the machines more than need to be provisioned. With the setting off, the same
+// plan issues more starts and releases if machines changed. No rule is violated in either case, and
+// with the setting on all tasks run in the end.
+func TestRecoveryIssuesOnlyNeededOperations(t *testing.T) {
 	for _, changed := range []float64{0, 0.1, 0.5} {
-		plan := Plan{Machines: 120, Changed: changed, Seed: 3}
-		without := Run(plan)
+		plan := Plan{Machines: 120, ChangedShare: changed, Seed: 3}
+		withoutRecovery := Run(plan)
 		plan.Recovery = true
-		with := Run(plan)
-		if with.Issued.Starts != with.Needed.Starts || with.Issued.Stops != with.Needed.Stops || with.Issued.Releases != with.Needed.Releases {
-			t.Errorf("%v changed: issued %+v, needed %+v", changed, with.Issued, with.Needed)
+		withRecovery := Run(plan)
+		if withRecovery.Issued.Starts != withRecovery.Needed.Starts || withRecovery.Issued.Stops != withRecovery.Needed.Stops || withRecovery.Issued.Releases != withRecovery.Needed.Releases {
+			t.Errorf("%v changed: issued %+v, needed %+v", changed, withRecovery.Issued, withRecovery.Needed)
 		}
-		if most := with.Needed.Provisioned + plan.Machines/20; with.Issued.Provisioned > most {
-			t.Errorf("%v changed: provisioned %d, needed %d", changed, with.Issued.Provisioned, with.Needed.Provisioned)
+		if maxProvisioned := withRecovery.Needed.Provisioned + plan.Machines/20; withRecovery.Issued.Provisioned > maxProvisioned {
+			t.Errorf("%v changed: provisioned %d, needed %d", changed, withRecovery.Issued.Provisioned, withRecovery.Needed.Provisioned)
 		}
-		if with.LastTeamAfter == 0 || with.SettledAfter == 0 || len(with.Violations)+len(without.Violations) > 0 {
-			t.Errorf("%v changed: %+v", changed, with)
+		if withRecovery.TeamsCompleteAfter == 0 || withRecovery.SettledAfter == 0 || len(withRecovery.Violations)+len(withoutRecovery.Violations) > 0 {
+			t.Errorf("%v changed: not complete, not settled or rules violated: %+v", changed, withRecovery)
 		}
-		if without.Needed != with.Needed {
-			t.Errorf("%v changed: another plan was run without the recovery: %+v, %+v", changed, without.Needed, with.Needed)
+		if withoutRecovery.Needed != withRecovery.Needed {
+			t.Errorf("%v changed: the needed operations differ without the recovery: %+v, with it: %+v", changed, withoutRecovery.Needed, withRecovery.Needed)
 		}
-		if changed > 0 && (without.Issued.Starts <= with.Issued.Starts || without.Issued.Releases <= with.Issued.Releases) {
-			t.Errorf("%v changed: without the recovery issued %+v, so the test shows nothing", changed, without.Issued)
+		if changed > 0 && (withoutRecovery.Issued.Starts <= withRecovery.Issued.Starts || withoutRecovery.Issued.Releases <= withRecovery.Issued.Releases) {
+			t.Errorf("%v changed: issued only %+v without the recovery, so the test does not show its effect", changed, withoutRecovery.Issued)
 		}
 	}
 }
