--- a/cmd/simulator/main.go
+++ b/cmd/simulator/main.go
@@ -1,5 +1,5 @@
-// Command simulator serves a simulated key-value store and cloud on the loopback
-// interface, for trying a controller without a platform, and submits jobs to it.
+// Command simulator serves a simulated key-value store and cloud on the loopback interface, so that
+// a controller can be tried out without a platform. It also submits jobs to a controller.
 package main
 
 import (
@@ -16,9 +16,9 @@
 		Serve  serveCommand  `cmd:"" default:"withargs" help:"Serve the simulated systems."`
 		Submit submitCommand `cmd:"" help:"Submit a job to a controller."`
 	}
-	parsed := kong.Parse(&commands, kong.Name(programName),
+	command := kong.Parse(&commands, kong.Name(programName),
 		kong.Description("Simulates the systems that a yarrowgap controller talks to."))
-	if err := parsed.Run(); err != nil {
+	if err := command.Run(); err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", programName, err)
 		os.Exit(1)
 	}
--- a/cmd/simulator/main_test.go
+++ b/cmd/simulator/main_test.go
@@ -6,7 +6,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// Flags are part of the README's commands and of scripts.
+// The commands in the README and operators' scripts use these flags.
 func TestFlagsKeepTheirNames(t *testing.T) {
 	var commands struct {
 		Serve  serveCommand  `cmd:"" default:"withargs"`
@@ -36,7 +36,7 @@
 func TestListenAddresses(t *testing.T) {
 	for _, c := range []struct {
 		listen string
-		cloud  string // empty: refused
+		cloud  string // empty: the address is rejected
 	}{
 		{"127.0.0.1:7000", "127.0.0.1:7001"},
 		{"[::1]:7000", "[::1]:7001"},
--- a/cmd/simulator/serve.go
+++ b/cmd/simulator/serve.go
@@ -15,14 +15,14 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Times of the simulated deployment.
+// Timing of the simulated machines and their agents.
 const (
 	bootTime          = 2 * time.Second
 	heartbeatInterval = time.Second
 	leaseDuration     = 12 * time.Second
 )
 
-// machineType is the only type that the simulated cloud has.
+// machineType is the only machine type that the simulated cloud offers.
 var machineType = wire.MachineType{
 	Name: "box", CPUs: 8, MemoryGB: 32, CacheGB: 40, FetchGBPerS: 1,
 	Price: 1, SpotPrice: 0.4, BootS: bootTime.Seconds(), Zones: []string{"a", "b"},
@@ -35,7 +35,8 @@
 	Limit       float64           `default:"64" help:"Its limit in CPUs, by which the rules are checked."`
 }
 
-// Run serves until it is interrupted.
+// Run serves the simulated systems until the process receives an interrupt signal or a server
+// fails.
 func (c serveCommand) Run() error {
 	kvStoreAddress, cloudAddress, err := listenAddresses(c.Listen)
 	if err != nil {
@@ -44,13 +45,13 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	deployment := c.newDeployment()
-	failed := make(chan error, 2)
-	serve := func(address string, handler http.Handler) { failed <- http.ListenAndServe(address, handler) }
+	serverErrors := make(chan error, 2)
+	serve := func(address string, handler http.Handler) { serverErrors <- http.ListenAndServe(address, handler) }
 	go serve(kvStoreAddress, withUploads(deployment))
 	go serve(cloudAddress, deployment.CloudHandler(ctx))
 	fmt.Fprintf(os.Stderr, "key-value store on %s, cloud on %s\n", kvStoreAddress, cloudAddress)
 	select {
-	case err := <-failed:
+	case err := <-serverErrors:
 		return err
 	case <-ctx.Done():
 		return nil
@@ -68,9 +69,9 @@
 	})
 }
 
-// listenAddresses checks the address of the key-value store and gives the cloud the next
-// port. Anybody may use the simulated systems, so they listen on the loopback interface
-// only.
+// listenAddresses checks the address of the key-value store and returns it with the address of the
+// cloud, which is on the next port. The simulated systems have no access control, so they listen
+// only on the loopback interface.
 func listenAddresses(listen string) (kvStore, cloud string, err error) {
 	host, port, err := net.SplitHostPort(listen)
 	if err != nil {
@@ -79,15 +80,15 @@
 	if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
 		return "", "", fmt.Errorf("--listen: %s is not a loopback address", host)
 	}
-	number, err := strconv.ParseUint(port, 10, 16)
+	portNumber, err := strconv.ParseUint(port, 10, 16)
 	if err != nil {
 		return "", "", fmt.Errorf("--listen: %w", err)
 	}
-	return listen, net.JoinHostPort(host, strconv.FormatUint(number+1, 10)), nil
+	return listen, net.JoinHostPort(host, strconv.FormatUint(portNumber+1, 10)), nil
 }
 
-// withUploads adds to the key-value store's handler the request by which users hand job
-// descriptions to workers.
+// withUploads returns the key-value store's handler extended by the upload request, with which a
+// user makes a job's description known to the workers.
 func withUploads(deployment *simulator.Deployment) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", deployment.KVStoreHandler())
--- a/cmd/simulator/submit.go
+++ b/cmd/simulator/submit.go
@@ -12,7 +12,7 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Paths of the requests that submit a job.
+// Paths of the requests that upload a job to the simulator and submit it to a controller.
 const (
 	uploadPath = "/upload"
 	submitPath = "/v2/runs"
@@ -29,7 +29,7 @@
 	Service    bool    `help:"Tasks run until the job is cancelled."`
 }
 
-// Run uploads and submits one job.
+// Run uploads a job to the simulator, submits it to a controller and prints its state.
 func (c submitCommand) Run() error {
 	encoded, err := simulator.EncodeSubmission(c.job())
 	if err != nil {
@@ -61,7 +61,7 @@
 	return job
 }
 
-// post sends a body and returns the reply. A status of refusal is an error.
+// post sends a body and returns the body of the reply. A status of 300 or above is an error.
 func post(url string, body []byte) ([]byte, error) {
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
@@ -78,9 +78,9 @@
 		return nil, fmt.Errorf("%s: %w", url, err)
 	}
 	if response.StatusCode >= http.StatusMultipleChoices {
-		var refusal wire.ErrorReply
-		_ = wire.Unmarshal(reply, &refusal) // without a message, the status says it
-		return nil, fmt.Errorf("%s: %s %s", url, response.Status, strings.TrimSpace(refusal.Message))
+		var errorReply wire.ErrorReply
+		_ = wire.Unmarshal(reply, &errorReply) // without a message, the error has only the status
+		return nil, fmt.Errorf("%s: %s %s", url, response.Status, strings.TrimSpace(errorReply.Message))
 	}
 	return reply, nil
 }
