--- a/cmd/yarrowgap/check.go
+++ b/cmd/yarrowgap/check.go
@@ -10,16 +10,17 @@
 	"github.com/yarrowgap/yarrowgap/internal/policy"
 )
 
-// configFlags name the files that serving and checking read.
+// configFlags holds the flags that name the settings files, for the commands serve and check.
 type configFlags struct {
 	Config string `required:"" placeholder:"FILE" help:"The platform's settings file (TOML)."`
-	// Scripts are read in their order, and the one that the environment names after them,
-	// so that it wins over what the deploy file's command line has.
+	// Scripts are evaluated in the order of their flags, and EnvScript last, so that it overrides
+	// the scripts on the command line in deploy/service.toml.
 	Script    []string `placeholder:"FILE" sep:"none" help:"The operators' own settings (Starlark); see docs/operations.md. May be repeated: later ones win, and the file that YARROWGAP_SCRIPT names over all."`
 	EnvScript string   `name:"env-script" hidden:"" env:"YARROWGAP_SCRIPT"`
 }
 
-// scripts lists the scripts, the one that wins last.
+// scripts returns the operator scripts in the order of evaluation. Later scripts override earlier
+// ones.
 func (f configFlags) scripts() []string {
 	if f.EnvScript == "" {
 		return f.Script
@@ -27,7 +28,7 @@
 	return append(slices.Clone(f.Script), f.EnvScript)
 }
 
-// load reads the platform's and the operators' settings.
+// load reads the platform's settings file and the operators' scripts.
 func (f configFlags) load() (*config.Settings, policy.Settings, error) {
 	cfg, err := config.Load(f.Config)
 	if err != nil {
@@ -43,7 +44,7 @@
 	return cfg, operatorSettings, nil
 }
 
-// checkCmd checks the settings without starting anything.
+// checkCmd checks the settings file and the operator scripts without starting a controller.
 type checkCmd struct{ configFlags }
 
 func (c checkCmd) Run(w io.Writer) error {
@@ -55,7 +56,8 @@
 	return err
 }
 
-// describeSettings lists what is too small, and how many machines the limits are enough for.
+// describeSettings lists the settings below their recommended minimums, and the estimated number of
+// machines that this controller can serve within each of the platform's limits.
 func describeSettings(cfg *config.Settings) string {
 	var text strings.Builder
 	for _, shortfall := range cfg.Shortfalls() {
--- a/cmd/yarrowgap/client.go
+++ b/cmd/yarrowgap/client.go
@@ -15,19 +15,20 @@
 )
 
 const (
-	// queryTimeout leaves a controller time to ask another one.
+	// queryTimeout bounds a query. It is longer than tuning.LocalQueryTimeout, which bounds the time
+	// in which a controller reads a job's state.
 	queryTimeout = 2 * tuning.ForwardTimeout
-	// maxReplyBytes bounds a controller's reply.
+	// maxReplyBytes bounds the body of a controller's reply.
 	maxReplyBytes = 8 << 20
 )
 
-// controllerFlags say which controller is asked, and how its reply is printed.
+// controllerFlags holds the flags that select the queried controller and the output format.
 type controllerFlags struct {
 	Addr string `required:"" placeholder:"HOST:PORT" env:"YARROWGAP_ADDR" help:"A controller's address for users (bind)."`
 	JSON bool   `help:"Print JSON."`
 }
 
-// pageFlags select a part of a list that is ordered by name.
+// pageFlags holds the flags that select a page of a list ordered by name.
 type pageFlags struct {
 	From string `placeholder:"NAME" help:"List what comes after this name."`
 	Most int    `default:"100" help:"How many at most."`
@@ -37,7 +38,7 @@
 	return url.Values{"from": {p.From}, "most": {strconv.Itoa(p.Most)}}
 }
 
-// query asks a controller for a value, and prints the reply as JSON or as a table.
+// query sends a query to a controller and prints the reply as JSON or as a table.
 func query[T any](flags controllerFlags, path string, params url.Values, w io.Writer, printTable func(io.Writer, T)) error {
 	body, err := fetch(flags.Addr, path, params)
 	if err != nil {
@@ -56,7 +57,8 @@
 	return table.Flush()
 }
 
-// fetch returns the body of a successful reply.
+// fetch sends a GET request to a controller and returns the body of the reply. A reply with a
+// status other than 200 is a *replyError.
 func fetch(addr, path string, params url.Values) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), queryTimeout)
 	defer cancel()
@@ -83,14 +85,14 @@
 	return body, nil
 }
 
-// replyError is a controller's refusal of a query.
+// replyError is a controller's reply to a query that it did not answer.
 type replyError struct {
 	status int
 	reason string
-	leader string // who to ask instead, if that is known
+	leader string // name of the leader to query instead; empty if unknown
 }
 
-// Error says who to ask instead, or the status.
+// Error returns the reason with the leader to query instead or, if it is unknown, with the status.
 func (e *replyError) Error() string {
 	if e.leader != "" {
 		return fmt.Sprintf("%s; ask %s", e.reason, e.leader)
@@ -98,8 +100,9 @@
 	return fmt.Sprintf("status %d: %s", e.status, e.reason)
 }
 
+// parseReplyError decodes the reply to a failed query.
 func parseReplyError(status int, body []byte) error {
 	var reply struct{ Error, Leader string }
-	_ = json.Unmarshal(body, &reply) // without a reason, the status says enough
+	_ = json.Unmarshal(body, &reply) // without a reason, the error has only the status
 	return &replyError{status: status, reason: reply.Error, leader: reply.Leader}
 }
--- a/cmd/yarrowgap/listen.go
+++ b/cmd/yarrowgap/listen.go
@@ -10,16 +10,16 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// listen listens on an address. Connections are not kept alive by TCP's own probes:
-// both sides send within seconds or close, and setting the probes' times costs four
-// system calls for each connection.
+// listen opens a TCP listener. Its connections have TCP keep-alive disabled: both sides send within
+// seconds or close the connection, and setting up keep-alive takes four system calls for each
+// connection.
 func listen(addr string) (net.Listener, error) {
 	config := net.ListenConfig{KeepAlive: -1}
 	return config.Listen(context.Background(), "tcp", addr)
 }
 
-// limitedListener accepts at most a number of connections at once. One over it is
-// closed at once, so that its sender can turn to another controller.
+// limitedListener limits the number of open connections. A connection over the limit is closed
+// immediately, so that its client can try another controller.
 type limitedListener struct {
 	net.Listener
 	maxConns  int64
@@ -30,12 +30,13 @@
 	return &limitedListener{Listener: listener, maxConns: int64(maxConns)}
 }
 
-// crowded reports whether few more connections will be accepted.
-func (l *limitedListener) crowded() bool {
+// nearLimit reports whether the share of open connections is above the high watermark.
+func (l *limitedListener) nearLimit() bool {
 	return float64(l.openConns.Load()) > tuning.ListenerHighWatermark*float64(l.maxConns)
 }
 
-// Accept waits for a connection under the limit.
+// Accept waits for a connection and returns it. It closes connections over the limit and continues
+// to wait.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -52,13 +53,14 @@
 	}
 }
 
-// limitedConn counts until it is closed.
+// limitedConn is a connection that counts towards the limit of its listener until it is closed.
 type limitedConn struct {
 	net.Conn
-	release func()
+	release func() // decrements the number of open connections, once
 }
 
-// Close closes the connection. Its place is released once.
+// Close closes the connection, which then no longer counts towards the limit. Further calls do not
+// change the number of open connections.
 func (c *limitedConn) Close() error {
 	defer c.release()
 	return c.Conn.Close()
--- a/cmd/yarrowgap/listen_test.go
+++ b/cmd/yarrowgap/listen_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Connections over the limit are closed at once; when one under it ends, the next is
-// accepted, so that a worker that was refused gets in at a later retry.
+// Connections over the limit are closed immediately. After an accepted connection ends, the next one
+// is accepted, so that a worker that was refused can connect when it retries.
 func TestConnectionsOverLimitAreClosed(t *testing.T) {
 	inner, err := listen("127.0.0.1:0")
 	if err != nil {
@@ -39,21 +39,21 @@
 		dial()
 		served = append(served, <-accepted)
 	}
-	if !l.crowded() {
-		t.Error("not crowded though full")
+	if !l.nearLimit() {
+		t.Error("nearLimit is false with all connections in use")
 	}
 	expectRefused := func() {
 		t.Helper()
 		closed := make(chan struct{})
 		c := dial()
 		go func() {
-			_, _ = c.Read(make([]byte, 1)) // nothing is sent: it returns when c is closed
+			_, _ = c.Read(make([]byte, 1)) // the listener sends nothing, so Read returns when c is closed
 			close(closed)
 		}()
 		select {
 		case <-closed:
 		case <-accepted:
-			t.Fatal("a connection over the limit was served")
+			t.Fatal("a connection over the limit was accepted")
 		}
 	}
 	for range maxConns {
@@ -61,7 +61,7 @@
 	}
 	for _, c := range served {
 		c.Close()
-		c.Close() // counts once
+		c.Close() // a second Close must not release a second connection
 		dial()
 		<-accepted
 	}
--- a/cmd/yarrowgap/main.go
+++ b/cmd/yarrowgap/main.go
@@ -1,6 +1,6 @@
-// Command yarrowgap is a controller of a cluster: it accepts jobs, provisions machines in a
-// cloud and runs the jobs' tasks on them. Its other commands check settings and query a
-// running controller.
+// Command yarrowgap runs a controller of a cluster, which accepts jobs, provisions machines in a
+// cloud and runs the jobs' tasks on them. Its other subcommands check settings and query a running
+// controller.
 package main
 
 import (
@@ -15,16 +15,16 @@
 	"github.com/alecthomas/kong"
 )
 
-// version is the release; CHANGELOG.md says what is in it.
+// version is the release number. CHANGELOG.md lists the changes of each release.
 const version = "0.2.0"
 
 // Exit codes.
 const (
-	exitFailed = 1 // it could not be done
-	exitUsage  = 2 // the command line, settings or script are wrong
+	exitFailed = 1 // the command failed
+	exitUsage  = 2 // the command line, the settings file or a script is invalid
 )
 
-// cli is the command line.
+// cli defines the subcommands.
 type cli struct {
 	Serve    serveCmd    `cmd:"" help:"Run a controller."`
 	Check    checkCmd    `cmd:"" help:"Check a settings file and an operator script without starting."`
@@ -40,10 +40,10 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// usageError marks errors of the command line, the settings or a script.
+// usageError marks errors in the command line, the settings or a script.
 type usageError struct{ error }
 
-// Unwrap returns the marked error.
+// Unwrap returns the wrapped error.
 func (e usageError) Unwrap() error { return e.error }
 
 // run executes a command line and returns the exit code.
@@ -64,13 +64,14 @@
 	return exitFailed
 }
 
-// exitError is the panic value and error by which the parser ends the program, after it
-// printed the help.
+// exitError carries the exit code when the parser ends the program after printing the help. The
+// parser's exit function panics with it, and execute returns it as an error.
 type exitError struct{ code int }
 
-// Error names the code.
+// Error returns a message with the exit code.
 func (e exitError) Error() string { return fmt.Sprintf("exit with code %d", e.code) }
 
+// execute parses the command line and runs the subcommand.
 func execute(args []string, stdout, stderr io.Writer) (err error) {
 	var c cli
 	parser, err := kong.New(&c, kong.Name("yarrowgap"),
@@ -96,7 +97,7 @@
 	return command.Run()
 }
 
-// versionCmd prints the release.
+// versionCmd prints the version and the Go version of the build.
 type versionCmd struct{}
 
 func (versionCmd) Run(w io.Writer) error {
@@ -108,18 +109,18 @@
 	return err
 }
 
-// newLogger makes a log of messages at the level that LOG_LEVEL names, and above.
+// newLogger returns a logger for messages at or above level, which is the value of LOG_LEVEL.
 func newLogger(w io.Writer, level string) (*slog.Logger, error) {
-	var minimum slog.Level
+	var minLevel slog.Level
 	switch strings.ToLower(level) {
 	case "error":
-		minimum = slog.LevelError
+		minLevel = slog.LevelError
 	case "info", "":
-		minimum = slog.LevelInfo
+		minLevel = slog.LevelInfo
 	case "debug":
-		minimum = slog.LevelDebug
+		minLevel = slog.LevelDebug
 	default:
 		return nil, usageError{fmt.Errorf("LOG_LEVEL: must be error, info or debug, is %q", level)}
 	}
-	return slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: minimum})), nil
+	return slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: minLevel})), nil
 }
--- a/cmd/yarrowgap/main_test.go
+++ b/cmd/yarrowgap/main_test.go
@@ -11,45 +11,45 @@
 
 func TestCommandLine(t *testing.T) {
 	dir := t.TempDir()
-	bad := filepath.Join(dir, "bad.toml")
-	if err := os.WriteFile(bad, []byte("node = \"a\"\n"), 0o600); err != nil {
+	invalidConfig := filepath.Join(dir, "bad.toml")
+	if err := os.WriteFile(invalidConfig, []byte("node = \"a\"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	script := filepath.Join(dir, "bad.star")
-	if err := os.WriteFile(script, []byte("\nspeed = 3\n"), 0o600); err != nil {
+	invalidScript := filepath.Join(dir, "bad.star")
+	if err := os.WriteFile(invalidScript, []byte("\nspeed = 3\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	good := "../../examples/local.toml"
+	validConfig := "../../examples/local.toml"
 	for _, tc := range []struct {
-		args     []string
-		code     int
-		out, err string
+		args                   []string
+		wantCode               int
+		wantStdout, wantStderr string
 	}{
 		{[]string{"version"}, 0, "yarrowgap " + version, ""},
 		{[]string{"--help"}, 0, "serve --config=FILE", ""},
-		{[]string{"check", "--config", good}, 0, "ok: node drover-0", ""},
-		{[]string{"check", "--config", good, "--script", "../../examples/operators.star"}, 0, "ok", ""},
-		{[]string{"check", "--config", good, "--script", "../../deploy/recovery.star"}, 0, "ok", ""},
+		{[]string{"check", "--config", validConfig}, 0, "ok: node drover-0", ""},
+		{[]string{"check", "--config", validConfig, "--script", "../../examples/operators.star"}, 0, "ok", ""},
+		{[]string{"check", "--config", validConfig, "--script", "../../deploy/recovery.star"}, 0, "ok", ""},
 		{[]string{"recovery", "--addr", "127.0.0.1:1"}, 1, "", "refused"},
-		{[]string{"check", "--config", bad}, 2, "", "mesh_addr: missing"},
-		{[]string{"serve", "--config", bad}, 2, "", "mesh_addr: missing"},
-		{[]string{"check", "--config", good, "--script", script}, 2, "", "bad.star:2"},
+		{[]string{"check", "--config", invalidConfig}, 2, "", "mesh_addr: missing"},
+		{[]string{"serve", "--config", invalidConfig}, 2, "", "mesh_addr: missing"},
+		{[]string{"check", "--config", validConfig, "--script", invalidScript}, 2, "", "bad.star:2"},
 		{[]string{"check", "--config", filepath.Join(dir, "none.toml")}, 2, "", "no such file"},
 		{[]string{"check"}, 2, "", "--config"},
 		{[]string{"fly"}, 2, "", "fly"},
 		{[]string{"leader", "--addr", "127.0.0.1:1"}, 1, "", "refused"},
 	} {
 		t.Run(strings.Join(tc.args, " "), func(t *testing.T) {
-			var out, errs bytes.Buffer
-			code := run(tc.args, &out, &errs)
-			if code != tc.code || !strings.Contains(out.String(), tc.out) || !strings.Contains(errs.String(), tc.err) {
-				t.Errorf("exit %d, out %q, err %q", code, out.String(), errs.String())
+			var stdout, stderr bytes.Buffer
+			code := run(tc.args, &stdout, &stderr)
+			if code != tc.wantCode || !strings.Contains(stdout.String(), tc.wantStdout) || !strings.Contains(stderr.String(), tc.wantStderr) {
+				t.Errorf("exit %d, out %q, err %q", code, stdout.String(), stderr.String())
 			}
 		})
 	}
 }
 
-// A controller's refusal names who to ask instead, if that is known.
+// The error of a refused query names the leader to query instead, if it is known.
 func TestRefusedQueryNamesTheLeader(t *testing.T) {
 	for _, tc := range []struct{ name, body, want string }{
 		{"leader known", `{"error":"this node does not lead","leader":"drover-1"}`, "this node does not lead; ask drover-1"},
@@ -64,37 +64,37 @@
 	}
 }
 
-// Scripts are read in their order, and the environment's wins over all: a command line
-// that switches something on does not undo the operators' own settings.
+// Later scripts override earlier ones, and the script from YARROWGAP_SCRIPT overrides all of them,
+// so that a script on the command line cannot override the operators' own settings.
 func TestScriptPrecedence(t *testing.T) {
 	dir := t.TempDir()
-	file := func(name, text string) string {
+	writeFile := func(name, text string) string {
 		path := filepath.Join(dir, name)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		return path
 	}
-	in := configFlags{Config: "../../examples/local.toml", EnvScript: file("env.star", "max_machines = 3\n"),
-		Script: []string{file("a.star", "recovery = True\nprobe_count = 2\n"), file("b.star", "probe_count = 4\nmax_machines = 9\n")}}
-	_, got, err := in.load()
+	flags := configFlags{Config: "../../examples/local.toml", EnvScript: writeFile("env.star", "max_machines = 3\n"),
+		Script: []string{writeFile("a.star", "recovery = True\nprobe_count = 2\n"), writeFile("b.star", "probe_count = 4\nmax_machines = 9\n")}}
+	_, got, err := flags.load()
 	if err != nil || !got.ReconcileRestarts || got.DispatchRetryCount != 4 || got.MaxMachines != 3 {
-		t.Errorf("read as %+v, %v", got, err)
+		t.Errorf("loaded %+v, %v", got, err)
 	}
-	in.EnvScript = file("bad.star", "speed = 3\n")
-	if _, _, err := in.load(); err == nil || !strings.Contains(err.Error(), "bad.star:1") {
-		t.Errorf("a wrong script of the environment: %v", err)
+	flags.EnvScript = writeFile("bad.star", "speed = 3\n")
+	if _, _, err := flags.load(); err == nil || !strings.Contains(err.Error(), "bad.star:1") {
+		t.Errorf("invalid script from the environment: %v", err)
 	}
 }
 
 func TestLogLevel(t *testing.T) {
-	var b bytes.Buffer
+	var output bytes.Buffer
 	for _, level := range []string{"error", "info", "debug", ""} {
-		if _, err := newLogger(&b, level); err != nil {
+		if _, err := newLogger(&output, level); err != nil {
 			t.Errorf("%q: %v", level, err)
 		}
 	}
-	if _, err := newLogger(&b, "loud"); err == nil || !strings.Contains(err.Error(), "loud") {
-		t.Errorf("an unknown level: %v", err)
+	if _, err := newLogger(&output, "loud"); err == nil || !strings.Contains(err.Error(), "loud") {
+		t.Errorf("unknown level: %v", err)
 	}
 }
--- a/cmd/yarrowgap/queries.go
+++ b/cmd/yarrowgap/queries.go
@@ -52,7 +52,7 @@
 
 func printJob(w io.Writer, job scheduler.JobDetail) {
 	fmt.Fprintf(w, "%s\t%s", job.ID, job.State)
-	if job.Tasks > 0 { // only the leader knows, of a live job
+	if job.Tasks > 0 { // otherwise the job is not live, or the reply is not from the leader
 		fmt.Fprintf(w, "\tclass %s\tteam %s\t%d tasks: %d done, %d running, %d waiting",
 			job.Class, job.Team, job.Tasks, job.Done, job.Running, job.Waiting)
 	} else {
@@ -64,7 +64,7 @@
 	fmt.Fprintln(w)
 }
 
-// waitingCmd lists waiting jobs.
+// waitingCmd lists waiting jobs with the reason of each.
 type waitingCmd struct {
 	controllerFlags
 	pageFlags
--- a/cmd/yarrowgap/recovery.go
+++ b/cmd/yarrowgap/recovery.go
@@ -12,7 +12,8 @@
 	"github.com/yarrowgap/yarrowgap/internal/reconcile"
 )
 
-// recoveryCmd shows the reconciliation of the present term, or a page of its differences.
+// recoveryCmd shows the status of the leader's reconciliation in the current term, or a page of the
+// differences that it found.
 type recoveryCmd struct {
 	controllerFlags
 	Differences bool   `help:"List the differences instead."`
@@ -21,7 +22,7 @@
 	Most        int    `default:"100" help:"With --differences: how many at most."`
 }
 
-// Run asks a controller.
+// Run queries a controller and prints the reply.
 func (c recoveryCmd) Run(w io.Writer) error {
 	if !c.Differences {
 		return query(c.controllerFlags, "/recovery", nil, w, printReconciliation)
--- a/cmd/yarrowgap/serve.go
+++ b/cmd/yarrowgap/serve.go
@@ -22,7 +22,7 @@
 // serveCmd runs a controller.
 type serveCmd struct{ configFlags }
 
-// Run serves until the process is told to end, or a listener fails.
+// Run serves until the process receives SIGTERM or SIGINT, or a server fails.
 func (c serveCmd) Run() error {
 	log, err := newLogger(os.Stderr, os.Getenv("LOG_LEVEL"))
 	if err != nil {
@@ -53,7 +53,8 @@
 	return errors.Join(err, process.shutDown(tracer))
 }
 
-// setRuntimeLimits has the Go runtime keep to the platform's memory limit.
+// setRuntimeLimits sets the garbage collector's target and, if the platform limits the memory, the
+// Go runtime's soft memory limit.
 func setRuntimeLimits(quota config.ResourceLimits) {
 	debug.SetGCPercent(tuning.GCPercent)
 	if quota.MemMB > 0 {
@@ -61,10 +62,10 @@
 	}
 }
 
-// listeners are where requests arrive.
+// listeners holds the listeners for users and workers, and for peers.
 type listeners struct {
-	users *limitedListener // and workers
-	peers net.Listener
+	users *limitedListener // for users and workers
+	peers net.Listener     // for the other controllers
 }
 
 func openListeners(cfg *config.Settings) (*listeners, error) {
@@ -95,25 +96,27 @@
 
 // process is a running controller with its servers.
 type process struct {
-	front          *httpserver.Server // of users and workers
-	peers          *http.Server
-	failed         chan error // why a server ended by itself
+	userServer     *httpserver.Server // for users and workers
+	peerServer     *http.Server
+	serverErrors   chan error // errors of servers that ended without being shut down
 	stopController context.CancelFunc
 	controllerDone chan struct{}
 }
 
-func startProcess(ctx context.Context, ctl *controller.Controller, on *listeners, log *slog.Logger) *process {
+// startProcess starts the servers and the controller. The controller runs until ctx ends or
+// shutDown is called.
+func startProcess(ctx context.Context, ctl *controller.Controller, listeners *listeners, log *slog.Logger) *process {
 	ctx, stopController := context.WithCancel(ctx)
 	p := &process{
-		front:          httpserver.New(api.NewHandler(ctl, log, on.users.crowded), api.NonBlocking, log),
-		peers:          newPeerServer(api.NewPeerHandler(ctl, log), log),
-		failed:         make(chan error, 2),
+		userServer:     httpserver.New(api.NewHandler(ctl, log, listeners.users.nearLimit), api.NonBlocking, log),
+		peerServer:     newPeerServer(api.NewPeerHandler(ctl, log), log),
+		serverErrors:   make(chan error, 2),
 		stopController: stopController,
 		controllerDone: make(chan struct{}),
 	}
-	ctl.SetRequestBacklog(p.front.QueueDelay)
-	go serve(p.front, on.users, p.failed)
-	go serve(p.peers, on.peers, p.failed)
+	ctl.SetRequestBacklog(p.userServer.QueueDelay)
+	go serve(p.userServer, listeners.users, p.serverErrors)
+	go serve(p.peerServer, listeners.peers, p.serverErrors)
 	go func() {
 		defer close(p.controllerDone)
 		ctl.Run(ctx)
@@ -121,10 +124,10 @@
 	return p
 }
 
-// wait returns when ctx ends, or with the error of a server that ended by itself.
+// wait returns nil when ctx ends, or the error of a server that ended before that.
 func (p *process) wait(ctx context.Context, log *slog.Logger) error {
 	select {
-	case err := <-p.failed:
+	case err := <-p.serverErrors:
 		return err
 	case <-ctx.Done():
 		log.Info("stopping")
@@ -132,14 +135,14 @@
 	}
 }
 
-// shutDown stops the controller, lets requests end and exports the spans that are left.
-// What takes too long ends with the process.
+// shutDown stops the controller, waits for open requests and exports the remaining spans. It gives
+// up after tuning.StoreTimeout, and whatever is still running then ends with the process.
 func (p *process) shutDown(tracer *tracing.Tracer) error {
 	ctx, cancel := context.WithTimeout(context.Background(), tuning.StoreTimeout)
 	defer cancel()
 	p.stopController()
-	_ = p.front.Shutdown(ctx)
-	_ = p.peers.Shutdown(ctx)
+	_ = p.userServer.Shutdown(ctx)
+	_ = p.peerServer.Shutdown(ctx)
 	select {
 	case <-p.controllerDone:
 	case <-ctx.Done():
@@ -147,14 +150,14 @@
 	return tracer.Close(ctx)
 }
 
-// serve reports why a server ended, unless it was shut down.
-func serve(server interface{ Serve(net.Listener) error }, listener net.Listener, failed chan<- error) {
+// serve runs a server and sends its error to serverErrors, unless the server was shut down.
+func serve(server interface{ Serve(net.Listener) error }, listener net.Listener, serverErrors chan<- error) {
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-		failed <- err
+		serverErrors <- err
 	}
 }
 
-// newPeerServer serves the few connections of the other controllers.
+// newPeerServer returns the server for the other controllers, which open only a few connections.
 func newPeerServer(handler http.Handler, log *slog.Logger) *http.Server {
 	return &http.Server{
 		Handler:           handler,
