--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,5 +1,5 @@
-// Package api serves users, workers, health checks and operators over HTTP, and the other
-// controllers on a listener of their own.
+// Package api implements a controller's HTTP handlers: one for users, workers, health checks and
+// operators, and one for the other controllers, which connect to a separate listener.
 package api
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/yarrowgap/yarrowgap/internal/peer"
 )
 
-// Paths of users, workers and health checks.
+// Paths for users, workers and health checks.
 const (
 	jobsPath      = "/v2/runs"
 	jobPath       = jobsPath + "/:id"
@@ -22,18 +22,20 @@
 	healthPath    = "/healthz"
 )
 
-// handlers answers requests from a controller.
+// handlers handles HTTP requests by calling a controller.
 type handlers struct {
 	controller *controller.Controller
 	log        *slog.Logger
-	crowded    func() bool // whether few more connections can be accepted
+	// nearConnLimit reports whether the listener for users and workers is near its limit on
+	// connections. It is nil in the handler for peers.
+	nearConnLimit func() bool
 }
 
-// NewHandler makes the handler for users, workers, health checks and operators. Where the
-// listener is crowded, users' connections are closed after their answer: workers
-// rank first, and find none free otherwise.
-func NewHandler(c *controller.Controller, log *slog.Logger, crowded func() bool) http.Handler {
-	h := &handlers{controller: c, log: log, crowded: crowded}
+// NewHandler makes the handler for users, workers, health checks and operators. While nearConnLimit
+// reports true, the connections of users are closed after each answer, because otherwise workers,
+// which have priority, could find no free connection.
+func NewHandler(c *controller.Controller, log *slog.Logger, nearConnLimit func() bool) http.Handler {
+	h := &handlers{controller: c, log: log, nearConnLimit: nearConnLimit}
 	router := newRouter(log)
 	router.POST(jobsPath, h.submit)
 	router.GET(jobPath, h.query)
@@ -67,7 +69,7 @@
 	return router
 }
 
-// handleError answers a request whose handler, or the routing to it, failed.
+// handleError answers a request after its routing or its handler returned an error.
 func handleError(c echo.Context, log *slog.Logger, err error) {
 	status := http.StatusInternalServerError
 	var httpError *echo.HTTPError
--- a/internal/api/differences_query.go
+++ b/internal/api/differences_query.go
@@ -12,14 +12,14 @@
 
 var errUnknownParameter = errors.New("no such parameter")
 
-// differencesQuery selects differences that a reconciliation found.
+// differencesQuery selects a page of the differences that a reconciliation found, of one class or
+// of all.
 type differencesQuery struct {
 	class       reconcile.Class
 	skip, limit int
 }
 
-// parseDifferencesQuery reads a query's parameters. Its error names the parameter that is
-// wrong.
+// parseDifferencesQuery parses the parameters of a query. An error names the invalid parameter.
 func parseDifferencesQuery(params url.Values) (differencesQuery, error) {
 	query := differencesQuery{limit: defaultPageSize}
 	for name, values := range params {
--- a/internal/api/messages.go
+++ b/internal/api/messages.go
@@ -11,7 +11,8 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// readBody reads a body of at most the protocol's limit.
+// readBody reads a request body of at most wire.MaxBody bytes. It fails with status 413 if the body
+// is larger.
 func readBody(c echo.Context) ([]byte, error) {
 	request := c.Request()
 	if request.ContentLength > wire.MaxBody {
@@ -27,7 +28,8 @@
 	return body, nil
 }
 
-// decodeBody reads a message of at most limit bytes.
+// decodeBody decodes a request body of at most limit bytes into message. It fails with status 400
+// if the body is larger or malformed.
 func decodeBody(c echo.Context, limit int64, message any) error {
 	body, err := io.ReadAll(io.LimitReader(c.Request().Body, limit+1))
 	if err != nil || int64(len(body)) > limit || wire.Unmarshal(body, message) != nil {
@@ -36,7 +38,7 @@
 	return nil
 }
 
-// writeMessage answers with a message of the protocol.
+// writeMessage answers with a message in the protocol's encoding.
 func writeMessage(c echo.Context, status int, message any) error {
 	body, err := wire.Marshal(message)
 	if err != nil {
@@ -45,15 +47,15 @@
 	return c.Blob(status, wire.ContentType, body)
 }
 
-// writeError answers with an error of the protocol.
+// writeError answers with the protocol's error message.
 func writeError(c echo.Context, status int, message string) error {
 	return writeMessage(c, status, wire.ErrorReply{Message: message})
 }
 
-// closeConnection ends the connection after the answer.
+// closeConnection sets the header that closes the connection after the answer.
 func closeConnection(c echo.Context) { c.Response().Header().Set("Connection", "close") }
 
-// setRetryAfter says when a refused request may be repeated.
+// setRetryAfter sets the header that tells the client after how many seconds to retry.
 func setRetryAfter(c echo.Context) {
 	c.Response().Header().Set("Retry-After", strconv.Itoa(tuning.RetryAfterS))
 }
--- a/internal/api/operators.go
+++ b/internal/api/operators.go
@@ -8,11 +8,11 @@
 	"github.com/labstack/echo/v4"
 )
 
-// OperatorPath is where operators' read-only queries live. They answer in JSON,
-// for people and scripts; a later administration API has room beside them.
+// OperatorPath is the path prefix of the operators' read-only queries. The answers are in JSON, for
+// people and scripts. An administration API can be added under the same prefix later.
 const OperatorPath = "/yarrowgap/v1"
 
-// Pages of lists.
+// Limits on the pages of lists, in items.
 const (
 	defaultPageSize = 100
 	maxPageSize     = 500
@@ -46,7 +46,7 @@
 	detail, found, err := h.controller.JobView(c.Request().Context(), c.Param("id"))
 	switch {
 	case err != nil:
-		return writeUnavailable(c, errJobUndecided)
+		return writeUnavailable(c, errJobStateUnknown)
 	case !found:
 		return c.JSON(http.StatusNotFound, operatorError{Error: "no such job"})
 	}
@@ -98,8 +98,8 @@
 
 func pageSize(c echo.Context) int { return numberParam(c, "most", defaultPageSize, maxPageSize) }
 
-// numberParam returns a query parameter, cut to a maximum, or the default where it is
-// missing or no count.
+// numberParam returns the smaller of a query parameter and maximum, or defaultValue if the
+// parameter is missing or not a non-negative integer.
 func numberParam(c echo.Context, name string, defaultValue, maximum int) int {
 	value, err := strconv.Atoi(c.QueryParam(name))
 	if err != nil || value < 0 {
@@ -108,16 +108,19 @@
 	return min(value, maximum)
 }
 
-// operatorError is the answer to a query that failed.
+// operatorError is the answer to an operator's query that failed.
 type operatorError struct {
-	Error  string  `json:"error"`
-	Leader *string `json:"leader,omitempty"` // who to ask instead; empty if unknown
+	Error string `json:"error"`
+	// Leader is the name of the leader, or empty if it is unknown. It is nil unless only the leader
+	// can answer the query.
+	Leader *string `json:"leader,omitempty"`
 }
 
-// errJobUndecided is the reason for which a job's view is unavailable.
-var errJobUndecided = errors.New("cannot be told now")
+// errJobStateUnknown means that this controller cannot determine a job's state now, as in an outage
+// of the key-value store.
+var errJobStateUnknown = errors.New("the job's state cannot be determined now")
 
-// writeUnavailable says why a query cannot be answered now.
+// writeUnavailable answers with status 503 and the reason why a query cannot be answered now.
 func writeUnavailable(c echo.Context, reason error) error {
 	return writeRetryableError(c, operatorError{Error: reason.Error()})
 }
--- a/internal/api/peers.go
+++ b/internal/api/peers.go
@@ -11,7 +11,8 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Bounds of peers' messages. A submission's bytes above 0x7f take two bytes each as text.
+// Maximum sizes of messages from peers, in bytes. A forwarded submission is encoded as text, in
+// which each byte above 0x7f takes two bytes.
 const (
 	maxPingBytes    = 2 * wire.MaxBody
 	maxForwardBytes = 2*wire.MaxBody + 1024
@@ -26,8 +27,8 @@
 	return writeMessage(c, http.StatusOK, h.controller.HandlePing(ping))
 }
 
-// watchProcess delays its answer, which says nothing: peers ask for it to notice at once
-// when this process ends.
+// watchProcess answers with an empty message after tuning.PeerWatchTimeout. A peer sends this request
+// to detect the end of this process immediately, by the broken connection.
 func (h *handlers) watchProcess(c echo.Context) error {
 	timer := time.NewTimer(tuning.PeerWatchTimeout)
 	defer timer.Stop()
--- a/internal/api/users.go
+++ b/internal/api/users.go
@@ -25,7 +25,7 @@
 }
 
 func (h *handlers) answerUser(c echo.Context, answer controller.Answer) error {
-	if h.crowded() {
+	if h.nearConnLimit() {
 		closeConnection(c)
 	}
 	switch {
@@ -36,8 +36,8 @@
 	}
 	if answer.Status == http.StatusServiceUnavailable || answer.Status == http.StatusTooManyRequests {
 		setRetryAfter(c)
-		// The load balancer works on connections: on a new one the user may
-		// come to a controller that is better placed.
+		// The load balancer assigns connections, not requests, to controllers: over a new
+		// connection, the user may reach a controller that can serve the request.
 		closeConnection(c)
 	}
 	return writeError(c, answer.Status, answer.Error)
