--- a/internal/api/allocations_test.go
+++ b/internal/api/allocations_test.go
@@ -10,7 +10,7 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// heartbeatBody is a heartbeat of a machine with some running tasks.
+// heartbeatBody encodes a heartbeat of a machine with the given number of running tasks.
 func heartbeatBody(tb testing.TB, machine int, sequence uint64, tasks int) []byte {
 	tb.Helper()
 	heartbeat := wire.Heartbeat{
@@ -34,7 +34,8 @@
 	return c
 }
 
-// Limits on allocations: what was measured, and a few for what the controller does beside.
+// Maximum allocations per request, averaged over allocationRuns requests. They include a few
+// allocations by other goroutines of the controller, which testing.AllocsPerRun counts as well.
 const (
 	allocationRuns          = 2000
 	maxHeartbeatAllocations = 20.0
@@ -42,9 +43,9 @@
 	maxHealthAllocations    = 3.0
 )
 
-// A heartbeat without changes, a query for a job that has ended and a health check allocate
-// no more than they did when the limits were set: a third more of the garbage that
-// heartbeats make is a collection more in every minute of a leader with two thousand machines.
+// A heartbeat without changes, a query for an ended job and a health check must not allocate more
+// than the limits above. If heartbeats allocated a third more, a leader with 2,000 machines would
+// run one more garbage collection per minute.
 func TestRequestAllocations(t *testing.T) {
 	c := startLeader(t)
 	ended := newJob(1, 1)
@@ -76,13 +77,13 @@
 			})
 			t.Logf("%.0f allocations", got)
 			if got > tc.maxAllocations {
-				t.Errorf("%.0f allocations, over %.0f", got, tc.maxAllocations)
+				t.Errorf("%.0f allocations, want at most %.0f", got, tc.maxAllocations)
 			}
 		})
 	}
 }
 
-// discardResponse takes an answer and keeps nothing of it.
+// discardResponse is an http.ResponseWriter that discards the response body.
 type discardResponse struct{ header http.Header }
 
 func (d discardResponse) Header() http.Header       { return d.header }
--- a/internal/api/benchmark_test.go
+++ b/internal/api/benchmark_test.go
@@ -12,10 +12,10 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// The benchmarks send requests over loopback to a controller that leads, through its real
-// handlers, and count both ends.
+// The benchmarks send requests over loopback to the HTTP server of a leading controller. The
+// reported times and allocations are those of client and controller together.
 
-// rawClient speaks HTTP on one connection, with few allocations of its own.
+// rawClient sends HTTP requests over one connection and makes few allocations itself.
 type rawClient struct {
 	conn   net.Conn
 	reader *bufio.Reader
@@ -49,13 +49,14 @@
 	return append([]byte(head), body...)
 }
 
-// benchmarkRequests sends the requests that next makes, one after the other.
-func benchmarkRequests(b *testing.B, addr string, next func(i int) []byte) {
+// benchmarkRequests measures b.N requests, made in advance by newRequest and sent one after the
+// other.
+func benchmarkRequests(b *testing.B, addr string, newRequest func(i int) []byte) {
 	b.Helper()
 	client := dialRaw(b, addr)
 	requests := make([][]byte, b.N)
 	for i := range requests {
-		requests[i] = next(i)
+		requests[i] = newRequest(i)
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
@@ -75,7 +76,7 @@
 	}
 }
 
-// A heartbeat with changes lists a task that the one before did not, or the reverse.
+// Each heartbeat adds or omits a task compared with the previous one.
 func BenchmarkHeartbeatWithChanges(b *testing.B) {
 	c := startLeader(b)
 	benchmarkRequests(b, c.userAddrs[0], func(i int) []byte {
--- a/internal/api/cancellation_test.go
+++ b/internal/api/cancellation_test.go
@@ -12,31 +12,35 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// heldWrite is a write that reaches the key-value store when the test says so.
-type heldWrite struct {
-	sent   chan struct{} // closed when the first such transaction is sent
+// delayedWrite is a write that reaches the key-value store only after the test closes commit.
+type delayedWrite struct {
+	sent   chan struct{} // closed when the first transaction with this write is sent
 	once   sync.Once
-	commit chan struct{} // to be closed
+	commit chan struct{} // closed by the test
 }
 
-func newHeldWrite() *heldWrite {
-	return &heldWrite{sent: make(chan struct{}), commit: make(chan struct{})}
+func newDelayedWrite() *delayedWrite {
+	return &delayedWrite{sent: make(chan struct{}), commit: make(chan struct{})}
 }
 
-// fault delays a transaction until commit is closed.
-func (h *heldWrite) fault() simulator.TransactionFault {
-	h.once.Do(func() { close(h.sent) })
-	return simulator.TransactionFault{DelayUntil: h.commit}
+// fault records that a transaction with this write was sent, and returns the fault that delays the
+// transaction until commit is closed.
+func (w *delayedWrite) fault() simulator.TransactionFault {
+	w.once.Do(func() { close(w.sent) })
+	return simulator.TransactionFault{DelayUntil: w.commit}
 }
 
-// completionRace is a job whose completion and cancellation are written concurrently.
+// completionRace is a job whose completion and cancellation are in flight to the key-value store at
+// the same time.
 type completionRace struct {
 	user         *historyChecker
-	completion   *heldWrite
-	cancellation *heldWrite
+	completion   *delayedWrite
+	cancellation *delayedWrite
 }
 
-func (r *completionRace) fault(txn wire.Txn) (fault simulator.TransactionFault, concerned bool) {
+// fault returns the fault for a transaction. matched is false if the transaction writes neither the
+// completion nor the cancellation of this job.
+func (r *completionRace) fault(txn wire.Txn) (fault simulator.TransactionFault, matched bool) {
 	switch {
 	case isLeaderTxn(txn) && writesPrefix(txn, records.EndedJobKey(r.user.jobID)):
 		return r.completion.fault(), true
@@ -46,9 +50,11 @@
 	return fault, false
 }
 
-// A cancellation comes as a job's last task completes, with no other fault: both writes are
-// in flight, and either is committed first. Whichever it is stays, and who cancels a done job
-// is told so; queries and repeated submissions come in between.
+// A cancellation arrives while a job's last task completes, without any other fault: both writes
+// are in flight, and in some jobs the completion is committed first, in the others the
+// cancellation. The first committed write must determine the job's final state, and cancelling a
+// done job must be answered with that state. Queries and repeated submissions are sent between the
+// two commits.
 func TestCancellationConcurrentWithCompletion(t *testing.T) {
 	c := startAcceptingCluster(t)
 	const jobs = 8
@@ -56,43 +62,43 @@
 	for k := range races {
 		job := newJob(3000+k, 1)
 		c.simulation.UploadJob(job, time.Duration(10*k)*time.Millisecond)
-		races[k] = &completionRace{user: newHistoryChecker(c, job), completion: newHeldWrite(), cancellation: newHeldWrite()}
+		races[k] = &completionRace{user: newHistoryChecker(c, job), completion: newDelayedWrite(), cancellation: newDelayedWrite()}
 	}
 	c.simulation.InjectTransactionFaults(func(txn wire.Txn) simulator.TransactionFault {
 		for _, race := range races {
-			if fault, concerned := race.fault(txn); concerned {
+			if fault, matched := race.fault(txn); matched {
 				return fault
 			}
 		}
 		return simulator.TransactionFault{}
 	})
-	// One after the other, since jobs that end together share a transaction.
+	// The races run one after the other, since jobs that end at the same time share a transaction.
 	for k, race := range races {
-		first := []firstCommit{completion, cancellation}[k%2]
+		first := []firstCommit{completionFirst, cancellationFirst}[k%2]
 		t.Run(fmt.Sprintf("%s first, job %d", first, k), func(t *testing.T) {
-			playCompletionRace(t, c, race, first, rand.New(rand.NewPCG(13, uint64(k))))
+			runCompletionRace(t, c, race, first, rand.New(rand.NewPCG(13, uint64(k))))
 		})
 	}
 	c.expectNoViolations()
 }
 
-// firstCommit is which of two concurrent writes is committed first.
+// firstCommit says which of two concurrent writes is committed first.
 type firstCommit string
 
 const (
-	completion   firstCommit = "completion"
-	cancellation firstCommit = "cancellation"
+	completionFirst   firstCommit = "completion"
+	cancellationFirst firstCommit = "cancellation"
 )
 
-func playCompletionRace(t *testing.T, c *cluster, race *completionRace, first firstCommit, random *rand.Rand) {
+func runCompletionRace(t *testing.T, c *cluster, race *completionRace, first firstCommit, random *rand.Rand) {
 	t.Helper()
 	user := race.user
 	c.eventually("acceptance", func() bool { return user.send(random.IntN(3), submitRequest) != "" })
 	<-race.completion.sent
-	cancelled, by := make(chan struct{}), random.IntN(3)
+	cancellationAnswered, cancelController := make(chan struct{}), random.IntN(3)
 	go func() {
-		defer close(cancelled)
-		user.sendUntilAnswered(by, cancelRequest)
+		defer close(cancellationAnswered)
+		user.sendUntilAnswered(cancelController, cancelRequest)
 	}()
 	<-race.cancellation.sent
 	commitCompletion := func() {
@@ -101,10 +107,10 @@
 	}
 	commitCancellation := func() {
 		close(race.cancellation.commit)
-		<-cancelled
+		<-cancellationAnswered
 	}
 	want := wire.JobDone
-	if first == completion {
+	if first == completionFirst {
 		commitCompletion()
 		user.sendToAll(2)
 		commitCancellation()
@@ -116,8 +122,8 @@
 	}
 	user.sendToAll(2)
 	user.reportViolations(t)
-	if got := user.final(); got != want {
-		t.Errorf("%s is %q, not %q, which came first", user.jobID, got, want)
+	if got := user.knownFinalState(); got != want {
+		t.Errorf("%s is %q, want %q, which was committed first", user.jobID, got, want)
 	}
 	for i := range c.userAddrs {
 		if got := user.send(i, cancelRequest); got != want {
--- a/internal/api/client_test.go
+++ b/internal/api/client_test.go
@@ -23,7 +23,7 @@
 func cancelPath(id string) string { return jobPath(id) + "/withdraw" }
 func jobID(n int) string          { return fmt.Sprintf("run-%06d", n) }
 
-// newJob is job n: a small array.
+// newJob makes the small array job with the id jobID(n).
 func newJob(n, tasks int) *wire.Job {
 	return &wire.Job{
 		ID: jobID(n), Class: "c", Team: testTeam, Shape: wire.ShapeArray, Priority: wire.PriorityNormal,
@@ -40,14 +40,14 @@
 	return body
 }
 
-// reply is a controller's answer to a user. Status 0 means that none came.
+// reply is a controller's answer to a user. Status 0 means that there was no answer.
 type reply struct {
 	status int
 	view   wire.JobView
 	header http.Header
 }
 
-// request makes a request of controller i.
+// request sends a request to controller i.
 func (c *cluster) request(i int, method, path string, body []byte) reply {
 	c.tb.Helper()
 	request, err := http.NewRequest(method, "http://"+c.userAddrs[i]+path, bytes.NewReader(body))
@@ -63,7 +63,7 @@
 	got := reply{status: response.StatusCode, header: response.Header}
 	_ = wire.Unmarshal(raw, &got.view)
 	if response.Close {
-		got.header.Set("Connection", "close") // which the client takes out
+		got.header.Set("Connection", "close") // http.Client removes this header and sets Close instead
 	}
 	return got
 }
@@ -88,14 +88,15 @@
 	return c.request(i, http.MethodPost, cancelPath(id), nil)
 }
 
-// submitUntilCreated repeats a submission that is refused for now. The job must not have been
-// known before.
+// submitUntilCreated repeats a submission until a controller answers that it created the job. The
+// job must not exist before.
 func (c *cluster) submitUntilCreated(i int, job *wire.Job) {
 	c.tb.Helper()
 	c.eventually("acceptance", func() bool { return c.submit(i, job).status == http.StatusCreated })
 }
 
-// submitUntilAccepted repeats a submission until the job is known, by whatever submission.
+// submitUntilAccepted repeats a submission until a controller answers that the job exists, whether
+// this submission or an earlier one created it.
 func (c *cluster) submitUntilAccepted(i int, job *wire.Job) {
 	c.tb.Helper()
 	c.eventually("acceptance", func() bool {
@@ -109,7 +110,8 @@
 	c.eventually("completion", func() bool { return c.query(i, id).view.State == wire.JobDone })
 }
 
-// getOperatorView asks controller i for an operators' view.
+// getOperatorView sends an operator's query to controller i and returns the status, or 0 if there is
+// no answer. It decodes a successful answer into view unless view is nil.
 func (c *cluster) getOperatorView(i int, path string, view any) int {
 	c.tb.Helper()
 	response, err := http.Get("http://" + c.userAddrs[i] + api.OperatorPath + path)
--- a/internal/api/consistency_test.go
+++ b/internal/api/consistency_test.go
@@ -24,19 +24,19 @@
 	return c
 }
 
-// randomDelays draws delays below a bound, for concurrent callers.
-type randomDelays struct {
+// lockedRandom is a source of random numbers that is safe for concurrent use.
+type lockedRandom struct {
 	mu     sync.Mutex
 	random *rand.Rand
 }
 
-func (r *randomDelays) below(bound time.Duration) time.Duration {
+func (r *lockedRandom) delayBelow(bound time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return time.Duration(r.random.IntN(int(bound/time.Millisecond))) * time.Millisecond
 }
 
-func (r *randomDelays) oneIn(n int) bool {
+func (r *lockedRandom) oneIn(n int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.random.IntN(n) == 0
@@ -47,50 +47,53 @@
 	maxWatchReplyDelay  = 40 * time.Millisecond
 )
 
-// Users query all controllers, and repeat the submission, right after a job was accepted,
-// ended or confirmed as cancelled, while writes come up to 25 ms late, and answers to
-// reads up to 40 ms after they were read.
+// Users query all controllers and repeat the submission immediately after a job was accepted, ended
+// or was confirmed as cancelled. Meanwhile transactions reach the key-value store up to 25 ms late,
+// and replies to watch requests are sent up to 40 ms after the store was read. No answer may
+// contradict one that was received before the request.
 func TestAnswersNeverGoBackAcrossControllers(t *testing.T) {
 	c := startAcceptingCluster(t)
 	random := rand.New(rand.NewPCG(11, 1))
-	delays := &randomDelays{random: random}
+	faultRandom := &lockedRandom{random: random}
 	c.simulation.InjectTransactionFaults(func(wire.Txn) simulator.TransactionFault {
-		return simulator.TransactionFault{Delay: delays.below(maxTransactionDelay)}
+		return simulator.TransactionFault{Delay: faultRandom.delayBelow(maxTransactionDelay)}
 	})
-	c.simulation.DelayWatchReplies(func() time.Duration { return delays.below(maxWatchReplyDelay) })
+	c.simulation.DelayWatchReplies(func() time.Duration { return faultRandom.delayBelow(maxWatchReplyDelay) })
 	runJobLifecycles(t, c, 24, 11)
 	c.expectNoViolations()
 }
 
-// The same while a part of all transactions is committed at once and only the answer
-// is lost: submissions, cancellations and the leader's writes.
+// Like TestAnswersNeverGoBackAcrossControllers, but about a third of all transactions are committed
+// while their replies are lost: submissions, cancellations and the leader's writes. Replies to watch
+// requests are not delayed.
 func TestAnswersNeverGoBackWhenStoreResponsesAreLost(t *testing.T) {
 	c := startAcceptingCluster(t)
-	delays := &randomDelays{random: rand.New(rand.NewPCG(12, 1))}
+	faultRandom := &lockedRandom{random: rand.New(rand.NewPCG(12, 1))}
 	var mu sync.Mutex
-	var lostByLeader, lostByUsers int
+	var lostLeaderReplies, lostUserReplies int
 	c.simulation.InjectTransactionFaults(func(txn wire.Txn) simulator.TransactionFault {
-		fault := simulator.TransactionFault{ReplyLost: delays.oneIn(3), Delay: delays.below(maxTransactionDelay)}
+		fault := simulator.TransactionFault{ReplyLost: faultRandom.oneIn(3), Delay: faultRandom.delayBelow(maxTransactionDelay)}
 		mu.Lock()
 		defer mu.Unlock()
 		switch {
 		case fault.ReplyLost && isLeaderTxn(txn):
-			lostByLeader++
+			lostLeaderReplies++
 		case fault.ReplyLost:
-			lostByUsers++
+			lostUserReplies++
 		}
 		return fault
 	})
 	runJobLifecycles(t, c, 16, 12)
 	c.simulation.InjectTransactionFaults(nil)
-	if lostByLeader == 0 || lostByUsers == 0 {
-		t.Errorf("answers lost: %d of the leader's, %d of users'", lostByLeader, lostByUsers)
+	if lostLeaderReplies == 0 || lostUserReplies == 0 {
+		t.Errorf("lost replies: %d to the leader's writes, %d to writes for users, want some of each", lostLeaderReplies, lostUserReplies)
 	}
 	c.expectNoViolations()
 }
 
-// runJobLifecycles has jobs of one short task submitted, queried, cancelled near their end and
-// submitted again, until all of them are over for all controllers.
+// runJobLifecycles concurrently submits, queries, cancels and resubmits jobs of one task until all
+// jobs have ended. Two of three tasks are short, so that some cancellations arrive near their end.
+// Then it restarts a controller, which must give the same answers.
 func runJobLifecycles(t *testing.T, c *cluster, jobs int, seed uint64) {
 	t.Helper()
 	var running sync.WaitGroup
@@ -108,15 +111,15 @@
 		running.Go(func() { runJobLifecycle(t, user, k, random) })
 	}
 	running.Wait()
-	finals := map[string]int{}
+	finalStateCounts := map[string]int{}
 	for _, user := range users {
 		user.reportViolations(t)
-		finals[user.finalState]++
+		finalStateCounts[user.finalState]++
 	}
-	if finals[wire.JobDone] == 0 || finals[wire.JobCancelled] == 0 {
-		t.Errorf("one-sided: %v", finals)
+	if finalStateCounts[wire.JobDone] == 0 || finalStateCounts[wire.JobCancelled] == 0 {
+		t.Errorf("final states: %v, want done and cancelled jobs", finalStateCounts)
 	}
-	// A controller that remembers nothing answers the same, from the key-value store.
+	// A restarted controller has no cached state and answers from the key-value store.
 	c.restartController(2)
 	for _, user := range users {
 		user.sendUntilAnswered(2, queryRequest)
@@ -124,46 +127,47 @@
 	}
 }
 
-// runJobLifecycle plays the user of job k; two of three jobs are cancelled.
+// runJobLifecycle sends the requests of job k's user. Two of three jobs are cancelled.
 func runJobLifecycle(t *testing.T, user *historyChecker, k int, random *rand.Rand) {
 	t.Helper()
 	controllers := len(user.cluster.userAddrs)
 	start := random.IntN(controllers)
-	for i := range k % 4 { // before it was submitted
+	for i := range k % 4 { // before the submission
 		user.send(i%controllers, queryRequest)
 	}
-	sendToOneAfterAnother(user, start, submitRequest)
+	sendInTurnUntilAnswered(user, start, submitRequest)
 	user.sendToAll(3)
 	if k%3 != 0 {
 		time.Sleep(time.Duration(random.IntN(400)) * time.Millisecond)
-		var both sync.WaitGroup
+		var cancellations sync.WaitGroup
 		for n := range 2 { // concurrently, at two controllers
-			both.Go(func() { sendToOneAfterAnother(user, start+n, cancelRequest) })
+			cancellations.Go(func() { sendInTurnUntilAnswered(user, start+n, cancelRequest) })
 		}
-		both.Wait()
+		cancellations.Wait()
 	}
-	for end := time.Now().Add(eventuallyBound); user.final() == ""; user.sendToAll(2) {
+	for end := time.Now().Add(eventuallyTimeout); user.knownFinalState() == ""; user.sendToAll(2) {
 		if time.Now().After(end) {
-			t.Errorf("%s: never over", user.jobID)
+			t.Errorf("%s has not ended", user.jobID)
 			return
 		}
 	}
 	user.sendToAll(4)
 }
 
-// sendToOneAfterAnother makes a request of each controller in turn until one answers.
-func sendToOneAfterAnother(user *historyChecker, start int, kind userRequest) {
+// sendInTurnUntilAnswered sends a request to one controller after the other, from controller start
+// on, until one answers with the job's state.
+func sendInTurnUntilAnswered(user *historyChecker, start int, kind requestKind) {
 	controllers := len(user.cluster.userAddrs)
 	for i := start; user.send(i%controllers, kind) == ""; i++ {
 		time.Sleep(pollInterval)
 	}
 }
 
-// A query comes while the read for an earlier one is in flight, which was made before the
-// job was accepted: it is answered from a later read.
+// A query arrives while the read for an earlier query is in flight. That read was made before the
+// job was accepted, so the query must be answered from a later read.
 func TestQueriesDoNotShareAnEarlierRead(t *testing.T) {
 	c := startAcceptingCluster(t)
-	const readTime = 150 * time.Millisecond
+	const replyDelay = 150 * time.Millisecond
 	readStarted := make(chan struct{}, 1000)
 	for k := range 4 {
 		job := newJob(4000+k, 1)
@@ -171,7 +175,7 @@
 		c.simulation.UploadJob(job, time.Hour)
 		c.simulation.DelayWatchReplies(func() time.Duration {
 			readStarted <- struct{}{}
-			return readTime
+			return replyDelay
 		})
 		for len(readStarted) > 0 {
 			<-readStarted
@@ -190,7 +194,7 @@
 		queries.Wait()
 		c.simulation.DelayWatchReplies(nil)
 		if user.reportViolations(t); !user.accepted {
-			t.Errorf("%s was not accepted at once", user.jobID)
+			t.Errorf("%s was not accepted at the first attempt", user.jobID)
 		}
 	}
 }
--- a/internal/api/delayed_writes_test.go
+++ b/internal/api/delayed_writes_test.go
@@ -10,7 +10,7 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// waitUntilEnded waits until the job is in a final state and no live job any more.
+// waitUntilEnded waits until the job is in the given final state and its live record is deleted.
 func waitUntilEnded(c *cluster, user *historyChecker, state string) {
 	c.tb.Helper()
 	c.eventually(state, func() bool {
@@ -18,22 +18,23 @@
 	})
 }
 
-// Transactions without an answer are committed after newer ones: each row of the table
-// "Writes that are carried out late" in docs/combined-faults.md that users or the leader write.
+// Transactions that got no reply are committed after newer ones that make them obsolete, and must be
+// rejected. The cases are the writes for users and by the leader in the table "Writes that are
+// carried out late" of docs/combined-faults.md.
 func TestDelayedWritesAreRejected(t *testing.T) {
 	const long, short = time.Hour, 0
 	for n, tc := range []struct {
 		name    string
 		runTime time.Duration
 		tasks   int
-		play    func(*testing.T, *cluster, *historyChecker)
+		run     func(*testing.T, *cluster, *historyChecker)
 	}{
-		{"submission after another try's", long, 1, delaySubmissionPastItsRetry},
+		{"submission after its retry", long, 1, delaySubmissionPastItsRetry},
 		{"submission after a cancellation", long, 1, delaySubmissionPastCancellation},
 		{"submission after the end of a cancelled job", long, 1, delaySubmissionPastCancelledEnd},
 		{"submission after the end of a done job", short, 1, delaySubmissionPastDoneEnd},
 		{"a peer's copy of a submission after the end", long, 1, delayHedgedSubmissionPastEnd},
-		{"cancellation after another try's", long, 1, delayCancellationPastItsRetry},
+		{"cancellation after its retry", long, 1, delayCancellationPastItsRetry},
 		{"cancellation after the end", 700 * time.Millisecond, 1, delayCancellationPastEnd},
 		{"end of a done job after a cancellation", short, 1, delayCompletionPastCancellation},
 		{"done bits after a cancellation", 1500 * time.Millisecond, 12, delayProgressPastCancellation},
@@ -45,12 +46,12 @@
 			job := newJob(2000+n, tc.tasks)
 			c.simulation.UploadJob(job, tc.runTime)
 			user := newHistoryChecker(c, job)
-			tc.play(t, c, user)
+			tc.run(t, c, user)
 			user.sendToAll(4)
 			c.simulation.InjectTransactionFaults(nil)
 			c.simulation.CommitHeldTransactions()
 			user.sendToAll(2)
-			// A controller that remembers nothing reads what there is.
+			// A restarted controller has no cached state and reads the records.
 			c.restartController(2)
 			user.sendUntilAnswered(2, queryRequest)
 			user.sendToAll(2)
@@ -60,14 +61,14 @@
 	}
 }
 
-// holdSubmission holds the first transaction of the user's submission.
+// holdSubmission holds the first transaction of the job's submission.
 func holdSubmission(c *cluster, user *historyChecker) {
 	c.holdTransactions(1, func(txn wire.Txn) bool { return isSubmission(txn, user.jobID) })
 }
 
-// holdLeaderWrites holds all writes of the leader that set a key.
-func holdLeaderWrites(c *cluster, key string) {
-	c.holdTransactions(allMatching, func(txn wire.Txn) bool { return isLeaderTxn(txn) && writesPrefix(txn, key) })
+// holdLeaderWrites holds all transactions of the leader that set a key with the prefix.
+func holdLeaderWrites(c *cluster, prefix string) {
+	c.holdTransactions(allMatching, func(txn wire.Txn) bool { return isLeaderTxn(txn) && writesPrefix(txn, prefix) })
 }
 
 func delaySubmissionPastItsRetry(t *testing.T, c *cluster, user *historyChecker) {
@@ -110,9 +111,10 @@
 	c.expectAllRejected(t)
 }
 
-// delayHedgedSubmissionPastEnd has the first try take so long that a peer is asked, and
-// commits it first. Controllers that have just started may know no peer that is able: then
-// it plays that again with another job.
+// delayHedgedSubmissionPastEnd delays the first transaction of a submission until the controller
+// forwards the submission to a peer as well. The peer's transaction is held, so that the first one
+// is committed before it. A controller that has just started may not know a peer that can serve
+// the submission; then another job is submitted in the same way.
 func delayHedgedSubmissionPastEnd(t *testing.T, c *cluster, user *historyChecker) {
 	t.Helper()
 	hedged := user
@@ -131,7 +133,8 @@
 	user.sendUntilAnswered(0, submitRequest)
 }
 
-// injectHedgedSubmission delays a job's first submission and holds the second.
+// injectHedgedSubmission delays the first transaction of a job's submission and holds the second,
+// which a peer sends.
 func injectHedgedSubmission(c *cluster, id string) {
 	submissions := 0
 	c.simulation.InjectTransactionFaults(func(txn wire.Txn) simulator.TransactionFault {
--- a/internal/api/harness_test.go
+++ b/internal/api/harness_test.go
@@ -22,30 +22,31 @@
 )
 
 const (
-	// testTeam is the team of all jobs, and defaultTeamLimit its limit in CPUs, where a test
-	// sets no other.
+	// testTeam is the team of all jobs. defaultTeamLimit is its limit in CPUs unless a test sets
+	// another.
 	testTeam         = "crew"
 	defaultTeamLimit = 8.0
 
-	// eventuallyBound only ends a test that has failed.
-	eventuallyBound = 60 * time.Second
-	pollInterval    = 20 * time.Millisecond
+	// eventuallyTimeout is the time after which a test fails if an awaited condition does not
+	// hold. pollInterval is the time between two checks of the condition.
+	eventuallyTimeout = 60 * time.Second
+	pollInterval      = 20 * time.Millisecond
 )
 
-// cluster is a few real controllers against simulated services, all on loopback.
+// cluster runs real controllers against simulated services, all on loopback.
 type cluster struct {
-	tb          testing.TB
-	simulation  *simulator.Deployment
-	policy      policy.Settings
-	settings    []string // of each controller, as the platform writes them
-	userAddrs   []string
-	peerAddrs   []string
-	controllers []*runningController
+	tb            testing.TB
+	simulation    *simulator.Deployment
+	policy        policy.Settings
+	settingsFiles []string // contents of each controller's TOML file, as the platform writes it
+	userAddrs     []string // each controller's address for users, workers and operators
+	peerAddrs     []string // each controller's address for the other controllers
+	controllers   []*runningController
 }
 
-// runningController is one process of a controller.
+// runningController is a controller with its HTTP servers, in place of a process.
 type runningController struct {
-	handler http.Handler // of users and workers
+	handler http.Handler // for users, workers, health checks and operators
 	stop    func()
 }
 
@@ -54,23 +55,23 @@
 	return startClusterWith(tb, size, policy.Defaults(policy.CostInsensitive), defaultTeamLimit)
 }
 
-// startClusterWith starts controllers with the operators' settings and a limit on the
-// team's CPUs.
-func startClusterWith(tb testing.TB, size int, operators policy.Settings, teamLimit float64) *cluster {
+// startClusterWith starts size controllers with the operators' policy settings and a limit on the
+// CPUs of testTeam.
+func startClusterWith(tb testing.TB, size int, settings policy.Settings, teamLimit float64) *cluster {
 	tb.Helper()
-	c := &cluster{tb: tb, policy: operators, controllers: make([]*runningController, size)}
-	var users, peers []net.Listener
+	c := &cluster{tb: tb, policy: settings, controllers: make([]*runningController, size)}
+	var userListeners, peerListeners []net.Listener
 	for range size {
-		user, peer := listenLoopback(tb), listenLoopback(tb)
-		users, peers = append(users, user), append(peers, peer)
-		c.userAddrs = append(c.userAddrs, user.Addr().String())
-		c.peerAddrs = append(c.peerAddrs, peer.Addr().String())
+		userListener, peerListener := listenLoopback(tb), listenLoopback(tb)
+		userListeners, peerListeners = append(userListeners, userListener), append(peerListeners, peerListener)
+		c.userAddrs = append(c.userAddrs, userListener.Addr().String())
+		c.peerAddrs = append(c.peerAddrs, peerListener.Addr().String())
 	}
 	c.simulation = c.newSimulation(teamLimit)
 	storeAddr, cloudAddr := c.serveSimulation()
 	for i := range size {
-		c.settings = append(c.settings, c.settingsOf(i, storeAddr, cloudAddr, teamLimit))
-		c.startController(i, users[i], peers[i])
+		c.settingsFiles = append(c.settingsFiles, c.renderSettings(i, storeAddr, cloudAddr, teamLimit))
+		c.startController(i, userListeners[i], peerListeners[i])
 	}
 	tb.Cleanup(c.stopAllControllers)
 	return c
@@ -106,8 +107,8 @@
 
 func controllerName(i int) string { return fmt.Sprintf("drover-%d", i) }
 
-// settingsOf is the settings file of controller i.
-func (c *cluster) settingsOf(i int, storeAddr, cloudAddr string, teamLimit float64) string {
+// renderSettings returns the contents of controller i's settings file.
+func (c *cluster) renderSettings(i int, storeAddr, cloudAddr string, teamLimit float64) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "node = %q\ndomain = \"a\"\nbind = %q\nmesh_addr = %q\n", controllerName(i), c.userAddrs[i], c.peerAddrs[i])
 	for k, addr := range c.peerAddrs {
@@ -141,9 +142,9 @@
 }
 
 // startController starts controller i on its listeners.
-func (c *cluster) startController(i int, users, peers net.Listener) {
+func (c *cluster) startController(i int, userListener, peerListener net.Listener) {
 	c.tb.Helper()
-	cfg, err := config.Parse([]byte(c.settings[i]))
+	cfg, err := config.Parse([]byte(c.settingsFiles[i]))
 	if err != nil {
 		c.tb.Fatal(err)
 	}
@@ -152,8 +153,8 @@
 	handler := api.NewHandler(ctl, log, func() bool { return false })
 	userServer := httpserver.New(handler, api.NonBlocking, log)
 	peerServer := &http.Server{Handler: api.NewPeerHandler(ctl, log)}
-	go func() { _ = userServer.Serve(users) }()
-	go func() { _ = peerServer.Serve(peers) }()
+	go func() { _ = userServer.Serve(userListener) }()
+	go func() { _ = peerServer.Serve(peerListener) }()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -168,35 +169,35 @@
 	})}
 }
 
-// stopController ends controller i, if it runs.
+// stopController stops controller i if it is running.
 func (c *cluster) stopController(i int) { c.controllers[i].stop() }
 
-// restartController ends controller i and starts it anew, on new ports.
+// restartController stops controller i and starts it again on new ports.
 func (c *cluster) restartController(i int) {
 	c.tb.Helper()
 	c.stopController(i)
-	users, peers := listenLoopback(c.tb), listenLoopback(c.tb)
-	c.userAddrs[i] = users.Addr().String()
-	c.startController(i, users, peers)
+	userListener, peerListener := listenLoopback(c.tb), listenLoopback(c.tb)
+	c.userAddrs[i] = userListener.Addr().String()
+	c.startController(i, userListener, peerListener)
 }
 
-// stopAllControllers ends all controllers.
+// stopAllControllers stops all controllers.
 func (c *cluster) stopAllControllers() {
 	for i := range c.controllers {
 		c.stopController(i)
 	}
 }
 
-// startAllControllers starts all controllers anew, at their addresses.
+// startAllControllers starts all stopped controllers again at their previous addresses.
 func (c *cluster) startAllControllers() {
 	c.tb.Helper()
 	for i := range c.controllers {
-		c.startController(i, c.listenAgain(c.userAddrs[i]), c.listenAgain(c.peerAddrs[i]))
+		c.startController(i, c.listenWhenFree(c.userAddrs[i]), c.listenWhenFree(c.peerAddrs[i]))
 	}
 }
 
-// listenAgain waits until an address that was in use is free.
-func (c *cluster) listenAgain(addr string) (listener net.Listener) {
+// listenWhenFree listens on an address as soon as it is no longer in use.
+func (c *cluster) listenWhenFree(addr string) (listener net.Listener) {
 	c.tb.Helper()
 	c.eventually("a free address", func() bool {
 		var err error
@@ -215,12 +216,12 @@
 	return listener
 }
 
-// eventually repeats a condition until it holds.
-func (c *cluster) eventually(what string, holds func() bool) {
+// eventually waits until a condition holds. It fails the test after eventuallyTimeout.
+func (c *cluster) eventually(description string, condition func() bool) {
 	c.tb.Helper()
-	for end := time.Now().Add(eventuallyBound); !holds(); time.Sleep(pollInterval) {
+	for end := time.Now().Add(eventuallyTimeout); !condition(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
-			c.tb.Fatalf("never came: %s", what)
+			c.tb.Fatalf("timed out waiting for: %s", description)
 		}
 	}
 }
@@ -240,7 +241,7 @@
 	return leader
 }
 
-// expectNoViolations checks that the simulated services saw no rule broken.
+// expectNoViolations checks that the simulated services found no violation of the protocol's rules.
 func (c *cluster) expectNoViolations() {
 	c.tb.Helper()
 	if violations := c.simulation.Violations(); len(violations) > 0 {
--- a/internal/api/history_checker_test.go
+++ b/internal/api/history_checker_test.go
@@ -9,16 +9,18 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// historyChecker is a job's user, who asks all controllers and notes every answer that is
-// older than one that was received before the request.
+// historyChecker sends the requests of a job's user to the controllers and records violations:
+// answers that are older than one received before the request was sent, answers with different
+// final states, refused submissions, and cancellations that are answered with a state that is not
+// final.
 type historyChecker struct {
 	cluster    *cluster
 	jobID      string
 	submission []byte
 
 	mu         sync.Mutex
-	accepted   bool
-	finalState string // done or cancelled, once an answer said so
+	accepted   bool   // an answer has reported the job's state
+	finalState string // done or cancelled; empty until an answer has reported it
 	violations []string
 }
 
@@ -27,24 +29,25 @@
 	return &historyChecker{cluster: c, jobID: job.ID, submission: encodeSubmission(c.tb, job)}
 }
 
-// userRequest is a kind of request.
-type userRequest string
+// requestKind is the kind of a user's request.
+type requestKind string
 
 const (
-	submitRequest userRequest = "submission"
-	queryRequest  userRequest = "query"
-	cancelRequest userRequest = "cancellation"
+	submitRequest requestKind = "submission"
+	queryRequest  requestKind = "query"
+	cancelRequest requestKind = "cancellation"
 )
 
-// send makes a request of controller i and checks its answer. It returns the state, or "".
-func (h *historyChecker) send(i int, kind userRequest) string {
+// send sends a request to controller i and checks the answer. It returns the job's state, or "" if
+// the answer has none.
+func (h *historyChecker) send(i int, kind requestKind) string {
 	h.mu.Lock()
 	accepted, finalState := h.accepted, h.finalState
 	h.mu.Unlock()
 	got := h.perform(i, kind)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	note := func(rule string) {
+	recordViolation := func(rule string) {
 		h.violations = append(h.violations, fmt.Sprintf("%s: %s at controller %d: %d %q, accepted before: %v, final state before: %q",
 			rule, kind, i, got.status, got.view.State, accepted, finalState))
 	}
@@ -52,7 +55,7 @@
 	case http.StatusOK, http.StatusCreated:
 	case http.StatusNotFound, http.StatusBadRequest, http.StatusUnprocessableEntity:
 		if accepted || kind == submitRequest {
-			note("forgotten")
+			recordViolation("forgotten")
 		}
 		return ""
 	default:
@@ -60,20 +63,20 @@
 	}
 	h.accepted = true
 	state := got.view.State
-	over := state == wire.JobDone || state == wire.JobCancelled
+	ended := state == wire.JobDone || state == wire.JobCancelled
 	switch {
-	case finalState != "" && state != finalState, over && h.finalState != "" && state != h.finalState:
-		note("went_back")
-	case kind == cancelRequest && !over:
-		note("cancellation not confirmed")
+	case finalState != "" && state != finalState, ended && h.finalState != "" && state != h.finalState:
+		recordViolation("went_back")
+	case kind == cancelRequest && !ended:
+		recordViolation("cancellation not confirmed")
 	}
-	if over && h.finalState == "" {
+	if ended && h.finalState == "" {
 		h.finalState = state
 	}
 	return state
 }
 
-func (h *historyChecker) perform(i int, kind userRequest) reply {
+func (h *historyChecker) perform(i int, kind requestKind) reply {
 	switch kind {
 	case submitRequest:
 		return h.cluster.post(i, h.submission)
@@ -85,19 +88,20 @@
 	return reply{}
 }
 
-// sendUntilAnswered repeats a request until a controller answers with the job's state.
-func (h *historyChecker) sendUntilAnswered(i int, kind userRequest) {
+// sendUntilAnswered repeats a request until controller i answers with the job's state.
+func (h *historyChecker) sendUntilAnswered(i int, kind requestKind) {
 	h.cluster.tb.Helper()
 	h.cluster.eventually(string(kind), func() bool { return h.send(i, kind) != "" })
 }
 
-// sendToAll queries and submits at all controllers at once, again and again.
-func (h *historyChecker) sendToAll(times int) {
-	alternating := []userRequest{queryRequest, submitRequest}
+// sendToAll sends a number of requests to each controller, alternately queries and submissions. The
+// controllers receive them concurrently.
+func (h *historyChecker) sendToAll(requests int) {
+	alternating := []requestKind{queryRequest, submitRequest}
 	var controllers sync.WaitGroup
 	for i := range h.cluster.userAddrs {
 		controllers.Go(func() {
-			for n := range times {
+			for n := range requests {
 				h.send(i, alternating[(n+i)%len(alternating)])
 			}
 		})
@@ -105,22 +109,22 @@
 	controllers.Wait()
 }
 
-// sendAbandoned makes a request whose answer nobody waits for, until so many transactions
-// are held.
-func (h *historyChecker) sendAbandoned(i int, kind userRequest, held int) {
+// sendAbandoned sends a request without waiting for its answer. It returns when at least minHeld
+// transactions are held.
+func (h *historyChecker) sendAbandoned(i int, kind requestKind, minHeld int) {
 	h.cluster.tb.Helper()
 	go h.send(i, kind)
-	h.cluster.eventually("a held transaction", func() bool { return h.cluster.simulation.HeldTransactions() >= held })
+	h.cluster.eventually("a held transaction", func() bool { return h.cluster.simulation.HeldTransactions() >= minHeld })
 }
 
-// final is the state in which the job ended, or "".
-func (h *historyChecker) final() string {
+// knownFinalState returns the final state that an answer has reported, or "".
+func (h *historyChecker) knownFinalState() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.finalState
 }
 
-// reportViolations fails the test if an answer was older than one before.
+// reportViolations fails the test if there were violations.
 func (h *historyChecker) reportViolations(t *testing.T) {
 	t.Helper()
 	h.mu.Lock()
--- a/internal/api/idempotency_test.go
+++ b/internal/api/idempotency_test.go
@@ -9,10 +9,11 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// invalidRepeats are submissions of an accepted job whose bodies have become invalid.
+// invalidRepeats makes repeated submissions of a job with invalid bodies. The keys say what is wrong
+// with each.
 func invalidRepeats(t *testing.T, job *wire.Job) map[string][]byte {
 	t.Helper()
-	lacksFields, err := wire.Marshal(map[string]any{"uid": job.ID, "docket": "c"})
+	missingFields, err := wire.Marshal(map[string]any{"uid": job.ID, "docket": "c"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,15 +25,15 @@
 	tooLarge := *job
 	tooLarge.MemoryGB = 99
 	return map[string][]byte{
-		"lacks fields": lacksFields,
+		"lacks fields": missingFields,
 		"is too long":  encodeSubmission(t, &tooLong),
 		"fits nowhere": encodeSubmission(t, &tooLarge),
 	}
 }
 
-// A repeated submission of an accepted job never gets 400 or 422, whatever has become of
-// its body, and also while the key-value store refuses: what cannot be looked up cannot be
-// decided.
+// A repeated submission of an accepted job is never answered with 400 or 422, even if its body has
+// become invalid. While the key-value store refuses requests, the answer is 503, because without a
+// lookup a controller cannot tell whether the job exists.
 func TestIdempotentSubmissionIsNeverInvalid(t *testing.T) {
 	c := startCluster(t, 1)
 	job := newJob(1, 1)
@@ -41,13 +42,13 @@
 	repeats := invalidRepeats(t, job)
 	for name, body := range repeats {
 		if got := c.post(0, body); got.status != http.StatusOK {
-			t.Errorf("a repeat that %s gets %d", name, got.status)
+			t.Errorf("a repeated submission that %s gets %d", name, got.status)
 		}
 	}
 	c.simulation.StartKVStoreOutage()
 	for name, body := range repeats {
 		if got := c.post(0, body); got.status != http.StatusServiceUnavailable {
-			t.Errorf("a repeat that %s gets %d while the key-value store refuses", name, got.status)
+			t.Errorf("a repeated submission that %s gets %d while the key-value store refuses requests", name, got.status)
 		}
 	}
 	c.simulation.EndKVStoreOutage()
@@ -55,12 +56,12 @@
 		return
 	}
 	for name, body := range repeats {
-		c.eventually("an answer after the outage to a repeat that "+name, func() bool { return c.post(0, body).status == http.StatusOK })
+		c.eventually("an answer after the outage to a repeated submission that "+name, func() bool { return c.post(0, body).status == http.StatusOK })
 	}
-	// Of a job that nobody has accepted, the same are refused.
+	// Submissions of a new job with the same errors are refused.
 	for name, body := range repeats {
-		fresh := []byte(strings.ReplaceAll(string(body), job.ID, "run-000002"))
-		if got := c.post(0, fresh); got.status != http.StatusBadRequest && got.status != http.StatusUnprocessableEntity {
+		newSubmission := []byte(strings.ReplaceAll(string(body), job.ID, "run-000002"))
+		if got := c.post(0, newSubmission); got.status != http.StatusBadRequest && got.status != http.StatusUnprocessableEntity {
 			t.Errorf("a new job that %s gets %d", name, got.status)
 		}
 	}
--- a/internal/api/invalid_submission_test.go
+++ b/internal/api/invalid_submission_test.go
@@ -13,7 +13,7 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// submissionFields are a submission's, as its user sends it.
+// submissionFields returns the fields of a valid submission, as a user sends them.
 func submissionFields(id string) map[string]any {
 	return map[string]any{
 		"uid": id, "docket": "c", "crew": testTeam, "shape": "batch", "rank": "normal", "shifts": 1,
@@ -23,46 +23,48 @@
 	}
 }
 
-// nullableFields may be null or missing.
+// nullableFields are the fields of a submission that may be null or missing.
 var nullableFields = map[string]bool{"breeds": true, "pasture": true, "due_s": true}
 
-// invalidSubmission is a submission that is wrong in one way. A name starts with its field.
+// invalidSubmission is a submission with one error. Its name starts with the invalid field.
 type invalidSubmission struct {
-	name   string
-	status int
-	change map[string]any // of fields
-	remove string         // a field, if not empty
+	name         string
+	status       int            // expected
+	changes      map[string]any // new values of fields
+	removedField string         // field to remove, if not empty
 }
 
 func (s invalidSubmission) fields(id string) map[string]any {
 	fields := submissionFields(id)
-	maps.Copy(fields, s.change)
-	delete(fields, s.remove)
+	maps.Copy(fields, s.changes)
+	delete(fields, s.removedField)
 	return fields
 }
 
-// invalidSubmissions makes a submission wrong in every way that the protocol tells, field by
+// invalidSubmissions lists submissions with each of the errors that the protocol describes, field by
 // field.
 func invalidSubmissions() []invalidSubmission {
-	var all []invalidSubmission
+	var submissions []invalidSubmission
 	for field, valid := range submissionFields("") {
 		if field == "uid" {
-			continue // without a readable id, it is no known job's: see TestSubmissionWithInvalidIDIsRejected
+			// TestSubmissionWithInvalidIDIsRejected covers the id: without a valid one, the job
+			// cannot be a known one.
+			continue
 		}
-		for _, value := range wrongValues(field, valid) {
-			all = append(all, withField(http.StatusBadRequest, field, fmt.Sprintf("%T %v", value, value), value))
+		for _, value := range invalidValues(field, valid) {
+			submissions = append(submissions, withField(http.StatusBadRequest, field, fmt.Sprintf("%T %v", value, value), value))
 		}
 		if nullableFields[field] {
 			continue
 		}
-		all = append(all, withField(http.StatusBadRequest, field, "null", nil),
-			invalidSubmission{name: field + " missing", status: http.StatusBadRequest, remove: field})
+		submissions = append(submissions, withField(http.StatusBadRequest, field, "null", nil),
+			invalidSubmission{name: field + " missing", status: http.StatusBadRequest, removedField: field})
 	}
 	longList := make([]string, 40)
 	for i := range longList {
 		longList[i] = strings.Repeat("x", 190)
 	}
-	return append(all,
+	return append(submissions,
 		withField(http.StatusBadRequest, "shape", "unknown", "Batch"),
 		withField(http.StatusBadRequest, "rank", "unknown", "high"),
 		withField(http.StatusBadRequest, "breeds", "of numbers", []any{1}),
@@ -76,16 +78,16 @@
 		withField(http.StatusUnprocessableEntity, "breeds", "empty", []string{}),
 		withField(http.StatusUnprocessableEntity, "pasture", "unknown", "z"),
 		invalidSubmission{name: "service over the limit", status: http.StatusUnprocessableEntity,
-			change: map[string]any{"shape": "daemon", "shifts": 9}},
+			changes: map[string]any{"shape": "daemon", "shifts": 9}},
 	)
 }
 
-func withField(status int, field, what string, value any) invalidSubmission {
-	return invalidSubmission{name: field + " " + what, status: status, change: map[string]any{field: value}}
+func withField(status int, field, problem string, value any) invalidSubmission {
+	return invalidSubmission{name: field + " " + problem, status: status, changes: map[string]any{field: value}}
 }
 
-// wrongValues are values that a field of the type of valid must not have.
-func wrongValues(field string, valid any) []any {
+// invalidValues lists values that are invalid for a field, given a valid value of the field.
+func invalidValues(field string, valid any) []any {
 	switch valid.(type) {
 	case string:
 		return []any{1, 1.5, true, []string{"a"}, map[string]any{}, []byte("batch"), ""}
@@ -102,7 +104,7 @@
 	return []any{true, map[string]any{}, 1}
 }
 
-// postFields submits fields as they are.
+// postFields submits fields to controller i without validating them.
 func (c *cluster) postFields(i int, fields map[string]any) reply {
 	c.tb.Helper()
 	body, err := wire.Marshal(fields)
@@ -112,22 +114,22 @@
 	return c.post(i, body)
 }
 
-// forEachConcurrently calls check for all submissions, some at a time.
-func forEachConcurrently(all []invalidSubmission, check func(k int, submission invalidSubmission)) {
-	const parts = 16
+// forEachConcurrently calls check for all submissions, several at a time.
+func forEachConcurrently(submissions []invalidSubmission, check func(k int, submission invalidSubmission)) {
+	const concurrency = 16
 	var running sync.WaitGroup
-	for part := range parts {
+	for first := range concurrency {
 		running.Go(func() {
-			for k := part; k < len(all); k += parts {
-				check(k, all[k])
+			for k := first; k < len(submissions); k += concurrency {
+				check(k, submissions[k])
 			}
 		})
 	}
 	running.Wait()
 }
 
-// Whatever is wrong with a submission is answered at once; nothing is made of it. A known
-// job's repeated submission gets the job's state, however its body has changed.
+// An invalid submission is refused immediately and creates no job. A repeated submission of a known
+// job is answered with the job's state, even if its body has become invalid.
 func TestInvalidSubmissionsAreRejected(t *testing.T) {
 	c := startCluster(t, 2)
 	known, ended := newJob(7001, 1), newJob(7002, 1)
@@ -138,16 +140,16 @@
 		c.submitUntilAccepted(i, ended)
 	}
 	c.waitUntilDone(0, ended.ID)
-	all := invalidSubmissions()
-	forEachConcurrently(all, func(k int, invalid invalidSubmission) {
-		fresh, asked, other := jobID(8000+k), k%2, 1-k%2
-		if got := c.postFields(asked, invalid.fields(fresh)); got.status != invalid.status {
+	submissions := invalidSubmissions()
+	forEachConcurrently(submissions, func(k int, invalid invalidSubmission) {
+		newID, receiver, other := jobID(8000+k), k%2, 1-k%2
+		if got := c.postFields(receiver, invalid.fields(newID)); got.status != invalid.status {
 			t.Errorf("%s: %d, want %d", invalid.name, got.status, invalid.status)
 		}
-		if got := c.query(other, fresh); got.status != http.StatusNotFound {
-			t.Errorf("%s: then the job is known: %d", invalid.name, got.status)
+		if got := c.query(other, newID); got.status != http.StatusNotFound {
+			t.Errorf("%s: query of the refused job: %d", invalid.name, got.status)
 		}
-		got := c.postFields(asked, invalid.fields(known.ID))
+		got := c.postFields(receiver, invalid.fields(known.ID))
 		if got.status != http.StatusOK || got.view.State != wire.JobPending && got.view.State != wire.JobRunning {
 			t.Errorf("%s, for a known job: %d %q", invalid.name, got.status, got.view.State)
 		}
@@ -156,9 +158,9 @@
 			t.Errorf("%s, for a job that is done: %d %q", invalid.name, got.status, got.view.State)
 		}
 	})
-	// What cannot be decided now is refused for now: it may be a known job's.
+	// In an outage a controller cannot tell whether the job is known, so it asks users to retry.
 	c.simulation.StartKVStoreOutage()
-	forEachConcurrently(all, func(k int, invalid invalidSubmission) {
+	forEachConcurrently(submissions, func(k int, invalid invalidSubmission) {
 		got := c.postFields(k%2, invalid.fields(known.ID))
 		retryable := got.header.Get("Retry-After") != "" && got.header.Get("Connection") == "close"
 		if got.status != http.StatusServiceUnavailable || !retryable {
@@ -167,10 +169,10 @@
 	})
 }
 
-// A submission that names no job in a form that jobs have is malformed whoever sends it.
+// A submission with a malformed job id is answered with 400, and a query or a cancellation with 404.
 func TestSubmissionWithInvalidIDIsRejected(t *testing.T) {
 	c := startCluster(t, 1)
-	c.submitUntilCreated(0, newJob(7101, 1)) // the machine types are known then
+	c.submitUntilCreated(0, newJob(7101, 1)) // returns only after the machine types are known
 	for _, id := range []any{
 		nil, "", 7101, true, []string{"run-007101"}, "run-", "run-1", "run-00710", "run-00710x", "run-007101 ", " run-007101",
 		"RUN-007101", "run_007101", "run-007101/0", "run-٠٠٧١٠١", "run-0071010071010071010", "run--07101", "run-+07101", "job-007101",
@@ -183,7 +185,7 @@
 			}
 			text, ok := id.(string)
 			if !ok || text == "" || strings.ContainsAny(text, " /") {
-				return // no path can have it
+				return // the id cannot be part of a path
 			}
 			if got := c.query(0, text); got.status != http.StatusNotFound {
 				t.Errorf("query: %d", got.status)
@@ -195,24 +197,25 @@
 	}
 }
 
-// What can run is accepted: each field at its limits, what may be null left out, fields
-// that nobody knows, and jobs of which half may run at a time.
+// Valid submissions are accepted: with fields at their limits, without nullable fields, with unknown
+// fields, and of jobs that must be spread over zones but may use only one zone, so that only half of
+// their tasks can run at a time.
 func TestSubmissionsAtLimitsAreAccepted(t *testing.T) {
 	c := startCluster(t, 1)
-	c.submitUntilCreated(0, newJob(7201, 1)) // the machine types are known then
-	for k, change := range []map[string]any{
+	c.submitUntilCreated(0, newJob(7201, 1)) // returns only after the machine types are known
+	for k, changes := range []map[string]any{
 		{"shifts": 100_000}, {"cpus": 4}, {"cpus": 4.0, "memory_gb": 16.0}, {"breeds": []string{"barge", "box"}}, {"pasture": "a"}, {"due_s": 0.5},
 		{"shape": "daemon", "shifts": 8}, {"shape": "daemon", "scatter": true, "together": true, "pasture": "a"},
 		{"shifts": 5, "scatter": true, "together": true}, {"shifts": 5, "scatter": true, "pasture": "a"},
 		{"shape": "daemon", "shifts": 2, "together": true}, {"shape": "daemon", "shifts": 2, "scatter": true, "together": true},
 		{"shape": "daemon", "shifts": 3, "scatter": true, "pasture": "a"}, {"loaners": true}, {"colour": "blue", "size": []int{1}},
 	} {
-		t.Run(fmt.Sprint(change), func(t *testing.T) {
+		t.Run(fmt.Sprint(changes), func(t *testing.T) {
 			fields := submissionFields(jobID(7300 + k))
 			if k%2 == 0 {
 				maps.DeleteFunc(fields, func(field string, _ any) bool { return nullableFields[field] })
 			}
-			maps.Copy(fields, change)
+			maps.Copy(fields, changes)
 			if got := c.postFields(0, fields); got.status != http.StatusCreated {
 				t.Errorf("%d", got.status)
 			}
--- a/internal/api/lifecycle_test.go
+++ b/internal/api/lifecycle_test.go
@@ -12,8 +12,8 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// A job's whole life, through two controllers, across the end of the leader; and what
-// users were answered stays true.
+// Jobs are submitted, run, queried and cancelled through two controllers, and the leader is stopped
+// in between. What users were answered before must still be true afterwards.
 func TestJobLifecycleAcrossFailover(t *testing.T) {
 	c := startCluster(t, 2)
 	first := newJob(1, 6)
@@ -52,7 +52,7 @@
 	c.expectNoViolations()
 }
 
-// What is wrong with a request is answered at once, with the protocol's status codes.
+// Requests are answered immediately, with the status codes of the protocol.
 func TestRequestStatusCodes(t *testing.T) {
 	c := startCluster(t, 1)
 	known := newJob(10, 2)
@@ -60,8 +60,8 @@
 	c.submitUntilCreated(0, known)
 	changed := newJob(10, 2)
 	changed.Team = "nobody"
-	fresh := encodeSubmission(t, newJob(11, 1))
-	with := func(change func(*wire.Job)) []byte {
+	newSubmission := encodeSubmission(t, newJob(11, 1))
+	encodeChanged := func(change func(*wire.Job)) []byte {
 		t.Helper()
 		job := newJob(11, 1)
 		change(job)
@@ -78,19 +78,19 @@
 		{"repeated with another body", "POST", jobsPath, encodeSubmission(t, changed), []int{200}},
 		{"empty", "POST", jobsPath, nil, []int{400}},
 		{"not a map", "POST", jobsPath, []byte{0x83, 1, 2, 3}, []int{400}},
-		{"truncated", "POST", jobsPath, fresh[:40], []int{400}},
+		{"truncated", "POST", jobsPath, newSubmission[:40], []int{400}},
 		{"too deep", "POST", jobsPath, deep, []int{400}},
-		{"too large", "POST", jobsPath, append(slices.Clone(fresh), make([]byte, 70<<10)...), []int{400, 413}},
-		{"no tasks", "POST", jobsPath, with(func(j *wire.Job) { j.Tasks = 0 }), []int{400}},
-		{"too many tasks", "POST", jobsPath, with(func(j *wire.Job) { j.Tasks = 100001 }), []int{400}},
-		{"negative", "POST", jobsPath, with(func(j *wire.Job) { j.CPUs = -1 }), []int{400}},
-		{"malformed id", "POST", jobsPath, with(func(j *wire.Job) { j.ID = "walk-000001" }), []int{400}},
-		{"unknown rank", "POST", jobsPath, with(func(j *wire.Job) { j.Priority = "high" }), []int{400}},
-		{"unknown team", "POST", jobsPath, with(func(j *wire.Job) { j.Team = "nobody" }), []int{422}},
-		{"fits no machine", "POST", jobsPath, with(func(j *wire.Job) { j.MemoryGB = 99 }), []int{422}},
-		{"no such type", "POST", jobsPath, with(func(j *wire.Job) { j.MachineTypes = []string{"barge"} }), []int{422}},
-		{"service over the limit", "POST", jobsPath, with(func(j *wire.Job) { j.Shape, j.Tasks = wire.ShapeService, 9 }), []int{422}},
-		{"array over the limit", "POST", jobsPath, with(func(j *wire.Job) { j.Tasks, j.DeadlineS = 9, &deadline }), []int{201}},
+		{"too large", "POST", jobsPath, append(slices.Clone(newSubmission), make([]byte, 70<<10)...), []int{400, 413}},
+		{"no tasks", "POST", jobsPath, encodeChanged(func(j *wire.Job) { j.Tasks = 0 }), []int{400}},
+		{"too many tasks", "POST", jobsPath, encodeChanged(func(j *wire.Job) { j.Tasks = 100001 }), []int{400}},
+		{"negative", "POST", jobsPath, encodeChanged(func(j *wire.Job) { j.CPUs = -1 }), []int{400}},
+		{"malformed id", "POST", jobsPath, encodeChanged(func(j *wire.Job) { j.ID = "walk-000001" }), []int{400}},
+		{"unknown rank", "POST", jobsPath, encodeChanged(func(j *wire.Job) { j.Priority = "high" }), []int{400}},
+		{"unknown team", "POST", jobsPath, encodeChanged(func(j *wire.Job) { j.Team = "nobody" }), []int{422}},
+		{"fits no machine", "POST", jobsPath, encodeChanged(func(j *wire.Job) { j.MemoryGB = 99 }), []int{422}},
+		{"unknown machine type", "POST", jobsPath, encodeChanged(func(j *wire.Job) { j.MachineTypes = []string{"barge"} }), []int{422}},
+		{"service over the limit", "POST", jobsPath, encodeChanged(func(j *wire.Job) { j.Shape, j.Tasks = wire.ShapeService, 9 }), []int{422}},
+		{"array over the limit", "POST", jobsPath, encodeChanged(func(j *wire.Job) { j.Tasks, j.DeadlineS = 9, &deadline }), []int{201}},
 		{"unknown job", "GET", jobPath("run-999999"), nil, []int{404}},
 		{"unknown job cancelled", "POST", cancelPath("run-999999"), nil, []int{404}},
 		{"malformed id in the path", "GET", jobPath("walk"), nil, []int{404}},
@@ -105,8 +105,9 @@
 	}
 }
 
-// While the key-value store refuses everybody, nothing is confirmed: new work and open
-// queries get 503 with Retry-After, and what has ended is still known.
+// While the key-value store refuses all requests, submissions, and queries and cancellations of a
+// job whose state is not known, are answered with 503 and Retry-After. A query of a job that is
+// known to have ended is still answered.
 func TestStoreOutageIsReportedImmediately(t *testing.T) {
 	c := startCluster(t, 1)
 	ended := newJob(20, 1)
@@ -117,29 +118,30 @@
 	if got := c.query(0, ended.ID); got.status != http.StatusOK || got.view.State != wire.JobDone {
 		t.Errorf("ended job: %d %q", got.status, got.view.State)
 	}
-	open := newJob(21, 1)
+	unsubmitted := newJob(21, 1)
 	for _, tc := range []struct{ name, method, path string }{
 		{"submission", http.MethodPost, jobsPath},
-		{"query", http.MethodGet, jobPath(open.ID)},
-		{"cancellation", http.MethodPost, cancelPath(open.ID)},
+		{"query", http.MethodGet, jobPath(unsubmitted.ID)},
+		{"cancellation", http.MethodPost, cancelPath(unsubmitted.ID)},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			got := c.request(0, tc.method, tc.path, encodeSubmission(t, open))
+			got := c.request(0, tc.method, tc.path, encodeSubmission(t, unsubmitted))
 			if got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
 				t.Errorf("%d, Retry-After %q", got.status, got.header.Get("Retry-After"))
 			}
-			if got.header.Get("Connection") != "close" { // the load balancer may know a better controller
-				t.Error("the connection is kept")
+			// Over a new connection, the user may reach another controller.
+			if got.header.Get("Connection") != "close" {
+				t.Error("the connection is kept open")
 			}
 		})
 	}
 	c.simulation.EndKVStoreOutage()
-	c.eventually("an answered query", func() bool { return c.query(0, open.ID).status == http.StatusNotFound })
-	c.submitUntilAccepted(0, open)
+	c.eventually("an answered query", func() bool { return c.query(0, unsubmitted.ID).status == http.StatusNotFound })
+	c.submitUntilAccepted(0, unsubmitted)
 }
 
-// A controller that starts while the cloud is down takes the machine types from
-// the key-value store, and goes on accepting.
+// A controller that starts during an outage of the cloud reads the machine types from the key-value
+// store and accepts submissions.
 func TestMachineTypesSurviveCloudOutage(t *testing.T) {
 	c := startCluster(t, 2)
 	job := newJob(30, 1)
@@ -151,16 +153,16 @@
 	c.submitUntilCreated(1, newJob(31, 1))
 }
 
-// A controller that the key-value store alone does not serve forwards requests to a peer.
+// If a single controller cannot reach the key-value store, it forwards requests to a peer.
 func TestIsolatedControllerForwardsRequestsToPeer(t *testing.T) {
 	c := startCluster(t, 2)
 	job := newJob(40, 1)
 	c.simulation.UploadJob(job, time.Hour)
 	c.submitUntilCreated(0, job)
-	closed := listenLoopback(t)
-	closed.Close()
+	closedListener := listenLoopback(t)
+	closedListener.Close()
 	storeSetting := regexp.MustCompile(`state = "[^"]*"`)
-	c.settings[1] = storeSetting.ReplaceAllString(c.settings[1], fmt.Sprintf("state = %q", closed.Addr()))
+	c.settingsFiles[1] = storeSetting.ReplaceAllString(c.settingsFiles[1], fmt.Sprintf("state = %q", closedListener.Addr()))
 	const isolated = 1
 	c.restartController(isolated)
 	other := newJob(41, 1)
--- a/internal/api/reconcile_test.go
+++ b/internal/api/reconcile_test.go
@@ -15,14 +15,15 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
+// Size of the cluster that startLoadedCluster starts.
 const (
 	reconcileMachines = 50
-	tasksPerMachine   = 4 // that fill a machine
+	tasksPerMachine   = 4 // tasks of one CPU on a machine with four CPUs
 	reconcileTasks    = reconcileMachines * tasksPerMachine
 )
 
-// waitUntilSettled waits until the leader's reconciliation is settled, with all its
-// operations done.
+// waitUntilSettled waits until the leader's reconciliation is settled, which means that all its
+// operations are done.
 func (c *cluster) waitUntilSettled() (status reconcile.Status) {
 	c.tb.Helper()
 	c.eventually("a settled reconciliation", func() bool {
@@ -36,12 +37,12 @@
 	return status
 }
 
-// startLoadedCluster starts three controllers and fifty machines that are full of long tasks.
+// startLoadedCluster starts three controllers and runs long tasks that fill fifty machines.
 func startLoadedCluster(t *testing.T) *cluster {
 	t.Helper()
-	operators := policy.Defaults(policy.CostInsensitive)
-	operators.ReconcileRestarts, operators.HeadroomShare = true, 0
-	c := startClusterWith(t, 3, operators, 2*reconcileTasks)
+	settings := policy.Defaults(policy.CostInsensitive)
+	settings.ReconcileRestarts, settings.HeadroomShare = true, 0
+	c := startClusterWith(t, 3, settings, 2*reconcileTasks)
 	const jobs = 10
 	for i := range jobs {
 		job := newJob(1+i, reconcileTasks/jobs)
@@ -50,12 +51,12 @@
 	}
 	c.waitUntilAllRunning()
 	if n := len(c.simulation.MachineNames()); n != reconcileMachines {
-		t.Fatalf("%d machines, not %d", n, reconcileMachines)
+		t.Fatalf("%d machines, want %d", n, reconcileMachines)
 	}
 	return c
 }
 
-// waitUntilAllRunning waits until all tasks are on machines.
+// waitUntilAllRunning waits until all tasks of startLoadedCluster are active on machines.
 func (c *cluster) waitUntilAllRunning() {
 	c.tb.Helper()
 	c.eventually("all tasks on machines", func() bool {
@@ -67,28 +68,31 @@
 	})
 }
 
-// injectDifferences makes machines differ from the records while the controllers are down,
-// and returns the orders that this requires.
+// injectDifferences makes the state of machines differ from the records while the controllers are
+// down. It returns the orders to machines and the cloud that the differences require.
 func (c *cluster) injectDifferences(seed uint64) (required simulator.OrderCounts) {
 	random := rand.New(rand.NewPCG(seed, 5))
 	machines := c.simulation.MachineNames()
 	random.Shuffle(len(machines), func(a, b int) { machines[a], machines[b] = machines[b], machines[a] })
-	take := func(limit int) (taken []string) {
+	takeMachines := func(limit int) (taken []string) {
 		n := 1 + random.IntN(limit)
 		taken, machines = machines[:n], machines[n:]
 		return taken
 	}
-	for _, machine := range take(4) { // gone for good: replaced
+	// Terminated: their replacements run their tasks again.
+	for _, machine := range takeMachines(4) {
 		required.Starts += c.simulation.ActiveAttempts(machine)
 		required.Provisioned++
 		required.Releases++
 		c.simulation.TerminateMachine(machine)
 	}
-	for _, machine := range take(6) { // lost its tasks
+	// Restarted: their tasks are lost.
+	for _, machine := range takeMachines(6) {
 		required.Starts += c.simulation.ActiveAttempts(machine)
 		c.simulation.RestartMachine(machine)
 	}
-	for i, machine := range take(4) { // lost its tasks, and runs one that nobody knows
+	// Restarted, and running a task of a job that no controller knows.
+	for i, machine := range takeMachines(4) {
 		unknown := newJob(900+i, 1)
 		unknown.CPUs = 0.1
 		c.simulation.UploadJob(unknown, time.Hour)
@@ -97,15 +101,16 @@
 		c.simulation.RestartMachine(machine)
 		c.simulation.StartTask(machine, wire.TaskName(unknown.ID, 0), uint64(i+1))
 	}
-	for _, machine := range take(8) { // late, for longer than a machine is usually given
+	// Unreachable for longer than leaders usually wait for a machine's heartbeats.
+	for _, machine := range takeMachines(8) {
 		c.simulation.PartitionMachine(machine, 8*time.Second)
 	}
 	return required
 }
 
-// All controllers end and start anew, with fifty machines at work. What is ordered until
-// all is well again is exactly what was required, by what the simulated services know:
-// nothing after a clean restart, and what follows from generated differences else.
+// All controllers are restarted while fifty machines run tasks. The orders that machines and the
+// cloud receive until the reconciliation is settled must be exactly the required ones: none if
+// nothing changed during the restart, otherwise those that follow from randomly injected differences.
 func TestCommandsAfterColdRestart(t *testing.T) {
 	c := startLoadedCluster(t)
 	for seed := range uint64(4) {
@@ -113,12 +118,12 @@
 		if seed == 0 {
 			name = "clean"
 		}
-		t.Run(name, func(t *testing.T) { playColdRestart(t, c, seed) })
+		t.Run(name, func(t *testing.T) { runColdRestart(t, c, seed) })
 	}
 	c.expectNoViolations()
 }
 
-func playColdRestart(t *testing.T, c *cluster, seed uint64) {
+func runColdRestart(t *testing.T, c *cluster, seed uint64) {
 	t.Helper()
 	c.simulation.TakeOrders()
 	c.stopAllControllers()
@@ -133,14 +138,14 @@
 		t.Errorf("ordered %+v, required %+v\n%+v", got, required, status)
 	}
 	if stops := status.Operations[reconcile.StopOperation.String()]; stops.Total != required.Stops || stops.Attributed != required.Stops {
-		t.Errorf("stops as the leader counts them: %+v, required %d", stops, required.Stops)
+		t.Errorf("stops counted by the leader: %+v, required %d", stops, required.Stops)
 	}
 	if seed == 0 && (status.Differences != 0 || status.Classes[reconcile.Confirmed.String()] != reconcileTasks) {
 		t.Errorf("after a clean restart: %+v", status)
 	}
 }
 
-// operatorRefusal is the answer to a query that a controller cannot serve.
+// operatorRefusal is the answer to an operator's query that a controller cannot serve.
 type operatorRefusal struct {
 	Error      string
 	Leader     string
@@ -148,7 +153,7 @@
 	retryAfter string
 }
 
-// getRefusal asks controller i for an operators' view that it refuses.
+// getRefusal sends an operator's query that controller i cannot serve, and returns the answer.
 func (c *cluster) getRefusal(i int, path string) (refusal operatorRefusal) {
 	c.tb.Helper()
 	response, err := http.Get("http://" + c.userAddrs[i] + api.OperatorPath + path)
@@ -163,8 +168,9 @@
 	return refusal
 }
 
-// The operators' views say what is wrong with a query, who leads, and that there has
-// been no reconciliation.
+// Operators' queries about the reconciliation are answered with 400 if a parameter is invalid, and
+// with 503 by a follower, which names the leader, and by a controller that has not known any leader
+// since it started.
 func TestRecoveryEndpoints(t *testing.T) {
 	c := startCluster(t, 2)
 	c.waitUntilSettled()
@@ -192,7 +198,7 @@
 			t.Errorf("%s at the follower: %+v", path, got)
 		}
 	}
-	c.simulation.StartKVStoreOutage() // nobody can be elected
+	c.simulation.StartKVStoreOutage() // no controller can be elected
 	c.stopAllControllers()
 	c.startAllControllers()
 	if got := c.getRefusal(0, "/recovery"); got.status != http.StatusServiceUnavailable || got.Error == "" || got.retryAfter == "" {
--- a/internal/api/transactions_test.go
+++ b/internal/api/transactions_test.go
@@ -12,7 +12,7 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// What a transaction is, by its conditions and writes.
+// The following functions classify transactions by their conditions and writes.
 
 // writesPrefix reports whether a transaction sets a key with the prefix.
 func writesPrefix(txn wire.Txn, prefix string) bool {
@@ -24,18 +24,19 @@
 	return false
 }
 
-// isLeaderTxn reports whether a transaction is the leader's own.
+// isLeaderTxn reports whether a transaction is sent by the leader: its first condition is that the
+// leader's key has not changed since the election.
 func isLeaderTxn(txn wire.Txn) bool {
 	return len(txn.If) > 0 && txn.If[0].Key == records.LeaderKey && txn.If[0].ModRevision != 0
 }
 
-// isCancellation reports whether a transaction is a cancellation, which names the live job's
-// mod revision and comes from no leader.
+// isCancellation reports whether a transaction is a cancellation: it writes the job's live record,
+// on the condition that the record's mod revision is unchanged, and is not sent by the leader.
 func isCancellation(txn wire.Txn, id string) bool {
 	return writesPrefix(txn, records.JobKey(id)) && !isLeaderTxn(txn) && !isSubmission(txn, id)
 }
 
-// isSubmission reports whether a transaction is a submission, with or without conditions.
+// isSubmission reports whether a transaction is the submission of a job, whatever its conditions.
 func isSubmission(txn wire.Txn, id string) bool {
 	for _, operation := range txn.Then {
 		raw, ok := operation.Value.(wire.Raw)
@@ -50,11 +51,12 @@
 	return false
 }
 
-// Held transactions are committed later, and never answered.
+// The following functions hold transactions, which get no reply and are committed later by the test.
 
+// allMatching is the limit for holdTransactions to hold all matching transactions.
 const allMatching = math.MaxInt
 
-// holdTransactions holds transactions that match, up to a number of them.
+// holdTransactions holds up to limit transactions that match.
 func (c *cluster) holdTransactions(limit int, matches func(wire.Txn) bool) {
 	var mu sync.Mutex
 	held := 0
@@ -69,12 +71,12 @@
 	})
 }
 
-func (c *cluster) waitUntilHeld(what string) {
+func (c *cluster) waitUntilHeld(description string) {
 	c.tb.Helper()
-	c.eventually(what, func() bool { return c.simulation.HeldTransactions() > 0 })
+	c.eventually(description, func() bool { return c.simulation.HeldTransactions() > 0 })
 }
 
-// expectAllRejected commits what is held; all of it has to be rejected.
+// expectAllRejected commits the held transactions and checks that all of them are rejected.
 func (c *cluster) expectAllRejected(t *testing.T) {
 	t.Helper()
 	statuses := c.simulation.CommitHeldTransactions()
@@ -88,7 +90,7 @@
 	}
 }
 
-// expectFirstRejected commits what is held; the first of it has to be rejected.
+// expectFirstRejected commits the held transactions and checks that the first one is rejected.
 func (c *cluster) expectFirstRejected(t *testing.T) {
 	t.Helper()
 	if statuses := c.simulation.CommitHeldTransactions(); len(statuses) == 0 || statuses[0] != http.StatusConflict {
