--- a/internal/api/operators.go
+++ b/internal/api/operators.go
@@ -118,7 +118,7 @@
 
 // errJobStateUnknown means that this controller cannot determine a job's state now, as in an outage
 // of the key-value store.
-var errJobStateUnknown = errors.New("the job's state cannot be determined now")
+var errJobStateUnknown = errors.New("cannot be told now")
 
 // writeUnavailable answers with status 503 and the reason why a query cannot be answered now.
 func writeUnavailable(c echo.Context, reason error) error {
