--- a/internal/scheduler/assignments_test.go
+++ b/internal/scheduler/assignments_test.go
@@ -34,8 +34,8 @@
 		return n
 	}
 	h.submit(wire.Job{ID: "run-000001", Tasks: 20, CPUs: 8})
-	if n := batches(); n != 1 || h.recordedAttempts() != 20 {
-		t.Fatalf("%d tasks recorded in %d batches", h.recordedAttempts(), n)
+	if n := batches(); n != 1 || h.countRecordedAttempts() != 20 {
+		t.Fatalf("%d tasks recorded in %d batches", h.countRecordedAttempts(), n)
 	}
 	h.answerAll(CallExecuted)
 	// Releases a machine that the batch names: a new leader would wait for its heartbeat.
@@ -64,7 +64,7 @@
 			t.Errorf("%s still names %s", key, releasedMachine)
 		}
 	}
-	if n := h.recordedAttempts(); n != 19 && n != 20 {
+	if n := h.countRecordedAttempts(); n != 19 && n != 20 {
 		t.Errorf("%d tasks recorded", n)
 	}
 	for _, n := range names {
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -9,7 +9,7 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// benchmarkSizes runs a benchmark with fleets of several sizes.
+// benchmarkSizes runs a benchmark with fleets of 256, 1024 and 4096 machines.
 func benchmarkSizes(b *testing.B, benchmark func(*testing.B, *fleetHarness)) {
 	b.Helper()
 	for _, machines := range []int{256, 1024, 4096} {
@@ -22,14 +22,14 @@
 	}
 }
 
-// A heartbeat in which nothing has changed costs as much as the machine has tasks, whatever
-// the fleet's size.
+// BenchmarkHeartbeat measures a heartbeat in which nothing has changed. Its cost grows with the
+// machine's tasks, and does not depend on the size of the fleet.
 func BenchmarkHeartbeat(b *testing.B) {
 	benchmarkSizes(b, func(b *testing.B, f *fleetHarness) {
 		for i := range b.N {
 			heartbeat := f.newHeartbeat(f.machineNames[i%len(f.machineNames)])
 			if _, ok := f.scheduler.Heartbeat(f.clock(), heartbeat); !ok {
-				b.Fatal("not answered")
+				b.Fatal("the heartbeat is not answered")
 			}
 			f.scheduler.Settle(f.clock())
 			f.scheduler.TakeEffects()
@@ -37,7 +37,7 @@
 	})
 }
 
-// A tick scans every machine once.
+// BenchmarkTick measures a tick, which scans every machine once.
 func BenchmarkTick(b *testing.B) {
 	benchmarkSizes(b, func(b *testing.B, f *fleetHarness) {
 		for range b.N {
@@ -48,7 +48,7 @@
 	})
 }
 
-// A placement round, with as many tasks waiting as there are machines.
+// BenchmarkPlacementRound measures a placement round with 25 waiting tasks for each machine.
 func BenchmarkPlacementRound(b *testing.B) {
 	benchmarkSizes(b, func(b *testing.B, f *fleetHarness) {
 		deadline := 60.0
@@ -63,7 +63,7 @@
 	})
 }
 
-// A new leader reads each record once.
+// BenchmarkNewTerm measures the start of a term, in which the new leader reads each record once.
 func BenchmarkNewTerm(b *testing.B) {
 	benchmarkSizes(b, func(b *testing.B, f *fleetHarness) {
 		for i := range b.N {
@@ -72,8 +72,8 @@
 	})
 }
 
-// The benchmarks assume six tasks on each machine.
-func TestFleetHarnessRunsWhatTheBenchmarksAssume(t *testing.T) {
+// The fleet harness places six tasks on each machine, as the benchmarks assume.
+func TestFleetHarnessPlacesSixTasksPerMachine(t *testing.T) {
 	const machines = 256
 	f := newFleetHarness(t, machines)
 	tasks := 0
@@ -88,8 +88,9 @@
 	}
 }
 
-// A placement round in a burst, with the scale-out that follows: hundreds of jobs wait for
-// machines that are full, and half as many machines again are booting.
+// BenchmarkScaleOutBurst measures a placement round with the scale-out that follows, in a burst:
+// all machines are full, one job for every eight machines waits, up to 512 in the largest fleet,
+// and half as many machines again are booting.
 func BenchmarkScaleOutBurst(b *testing.B) {
 	benchmarkSizes(b, func(b *testing.B, f *fleetHarness) {
 		deadline := 60.0
@@ -110,7 +111,7 @@
 	})
 }
 
-// heapGrowth is by how many bytes the heap grows for what build returns.
+// heapGrowth returns by how many bytes the value that build returns enlarges the heap.
 func heapGrowth(build func() any) float64 {
 	before := heapBytes()
 	built := build()
@@ -119,7 +120,7 @@
 	return after - before
 }
 
-// heapBytes is the size of the heap after a garbage collection.
+// heapBytes returns the size of the heap, in bytes, after a garbage collection.
 func heapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -128,8 +129,8 @@
 	return float64(stats.HeapAlloc)
 }
 
-// BenchmarkMemory reports the memory for each machine of a full fleet with its six tasks,
-// and for each ended job that is remembered.
+// BenchmarkMemory reports the memory for each machine of a full fleet with its six tasks, and
+// for each ended job in the replica's cache.
 func BenchmarkMemory(b *testing.B) {
 	const machines, ended = 1024, 20000
 	for range b.N {
@@ -146,8 +147,8 @@
 	}
 }
 
-// A heartbeat without changes allocates no more than when the bound was set: two thousand
-// machines send hundreds of them a second.
+// A heartbeat without changes makes at most maxAllocations allocations: two thousand machines
+// send hundreds of such heartbeats a second.
 func TestAllocationsOfUnchangedHeartbeat(t *testing.T) {
 	const maxAllocations = 7
 	f := newFleetHarness(t, 64)
@@ -156,7 +157,7 @@
 	allocs := testing.AllocsPerRun(100, func() {
 		heartbeat.Sequence++
 		if _, ok := f.scheduler.Heartbeat(f.clock(), heartbeat); !ok {
-			t.Fatal("not answered")
+			t.Fatal("the heartbeat is not answered")
 		}
 		f.scheduler.Settle(f.clock())
 		f.scheduler.TakeEffects()
--- a/internal/scheduler/combined_faults_placement_test.go
+++ b/internal/scheduler/combined_faults_placement_test.go
@@ -159,8 +159,8 @@
 func TestSmallJobsUnderWriteBudgetAndOutage(t *testing.T) {
 	for seed := range uint64(3) {
 		size := smallSimulation
-		size.teamCPUs, size.writeRate, size.maxPerKind = 200, 20, 12
-		sim := newSimulationOf(seed, size)
+		size.maxTeamCPUs, size.writeRate, size.maxMachinesPerKind = 200, 20, 12
+		sim := newSimulationWithSize(seed, size)
 		sim.faultsActive, sim.writeRate, sim.writeBudget = false, 20, 20
 		sim.changesBySecond, sim.acceptedAt = make([]int, 201), map[string]time.Duration{}
 		jobs := sim.submitSmallJobs()
@@ -239,8 +239,8 @@
 func TestOverloadStarvesNoJob(t *testing.T) {
 	for seed := range uint64(3) {
 		size := smallSimulation
-		size.teamCPUs, size.maxPerKind = 60, 2
-		sim := newSimulationOf(seed, size)
+		size.maxTeamCPUs, size.maxMachinesPerKind = 60, 2
+		sim := newSimulationWithSize(seed, size)
 		sim.faultsActive, sim.maxLinkDelay = false, 400*time.Millisecond
 		jobs := sim.submitOverload()
 		starts := sim.recordStarts()
--- a/internal/scheduler/combined_faults_test.go
+++ b/internal/scheduler/combined_faults_test.go
@@ -18,7 +18,7 @@
 	}{
 		{"the key-value store refuses the leader alone, then everybody for longer than the cancellation bound, and a peer restarts", keepaliveBoundByWatermark,
 			func(sim *simulation, leader *simController) {
-				leader.refusedUntil = sim.now + 10*time.Second
+				leader.refusedByStoreUntil = sim.now + 10*time.Second
 				sim.after(sim.randomDuration(1000, 1500), func() {
 					sim.cancelHalfOfServices()
 					sim.kvStore.StartOutage()
@@ -32,12 +32,12 @@
 			}},
 		{"the same, and all peers stay up", peerCancellationLists,
 			func(sim *simulation, leader *simController) {
-				leader.refusedUntil = sim.now + 10*time.Second
+				leader.refusedByStoreUntil = sim.now + 10*time.Second
 				sim.after(sim.randomDuration(100, 1500), sim.cancelHalfOfServices)
 				sim.after(sim.randomDuration(1600, 2200), func() { sim.kvStore.StartOutage() })
 				sim.after(70*time.Second, func() { sim.kvStore.EndOutage(sim.now) })
 			}},
-		{"a leader that no worker reaches is then partitioned from the controller that they reach", enforcedWatermark,
+		{"a leader that no worker reaches is then partitioned from the controller that they reach", keepaliveFromEnforcement,
 			func(sim *simulation, leader *simController) {
 				leader.workersUnreachableUntil = sim.now + 60*time.Second
 				sim.after(sim.randomDuration(50, 200), sim.cancelHalfOfServices)
@@ -48,13 +48,13 @@
 					}
 					for _, c := range sim.controllers {
 						if sim.zoneOf(c.name) == zone {
-							c.partitionedUntil = sim.now + 60*time.Second
+							c.isolatedUntil = sim.now + 60*time.Second
 						}
 					}
 					sim.zonePartitionedUntil[zone] = sim.now + 60*time.Second
 				})
 			}},
-		{"a leader is paused, and partitioned with its zone when it resumes; the cloud is down", watermarkAtReading,
+		{"a leader is paused, and partitioned with its zone when it resumes; the cloud is down", keepaliveFromWatermark,
 			func(sim *simulation, leader *simController) {
 				sim.cloudDown = true // or the zone's machines would be released in time
 				leader.pausedUntil = sim.now + sim.randomDuration(4000, 9000)
@@ -62,7 +62,7 @@
 					sim.zonePartitionedUntil[sim.zoneOf(leader.name)] = sim.now + 60*time.Second
 					for _, c := range sim.controllers {
 						if sim.zoneOf(c.name) == sim.zoneOf(leader.name) {
-							c.partitionedUntil = sim.now + 60*time.Second
+							c.isolatedUntil = sim.now + 60*time.Second
 						}
 					}
 					sim.after(sim.randomDuration(10, 3000), sim.cancelHalfOfServices)
--- a/internal/scheduler/decision_digest_test.go
+++ b/internal/scheduler/decision_digest_test.go
@@ -18,25 +18,25 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// printDigest has TestDecisionDigest run all digest simulations and print their digests:
+// printDigest makes TestDecisionDigest run all digest simulations and print their digests:
 //
 //	go test ./internal/scheduler -run TestDecisionDigest -decision-digest -v
 //
-// A change that is not meant to change behaviour leaves the total as it is.
+// A change that is not meant to change behaviour must not change the total.
 var printDigest = flag.Bool("decision-digest", false, "run all digest simulations and print a digest of all decisions")
 
 const (
-	digestSimulations      = 60 // that run with the flag
-	quickDigestSimulations = 4  // that run twice without it
+	digestSimulations      = 60 // simulations with the flag
+	quickDigestSimulations = 4  // simulations without the flag; each runs twice
 )
 
-// decisionDigest hashes what leaders decide: direct calls, transactions, provisioning
-// requests, releases, replies to heartbeats, and resignations. Log lines, texts of reasons
-// and Go names have no part in it.
+// decisionDigest hashes the decisions of leaders: direct calls, transactions, provisioning
+// requests, releases, replies to heartbeats, and resignations. Log lines, texts of reasons and
+// Go names do not affect the hash.
 type decisionDigest struct {
 	hash     hash.Hash
 	encoding cbor.EncMode
-	count    int
+	count    int // decisions
 }
 
 func newDecisionDigest() *decisionDigest {
@@ -57,15 +57,16 @@
 	return encoded
 }
 
-// encodeSorted encodes the parts of a transaction in an order of their own: each concerns
-// another key, and the leader lists some of them in the order of a map.
-func encodeSorted[T any](d *decisionDigest, parts []T) [][]byte {
-	var out [][]byte
-	for _, part := range parts {
-		out = append(out, d.encode(part))
+// encodeSorted encodes the comparisons or changes of a transaction and sorts the encodings.
+// Their order does not matter, as each concerns another key, and the leader lists some of them
+// in the random order of a map.
+func encodeSorted[T any](d *decisionDigest, elements []T) [][]byte {
+	var encoded [][]byte
+	for _, element := range elements {
+		encoded = append(encoded, d.encode(element))
 	}
-	slices.SortFunc(out, bytes.Compare)
-	return out
+	slices.SortFunc(encoded, bytes.Compare)
+	return encoded
 }
 
 // addEffects hashes what a leader decided after one input, in the order of its decisions.
@@ -76,8 +77,8 @@
 	for _, commit := range e.Commits {
 		d.add(now, controller, "commit", commit.ID, encodeSorted(d, commit.Txn.If), encodeSorted(d, commit.Txn.Then))
 	}
-	for _, rental := range e.Provision {
-		d.add(now, controller, "rent", rental.Request)
+	for _, request := range e.Provision {
+		d.add(now, controller, "rent", request.Request)
 	}
 	for _, names := range e.Release {
 		d.add(now, controller, "release", names)
@@ -94,8 +95,9 @@
 
 func (d *decisionDigest) String() string { return hex.EncodeToString(d.hash.Sum(nil)) }
 
-// digestSimulation prepares a simulation: its settings, users and faults follow from its
-// number, so that all settings meet all kinds of faults. It returns when it ends.
+// digestSimulation prepares a simulation and returns it with its end time. The number of the
+// simulation determines its settings, users and faults, so that all settings are combined with
+// all kinds of faults.
 func digestSimulation(number int) (*simulation, time.Duration) {
 	sim := newSimulation(uint64(1000 + number))
 	sim.decisions = newDecisionDigest()
@@ -124,7 +126,8 @@
 	return sim, 260 * time.Second
 }
 
-// scheduleDigestRestarts has all controllers crash and restart while services and arrays run.
+// scheduleDigestRestarts schedules a crash and restart of all controllers while services and
+// arrays run, with one of four further faults. It returns the end time of the simulation.
 func scheduleDigestRestarts(sim *simulation, number int) (end time.Duration) {
 	for index := range 6 {
 		sim.after(time.Duration(index)*200*time.Millisecond, func() { sim.submit(sim.serviceJob(fmt.Sprintf("run-%06d", index), 2)) })
@@ -166,9 +169,9 @@
 	return sim.decisions
 }
 
-// Decisions follow from the inputs alone: two runs of a simulation have the same. With
-// -decision-digest the digests of many simulations are printed, to be compared with those of
-// another version.
+// Decisions depend on the inputs alone, so two runs of a simulation have the same digest. With
+// -decision-digest the test prints the digests of many simulations, for a comparison with
+// another version of the scheduler.
 func TestDecisionDigest(t *testing.T) {
 	if !*printDigest {
 		for i := range quickDigestSimulations {
--- a/internal/scheduler/fake_workers_test.go
+++ b/internal/scheduler/fake_workers_test.go
@@ -8,33 +8,33 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// establishedTime is how long a task has to run for its job to count as established.
+// establishedTime is the run time of a task after which its job counts as established.
 const establishedTime = 30 * time.Second
 
-// fakeWorkers are the workers of three machines of a harness: they run what the scheduler
-// starts and report it.
+// fakeWorkers simulates the workers of three machines of a harness. They run the tasks that the
+// scheduler starts, and report them.
 type fakeWorkers struct {
 	harness        *harness
 	machines       []string
 	tasks          map[string]map[string]*fakeTask                            // by machine and task
-	runTask        func(task, machine string) (d time.Duration, cause string) // how long it runs, and how it exits
-	checkpointTime time.Duration                                              // how long a stopped task saves its progress; 0: it is gone at once
-	imageFetchTime func() time.Duration                                       // nil: images take no time
+	runTask        func(task, machine string) (d time.Duration, cause string) // returns run time and exit cause
+	checkpointTime time.Duration                                              // of a stopped task; 0: it is removed at once
+	imageFetchTime func() time.Duration                                       // nil: no image is fetched
 
 	startedAt        time.Duration
 	startCount       int
-	firstStartAfter  map[string]time.Duration // when a job's first task started
-	establishedAfter map[string]time.Duration // when a task of a job had run for establishedTime
+	firstStartAfter  map[string]time.Duration // by job, since startedAt: first start of a task
+	establishedAfter map[string]time.Duration // by job, since startedAt: a task ran for establishedTime
 }
 
 // fakeTask is a task that a fake worker runs or has run.
 type fakeTask struct {
 	report    wire.TaskStatus
 	startedAt time.Duration
-	fetchedAt time.Duration // when it has its image; 0: at once
-	stoppedAt time.Duration // 0: it was not stopped
+	fetchedAt time.Duration // end of the image fetch; 0: no image is fetched
+	stoppedAt time.Duration // when it was told to stop; 0: it was not
 	endsAt    time.Duration
-	cause     string // of its exit
+	cause     string // cause of its exit
 }
 
 func newFakeWorkers(h *harness, runTask func(task, machine string) (time.Duration, string)) *fakeWorkers {
@@ -49,28 +49,28 @@
 	return w
 }
 
-// step lets half a second pass: workers execute the direct calls in flight, answer them and
-// send a heartbeat each.
+// step moves the time forward by half a second. Workers execute and answer the pending direct
+// calls, and each sends a heartbeat.
 func (w *fakeWorkers) step() {
 	h := w.harness
 	h.now += 500 * time.Millisecond
-	calls := h.calls
-	h.calls = nil
+	calls := h.pendingCalls
+	h.pendingCalls = nil
 	for _, call := range calls {
-		w.apply(call.Machine, call.Body.Commands)
+		w.executeCommands(call.Machine, call.Body.Commands)
 	}
 	for _, call := range calls {
 		h.scheduler.CallDone(h.clock(), call.ID, CallExecuted, h.newHeartbeat(call.Machine, call.Body.FencingToken, w.taskReports(call.Machine)...))
 	}
 	for _, machine := range w.machines {
-		w.apply(machine, h.heartbeat(machine, w.taskReports(machine)...).Commands)
+		w.executeCommands(machine, h.heartbeat(machine, w.taskReports(machine)...).Commands)
 	}
 	h.scheduler.Tick(h.clock())
 	h.settle()
 }
 
-// apply has a worker execute commands.
-func (w *fakeWorkers) apply(machine string, commands []wire.Command) {
+// executeCommands simulates a worker that executes commands.
+func (w *fakeWorkers) executeCommands(machine string, commands []wire.Command) {
 	for _, command := range commands {
 		task := w.tasks[machine][command.Task]
 		known := task != nil && task.report.Attempt == command.Attempt
@@ -90,12 +90,12 @@
 
 func (w *fakeWorkers) start(machine string, command wire.Command) {
 	now := w.harness.now
-	run, cause := w.runTask(command.Task, machine)
-	task := &fakeTask{report: runningReport(command), startedAt: now, endsAt: now + run, cause: cause}
+	runTime, cause := w.runTask(command.Task, machine)
+	task := &fakeTask{report: runningReport(command), startedAt: now, endsAt: now + runTime, cause: cause}
 	if w.imageFetchTime != nil {
-		fetch := w.imageFetchTime()
-		task.fetchedAt = now + fetch
-		task.endsAt += fetch
+		fetchTime := w.imageFetchTime()
+		task.fetchedAt = now + fetchTime
+		task.endsAt += fetchTime
 	}
 	w.tasks[machine][command.Task] = task
 	w.startCount++
@@ -105,7 +105,7 @@
 	}
 }
 
-// stop has a task save its progress and exit.
+// stop makes a task save a checkpoint and exit.
 func (w *fakeWorkers) stop(task *fakeTask) {
 	if task.stoppedAt == 0 {
 		task.stoppedAt = w.harness.now
@@ -114,8 +114,8 @@
 	}
 }
 
-// taskReports lists the tasks of a machine as its worker reports them now.
-func (w *fakeWorkers) taskReports(machine string) (out []wire.TaskStatus) {
+// taskReports returns the current reports of all tasks of a machine.
+func (w *fakeWorkers) taskReports(machine string) (reports []wire.TaskStatus) {
 	now := w.harness.now
 	for _, name := range slices.Sorted(maps.Keys(w.tasks[machine])) {
 		task := w.tasks[machine][name]
@@ -130,7 +130,7 @@
 		if task.endsAt <= now {
 			task.report.State, task.report.Cause = wire.TaskExited, task.cause
 		}
-		out = append(out, task.report)
+		reports = append(reports, task.report)
 	}
-	return out
+	return reports
 }
--- a/internal/scheduler/fault_injection_test.go
+++ b/internal/scheduler/fault_injection_test.go
@@ -135,8 +135,8 @@
 		var unexpected []string
 		for i := range 4 {
 			sim.after(sim.randomDuration(0, 20_000), func() {
-				bootTime := []time.Duration{never, 40 * time.Second, sim.randomDuration(1, 2000), never}[i]
-				unexpected = append(unexpected, sim.bootMachineIn(bootTime, sim.machineTypes[i%2], "a", i%2 == 0))
+				bootTime := []time.Duration{neverBoots, 40 * time.Second, sim.randomDuration(1, 2000), neverBoots}[i]
+				unexpected = append(unexpected, sim.bootMachineAfter(bootTime, sim.machineTypes[i%2], "a", i%2 == 0))
 			})
 		}
 		sim.run(150 * time.Second)
--- a/internal/scheduler/fleet_harness_test.go
+++ b/internal/scheduler/fleet_harness_test.go
@@ -10,29 +10,29 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// fleetHarness drives the scheduler of a large fleet: transactions and direct calls succeed
-// at once, and every machine runs what it is told to.
+// fleetHarness drives the scheduler of a large fleet. Transactions and direct calls succeed at
+// once, and every machine executes all commands.
 type fleetHarness struct {
 	tb        testing.TB
 	scheduler *Scheduler
 	now       time.Duration
-	cpuShare  float64 // that the next leader has; 0: not known
+	cpuShare  float64 // cores available to the next leader; 0: unknown
 
-	items    map[string]wire.KeyValue // what is stored, by key
-	revision uint64                   // of the last transaction
-	live     map[string]*LiveJob
+	items    map[string]wire.KeyValue // stored items, by key
+	revision uint64                   // revision of the last transaction
+	liveJobs map[string]*LiveJob
 
-	machineNames []string
-	tasks        map[string]map[string]wire.TaskStatus // by machine and task
-	sequences    map[string]uint64                     // of the last heartbeat, by machine
-	tokens       map[string]uint64                     // highest that a machine has seen
+	machineNames  []string
+	tasks         map[string]map[string]wire.TaskStatus // by machine and task
+	sequences     map[string]uint64                     // sequence number of the last heartbeat, by machine
+	fencingTokens map[string]uint64                     // highest fencing token received, by machine
 
-	directCalls  int // so far
-	statusProbes int // direct calls without commands
-	writes       int // changes written so far
+	directCallCount  int // direct calls so far
+	statusProbeCount int // direct calls without commands so far
+	writtenChanges   int // changes in committed transactions so far
 }
 
-// fleetTeams is how many teams submit jobs, by turns.
+// fleetTeams is the number of teams. They submit jobs in turn.
 const fleetTeams = 12
 
 func fleetSettings() Settings {
@@ -48,16 +48,16 @@
 
 var fleetMachineTypes = []wire.MachineType{{Name: "box", CPUs: 16, MemoryGB: 64, CacheGB: 50, FetchGBPerS: 0.5, Price: 1, SpotPrice: 0.5, BootS: 10, Zones: []string{"a", "b"}}}
 
-// newFleetHarness brings machines up and fills them: two tasks of services and four of
-// arrays on each.
+// newFleetHarness brings machines up and fills each with two tasks of services and four of
+// arrays.
 func newFleetHarness(tb testing.TB, machines int) *fleetHarness {
 	tb.Helper()
 	f := &fleetHarness{
-		tb: tb, now: time.Hour, revision: 100, items: map[string]wire.KeyValue{}, live: map[string]*LiveJob{},
-		tasks: map[string]map[string]wire.TaskStatus{}, sequences: map[string]uint64{}, tokens: map[string]uint64{},
+		tb: tb, now: time.Hour, revision: 100, items: map[string]wire.KeyValue{}, liveJobs: map[string]*LiveJob{},
+		tasks: map[string]map[string]wire.TaskStatus{}, sequences: map[string]uint64{}, fencingTokens: map[string]uint64{},
 	}
 	for i := range machines {
-		f.machineNames = append(f.machineNames, machineNumber(i))
+		f.machineNames = append(f.machineNames, numberedMachineName(i))
 		f.tasks[f.machineNames[i]] = map[string]wire.TaskStatus{}
 	}
 	f.startTerm(50)
@@ -79,10 +79,10 @@
 
 func (f *fleetHarness) clock() Now { return Now{Mono: f.now, Wall: f.now.Milliseconds()} }
 
-// startTerm starts a term from what is stored.
+// startTerm begins a term from the live jobs and the stored assignment batches.
 func (f *fleetHarness) startTerm(term uint64) {
 	replica := NewReplica()
-	replica.Live = f.live
+	replica.Live = f.liveJobs
 	settings := fleetSettings()
 	settings.CPUShare = f.cpuShare
 	f.scheduler = New(f.clock(), settings, term, replica, nil, storedBatches(f.items), fleetMachineTypes)
@@ -90,24 +90,25 @@
 	f.scheduler.ExtendLease(1000 * time.Hour)
 }
 
-// submit submits a job of the next team, unless it names one.
+// submit submits a job, of the next team unless the job names one.
 func (f *fleetHarness) submit(j wire.Job) {
 	j.CreatedAtMilli, j.Image, j.ImageGB = f.now.Milliseconds(), "img", 1
 	if j.Team == "" {
-		j.Team = fmt.Sprintf("team-%02d", len(f.live)%fleetTeams)
+		j.Team = fmt.Sprintf("team-%02d", len(f.liveJobs)%fleetTeams)
 	}
 	f.revision++
 	live := &LiveJob{Record: &records.Job{Job: j}, ModRevision: f.revision}
-	f.live[j.ID] = live
+	f.liveJobs[j.ID] = live
 	f.scheduler.JobsChanged(f.clock(), []JobChange{{j.ID, live}})
 }
 
-// newHeartbeat is the next heartbeat of a machine. Zones take turns.
+// newHeartbeat returns the next heartbeat of a machine. The machines are in zones a and b by
+// turns.
 func (f *fleetHarness) newHeartbeat(name string) *wire.Heartbeat {
 	f.sequences[name]++
 	heartbeat := &wire.Heartbeat{
 		Machine: name, Address: name + ":1", Type: "box", Zone: string("ab"[int(name[len(name)-1])%2]),
-		Incarnation: 1, Sequence: f.sequences[name], FencingToken: f.tokens[name],
+		Incarnation: 1, Sequence: f.sequences[name], FencingToken: f.fencingTokens[name],
 	}
 	for _, task := range f.tasks[name] {
 		heartbeat.Tasks = append(heartbeat.Tasks, task)
@@ -115,9 +116,9 @@
 	return heartbeat
 }
 
-// apply has a machine execute commands.
-func (f *fleetHarness) apply(name string, token uint64, commands []wire.Command) {
-	f.tokens[name] = max(f.tokens[name], token)
+// executeCommands simulates a machine that executes commands.
+func (f *fleetHarness) executeCommands(name string, token uint64, commands []wire.Command) {
+	f.fencingTokens[name] = max(f.fencingTokens[name], token)
 	tasks := f.tasks[name]
 	for _, command := range commands {
 		switch task, ok := tasks[command.Task]; {
@@ -132,18 +133,19 @@
 	}
 }
 
-// heartbeat sends a machine's heartbeat and has it execute the reply.
+// heartbeat sends a machine's heartbeat and executes the commands in the reply.
 func (f *fleetHarness) heartbeat(name string) {
 	f.tb.Helper()
 	reply, ok := f.scheduler.Heartbeat(f.clock(), f.newHeartbeat(name))
 	if !ok {
 		f.tb.Fatalf("the heartbeat of %s is not answered", name)
 	}
-	f.apply(name, reply.FencingToken, reply.Commands)
+	f.executeCommands(name, reply.FencingToken, reply.Commands)
 	f.settle()
 }
 
-// heartbeatAll lets one heartbeat interval pass, in which every machine sends a heartbeat.
+// heartbeatAll moves the time forward by a heartbeat interval, in which every machine sends a
+// heartbeat.
 func (f *fleetHarness) heartbeatAll() {
 	f.tb.Helper()
 	for _, name := range f.machineNames {
@@ -152,7 +154,7 @@
 	}
 }
 
-// refreshHeartbeats makes the last heartbeat of every machine one of just now.
+// refreshHeartbeats sets the time of every machine's last heartbeat to now.
 func (f *fleetHarness) refreshHeartbeats() {
 	f.scheduler.monitor.lastHeartbeatAt = f.now
 	for _, m := range f.scheduler.cluster.sortedMachines() {
@@ -173,7 +175,7 @@
 			f.commit(c)
 		}
 		for _, call := range effects.DirectCalls {
-			f.call(call)
+			f.executeCall(call)
 		}
 		if len(effects.Commits)+len(effects.DirectCalls) == 0 {
 			return
@@ -181,21 +183,21 @@
 	}
 }
 
-// commit carries a transaction out.
+// commit stores a transaction.
 func (f *fleetHarness) commit(c Commit) {
 	f.tb.Helper()
 	f.revision++
-	f.writes += len(c.Txn.Then)
+	f.writtenChanges += len(c.Txn.Then)
 	storeTransaction(f.tb, f.items, c.Txn, f.revision)
 	f.scheduler.CommitEnded(f.clock(), c.ID, CommitDone, f.revision, nil)
 }
 
-// call has a machine execute a direct call, and answers it.
-func (f *fleetHarness) call(call DirectCall) {
-	f.directCalls++
+// executeCall executes a direct call on its machine and answers it.
+func (f *fleetHarness) executeCall(call DirectCall) {
+	f.directCallCount++
 	if len(call.Body.Commands) == 0 {
-		f.statusProbes++
+		f.statusProbeCount++
 	}
-	f.apply(call.Machine, call.Body.FencingToken, call.Body.Commands)
+	f.executeCommands(call.Machine, call.Body.FencingToken, call.Body.Commands)
 	f.scheduler.CallDone(f.clock(), call.ID, CallExecuted, f.newHeartbeat(call.Machine))
 }
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -13,33 +13,33 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// harness drives one scheduler step by step: every transaction succeeds at once, and direct
-// calls wait until the test answers them.
+// harness drives one scheduler step by step. Every transaction succeeds at once unless the test
+// refuses transactions, and direct calls wait until the test answers them.
 type harness struct {
 	t         *testing.T
 	scheduler *Scheduler
 	now       time.Duration
 
-	items         map[string]wire.KeyValue // what is stored, by key
-	revision      uint64                   // of the last transaction
-	refuseCommits bool
+	items         map[string]wire.KeyValue // stored items, by key
+	revision      uint64                   // revision of the last transaction
+	refuseCommits bool                     // refuse all transactions
 
-	calls             []DirectCall // in flight
+	pendingCalls      []DirectCall // direct calls without an answer yet
 	provisionRequests []ProvisionRequest
-	releases          [][]string
-	startsInReplies   []wire.Command
-	sequences         map[string]uint64 // of the last heartbeat, by machine
+	releases          [][]string        // machine names of each release request
+	startsInReplies   []wire.Command    // start commands in replies to heartbeats
+	sequences         map[string]uint64 // sequence number of the last heartbeat, by machine
 }
 
 // harnessTerm is the term of a new harness.
 const harnessTerm = 50
 
-// harnessConfig is what a term of a harness begins with.
+// harnessConfig has the initial state and the settings of the first term of a harness.
 type harnessConfig struct {
-	live         map[string]*LiveJob
-	records      []wire.KeyValue // stored assignments
-	minimizeCost bool
-	change       func(*Settings) // changes the settings before the term begins; nil: it does not
+	liveJobs       map[string]*LiveJob
+	records        []wire.KeyValue // stored assignments
+	minimizeCost   bool
+	modifySettings func(*Settings) // modifies the settings before the term begins; may be nil
 }
 
 // newHarness begins a term without jobs or records.
@@ -48,7 +48,7 @@
 	return newHarnessWith(t, harnessConfig{})
 }
 
-// newHarnessWith begins a term.
+// newHarnessWith begins a term with the given state and settings.
 func newHarnessWith(t *testing.T, config harnessConfig) *harness {
 	t.Helper()
 	h := &harness{t: t, now: time.Hour, revision: 100, items: map[string]wire.KeyValue{}, sequences: map[string]uint64{}}
@@ -59,19 +59,19 @@
 		MaxTransactionOps: 12, MaxValueBytes: 4096, WriteRate: 1000,
 		MinimizeCost: config.minimizeCost, Policy: policy.Defaults(policy.CostSensitivity(config.minimizeCost)),
 	}
-	if config.change != nil {
-		config.change(&settings)
+	if config.modifySettings != nil {
+		config.modifySettings(&settings)
 	}
 	types := []wire.MachineType{{Name: "box", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchGBPerS: 1, Price: 1, SpotPrice: 0.5, BootS: 10, Zones: []string{"a", "b"}}}
-	h.startTerm(settings, harnessTerm, config.live, config.records, types)
+	h.startTerm(settings, harnessTerm, config.liveJobs, config.records, types)
 	return h
 }
 
-// startTerm begins a term from what is stored.
-func (h *harness) startTerm(settings Settings, term uint64, live map[string]*LiveJob, storedRecords []wire.KeyValue, types []wire.MachineType) {
+// startTerm begins a term from live jobs and stored assignment records.
+func (h *harness) startTerm(settings Settings, term uint64, liveJobs map[string]*LiveJob, storedRecords []wire.KeyValue, types []wire.MachineType) {
 	h.t.Helper()
 	replica := NewReplica()
-	for id, liveJob := range live {
+	for id, liveJob := range liveJobs {
 		replica.Live[id] = liveJob
 	}
 	h.scheduler = New(h.clock(), settings, term, replica, nil, storedRecords, types)
@@ -79,8 +79,8 @@
 	h.settle()
 }
 
-// machineNumber is the name of a machine.
-func machineNumber(number int) string { return fmt.Sprintf("n-%06d", number) }
+// numberedMachineName returns the name of the machine with the given number.
+func numberedMachineName(number int) string { return fmt.Sprintf("n-%06d", number) }
 
 func (h *harness) clock() Now { return Now{Mono: h.now, Wall: h.now.Milliseconds()} }
 
@@ -91,7 +91,7 @@
 		h.now += 4 * time.Millisecond // assignment batches are spaced
 		h.scheduler.Settle(h.clock())
 		effects := h.scheduler.TakeEffects()
-		h.calls = append(h.calls, effects.DirectCalls...)
+		h.pendingCalls = append(h.pendingCalls, effects.DirectCalls...)
 		h.provisionRequests = append(h.provisionRequests, effects.Provision...)
 		h.releases = append(h.releases, effects.Release...)
 		if effects.Resign != "" {
@@ -106,7 +106,7 @@
 	}
 }
 
-// commit carries a transaction out, or refuses it.
+// commit stores a transaction, or refuses it if refuseCommits is set.
 func (h *harness) commit(c Commit) {
 	h.t.Helper()
 	if h.refuseCommits {
@@ -118,7 +118,7 @@
 	h.scheduler.CommitEnded(h.clock(), c.ID, CommitDone, h.revision, nil)
 }
 
-// storeTransaction carries out the changes of a transaction on what is stored.
+// storeTransaction applies the changes of a transaction to the stored items.
 func storeTransaction(tb testing.TB, items map[string]wire.KeyValue, transaction wire.Txn, revision uint64) {
 	tb.Helper()
 	for _, op := range transaction.Then {
@@ -134,7 +134,7 @@
 	}
 }
 
-// storedBatches are the assignment batches among what is stored.
+// storedBatches returns the assignment batches among the stored items.
 func storedBatches(items map[string]wire.KeyValue) (batches []wire.KeyValue) {
 	for key, item := range items {
 		if strings.HasPrefix(key, records.BatchPrefix) {
@@ -144,8 +144,8 @@
 	return batches
 }
 
-// advance lets time pass, with ticks, while the named machines send heartbeats and answer
-// status probes.
+// advance moves the time forward by the given duration, with ticks. At every tick the named
+// machines send heartbeats and answer status probes.
 func (h *harness) advance(duration time.Duration, machines ...string) {
 	h.t.Helper()
 	for end := h.now + duration; h.now < end; {
@@ -159,27 +159,27 @@
 	}
 }
 
-// answerStatusProbes answers the status probes of the named machines.
+// answerStatusProbes answers the pending status probes to the named machines.
 func (h *harness) answerStatusProbes(machines []string) {
 	h.t.Helper()
-	calls := h.calls
-	h.calls = nil
+	calls := h.pendingCalls
+	h.pendingCalls = nil
 	for _, c := range calls {
 		if len(c.Body.Commands) == 0 && slices.Contains(machines, c.Machine) {
 			h.answer(c, CallExecuted)
 		} else {
-			h.calls = append(h.calls, c)
+			h.pendingCalls = append(h.pendingCalls, c)
 		}
 	}
 }
 
-// heartbeat sends a machine's heartbeat, under the fencing token that is now used with it.
+// heartbeat sends a machine's heartbeat with the machine's current fencing token.
 func (h *harness) heartbeat(name string, tasks ...wire.TaskStatus) wire.HeartbeatReply {
 	h.t.Helper()
 	return h.heartbeatWithToken(name, h.fencingToken(name), tasks...)
 }
 
-// fencingToken is the fencing token that is now used with a machine; 0: it is not known.
+// fencingToken returns a machine's current fencing token, or 0 for an unknown machine.
 func (h *harness) fencingToken(name string) uint64 {
 	if m := h.scheduler.cluster.machines[name]; m != nil {
 		return h.scheduler.fencingToken(m)
@@ -187,8 +187,8 @@
 	return 0
 }
 
-// newHeartbeat is the next heartbeat of a machine. Machines up to n-5 are in zone a, the
-// others in zone b.
+// newHeartbeat returns the next heartbeat of a machine. Machines whose names sort up to n-5 are
+// in zone a, the others in zone b.
 func (h *harness) newHeartbeat(name string, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
 	h.sequences[name]++
 	zone := "a"
@@ -198,7 +198,7 @@
 	return &wire.Heartbeat{Machine: name, Address: name + ":1", Type: "box", Zone: zone, Incarnation: 1, Sequence: h.sequences[name], FencingToken: token, Tasks: tasks}
 }
 
-// heartbeatWithToken sends a machine's heartbeat under the given fencing token.
+// heartbeatWithToken sends a machine's heartbeat with the given fencing token.
 func (h *harness) heartbeatWithToken(name string, token uint64, tasks ...wire.TaskStatus) wire.HeartbeatReply {
 	h.t.Helper()
 	reply, ok := h.scheduler.Heartbeat(h.clock(), h.newHeartbeat(name, token, tasks...))
@@ -214,8 +214,8 @@
 	return reply
 }
 
-// bringUp brings machines up: they send a heartbeat, and answer the status probe that
-// follows.
+// bringUp brings machines up: each sends a heartbeat, answers the status probe that follows,
+// and sends another heartbeat.
 func (h *harness) bringUp(names ...string) {
 	h.t.Helper()
 	for _, name := range names {
@@ -225,18 +225,19 @@
 	}
 }
 
-// answerAll ends all direct calls that are in flight, as answer does.
+// answerAll answers all pending direct calls with the given result, see answer.
 func (h *harness) answerAll(result CallResult) {
 	h.t.Helper()
-	for len(h.calls) > 0 {
-		c := h.calls[0]
-		h.calls = h.calls[1:]
+	for len(h.pendingCalls) > 0 {
+		c := h.pendingCalls[0]
+		h.pendingCalls = h.pendingCalls[1:]
 		h.answer(c, result)
 	}
 }
 
-// answer ends a direct call. Unless it is lost, the machine has done what it was told, and
-// lists the tasks that it had acknowledged before and those that were started or stopped.
+// answer ends a direct call with the given result. Unless the call is lost, the machine reports
+// the tasks that it had acknowledged before, and the effects of the call's start and stop
+// commands.
 func (h *harness) answer(call DirectCall, result CallResult) {
 	h.t.Helper()
 	var heartbeat *wire.Heartbeat
@@ -248,7 +249,7 @@
 	h.settle()
 }
 
-// tasksAfter lists the tasks of a machine after it has executed a direct call.
+// tasksAfter returns the tasks of a machine after it has executed a direct call.
 func (h *harness) tasksAfter(call DirectCall) (tasks []wire.TaskStatus) {
 	for _, a := range h.scheduler.cluster.machines[call.Machine].sortedAttempts() {
 		if a.start.acknowledged {
@@ -268,13 +269,12 @@
 	return tasks
 }
 
-// runningStatus is how a worker reports a running attempt.
+// runningStatus returns a worker's report of a running attempt.
 func runningStatus(a *attempt) wire.TaskStatus {
 	return wire.TaskStatus{Task: wire.TaskName(a.ref.jobID, a.ref.index), Attempt: a.number, State: wire.TaskRunning}
 }
 
-// submit submits a job, with defaults for what it does not say, and lets a placement round
-// follow.
+// submit submits a job, with defaults for unset fields, and runs a placement round.
 func (h *harness) submit(j wire.Job) {
 	h.t.Helper()
 	j.CreatedAtMilli = h.now.Milliseconds()
@@ -296,30 +296,31 @@
 	h.settle()
 }
 
-// startCommands lists the starts in replies to heartbeats and in calls that are in flight.
-func (h *harness) startCommands() (out []wire.Command) {
-	out = append(out, h.startsInReplies...)
-	for _, c := range h.calls {
+// startCommands returns the start commands in replies to heartbeats and in pending direct calls.
+func (h *harness) startCommands() (starts []wire.Command) {
+	starts = append(starts, h.startsInReplies...)
+	for _, c := range h.pendingCalls {
 		for _, command := range c.Body.Commands {
 			if command.Verb == wire.VerbRun {
-				out = append(out, command)
+				starts = append(starts, command)
 			}
 		}
 	}
-	return out
+	return starts
 }
 
-// runningReport is how a worker reports the task of a start, once it runs.
+// runningReport returns a worker's report of a started task that runs.
 func runningReport(start wire.Command) wire.TaskStatus {
 	return wire.TaskStatus{Task: start.Task, Attempt: start.Attempt, State: wire.TaskRunning}
 }
 
-// exitedReport is how a worker reports the task of a start, once it has exited.
+// exitedReport returns a worker's report of a started task that has exited.
 func exitedReport(start wire.Command, cause string) wire.TaskStatus {
 	return wire.TaskStatus{Task: start.Task, Attempt: start.Attempt, State: wire.TaskExited, Cause: cause}
 }
 
-// machineRecordItem is a stored record of the layout that had one for each machine.
+// machineRecordItem returns a stored record in the legacy layout, which had one record per
+// machine.
 func machineRecordItem(t *testing.T, name string, record records.LegacyMachine) wire.KeyValue {
 	t.Helper()
 	encoded, err := wire.Marshal(record)
@@ -329,8 +330,8 @@
 	return wire.KeyValue{Key: records.LegacyMachineKey(name), Value: encoded, ModRevision: 7}
 }
 
-// recordedAttempts counts the attempts in stored assignment batches.
-func (h *harness) recordedAttempts() (count int) {
+// countRecordedAttempts counts the attempts in the stored assignment batches.
+func (h *harness) countRecordedAttempts() (count int) {
 	h.t.Helper()
 	for _, item := range storedBatches(h.items) {
 		batch, err := records.DecodeBatch(item.Value)
@@ -346,12 +347,12 @@
 	return count
 }
 
-// runningTasks lists all tasks that were started on a machine as running.
-func (h *harness) runningTasks(name string) (out []wire.TaskStatus) {
+// runningTasks reports all tasks as running whose start was sent to a machine.
+func (h *harness) runningTasks(name string) (statuses []wire.TaskStatus) {
 	for _, a := range h.scheduler.cluster.machines[name].sortedAttempts() {
 		if a.start.sent {
-			out = append(out, runningStatus(a))
+			statuses = append(statuses, runningStatus(a))
 		}
 	}
-	return out
+	return statuses
 }
--- a/internal/scheduler/heartbeat_test.go
+++ b/internal/scheduler/heartbeat_test.go
@@ -37,9 +37,9 @@
 				Tasks:        rapid.SliceOfN(task, 0, 6).Draw(r, "tasks")}
 			h.now += time.Duration(rapid.IntRange(1, 3000).Draw(r, "ms")) * time.Millisecond
 			h.heartbeat("n-4") // a valid heartbeat: a leader that receives none resigns
-			if rapid.Bool().Draw(r, "direct") && len(h.calls) > 0 {
-				c := h.calls[0]
-				h.calls = h.calls[1:]
+			if rapid.Bool().Draw(r, "direct") && len(h.pendingCalls) > 0 {
+				c := h.pendingCalls[0]
+				h.pendingCalls = h.pendingCalls[1:]
 				h.scheduler.CallDone(h.clock(), c.ID, CallResult(rapid.IntRange(0, 2).Draw(r, "result")), heartbeat)
 			} else {
 				h.scheduler.Heartbeat(h.clock(), heartbeat)
@@ -66,7 +66,7 @@
 	}
 	h.refuseCommits = false
 	h.advance(time.Second, "n-1")
-	if starts, n := h.startCommands(), h.recordedAttempts(); len(starts) != 2 || n != 2 {
+	if starts, n := h.startCommands(), h.countRecordedAttempts(); len(starts) != 2 || n != 2 {
 		t.Fatalf("%d starts, %d recorded", len(starts), n)
 	}
 }
@@ -84,7 +84,7 @@
 	var dispatchedAt []time.Duration
 	startToken := uint64(0)
 	for h.now < dispatchStartedAt+60*time.Second && h.scheduler.counters.DispatchGiveUps == 0 {
-		for _, c := range h.calls {
+		for _, c := range h.pendingCalls {
 			for _, command := range c.Body.Commands {
 				if command.Verb == wire.VerbRun {
 					if command.Attempt != first.Attempt {
@@ -114,13 +114,13 @@
 		t.Fatalf("last dispatch after %v, given up after %v, budget 30 s", last, h.now-dispatchStartedAt)
 	}
 	stopped := false
-	for _, c := range h.calls {
+	for _, c := range h.pendingCalls {
 		for _, command := range c.Body.Commands {
 			stopped = stopped || command.Verb == wire.VerbStop && command.Attempt == first.Attempt && c.Body.FencingToken > startToken
 		}
 	}
 	if !stopped {
-		t.Fatalf("no stop under a higher token: %+v", h.calls)
+		t.Fatalf("no stop under a higher token: %+v", h.pendingCalls)
 	}
 	h.answerAll(CallLost)
 	h.heartbeatWithToken("n-1", startToken) // does not list the attempt, but has the earlier token
@@ -160,7 +160,7 @@
 	h.bringUp("n-1")
 	h.submit(wire.Job{ID: "run-000001", Tasks: 2, CPUs: 1})
 	starts := h.startCommands()
-	token := h.calls[0].Body.FencingToken
+	token := h.pendingCalls[0].Body.FencingToken
 	h.answerAll(CallExecuted)
 	h.refuseCommits = true
 	countForgets := func(reply wire.HeartbeatReply) (n int) {
@@ -235,7 +235,7 @@
 		t.Error("one failing job quarantined its machine")
 	}
 	h.submit(wire.Job{ID: "run-000002", Tasks: 1, CPUs: 1})
-	for _, c := range h.calls {
+	for _, c := range h.pendingCalls {
 		for _, command := range c.Body.Commands {
 			if command.Task == "run-000002/0" {
 				h.answer(c, CallExecuted)
@@ -263,14 +263,14 @@
 	staleToken := h.fencingToken("n-1")
 	runUnreachable := func(duration time.Duration, others ...string) {
 		for end := h.now + duration; h.now < end; {
-			for _, c := range h.calls {
+			for _, c := range h.pendingCalls {
 				if c.Machine == "n-1" {
 					h.scheduler.CallDone(h.clock(), c.ID, CallLost, nil)
 				} else {
 					h.answer(c, CallExecuted)
 				}
 			}
-			h.calls = nil
+			h.pendingCalls = nil
 			h.now += tuning.TickInterval
 			h.heartbeatWithToken("n-1", staleToken)
 			for _, m := range others {
@@ -331,7 +331,7 @@
 	h := newHarness(t)
 	h.bringUp("n-1")
 	h.advance(2*h.scheduler.settings.WorkerLease, "n-1")
-	h.calls = nil
+	h.pendingCalls = nil
 	r := h.newHeartbeat("n-1", h.fencingToken("n-1"))
 	r.Incarnation = 2
 	h.scheduler.Heartbeat(h.clock(), r)
@@ -340,12 +340,12 @@
 	}
 	h.scheduler.Tick(h.clock())
 	h.settle()
-	if len(h.calls) != 1 {
-		t.Fatalf("not probed: %+v", h.calls)
+	if len(h.pendingCalls) != 1 {
+		t.Fatalf("not probed: %+v", h.pendingCalls)
 	}
-	answer := h.newHeartbeat("n-1", h.calls[0].Body.FencingToken)
+	answer := h.newHeartbeat("n-1", h.pendingCalls[0].Body.FencingToken)
 	answer.Incarnation = 2
-	h.scheduler.CallDone(h.clock(), h.calls[0].ID, CallExecuted, answer)
+	h.scheduler.CallDone(h.clock(), h.pendingCalls[0].ID, CallExecuted, answer)
 	if m := h.scheduler.cluster.machines["n-1"]; m.connectivity.unreachableSince != 0 {
 		t.Error("still marked as unreachable")
 	}
--- a/internal/scheduler/leadership_change_test.go
+++ b/internal/scheduler/leadership_change_test.go
@@ -17,9 +17,9 @@
 	live := map[string]*LiveJob{j.ID: {Record: &records.Job{Job: j, Cancelled: true}, ModRevision: 5}}
 	items := []wire.KeyValue{machineRecordItem(t, "n-1", records.LegacyMachine{Type: "box", Zone: "a", Address: "n-1:1",
 		Tasks: map[string][]records.AssignedTask{j.ID: {{Index: 0, Attempt: 9}, {Index: 1, Attempt: 10}}}})}
-	h := newHarnessWith(t, harnessConfig{live: live, records: items})
+	h := newHarnessWith(t, harnessConfig{liveJobs: live, records: items})
 	stops := 0
-	for _, c := range h.calls {
+	for _, c := range h.pendingCalls {
 		for _, o := range c.Body.Commands {
 			if o.Verb == wire.VerbStop {
 				stops++
@@ -47,7 +47,7 @@
 	live := map[string]*LiveJob{j.ID: {Record: &records.Job{Job: j}, ModRevision: 5}}
 	items := []wire.KeyValue{machineRecordItem(t, "n-1", records.LegacyMachine{Type: "box", Zone: "a", Address: "n-1:1",
 		Tasks: map[string][]records.AssignedTask{j.ID: {{Index: 0, Attempt: 9}}}})}
-	h := newHarnessWith(t, harnessConfig{live: live, records: items})
+	h := newHarnessWith(t, harnessConfig{liveJobs: live, records: items})
 	h.answerAll(CallLost)
 	h.bringUp("n-2")
 	h.heartbeatWithToken("n-1", 3) // from before this term
@@ -70,7 +70,7 @@
 	j := wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1, Team: "red", Shape: wire.ShapeArray, Priority: wire.PriorityNormal}
 	live := map[string]*LiveJob{j.ID: {Record: &records.Job{Job: j}, ModRevision: 5}}
 	for _, key := range []string{records.BatchKey(3, 1), records.LegacyMachineKey("n-7")} {
-		h := newHarnessWith(t, harnessConfig{live: live, records: []wire.KeyValue{{Key: key, Value: wire.Raw{0xa1, 0x61}, ModRevision: 7}}})
+		h := newHarnessWith(t, harnessConfig{liveJobs: live, records: []wire.KeyValue{{Key: key, Value: wire.Raw{0xa1, 0x61}, ModRevision: 7}}})
 		h.items[key] = wire.KeyValue{Key: key}
 		h.bringUp("n-1")
 		h.submit(wire.Job{ID: "run-000002", Tasks: 1, CPUs: 1})
@@ -104,7 +104,7 @@
 	j := wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1, Team: "red", Shape: wire.ShapeService, Priority: wire.PriorityProduction}
 	for _, before := range []bool{true, false} {
 		live := map[string]*LiveJob{j.ID: {Record: &records.Job{Job: j, Cancelled: before}, ModRevision: 5}}
-		h := newHarnessWith(t, harnessConfig{live: live, records: []wire.KeyValue{{Key: records.BatchKey(3, 1), Value: wire.Raw{0xa1, 0x61}, ModRevision: 7}}})
+		h := newHarnessWith(t, harnessConfig{liveJobs: live, records: []wire.KeyValue{{Key: records.BatchKey(3, 1), Value: wire.Raw{0xa1, 0x61}, ModRevision: 7}}})
 		h.bringUp("n-1")
 		list := []wire.ListedMachine{{Name: "n-1", Type: "box", Zone: "a", Address: "n-1:1", State: wire.MachineRunning, AgeS: 500},
 			{Name: "n-2", Type: "box", Zone: "a", Address: "n-2:1", State: wire.MachineRunning, AgeS: 500}}
@@ -182,7 +182,7 @@
 	h := newHarness(t)
 	h.bringUp("n-1", "n-2")
 	h.submit(wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1, Shape: wire.ShapeService, Priority: wire.PriorityProduction})
-	on := h.calls[0].Machine
+	on := h.pendingCalls[0].Machine
 	h.answerAll(CallExecuted)
 	other := map[string]string{"n-1": "n-2", "n-2": "n-1"}[on]
 	for range 15 {
--- a/internal/scheduler/leadership_faults_test.go
+++ b/internal/scheduler/leadership_faults_test.go
@@ -84,7 +84,7 @@
 						case 2:
 							c.pausedUntil = sim.now + sim.randomDuration(1000, 60_000)
 						case 3:
-							c.partitionedUntil = sim.now + sim.randomDuration(1000, 90_000)
+							c.isolatedUntil = sim.now + sim.randomDuration(1000, 90_000)
 						}
 					})
 				})
@@ -113,7 +113,7 @@
 					case 1:
 						c.pausedUntil = sim.now + sim.randomDuration(2600, 9000)
 					case 2:
-						c.refusedUntil = sim.now + sim.randomDuration(2600, 5000)
+						c.refusedByStoreUntil = sim.now + sim.randomDuration(2600, 5000)
 					}
 					for range 2 {
 						sim.after(sim.randomDuration(0, 3500), sim.cancelRandomService)
@@ -180,7 +180,7 @@
 				sim.zonePartitionedUntil[zone] = until
 				for _, c := range sim.controllers {
 					if sim.zoneOf(c.name) == zone {
-						c.partitionedUntil = until
+						c.isolatedUntil = until
 					}
 				}
 			})
@@ -196,7 +196,7 @@
 			// The leader is partitioned from the key-value store and its peers, not from
 			// workers and users; jobs are cancelled through its successor.
 			c := sim.currentLeader()
-			c.partitionedUntil = sim.now + sim.randomDuration(15_000, 70_000)
+			c.isolatedUntil = sim.now + sim.randomDuration(15_000, 70_000)
 			for range 3 {
 				sim.after(sim.randomDuration(0, 3000), sim.cancelRandomService)
 			}
@@ -279,7 +279,7 @@
 // then everybody for longer than the cancellation bound.
 func (sim *simulation) refuseLeaderThenOutage(alone time.Duration) {
 	if c := sim.currentLeader(); c != nil {
-		c.refusedUntil = sim.now + alone + time.Second
+		c.refusedByStoreUntil = sim.now + alone + time.Second
 	}
 	sim.after(alone, func() {
 		sim.kvStore.StartOutage()
--- a/internal/scheduler/machine_faults_test.go
+++ b/internal/scheduler/machine_faults_test.go
@@ -26,12 +26,12 @@
 			task := wire.TaskName(j.ID, i)
 			on[name] = map[string]wire.TaskStatus{task: {Task: task, Attempt: 9, State: wire.TaskRunning}}
 		}
-		h := newHarnessWith(t, harnessConfig{live: live, records: storedRecords})
+		h := newHarnessWith(t, harnessConfig{liveJobs: live, records: storedRecords})
 		lost := rng.IntN(3) // first status probes of n-1 that get no answer
 		spell := func(t time.Duration) {
 			for end := h.now + t; h.now < end; {
-				calls := h.calls
-				h.calls = nil
+				calls := h.pendingCalls
+				h.pendingCalls = nil
 				for _, c := range calls {
 					if c.Machine == "n-1" && lost > 0 {
 						lost--
@@ -117,9 +117,9 @@
 				"run-000003": {Record: &records.Job{Job: job("run-000003", 2), Done: done.EncodeChunk(0)}, ModRevision: 5},
 				"run-000004": {Record: &records.Job{Job: job("run-000004", 1)}, ModRevision: 5},
 			}
-			h := newHarnessWith(t, harnessConfig{live: live, records: []wire.KeyValue{machineRecordItem(t, "n-1", records.LegacyMachine{Type: "box", Zone: "a", Address: "n-1:1",
+			h := newHarnessWith(t, harnessConfig{liveJobs: live, records: []wire.KeyValue{machineRecordItem(t, "n-1", records.LegacyMachine{Type: "box", Zone: "a", Address: "n-1:1",
 				Tasks: map[string][]records.AssignedTask{"run-000002": {{Index: 1, Attempt: 8}}, "run-000004": {{Index: 0, Attempt: 9}}}})}})
-			h.calls = nil // n-1 sends no heartbeat, so the cancelled job stays live
+			h.pendingCalls = nil // n-1 sends no heartbeat, so the cancelled job stays live
 			stops := 0
 			count := func(cmds []wire.Command) {
 				for _, o := range cmds {
@@ -137,7 +137,7 @@
 			h.now += time.Second
 			h.scheduler.Tick(h.clock())
 			h.settle()
-			for _, call := range h.calls {
+			for _, call := range h.pendingCalls {
 				if call.Machine == "n-2" {
 					count(call.Body.Commands)
 				}
@@ -145,8 +145,8 @@
 			if (stops > 0) != c.stopped {
 				t.Errorf("%d stops", stops)
 			}
-			if id, _, _ := wire.ParseTaskName(c.task); !c.stopped && (h.recordedAttempts() != 1 || len(h.scheduler.cluster.jobs[id].active[0]) != 1) {
-				t.Errorf("not counted, or not recorded: %d", h.recordedAttempts())
+			if id, _, _ := wire.ParseTaskName(c.task); !c.stopped && (h.countRecordedAttempts() != 1 || len(h.scheduler.cluster.jobs[id].active[0]) != 1) {
+				t.Errorf("not counted, or not recorded: %d", h.countRecordedAttempts())
 			}
 			// A heartbeat that is no newer removes nothing of it and has nothing placed elsewhere.
 			old := h.newHeartbeat("n-2", h.fencingToken("n-2"))
@@ -178,10 +178,10 @@
 	h.settle()
 	m := h.scheduler.cluster.machines["n-1"]
 	heard := m.connectivity.lastHeartbeatAt
-	if len(h.calls) == 0 {
+	if len(h.pendingCalls) == 0 {
 		t.Fatal("not probed though its heartbeats are overdue")
 	}
-	c := h.calls[0]
+	c := h.pendingCalls[0]
 	other := h.newHeartbeat("n-2", c.Body.FencingToken)
 	other.Address, other.Sequence = m.address, 1000
 	h.scheduler.CallDone(h.clock(), c.ID, CallExecuted, other)
@@ -232,7 +232,7 @@
 	if len(h.startCommands()) != 1 {
 		t.Fatalf("%d starts", len(h.startCommands()))
 	}
-	held := h.calls[0].Body.FencingToken
+	held := h.pendingCalls[0].Body.FencingToken
 	h.scheduler.Cancelled(h.clock(), []string{"run-000001"})
 	h.settle()
 	if token := h.fencingToken("n-1"); token <= held {
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -229,7 +229,7 @@
 	}
 	var failed wire.Command
 	var machine string
-	for _, call := range h.calls {
+	for _, call := range h.pendingCalls {
 		failed, machine = call.Body.Commands[0], call.Machine
 	}
 	h.answerAll(CallExecuted)
--- a/internal/scheduler/reconciliation_test.go
+++ b/internal/scheduler/reconciliation_test.go
@@ -50,7 +50,7 @@
 // stop.
 func (h *harness) stopsSentTo(machine string, reply wire.HeartbeatReply) (attempts []uint64) {
 	commands := slices.Clone(reply.Commands)
-	for _, c := range h.calls {
+	for _, c := range h.pendingCalls {
 		if c.Machine == machine {
 			commands = append(commands, c.Body.Commands...)
 		}
@@ -88,7 +88,7 @@
 	live := map[string]*LiveJob{restartedJobID: {Record: &records.Job{Job: h.scheduler.cluster.jobs[restartedJobID].spec}, ModRevision: h.revision}}
 	h.heartbeat("n-1", exitedReport(first, wire.CauseDone))
 	h.advance(tuning.DoneFlushDelay / 2)
-	if n := h.recordedAttempts(); n != 2 {
+	if n := h.countRecordedAttempts(); n != 2 {
 		t.Fatalf("%d attempts are recorded before the task is durably done, not 2", n)
 	}
 	nextLeader := newHarness(t)
@@ -105,7 +105,7 @@
 		t.Errorf("%d done, classes %v", j.progress.doneCount, nextLeader.differenceClasses())
 	}
 	h.advance(tuning.DoneFlushDelay+2*time.Second, "n-2")
-	if n := h.recordedAttempts(); n != 1 {
+	if n := h.countRecordedAttempts(); n != 1 {
 		t.Errorf("%d attempts are recorded after the task was saved, not 1", n)
 	}
 }
@@ -143,20 +143,20 @@
 			if tc.change != nil {
 				tc.change(live[restartedJobID].Record)
 			}
-			h := newHarnessWith(t, harnessConfig{live: live, records: tc.records, change: coldRestart})
-			h.calls = nil
+			h := newHarnessWith(t, harnessConfig{liveJobs: live, records: tc.records, modifySettings: coldRestart})
+			h.pendingCalls = nil
 			reply := h.heartbeat("n-1", taskReport(attempt, wire.TaskRunning))
 			if stopped := slices.Contains(h.stopsSentTo("n-1", reply), attempt); stopped != tc.stopped {
 				t.Errorf("stopped: %v", stopped)
 			}
 			h.answerStatusProbes([]string{"n-1"})
-			h.calls = nil
+			h.pendingCalls = nil
 			h.heartbeat("n-1", taskReport(attempt, wire.TaskRunning)) // under this term's token
 			if h.differenceClasses()[tc.class.String()] == 0 {
 				t.Errorf("classes: %v", h.differenceClasses())
 			}
-			if !tc.stopped && h.recordedAttempts() != 1 {
-				t.Errorf("adopted, but %d attempts are recorded, not 1", h.recordedAttempts())
+			if !tc.stopped && h.countRecordedAttempts() != 1 {
+				t.Errorf("adopted, but %d attempts are recorded, not 1", h.countRecordedAttempts())
 			}
 			h.bringUp("n-3")
 			h.heartbeat("n-1", taskReport(attempt, wire.TaskRunning))
@@ -174,11 +174,11 @@
 // kept.
 func TestFirstOfTwoReportedAttemptsIsKept(t *testing.T) {
 	h := newHarnessWith(t, harnessConfig{
-		live:    liveJobs(wire.Job{ID: restartedJobID, Tasks: 1, CPUs: 1}),
-		records: []wire.KeyValue{assignmentRecord(t, "n-1", 5), assignmentRecord(t, "n-2", 6)},
-		change:  coldRestart,
+		liveJobs:       liveJobs(wire.Job{ID: restartedJobID, Tasks: 1, CPUs: 1}),
+		records:        []wire.KeyValue{assignmentRecord(t, "n-1", 5), assignmentRecord(t, "n-2", 6)},
+		modifySettings: coldRestart,
 	})
-	h.calls = nil
+	h.pendingCalls = nil
 	first := h.stopsSentTo("n-2", h.heartbeat("n-2", taskReport(6, wire.TaskRunning)))
 	second := h.stopsSentTo("n-1", h.heartbeat("n-1", taskReport(5, wire.TaskRunning)))
 	if len(first) > 0 || !slices.Equal(second, []uint64{5}) {
@@ -192,11 +192,11 @@
 // An attempt of a job that has ended is stopped, and uses capacity of its machine only until it
 // has stopped.
 func TestAttemptOfEndedJobIsStopped(t *testing.T) {
-	h := newHarnessWith(t, harnessConfig{records: []wire.KeyValue{assignmentRecord(t, "n-1", 5)}, change: coldRestart})
+	h := newHarnessWith(t, harnessConfig{records: []wire.KeyValue{assignmentRecord(t, "n-1", 5)}, modifySettings: coldRestart})
 	if stops := h.stopsSentTo("n-1", wire.HeartbeatReply{}); !slices.Equal(stops, []uint64{5}) {
 		t.Fatalf("stops: %v", stops)
 	}
-	h.calls = nil
+	h.pendingCalls = nil
 	ended := taskReport(5, wire.TaskExited)
 	ended.Cause = wire.CauseStopped
 	h.heartbeat("n-1", taskReport(5, wire.TaskRunning))
@@ -216,7 +216,7 @@
 		if recorded {
 			storedRecords = append(storedRecords, machineRecordItem(t, "n-2", records.LegacyMachine{Type: "box", Zone: "a", Address: "n-2:1"}))
 		}
-		h := newHarnessWith(t, harnessConfig{records: storedRecords, change: func(s *Settings) { coldRestart(s); s.Policy.ReconcileRestarts, s.Policy.HeadroomShare = enabled, 0 }})
+		h := newHarnessWith(t, harnessConfig{records: storedRecords, modifySettings: func(s *Settings) { coldRestart(s); s.Policy.ReconcileRestarts, s.Policy.HeadroomShare = enabled, 0 }})
 		h.answerAll(CallLost)
 		h.scheduler.MachinesListed(h.clock(), []wire.ListedMachine{{Name: "n-2", Address: "n-2:1", Type: "box", Zone: "a", State: wire.MachineRunning, AgeS: 900}})
 		h.bringUp("n-1")
@@ -234,7 +234,7 @@
 		for end := h.now + h.scheduler.reconciler.Config().CollectBound(); h.now < end; {
 			h.heartbeat("n-1", idle...)
 			h.advance(tuning.TickInterval)
-			h.calls = nil
+			h.pendingCalls = nil
 		}
 		if m := h.scheduler.cluster.machines["n-1"]; len(h.provisionRequests) == 0 && !slices.ContainsFunc(m.sortedAttempts(), func(a *attempt) bool { return a.stop.requested }) {
 			t.Errorf("with reconciliation %v: neither provisioned nor preempted after the bound", enabled)
@@ -247,9 +247,9 @@
 func restartWithLateMachine(t *testing.T, reconcileRestarts bool) *harness {
 	t.Helper()
 	h := newHarnessWith(t, harnessConfig{
-		live:    liveJobs(wire.Job{ID: restartedJobID, Tasks: 1, CPUs: 1}),
-		records: []wire.KeyValue{assignmentRecord(t, "n-1", 5)},
-		change:  func(s *Settings) { coldRestart(s); s.Policy.ReconcileRestarts = reconcileRestarts },
+		liveJobs:       liveJobs(wire.Job{ID: restartedJobID, Tasks: 1, CPUs: 1}),
+		records:        []wire.KeyValue{assignmentRecord(t, "n-1", 5)},
+		modifySettings: func(s *Settings) { coldRestart(s); s.Policy.ReconcileRestarts = reconcileRestarts },
 	})
 	h.answerAll(CallLost) // the status probe of n-1
 	h.bringUp("n-2")
@@ -297,7 +297,7 @@
 	if len(h.startCommands()) != 1 {
 		t.Fatalf("after the release: started %v", h.startCommands())
 	}
-	h.calls = nil
+	h.pendingCalls = nil
 	if reply := h.heartbeat("n-1", taskReport(5, wire.TaskRunning)); len(reply.Commands) > 0 || h.scheduler.cluster.machines["n-1"] != nil {
 		t.Errorf("a heartbeat after the release: commands %v, or the machine was adopted again", reply.Commands)
 	}
@@ -343,11 +343,11 @@
 // term wait for the unconfirmed machines. Jobs submitted during the term do not wait.
 func TestUnrecordedTaskHoldsRecoveredWork(t *testing.T) {
 	h := newHarnessWith(t, harnessConfig{
-		live:    liveJobs(wire.Job{ID: restartedJobID, Tasks: 3, CPUs: 1}),
-		records: []wire.KeyValue{machineRecordItem(t, "n-4", records.LegacyMachine{Type: "box", Zone: "a", Address: "n-4:1"})},
-		change:  coldRestart,
+		liveJobs:       liveJobs(wire.Job{ID: restartedJobID, Tasks: 3, CPUs: 1}),
+		records:        []wire.KeyValue{machineRecordItem(t, "n-4", records.LegacyMachine{Type: "box", Zone: "a", Address: "n-4:1"})},
+		modifySettings: coldRestart,
 	})
-	h.calls = nil
+	h.pendingCalls = nil
 	h.heartbeat("n-1", taskReport(7, wire.TaskRunning))
 	h.answerStatusProbes([]string{"n-1"})
 	if s := h.startCommands(); len(s) > 0 {
@@ -357,7 +357,7 @@
 	if s := h.startCommands(); len(s) != 1 || s[0].Task != "run-000002/0" {
 		t.Errorf("new work: %+v", s)
 	}
-	h.calls = nil
+	h.pendingCalls = nil
 	h.bringUp("n-2")
 	h.advance(h.scheduler.reconciler.Config().CollectBound(), "n-2")
 	if s := h.startCommands(); len(s) != 2 {
@@ -380,12 +380,12 @@
 				list = append(list, wire.ListedMachine{Name: name, Address: name + ":1", Type: "box", Zone: "a", State: wire.MachineRunning, AgeS: 900})
 			}
 		}
-		h := newHarnessWith(t, harnessConfig{live: liveJobs(wire.Job{ID: restartedJobID, Tasks: machines, CPUs: 8}), records: storedRecords, change: func(s *Settings) {
+		h := newHarnessWith(t, harnessConfig{liveJobs: liveJobs(wire.Job{ID: restartedJobID, Tasks: machines, CPUs: 8}), records: storedRecords, modifySettings: func(s *Settings) {
 			coldRestart(s)
 			s.Policy.ReconcileRestarts, s.CloudRate, s.WorkerLease = enabled, rate, time.Minute
 			s.Teams["red"] = TeamQuota{CPUs: 8 * machines, MaxCPUs: 8 * machines}
 		}})
-		h.calls = nil
+		h.pendingCalls = nil
 		for range 2 * tuning.MissingListThreshold {
 			h.scheduler.MachinesListed(h.clock(), list)
 		}
@@ -397,7 +397,7 @@
 			}
 			h.scheduler.Tick(h.clock())
 			h.settle()
-			h.calls = nil
+			h.pendingCalls = nil
 			calls += len(h.releases) + len(h.provisionRequests)
 			for _, names := range h.releases {
 				h.scheduler.ReleaseEnded(h.clock(), names, ReleaseDone)
@@ -441,17 +441,17 @@
 		}
 	}
 	// A batch holds dozens of attempts and is deleted once.
-	expectAtMost("direct calls to fill the fleet", f.directCalls, 2*machines+tasks/2)
-	expectAtMost("changes to fill the fleet", f.writes, tasks/10)
+	expectAtMost("direct calls to fill the fleet", f.directCallCount, 2*machines+tasks/2)
+	expectAtMost("changes to fill the fleet", f.writtenChanges, tasks/10)
 	expectAtMost("pages of records", len(f.items)/tuning.StorePageSize+1, 4)
 
-	f.directCalls, f.statusProbes, f.writes = 0, 0, 0
+	f.directCallCount, f.statusProbeCount, f.writtenChanges = 0, 0, 0
 	f.startTerm(900)
 	f.now += tuning.TickInterval
 	f.heartbeatAll()
-	expectAtMost("status probes after the election", f.statusProbes, machines)
-	expectAtMost("direct calls after the election", f.directCalls, machines)
-	expectAtMost("changes after the election", f.writes, machines/100)
+	expectAtMost("status probes after the election", f.statusProbeCount, machines)
+	expectAtMost("direct calls after the election", f.directCallCount, machines)
+	expectAtMost("changes after the election", f.writtenChanges, machines/100)
 	status := f.scheduler.View().ReconciliationStatus(f.clock())
 	if status.Classes[reconcile.Confirmed.String()] != tasks || status.Unconfirmed != 0 {
 		t.Errorf("recovered: %+v", status)
@@ -460,7 +460,7 @@
 		t.Errorf("%d starts and stops in a reconciliation without differences", operations)
 	}
 
-	f.directCalls, f.writes = 0, 0
+	f.directCallCount, f.writtenChanges = 0, 0
 	const burst = 4000
 	for i := range burst / 400 {
 		f.submit(wire.Job{ID: fmt.Sprintf("run-4%05d", i), Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: 400, CPUs: 1, MemoryGB: 1, EstimatedRunS: 40})
@@ -469,8 +469,8 @@
 		f.now += 100 * time.Millisecond
 		f.settle()
 	}
-	expectAtMost("direct calls of a burst", f.directCalls, burst+machines/10)
-	expectAtMost("changes of a burst", f.writes, burst/10)
+	expectAtMost("direct calls of a burst", f.directCallCount, burst+machines/10)
+	expectAtMost("changes of a burst", f.writtenChanges, burst/10)
 	if err := f.scheduler.Audit(); err != nil {
 		t.Error(err)
 	}
--- a/internal/scheduler/restart_simulation_test.go
+++ b/internal/scheduler/restart_simulation_test.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// restartSeeds is how many simulations each kind of restart is tried in.
+// restartSeeds is the number of simulations of each restart fault.
 const restartSeeds = 12
 
-// restartFault is a fault that begins when all controllers end, and meets their restart.
+// restartFault is a fault that is injected when all controllers crash, and that affects their
+// restart.
 type restartFault struct {
 	name   string
 	inject func(sim *simulation, downFor time.Duration)
@@ -23,7 +24,7 @@
 		sim.isolateMachines(downFor + sim.randomDuration(6000, 9000))
 		sim.crashLeaderAfter(downFor + sim.randomDuration(2000, 7000))
 	}},
-	{"killed_again_and_again", func(sim *simulation, downFor time.Duration) {
+	{"killed_repeatedly", func(sim *simulation, downFor time.Duration) {
 		for i := range 5 {
 			sim.crashLeaderAfter(downFor + time.Duration(i)*sim.randomDuration(400, 1500))
 		}
@@ -61,30 +62,30 @@
 	}},
 }
 
-// All controllers end while services and arrays run, and restart amid further faults. No
-// invariant is violated, and in the end everything accepted runs. Where every worker kept
-// its incarnation, nothing that had completed is started again.
+// All controllers crash while services and arrays run, and restart during further faults. No
+// invariant is violated, and in the end all accepted jobs are served. In simulations in which
+// every worker kept its incarnation, no completed task is started again.
 func TestRestartsOfAllControllersKeepInvariants(t *testing.T) {
 	for _, fault := range restartFaults {
 		t.Run(fault.name, func(t *testing.T) {
-			starts, repeated, whole := 0, 0, 0
+			starts, repeated, withoutLoss := 0, 0, 0
 			for seed := range uint64(restartSeeds) {
 				sim := runRestart(t, seed, fault)
 				starts += sim.checker.Starts
 				if !sim.lostIncarnations() {
-					whole++
+					withoutLoss++
 					repeated += sim.checker.RepeatedStarts
 				}
 			}
-			t.Logf("%d starts; in %d simulations that lost no incarnation %d of tasks that had completed", starts, whole, repeated)
+			t.Logf("%d starts; %d simulations lost no worker incarnation and had %d repeated starts of completed tasks", starts, withoutLoss, repeated)
 			if starts < 50*restartSeeds || repeated > 0 {
-				t.Errorf("%d starts, %d of tasks that had completed", starts, repeated)
+				t.Errorf("%d starts, %d repeated starts of completed tasks", starts, repeated)
 			}
 		})
 	}
 }
 
-// runRestart simulates one restart of all controllers, and fails on any violation.
+// runRestart simulates one restart of all controllers. It fails the test on any violation.
 func runRestart(t *testing.T, seed uint64, fault restartFault) *simulation {
 	t.Helper()
 	sim := newSimulation(seed)
@@ -112,17 +113,17 @@
 	return sim
 }
 
-// lostIncarnations reports whether any worker lost its tasks, and what they had completed.
+// lostIncarnations reports whether any worker has lost its tasks, including the completed ones.
 func (sim *simulation) lostIncarnations() bool {
-	for _, wk := range sim.workers {
-		if wk.Terminated || wk.Incarnation > 1 {
+	for _, worker := range sim.workers {
+		if worker.Terminated || worker.Incarnation > 1 {
 			return true
 		}
 	}
 	return false
 }
 
-// crashLeaderAfter crashes the leader of that time for a moment.
+// crashLeaderAfter crashes the controller that leads after d. It restarts within 1.5 s.
 func (sim *simulation) crashLeaderAfter(d time.Duration) {
 	sim.after(d, func() {
 		if c := sim.currentLeader(); c != nil {
@@ -131,7 +132,7 @@
 	})
 }
 
-// isolateMachines partitions a third of the machines from all controllers for that long.
+// isolateMachines partitions a third of the machines from all controllers for the duration d.
 func (sim *simulation) isolateMachines(d time.Duration) {
 	for i, name := range sim.machineNames {
 		if i%3 == 0 {
--- a/internal/scheduler/scalein_test.go
+++ b/internal/scheduler/scalein_test.go
@@ -34,7 +34,7 @@
 	machines := []string{"n-1", "n-2", "n-6"}
 	h.bringUp(machines...)
 	h.submit(wire.Job{ID: "run-000001", Tasks: 1, CPUs: 1, Shape: wire.ShapeService, Priority: wire.PriorityProduction})
-	unresponsive := h.calls[0].Machine
+	unresponsive := h.pendingCalls[0].Machine
 	h.answerAll(CallExecuted)
 	others := slices.DeleteFunc(machines, func(name string) bool { return name == unresponsive })
 	loseCalls := func(seconds int) {
@@ -99,14 +99,14 @@
 	startedAt := h.now
 	for h.now-startedAt < h.scheduler.settings.WorkerLease*3/4 {
 		h.advance(tuning.TickInterval, idle...)
-		calls := h.calls
-		h.calls = nil
+		calls := h.pendingCalls
+		h.pendingCalls = nil
 		for _, call := range calls {
 			switch call.Machine {
 			case answering:
 				h.answer(call, CallExecuted)
 			case inFlight:
-				h.calls = append(h.calls, call)
+				h.pendingCalls = append(h.pendingCalls, call)
 			default:
 				h.answer(call, CallLost)
 			}
@@ -147,7 +147,7 @@
 			if !cancelledBefore {
 				cancel()
 			}
-			h.calls = nil
+			h.pendingCalls = nil
 
 			reply := h.heartbeat("n-1", h.runningTasks("n-1")...)
 			if stopped := stoppedTasks(reply); len(stopped) != 3 {
@@ -173,14 +173,14 @@
 
 			if recovered {
 				cancelled := records.Job{Job: job, Cancelled: true}
-				h = newHarnessWith(t, harnessConfig{live: map[string]*LiveJob{job.ID: {Record: &cancelled, ModRevision: 90}}, records: storedBatches(h.items)})
+				h = newHarnessWith(t, harnessConfig{liveJobs: map[string]*LiveJob{job.ID: {Record: &cancelled, ModRevision: 90}}, records: storedBatches(h.items)})
 				h.sequences["n-1"] = 100
 			} else {
 				h.scheduler.Cancelled(h.clock(), []string{job.ID})
 				h.settle()
 			}
-			if len(running) != 3 || len(h.calls) != 1 {
-				t.Fatalf("%d tasks, %d direct calls", len(running), len(h.calls))
+			if len(running) != 3 || len(h.pendingCalls) != 1 {
+				t.Fatalf("%d tasks, %d direct calls", len(running), len(h.pendingCalls))
 			}
 
 			for range 4 {
--- a/internal/scheduler/scaleout_test.go
+++ b/internal/scheduler/scaleout_test.go
@@ -95,7 +95,7 @@
 			}
 			var up []string
 			for i := range tc.up {
-				up = append(up, machineNumber(i+1))
+				up = append(up, numberedMachineName(i+1))
 			}
 
 			h.advance(10*time.Second, up...)
@@ -130,7 +130,7 @@
 		var names []string
 		for range request.Request.Count {
 			count++
-			names = append(names, machineNumber(last+count))
+			names = append(names, numberedMachineName(last+count))
 		}
 		h.scheduler.ProvisionEnded(h.clock(), request.Request.RequestID, ProvisionDone, names)
 	}
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -78,7 +78,7 @@
 func TestCheckerDetectsFalseReleases(t *testing.T) {
 	for seed := range uint64(20) {
 		sim := newSimulation(seed)
-		sim.cloudFakesReleases = true
+		sim.cloudIgnoresReleases = true
 		sim.lossRate = 0.02
 		sim.runUsers(140 * time.Second)
 		sim.every(5*time.Second, func() {
@@ -133,7 +133,7 @@
 // of the key-value store. No invariant is violated, every accepted job runs, and the number of
 // direct calls stays proportional to the number of machines.
 func TestLargeClusterThroughMassFailures(t *testing.T) {
-	sim := newSimulationOf(11, fleetSimulation)
+	sim := newSimulationWithSize(11, fleetSimulation)
 	sim.heartbeatCopyRate = 0.01
 	sim.scheduleMassFailures()
 	sim.run(280 * time.Second)
@@ -191,7 +191,7 @@
 		sim.zonePartitionedUntil["b"] = sim.now + 42*time.Second
 		for _, controller := range sim.controllers {
 			if sim.zoneOf(controller.name) == "b" {
-				controller.partitionedUntil = sim.zonePartitionedUntil["b"]
+				controller.isolatedUntil = sim.zonePartitionedUntil["b"]
 			}
 		}
 	})
--- a/internal/scheduler/simulation_calls_test.go
+++ b/internal/scheduler/simulation_calls_test.go
@@ -7,12 +7,12 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// The calls of leaders in the simulation: transactions at the key-value store and direct
-// calls to workers. Those to the cloud are in simulation_cloud_test.go.
+// This file simulates the leaders' transactions at the key-value store and their direct calls
+// to workers. Their requests to the cloud are in simulation_cloud_test.go.
 
-// whileLeading gives a function that hands an outcome to the scheduler that leads now and
-// settles it, unless its term or its process has ended by then.
-func (c *simController) whileLeading() func(handle func(*scheduler.Scheduler)) {
+// ifStillLeading returns a function that passes the present scheduler to a handler of an
+// outcome and then settles. The handler does not run if the term or the process has ended.
+func (c *simController) ifStillLeading() func(handle func(*scheduler.Scheduler)) {
 	leading := c.scheduler
 	return func(handle func(*scheduler.Scheduler)) {
 		c.afterPause(func() {
@@ -24,11 +24,11 @@
 	}
 }
 
-// commit carries out a leader's transaction, which may be refused, lost or duplicated.
+// commit simulates a leader's transaction, which may be refused, lost or duplicated.
 func (c *simController) commit(commit scheduler.Commit) {
-	sim, whileLeading := c.sim, c.whileLeading()
+	sim, ifStillLeading := c.sim, c.ifStillLeading()
 	done := func(result scheduler.CommitResult, revision uint64, failedKeys []string) {
-		whileLeading(func(s *scheduler.Scheduler) {
+		ifStillLeading(func(s *scheduler.Scheduler) {
 			s.CommitEnded(sim.schedulerNow(), commit.ID, result, revision, failedKeys)
 		})
 	}
@@ -69,8 +69,8 @@
 	})
 }
 
-// commitWithoutAnswer carries a transaction out at once, seconds later after newer ones, or
-// not at all.
+// commitWithoutAnswer commits a transaction at once, 2 to 12 s later (possibly after newer
+// ones), or not at all.
 func (sim *simulation) commitWithoutAnswer(transaction wire.Txn) {
 	switch sim.rng.IntN(3) {
 	case 0:
@@ -80,19 +80,19 @@
 	}
 }
 
-// callWorker sends a direct call to a worker. The first answer counts, and after a while
-// that it is lost.
+// callWorker sends a direct call to a worker. The first answer counts. A call without an answer
+// is reported as lost after 1.5 s.
 func (c *simController) callWorker(call scheduler.DirectCall) {
-	sim, whileLeading := c.sim, c.whileLeading()
+	sim, ifStillLeading := c.sim, c.ifStillLeading()
 	sim.directCalls++
 	finished := false
 	finish := func(result scheduler.CallResult, heartbeat *wire.Heartbeat) {
 		if !finished {
 			finished = true
-			whileLeading(func(s *scheduler.Scheduler) { s.CallDone(sim.schedulerNow(), call.ID, result, heartbeat) })
+			ifStillLeading(func(s *scheduler.Scheduler) { s.CallDone(sim.schedulerNow(), call.ID, result, heartbeat) })
 		}
 	}
-	for _, d := range sim.deliveries(call.Machine, c.name) {
+	for _, d := range sim.deliveryDelays(call.Machine, c.name) {
 		sim.after(d+sim.randomDelay(sim.maxCallDelayMS), func() {
 			if sim.unreachableUntil[call.Machine] <= sim.now && sim.lifecycles[call.Machine].upAt <= sim.now {
 				c.executeCall(call, finish)
@@ -102,7 +102,7 @@
 	sim.after(1500*time.Millisecond, func() { finish(scheduler.CallLost, nil) })
 }
 
-// executeCall has a worker execute a direct call: when it resumes, if it hangs.
+// executeCall has a worker execute a direct call. A hanging worker executes it when it resumes.
 func (c *simController) executeCall(call scheduler.DirectCall, finish func(scheduler.CallResult, *wire.Heartbeat)) {
 	sim, worker := c.sim, c.sim.workers[call.Machine]
 	if worker.Terminated {
@@ -117,7 +117,7 @@
 	if status == 409 {
 		result = scheduler.CallRefused
 	}
-	for _, d := range sim.deliveries(call.Machine, c.name) {
+	for _, d := range sim.deliveryDelays(call.Machine, c.name) {
 		sim.after(d+sim.randomDelay(sim.maxCallDelayMS), func() { finish(result, &heartbeat) })
 	}
 }
--- a/internal/scheduler/simulation_cloud_test.go
+++ b/internal/scheduler/simulation_cloud_test.go
@@ -10,39 +10,40 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// The cloud of the simulation: the machines, their list, and requests of leaders to
-// provision and release them.
+// This file simulates the cloud: the machines, the machine list, and the leaders' requests to
+// provision and release machines.
 
-// machineLifecycle is what the cloud knows of a machine. Times are 0 if it has not come to
-// that.
+// machineLifecycle is what the cloud knows about a machine. The time of an event that has not
+// happened is 0.
 type machineLifecycle struct {
 	provisionedAt time.Duration
-	upAt          time.Duration // when its worker starts; after never, if it does not
-	diedAt        time.Duration // by itself
-	removedAt     time.Duration // released or taken by the cloud
+	upAt          time.Duration // when its worker starts; at least neverBoots if it does not
+	diedAt        time.Duration // when the cloud noticed that the machine ended without a release
+	removedAt     time.Duration // when it was released, or reclaimed by the cloud
 }
 
-// never is longer than any simulation.
-const never = 1 << 60 * time.Nanosecond
+// neverBoots is the boot time of a machine that does not come up: longer than any simulation.
+const neverBoots = 1 << 60 * time.Nanosecond
 
-// bootMachine adds a machine. Some are up at once and most after about the usual time;
-// while faults are active, some take several times that, or never come up.
+// bootMachine adds a machine with a random boot time. Most machines boot in 0.6 to 1.5 times
+// the typical time of their type, some within 1.5 s. While faults are active, some take four
+// times as long, and a few never come up.
 func (sim *simulation) bootMachine(machineType wire.MachineType, zone string, spot bool) string {
-	usual := time.Duration(machineType.BootS * float64(time.Second))
-	bootTime := time.Duration((0.6 + 0.9*sim.rng.Float64()) * float64(usual))
+	typicalBootTime := time.Duration(machineType.BootS * float64(time.Second))
+	bootTime := time.Duration((0.6 + 0.9*sim.rng.Float64()) * float64(typicalBootTime))
 	switch x := sim.rng.IntN(20); {
 	case x < 6:
 		bootTime = time.Duration(sim.rng.IntN(1500)) * time.Millisecond
 	case x == 6 && sim.faultsActive:
 		bootTime *= 4
 	case x == 7 && sim.faultsActive && sim.rng.IntN(2) == 0:
-		bootTime = never
+		bootTime = neverBoots
 	}
-	return sim.bootMachineIn(bootTime, machineType, zone, spot)
+	return sim.bootMachineAfter(bootTime, machineType, zone, spot)
 }
 
-// bootMachineIn adds a machine that is up after the given time.
-func (sim *simulation) bootMachineIn(bootTime time.Duration, machineType wire.MachineType, zone string, spot bool) string {
+// bootMachineAfter adds a machine that is up after bootTime.
+func (sim *simulation) bootMachineAfter(bootTime time.Duration, machineType wire.MachineType, zone string, spot bool) string {
 	name := fmt.Sprintf("n-%06d", len(sim.machineNames))
 	sim.machineNames = append(sim.machineNames, name)
 	sim.lifecycles[name] = &machineLifecycle{provisionedAt: sim.now, upAt: sim.now + bootTime}
@@ -59,8 +60,8 @@
 	return name
 }
 
-// taskDuration draws how long a task runs: mostly seconds, so that some tasks of a job end
-// far apart from the others.
+// taskDuration draws how long a task runs: mostly 2 to 16 s, and one in eight 30 to 54 s, so
+// that some tasks of a job end long after the others.
 func (sim *simulation) taskDuration() time.Duration {
 	if sim.rng.IntN(8) == 0 {
 		return time.Duration(30+sim.rng.IntN(25)) * time.Second
@@ -68,7 +69,7 @@
 	return time.Duration(2+sim.rng.IntN(15)) * time.Second
 }
 
-// removeMachine ends a machine that is released or taken by the cloud.
+// removeMachine ends a machine that is released, or reclaimed by the cloud.
 func (sim *simulation) removeMachine(name string) {
 	if lifecycle := sim.lifecycles[name]; lifecycle.removedAt == 0 {
 		lifecycle.removedAt = sim.now
@@ -77,19 +78,19 @@
 }
 
 const (
-	// machineListDelay is by how much the cloud's list lags behind, at the least.
-	machineListDelay = 5 * time.Second
-	// deathNoticedAfter is for how long a machine that died is listed as running.
-	deathNoticedAfter = 30 * time.Second
+	// minMachineListLag is the least age of the data in the cloud's machine list.
+	minMachineListLag = 5 * time.Second
+	// deadMachineListedFor is how long a machine is still listed as running after its death.
+	deadMachineListedFor = 30 * time.Second
 )
 
-// machineList is the machine list as it was a while ago, at times twice as long ago, so that
-// one may be older than the one before: new machines are missing or still starting, and
-// removed ones are there.
+// machineList returns the machine list as of minMachineListLag ago. One list in four is older,
+// by up to the same time again, so that a list may be older than the one before. New machines
+// are missing or still starting, and removed machines are still listed.
 func (sim *simulation) machineList() []wire.ListedMachine {
-	lag := machineListDelay
+	lag := minMachineListLag
 	if sim.rng.IntN(4) == 0 {
-		lag += time.Duration(sim.rng.Int64N(int64(machineListDelay)))
+		lag += time.Duration(sim.rng.Int64N(int64(minMachineListLag)))
 	}
 	at := sim.now - lag
 	var list []wire.ListedMachine
@@ -109,23 +110,23 @@
 	return list
 }
 
-// stateAt is the state in which the cloud listed the machine at that time.
+// stateAt returns the state in which the cloud lists the machine as of the given time.
 func (l *machineLifecycle) stateAt(at time.Duration) string {
 	switch {
 	case l.upAt > max(at, 0):
 		return wire.MachineStarting
-	case l.diedAt > 0 && l.diedAt+deathNoticedAfter <= at:
+	case l.diedAt > 0 && l.diedAt+deadMachineListedFor <= at:
 		return wire.MachineFailed
 	default:
 		return wire.MachineRunning
 	}
 }
 
-// provision takes a leader's request for machines.
+// provision simulates a leader's request to provision machines.
 func (c *simController) provision(request wire.ProvisionRequest) {
-	sim, whileLeading := c.sim, c.whileLeading()
+	sim, ifStillLeading := c.sim, c.ifStillLeading()
 	answer := func(result scheduler.ProvisionResult, names []string) {
-		whileLeading(func(s *scheduler.Scheduler) { s.ProvisionEnded(sim.schedulerNow(), request.RequestID, result, names) })
+		ifStillLeading(func(s *scheduler.Scheduler) { s.ProvisionEnded(sim.schedulerNow(), request.RequestID, result, names) })
 	}
 	sim.after(sim.linkDelay(), func() {
 		if sim.cloudDown {
@@ -133,7 +134,8 @@
 			return
 		}
 		if sim.chance(0.05) {
-			// No answer, and it is carried out late, when nobody expects it.
+			// The request gets no answer, and is carried out late, when the leader may no
+			// longer expect the machines.
 			sim.after(time.Duration(sim.rng.IntN(40_000))*time.Millisecond, func() { sim.provisionMachines(request) })
 			sim.after(2*time.Second, func() { answer(scheduler.ProvisionUnknown, nil) })
 			return
@@ -146,19 +148,19 @@
 		if sim.chance(0.1) {
 			result, names = scheduler.ProvisionUnknown, nil
 		}
-		// The first heartbeats of machines that are up at once come before the answer.
+		// Machines that are up at once may send heartbeats before the answer arrives.
 		sim.after(sim.linkDelay(), func() { answer(result, names) })
 	})
 }
 
-// provisionMachines carries a request out, once: a repeated one gives the same machines. One
-// that found no capacity may be repeated.
+// provisionMachines provisions the machines of a request. A repeated request returns the same
+// machines, unless the earlier one found no capacity: then it is tried again.
 func (sim *simulation) provisionMachines(request wire.ProvisionRequest) []string {
 	if names, repeated := sim.provisioned[request.RequestID]; repeated {
 		return names
 	}
 	var names []string
-	free := sim.size.maxPerKind - sim.machinesOfSameKind(request)
+	free := sim.size.maxMachinesPerKind - sim.machinesOfSameKind(request)
 	for range min(request.Count, free) {
 		for _, machineType := range sim.machineTypes {
 			if machineType.Name == request.Type {
@@ -172,9 +174,9 @@
 	return names
 }
 
-// machinesOfSameKind counts the live machines in the request's zone, spot or ordinary ones as
-// it has them. As at a cloud, idle machines of one zone take no capacity in another: else a
-// job that needs both would wait for ever.
+// machinesOfSameKind counts the live machines in the request's zone that are spot machines, or
+// ordinary ones, like the requested ones. As in a real cloud, idle machines in one zone take no
+// capacity in another. Otherwise a job that needs both zones could wait forever.
 func (sim *simulation) machinesOfSameKind(request wire.ProvisionRequest) int {
 	live := 0
 	for name, worker := range sim.workers {
@@ -185,11 +187,11 @@
 	return live
 }
 
-// release takes a leader's request to release machines.
+// release simulates a leader's request to release machines.
 func (c *simController) release(names []string) {
-	sim, whileLeading := c.sim, c.whileLeading()
+	sim, ifStillLeading := c.sim, c.ifStillLeading()
 	answer := func(result scheduler.ReleaseResult) {
-		whileLeading(func(s *scheduler.Scheduler) { s.ReleaseEnded(sim.schedulerNow(), names, result) })
+		ifStillLeading(func(s *scheduler.Scheduler) { s.ReleaseEnded(sim.schedulerNow(), names, result) })
 	}
 	remove := func() {
 		for _, name := range names {
@@ -202,12 +204,12 @@
 			answer(scheduler.ReleaseRefused)
 		case sim.now < sim.cloudUnresponsiveUntil:
 			sim.after(tuning.CloudTimeout, func() { answer(scheduler.ReleaseUnknown) })
-		case sim.cloudFakesReleases:
+		case sim.cloudIgnoresReleases:
 			answer(scheduler.ReleaseDone)
 		case sim.now < sim.releasesDelayedUntil:
 			sim.after(sim.releasesDelayedUntil-sim.now+sim.linkDelay(), remove)
 			sim.after(2*time.Second, func() { answer(scheduler.ReleaseUnknown) })
-		case sim.chance(0.1): // no answer, and it is carried out late
+		case sim.chance(0.1): // the outcome stays unknown, and the release is carried out late
 			sim.after(time.Duration(sim.rng.IntN(15_000))*time.Millisecond, remove)
 			answer(scheduler.ReleaseUnknown)
 		default:
--- a/internal/scheduler/simulation_controllers_test.go
+++ b/internal/scheduler/simulation_controllers_test.go
@@ -11,35 +11,36 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// The controllers of the simulation: processes that elect a leader, watch the key-value
-// store, and drive the scheduler while they lead, as package controller does it.
+// This file simulates the controllers: processes that elect a leader, watch the key-value
+// store, and drive the scheduler while they lead, like package controller.
 
+// simController is a simulated controller with its scheduler, if it leads.
 type simController struct {
 	sim         *simulation
 	name        string
-	incarnation int           // counts its processes
-	startedAt   time.Duration // its present process
+	incarnation int           // number of the process: how many have ended before it
+	startedAt   time.Duration // start of the current process
 
 	scheduler  *scheduler.Scheduler // nil: it does not lead
-	term       uint64               // its last one as leader
-	electedAt  time.Duration
-	storeLease uint64
+	term       uint64               // its current or last term as leader
+	electedAt  time.Duration        // start of that term
+	storeLease uint64               // lease of the leader's key
 
 	replica       *scheduler.Replica
-	replicaReadAt time.Duration // as of when the replica has all changes
-	watchInFlight bool          // a slow answer to its watch is on its way
+	replicaReadAt time.Duration // time up to which the replica has all changes
+	watchInFlight bool          // a delayed answer to the last watch has not arrived yet
 
 	// See simulation_confirmations_test.go.
-	confirmedCancellations []string // that users were told of here
-	peerConfirmedAt        map[*simController]time.Duration
-	leaderWatermark        time.Duration // as of when the last leader known had enforced all cancellations
-	leaderTerm             uint64
+	confirmedCancellations []string                         // jobs whose cancellation it has confirmed to users
+	peerPolledAt           map[*simController]time.Duration // last poll of each peer
+	leaderWatermark        time.Duration                    // EnforcedCancellationWatermark of the last known leader
+	leaderTerm             uint64                           // term of the last known leader
 
-	downUntil               time.Duration
-	pausedUntil             time.Duration // it does nothing until then, and then what came meanwhile
-	refusedUntil            time.Duration // by the key-value store
-	partitionedUntil        time.Duration // from the key-value store and all peers
-	workersUnreachableUntil time.Duration
+	downUntil               time.Duration // no process runs until then
+	pausedUntil             time.Duration // messages until then are handled after the pause
+	refusedByStoreUntil     time.Duration // the key-value store refuses its requests until then
+	isolatedUntil           time.Duration // it reaches neither the store nor any peer until then
+	workersUnreachableUntil time.Duration // no message passes between it and workers until then
 }
 
 func (sim *simulation) addController(name string) {
@@ -55,8 +56,8 @@
 
 func (c *simController) paused() bool { return c.sim.now < c.pausedUntil }
 
-// afterPause runs f: at once, or, if the process is paused, when it resumes. If the process
-// has ended by then, f does not run.
+// afterPause runs f at once or, if the process is paused, after it resumes. f does not run if
+// the process ends before that.
 func (c *simController) afterPause(f func()) {
 	if !c.paused() {
 		f()
@@ -70,10 +71,10 @@
 	})
 }
 
-// reachesStore reports whether the controller is served by the key-value store.
+// reachesStore reports whether the key-value store serves the controller.
 func (c *simController) reachesStore() bool {
 	now := c.sim.now
-	return c.alive() && !c.paused() && !c.sim.kvStore.Unavailable && now >= c.refusedUntil && now >= c.partitionedUntil
+	return c.alive() && !c.paused() && !c.sim.kvStore.Unavailable && now >= c.refusedByStoreUntil && now >= c.isolatedUntil
 }
 
 // reachesPeer reports whether the controller and a peer reach each other.
@@ -83,7 +84,7 @@
 	}
 	sim := c.sim
 	for _, end := range []*simController{c, peer} {
-		if !end.alive() || end.paused() || sim.now < end.partitionedUntil || sim.now < sim.partitionedUntil[end.name] {
+		if !end.alive() || end.paused() || sim.now < end.isolatedUntil || sim.now < sim.partitionedUntil[end.name] {
 			return false
 		}
 	}
@@ -91,7 +92,7 @@
 	return from == to || sim.zonePartitionedUntil[from] <= sim.now && sim.zonePartitionedUntil[to] <= sim.now
 }
 
-// crash ends the process; the next one starts after the given time.
+// crash ends the process. The next process starts after d.
 func (c *simController) crash(d time.Duration) {
 	c.scheduler, c.replica, c.leaderTerm = nil, scheduler.NewReplica(), 0
 	c.replicaReadAt, c.confirmedCancellations, c.pausedUntil, c.watchInFlight = 0, nil, 0, false
@@ -100,12 +101,13 @@
 	c.incarnation++
 }
 
-// elect is the election in short: renew the lease, or take the leader's key if it is free.
+// elect simulates an election step: a leader renews its lease or steps down, and a follower
+// takes the leader's key if it is free.
 func (c *simController) elect() {
 	switch {
 	case c.paused():
 	case !c.reachesStore():
-		isolated := c.sim.now < c.partitionedUntil && c.sim.now-c.replicaReadAt > tuning.IsolatedAfter
+		isolated := c.sim.now < c.isolatedUntil && c.sim.now-c.replicaReadAt > tuning.IsolatedAfter
 		if c.scheduler != nil && isolated {
 			c.stepDown()
 		}
@@ -124,8 +126,8 @@
 	c.scheduler.ExtendLease(c.sim.now + tuning.LeaderLeaseTTL)
 }
 
-// leaderKeyIsFree reports whether there is no leader's key. One that is left by an earlier
-// process of this controller is removed, for the next election.
+// leaderKeyIsFree reports whether the leader's key is absent. If the key was written by an
+// earlier process of this controller, it is removed, so that the next election finds it free.
 func (c *simController) leaderKeyIsFree() bool {
 	item := c.sim.kvStore.Get(c.sim.now, records.LeaderKey)
 	if item.ModRevision == 0 {
@@ -139,7 +141,7 @@
 	return false
 }
 
-// campaign takes the leader's key and begins a term, unless the process crashes meanwhile.
+// campaign takes the leader's key, and begins a term unless the process crashes before that.
 func (c *simController) campaign() {
 	sim := c.sim
 	c.storeLease = sim.kvStore.GrantLease(sim.now, tuning.LeaderLeaseTTL)
@@ -162,12 +164,12 @@
 	})
 }
 
-// startTerm reads all records and begins to lead.
+// startTerm reads all records and creates the scheduler of the term.
 func (c *simController) startTerm() {
 	sim := c.sim
 	readAll := func(prefix string) []wire.KeyValue { return sim.kvStore.Range(sim.now, prefix, "", 1000).Items }
 	c.replica.Reset(readAll(records.LiveJobPrefix), sim.kvStore.Revision)
-	c.replicaReadAt, c.leaderTerm, c.peerConfirmedAt = sim.now, c.term, map[*simController]time.Duration{}
+	c.replicaReadAt, c.leaderTerm, c.peerPolledAt = sim.now, c.term, map[*simController]time.Duration{}
 	settings := sim.settings
 	settings.ColdRestart = !slices.ContainsFunc(sim.controllers, func(peer *simController) bool {
 		return (peer == c || c.reachesPeer(peer)) && c.survivedFailover(peer)
@@ -175,18 +177,19 @@
 	c.scheduler = scheduler.New(sim.schedulerNow(), settings, c.term, c.replica, readAll(records.BitmapPrefix), readAll(records.BatchPrefix), sim.machineTypes)
 	c.scheduler.ExtendLease(sim.now + tuning.LeaderLeaseTTL)
 	c.settle()
-	for _, heartbeat := range sim.heldHeartbeats {
+	for _, heartbeat := range sim.heartbeatsForNextLeader {
 		sim.after(time.Duration(sim.rng.IntN(3000))*time.Millisecond, func() { c.heartbeat(&heartbeat) })
 	}
-	sim.heldHeartbeats = nil
+	sim.heartbeatsForNextLeader = nil
 }
 
-// stepDown ends leadership that is lost or given up.
+// stepDown ends the leadership of this controller. It leaves the lease of the leader's key as
+// it is.
 func (c *simController) stepDown() {
-	c.leaderWatermark, c.scheduler = c.enforcedAsOf(), nil
+	c.leaderWatermark, c.scheduler = c.enforcedWatermark(), nil
 }
 
-// watch asks the key-value store for changes, one watch at a time.
+// watch requests changes from the key-value store, one watch at a time.
 func (c *simController) watch() {
 	if c.scheduler == nil || !c.reachesStore() || c.watchInFlight {
 		return
@@ -209,9 +212,10 @@
 	c.applyWatchAfter(delay, changes)
 }
 
-// applyWatchAfter applies a slow answer: it tells what was when it was asked for.
+// applyWatchAfter applies a watch answer after a delay. The answer has the changes up to the
+// time of its request.
 func (c *simController) applyWatchAfter(delay time.Duration, changes wire.WatchReply) {
-	askedAt, leading, incarnation := c.sim.now, c.scheduler, c.incarnation
+	requestedAt, leading, incarnation := c.sim.now, c.scheduler, c.incarnation
 	c.watchInFlight = true
 	c.sim.after(delay, func() {
 		c.afterPause(func() {
@@ -219,23 +223,23 @@
 				return
 			}
 			c.watchInFlight = false
-			// An answer that comes while the store refuses the controller is none.
+			// An answer does not arrive while the controller cannot reach the store.
 			if c.scheduler == leading && c.reachesStore() {
-				c.applyWatch(changes, askedAt)
+				c.applyWatch(changes, requestedAt)
 			}
 		})
 	})
 }
 
-// applyWatch takes a watch's answer to what was asked at the given time.
-func (c *simController) applyWatch(changes wire.WatchReply, askedAt time.Duration) {
-	c.scheduler.AdvanceCancellationWatermark(c.watermark())
-	c.replicaReadAt = max(c.replicaReadAt, askedAt)
+// applyWatch applies the answer to a watch that was requested at requestedAt.
+func (c *simController) applyWatch(changes wire.WatchReply, requestedAt time.Duration) {
+	c.scheduler.AdvanceCancellationWatermark(c.cancellationWatermark())
+	c.replicaReadAt = max(c.replicaReadAt, requestedAt)
 	jobChanges, unreadable := c.replica.Apply(changes)
 	if len(unreadable) > 0 {
 		panic(fmt.Sprint("unreadable records: ", unreadable))
 	}
-	c.scheduler.DropPendingCancellationsBefore(askedAt)
+	c.scheduler.DropPendingCancellationsBefore(requestedAt)
 	c.scheduler.JobsChanged(c.sim.schedulerNow(), jobChanges)
 	c.settle()
 }
@@ -251,14 +255,15 @@
 	c.settle()
 }
 
-// heartbeat takes a worker's heartbeat. It is not answered, so that the worker tries
-// another controller, by one that neither leads nor may keep workers alive.
+// heartbeat handles a worker's heartbeat and reports whether it is answered. A controller that
+// neither leads nor may renew worker leases does not answer, so that the worker tries another
+// controller.
 func (c *simController) heartbeat(heartbeat *wire.Heartbeat) (wire.HeartbeatReply, bool) {
 	if c.scheduler == nil && c.alive() && !c.reachesLeader() && c.leaderTerm != 0 && scheduler.TermOf(heartbeat.FencingToken) == c.leaderTerm {
-		// A controller that is isolated keeps workers alive for a while.
+		// A controller that cannot reach the leader renews worker leases for a limited time.
 		return wire.HeartbeatReply{FencingToken: heartbeat.FencingToken}, c.sim.now-c.leaderWatermark < c.keepaliveLimit()
 	}
-	if c.scheduler != nil && c.sim.now-c.watermark() >= c.keepaliveLimit() && c.sim.disabled != keepaliveBoundByWatermark {
+	if c.scheduler != nil && c.sim.now-c.cancellationWatermark() >= c.keepaliveLimit() && c.sim.disabled != keepaliveBoundByWatermark {
 		c.stepDown()
 	}
 	if c.scheduler == nil || !c.alive() {
@@ -272,27 +277,28 @@
 	return reply, ok
 }
 
-// reachesLeader reports whether a heartbeat can be forwarded to a leader.
+// reachesLeader reports whether the controller could forward a heartbeat to a leader.
 func (c *simController) reachesLeader() bool {
 	return slices.ContainsFunc(c.sim.controllers, func(peer *simController) bool {
 		return peer.scheduler != nil && c.reachesPeer(peer)
 	})
 }
 
-// settle settles the leader's scheduler and carries out its effects.
+// settle calls Settle of the leader's scheduler and carries out the effects. It does nothing on
+// a follower.
 func (c *simController) settle() {
 	sim, leading := c.sim, c.scheduler
 	if leading == nil {
 		return
 	}
 	leading.Settle(sim.schedulerNow())
-	if sim.settleCount++; sim.settleCount%sim.size.auditEvery == 0 {
+	if sim.settleCount++; sim.settleCount%sim.size.settlesPerAudit == 0 {
 		if err := leading.Audit(); err != nil {
 			panic(fmt.Sprintf("%v: %v", sim.now, err))
 		}
 	}
 	effects := leading.TakeEffects()
-	c.observe(effects)
+	c.recordEffects(effects)
 	for _, commit := range effects.Commits {
 		c.commit(commit)
 	}
@@ -313,8 +319,9 @@
 	}
 }
 
-// observe digests and prints a leader's effects, if that is asked for.
-func (c *simController) observe(effects scheduler.Effects) {
+// recordEffects adds a leader's effects to the decision digest and prints its log lines, each
+// if the simulation enables it.
+func (c *simController) recordEffects(effects scheduler.Effects) {
 	if c.sim.decisions != nil {
 		c.sim.decisions.addEffects(c.sim.now, c.name, effects)
 	}
--- a/internal/scheduler/simulation_network_test.go
+++ b/internal/scheduler/simulation_network_test.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// The network of the simulation: how long messages take, and which arrive.
+// This file simulates the network: delays, losses, duplicates and partitions.
 
 // linkDelay draws how long a message takes.
 func (sim *simulation) linkDelay() time.Duration {
@@ -16,32 +16,33 @@
 	return d
 }
 
-// deliveries draws what becomes of a message between a machine and a controller: how often
-// it arrives, and when.
-func (sim *simulation) deliveries(machine, controller string) []time.Duration {
+// deliveryDelays draws the deliveries of a message between a machine and a controller: the
+// delay of each copy that arrives. It returns nil if the message is lost.
+func (sim *simulation) deliveryDelays(machine, controller string) []time.Duration {
 	if until := sim.pathBlockedUntil(machine, controller); until > sim.now {
 		if sim.chance(0.5) {
-			return []time.Duration{until - sim.now + sim.linkDelay()} // held until then
+			return []time.Duration{until - sim.now + sim.linkDelay()} // arrives after the partition
 		}
 		return nil
 	}
 	if sim.chance(sim.lossRate) {
 		return nil
 	}
-	arrivals := []time.Duration{sim.linkDelay()}
+	delays := []time.Duration{sim.linkDelay()}
 	if sim.chance(sim.delayRate) {
-		arrivals[0] = time.Duration(sim.rng.IntN(25000)) * time.Millisecond
+		delays[0] = time.Duration(sim.rng.IntN(25000)) * time.Millisecond
 		if sim.rng.IntN(8) == 0 {
-			arrivals[0] *= 5 // minutes late
+			delays[0] *= 5 // minutes late
 		}
 	}
 	if sim.chance(sim.duplicateRate) {
-		arrivals = append(arrivals, arrivals[0]+time.Duration(sim.rng.IntN(20000))*time.Millisecond)
+		delays = append(delays, delays[0]+time.Duration(sim.rng.IntN(20000))*time.Millisecond)
 	}
-	return arrivals
+	return delays
 }
 
-// pathBlockedUntil is until when no message passes between a machine and a controller.
+// pathBlockedUntil returns the time until which no message passes between a machine and a
+// controller.
 func (sim *simulation) pathBlockedUntil(machine, controller string) time.Duration {
 	until := max(0, sim.partitionedUntil[machine], sim.partitionedUntil[controller])
 	for _, c := range sim.controllers {
@@ -56,7 +57,8 @@
 	return until
 }
 
-// zoneOf is the zone of a machine or a controller; of the controllers, zone a has three.
+// zoneOf returns the zone of a machine or a controller. Three of the five controllers are in
+// zone a.
 func (sim *simulation) zoneOf(name string) string {
 	if worker := sim.workers[name]; worker != nil {
 		return worker.Zone
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -13,9 +13,9 @@
 )
 
 // simulation is a simulated deployment: five controllers that run the scheduler, and
-// simulated services for everything else. Messages are late, lost, duplicated and delayed,
-// and all of it follows from the seed. The files simulation_*_test.go have a part each:
-// the network, controllers, calls, confirmations, the cloud, workers, users, faults.
+// simulated services for everything else. Messages are lost, duplicated and delayed. The seed
+// determines every event. Each of the files simulation_*_test.go implements one part: the
+// network, controllers, calls, confirmations, the cloud, workers, users, faults.
 type simulation struct {
 	now   time.Duration
 	queue eventqueue.Queue
@@ -29,96 +29,103 @@
 	kvStore      *simulator.KVStore
 	checker      *simulator.RuleChecker
 	controllers  []*simController
-	workers      map[string]*simulator.Worker // by machine
+	workers      map[string]*simulator.Worker // by machine name
 	machineNames []string
-	lifecycles   map[string]*machineLifecycle // by machine
-	provisioned  map[string][]string          // machines by provisioning request
-	jobs         []*wire.Job                  // that were accepted
+	lifecycles   map[string]*machineLifecycle // by machine name
+	provisioned  map[string][]string          // names of the provisioned machines, by request ID
+	jobs         []*wire.Job                  // accepted jobs
 
-	advancedAt  time.Duration // when all workers were last brought up to date
-	settleCount int           // how often leaders settled
-	directCalls int           // direct calls made
+	workersAdvancedAt time.Duration // when all workers were last advanced to the current time
+	settleCount       int           // calls of Settle by all leaders
+	directCalls       int           // direct calls sent by all leaders
 
-	faultsActive bool // faults occur by chance
-	lossRate     float64
-	delayRate    float64
+	faultsActive bool    // random faults occur
+	lossRate     float64 // share of messages and transactions that are lost or lose their answer
+	delayRate    float64 // share of messages that are delayed by up to 25 s, a few by minutes
 	// duplicateRate is the share of messages and transactions that take effect twice.
-	duplicateRate     float64
-	heartbeatCopyRate float64 // of heartbeats, seconds to well over a lease late
-	maxWriteDelayMS   int     // by which a leader's transaction may take longer
-	maxCallDelayMS    int     // by which a direct call and its answer may each take longer
-	maxLinkDelay      time.Duration
-
-	faultyMachines         map[string]bool          // on which some tasks fail
-	partitionedUntil       map[string]time.Duration // machine or controller, from all others
-	unreachableUntil       map[string]time.Duration // machine that receives nothing
-	hungUntil              map[string]time.Duration // machine that does nothing
-	heartbeatsBlockedUntil map[string]time.Duration // machine that sends no heartbeats, but answers direct calls
-	zonePartitionedUntil   map[string]time.Duration // zone, from the others
-	heldHeartbeats         []wire.Heartbeat         // copies that arrive at the next leader
-
-	cloudFakesReleases     bool // the cloud confirms releases without carrying them out
+	duplicateRate float64
+	// heartbeatCopyRate is the share of heartbeats of which a copy arrives late: by seconds, by
+	// more than a worker lease, or at the next leader.
+	heartbeatCopyRate float64
+	maxWriteDelayMS   int           // most that a leader's transaction is delayed
+	maxCallDelayMS    int           // most that a direct call and its answer are each delayed
+	maxLinkDelay      time.Duration // most that is added to the delay of every message
+
+	faultyMachines          map[string]bool          // machines on which some tasks fail
+	partitionedUntil        map[string]time.Duration // by machine or controller: it reaches no other
+	unreachableUntil        map[string]time.Duration // by machine: it receives nothing
+	hungUntil               map[string]time.Duration // by machine: it executes nothing
+	heartbeatsBlockedUntil  map[string]time.Duration // by machine: its heartbeats are dropped, not direct calls
+	zonePartitionedUntil    map[string]time.Duration // by zone: it reaches no other zone
+	heartbeatsForNextLeader []wire.Heartbeat         // copies that arrive at the next leader
+
+	cloudIgnoresReleases   bool // the cloud confirms releases without carrying them out
 	cloudDown              bool
-	cloudUnresponsiveUntil time.Duration // it neither answers nor carries out releases
-	releasesDelayedUntil   time.Duration // requests for releases are delayed on their way
-	slowWatchUntil         time.Duration // the key-value store answers watches after seconds
+	cloudUnresponsiveUntil time.Duration // release requests are neither answered nor carried out
+	releasesDelayedUntil   time.Duration // release requests are delayed in transit
+	slowWatchUntil         time.Duration // watches are answered after 0.5 to 2.5 s
 
-	writeRate           float64 // changes per second that the key-value store takes; 0: any number
-	writeBudget         float64 // changes that it takes now, as of budgetRefilledAt
+	writeRate           float64 // changes per second that the key-value store accepts; 0: unlimited
+	writeBudget         float64 // changes that the store accepts at once, as of budgetRefilledAt
 	budgetRefilledAt    time.Duration
-	refusedTransactions int // of leaders, that were over it
+	refusedTransactions int // leaders' transactions that exceeded writeBudget
 
 	disabled        safeguard
-	traceLogs       bool                     // print what the leaders log
-	decisions       *decisionDigest          // of all leaders; nil: not taken
-	changesBySecond []int                    // that leaders asked for; nil: not counted
-	acceptedAt      map[string]time.Duration // of jobs; nil: not noted
+	traceLogs       bool                     // print the leaders' log lines
+	decisions       *decisionDigest          // digest of all leaders' decisions; nil: not computed
+	changesBySecond []int                    // changes sent by leaders, by second; nil: not counted
+	acceptedAt      map[string]time.Duration // by job ID; nil: not recorded
 }
 
-// safeguard is what a simulation can do without, to show that its rule checker needs it.
+// safeguard is a protection that a simulation can disable, to show that the rule checker then
+// finds violations.
 type safeguard int
 
 const (
 	noSafeguard               safeguard = iota
-	keepaliveBoundByWatermark           // leaders answer workers only while they know all cancellations
-	peerCancellationLists               // controllers tell each other of confirmed cancellations
-	enforcedWatermark                   // keepalive counts from when cancellations are enforced
-	watermarkAtReading                  // and not from when an answer is read
+	keepaliveBoundByWatermark           // leaders renew leases only while they know all recent cancellations
+	peerCancellationLists               // controllers exchange the cancellations that they have confirmed
+	// keepaliveFromEnforcement limits keepalive from the time when cancellations are enforced,
+	// not from when they are known.
+	keepaliveFromEnforcement
+	// keepaliveFromWatermark limits keepalive from the leader's watermark, not from the time at
+	// which a peer reads it.
+	keepaliveFromWatermark
 )
 
-// simulationSize is what makes a simulation small or large.
+// simulationSize has the parameters that differ between a small and a large simulation.
 type simulationSize struct {
-	initialMachines   int
-	maxPerKind        int           // machines of a kind in a zone
-	heartbeatInterval time.Duration // of the workers
-	cancellationBound time.Duration
-	teamCPUs          float64       // quota limit of a team
-	writeRate         float64       // changes per second that the key-value store takes
-	advanceEvery      time.Duration // in which all workers are brought up to date
-	auditEvery        int           // calls of Settle between two audits of the leader's accounting
+	initialMachines       int
+	maxMachinesPerKind    int           // live spot machines in a zone, and live ordinary ones
+	heartbeatInterval     time.Duration // interval of the workers' heartbeats
+	cancellationBound     time.Duration // within which the tasks of a cancelled job must be gone
+	maxTeamCPUs           float64       // quota limit of each team
+	writeRate             float64       // the leader's limit, in changes per second
+	workerAdvanceInterval time.Duration // least time between two advances of all workers
+	settlesPerAudit       int           // calls of Settle between two audits of the leader's accounting
 }
 
 var (
 	smallSimulation = simulationSize{
-		initialMachines: 4, maxPerKind: 3, heartbeatInterval: 1500 * time.Millisecond, cancellationBound: 40 * time.Second,
-		teamCPUs: 24, writeRate: 40, auditEvery: 1,
+		initialMachines: 4, maxMachinesPerKind: 3, heartbeatInterval: 1500 * time.Millisecond, cancellationBound: 40 * time.Second,
+		maxTeamCPUs: 24, writeRate: 40, settlesPerAudit: 1,
 	}
 	fleetSimulation = simulationSize{
-		initialMachines: 2400, maxPerKind: 1300, heartbeatInterval: 5 * time.Second, cancellationBound: 40 * time.Second,
-		teamCPUs: 14_000, writeRate: 70, advanceEvery: 50 * time.Millisecond, auditEvery: 5000,
+		initialMachines: 2400, maxMachinesPerKind: 1300, heartbeatInterval: 5 * time.Second, cancellationBound: 40 * time.Second,
+		maxTeamCPUs: 14_000, writeRate: 70, workerAdvanceInterval: 50 * time.Millisecond, settlesPerAudit: 5000,
 	}
 )
 
 const (
 	simulatedControllers = 5
-	// userWriteRate is what the key-value store takes for users, in changes per second, on
-	// top of the rate that the leader keeps to.
+	// userWriteRate is how many changes per second the key-value store accepts in addition to
+	// the leader's write rate, for users' transactions.
 	userWriteRate = 10
 )
 
-func newSimulation(seed uint64) *simulation { return newSimulationOf(seed, smallSimulation) }
+func newSimulation(seed uint64) *simulation { return newSimulationWithSize(seed, smallSimulation) }
 
-func newSimulationOf(seed uint64, size simulationSize) *simulation {
+func newSimulationWithSize(seed uint64, size simulationSize) *simulation {
 	sim := &simulation{
 		size: size, rng: rand.New(rand.NewPCG(seed, 7)), workerLease: 12 * time.Second, faultsActive: true,
 		machineTypes: []wire.MachineType{
@@ -130,22 +137,22 @@
 		hungUntil: map[string]time.Duration{}, heartbeatsBlockedUntil: map[string]time.Duration{}, zonePartitionedUntil: map[string]time.Duration{},
 	}
 	sim.kvStore.WriteRate = size.writeRate + userWriteRate
-	sim.checker = simulator.NewRuleChecker(map[string]float64{"red": size.teamCPUs, "blue": size.teamCPUs}, size.cancellationBound)
+	sim.checker = simulator.NewRuleChecker(map[string]float64{"red": size.maxTeamCPUs, "blue": size.maxTeamCPUs}, size.cancellationBound)
 	sim.checker.SetMachineTypes(sim.machineTypes)
 	sim.settings = simulationSettings(size, sim.workerLease)
 	for i := range simulatedControllers {
 		sim.addController(fmt.Sprintf("node-%d", i))
 	}
 	for i := range size.initialMachines {
-		sim.bootMachineIn(0, sim.machineTypes[i%2], []string{"a", "b"}[i/2%2], false)
+		sim.bootMachineAfter(0, sim.machineTypes[i%2], []string{"a", "b"}[i/2%2], false)
 	}
 	sim.every(time.Second, func() { sim.checker.CheckCancelled(sim.now) })
-	sim.every(3*time.Second, sim.showFreeCapacity)
+	sim.every(3*time.Second, sim.reportFreeCapacity)
 	return sim
 }
 
 func simulationSettings(size simulationSize, workerLease time.Duration) scheduler.Settings {
-	quota := scheduler.TeamQuota{CPUs: size.teamCPUs / 2, MaxCPUs: size.teamCPUs}
+	quota := scheduler.TeamQuota{CPUs: size.maxTeamCPUs / 2, MaxCPUs: size.maxTeamCPUs}
 	return scheduler.Settings{
 		Teams:             map[string]scheduler.TeamQuota{"red": quota, "blue": quota},
 		HeartbeatInterval: size.heartbeatInterval, WorkerLease: workerLease, CancellationBound: size.cancellationBound,
@@ -158,17 +165,17 @@
 	return scheduler.Now{Mono: sim.now, Wall: sim.now.Milliseconds()}
 }
 
-// after runs f once, after the given time.
+// after schedules f to run once, d from now.
 func (sim *simulation) after(d time.Duration, f func()) { sim.queue.Add(sim.now+d, f) }
 
-// every runs f again and again, with intervals that vary by a quarter.
+// every schedules f to run repeatedly, at intervals that vary by a quarter of d.
 func (sim *simulation) every(d time.Duration, f func()) {
-	var again func()
-	again = func() {
+	var repeat func()
+	repeat = func() {
 		f()
-		sim.after(d*3/4+time.Duration(sim.rng.Int64N(int64(d/2)+1)), again)
+		sim.after(d*3/4+time.Duration(sim.rng.Int64N(int64(d/2)+1)), repeat)
 	}
-	sim.after(time.Duration(sim.rng.Int64N(int64(d)+1)), again)
+	sim.after(time.Duration(sim.rng.Int64N(int64(d)+1)), repeat)
 }
 
 // run runs all events up to the given time.
@@ -180,10 +187,10 @@
 		}
 		sim.now = at
 		f()
-		// Workers are also brought up to date whenever something reaches them, so that a
-		// large simulation need not visit each of them with every event.
-		if sim.now-sim.advancedAt >= sim.size.advanceEvery {
-			sim.advancedAt = sim.now
+		// A worker also advances whenever it handles a message, so a large simulation does
+		// not have to advance every worker after every event.
+		if sim.now-sim.workersAdvancedAt >= sim.size.workerAdvanceInterval {
+			sim.workersAdvancedAt = sim.now
 			sim.advanceWorkers()
 		}
 	}
@@ -193,7 +200,7 @@
 // chance is true with the given probability while faults are active.
 func (sim *simulation) chance(p float64) bool { return sim.faultsActive && sim.rng.Float64() < p }
 
-// randomDelay draws up to that many milliseconds.
+// randomDelay draws a delay of up to maxMS milliseconds.
 func (sim *simulation) randomDelay(maxMS int) time.Duration {
 	if maxMS == 0 {
 		return 0
@@ -201,8 +208,9 @@
 	return sim.randomDuration(0, maxMS)
 }
 
-// showFreeCapacity shows the rule checker what is free once faults are over.
-func (sim *simulation) showFreeCapacity() {
+// reportFreeCapacity passes the free capacity of all machines to the rule checker, after the
+// faults have ended and only in small simulations.
+func (sim *simulation) reportFreeCapacity() {
 	if sim.faultsActive || sim.size.initialMachines > 100 {
 		return
 	}
--- a/internal/scheduler/simulation_users_test.go
+++ b/internal/scheduler/simulation_users_test.go
@@ -8,10 +8,10 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// The users of the simulation: they submit, poll and cancel jobs at any controller that
-// can serve them, and repeat what got no answer.
+// This file simulates users. They submit, poll and cancel jobs at any controller that can serve
+// them, and retry requests that were refused or got no answer.
 
-// servingController is a controller that can serve users, or nil if none can.
+// servingController returns a random controller that can serve users, or nil if none can.
 func (sim *simulation) servingController() *simController {
 	first := sim.rng.IntN(len(sim.controllers))
 	for i := range sim.controllers {
@@ -22,28 +22,28 @@
 	return nil
 }
 
-// commitForUser runs a controller's transaction for a user and gives its status; 0 if there
-// is none. The transaction may have been carried out even then, or be carried out later;
-// the user repeats the request, by again.
-func (sim *simulation) commitForUser(transaction wire.Txn, again func()) (status int) {
+// commitForUser commits a controller's transaction for a user and returns its status, or 0 if
+// the user gets no result. Then the transaction may still have been committed, or be committed
+// later, and the user retries the request by calling retry.
+func (sim *simulation) commitForUser(transaction wire.Txn, retry func()) (status int) {
 	if !sim.acceptsWrites(len(transaction.Then)) {
-		sim.after(time.Second, again) // refused, with Retry-After
+		sim.after(time.Second, retry) // refused, with Retry-After
 		return 0
 	}
 	if sim.chance(sim.lossRate) {
 		sim.commitWithoutAnswer(transaction)
-		sim.after(2*time.Second, again)
+		sim.after(2*time.Second, retry)
 		return 0
 	}
 	status, _ = sim.kvStore.Commit(sim.now, transaction)
 	if status == 429 {
-		sim.after(time.Second, again)
+		sim.after(time.Second, retry)
 		return 0
 	}
 	return status
 }
 
-// submit has a user submit a job until it is accepted.
+// submit simulates a user who submits a job and retries until it is accepted.
 func (sim *simulation) submit(j *wire.Job) {
 	j.CreatedAtMilli = sim.now.Milliseconds()
 	sim.checker.AddJob(j)
@@ -51,15 +51,15 @@
 }
 
 func (sim *simulation) trySubmit(j *wire.Job) {
-	again := func() { sim.trySubmit(j) }
+	retry := func() { sim.trySubmit(j) }
 	if sim.servingController() == nil {
-		sim.after(2*time.Second, again)
+		sim.after(2*time.Second, retry)
 		return
 	}
 	status := sim.commitForUser(wire.Txn{
 		If:   []wire.Compare{{Key: records.JobKey(j.ID)}, {Key: records.EndedJobKey(j.ID)}},
 		Then: []wire.Op{{Set: records.JobKey(j.ID), Value: records.Job{Job: *j}}},
-	}, again)
+	}, retry)
 	if status != 0 {
 		sim.jobs = append(sim.jobs, j)
 		if sim.acceptedAt != nil {
@@ -71,7 +71,9 @@
 	}
 }
 
-// pollJob asks a controller for a job's state; empty if none can serve users.
+// pollJob returns a job's state as a controller answers it, or an empty string if no controller
+// can serve users. A controller that answers that a live job is cancelled thereby confirms the
+// cancellation.
 func (sim *simulation) pollJob(id string) string {
 	c := sim.servingController()
 	if c == nil {
@@ -87,8 +89,8 @@
 	return state
 }
 
-// recordedState is a job's state by its records, empty if there is none, and whether the
-// job has ended.
+// recordedState returns a job's state according to its records, empty if there are none, and
+// whether the job has ended.
 func (sim *simulation) recordedState(id string) (state string, ended bool) {
 	if item := sim.kvStore.Get(sim.now, records.EndedJobKey(id)); item.ModRevision != 0 {
 		var record records.EndedJob
@@ -107,7 +109,7 @@
 	return wire.JobPending, false
 }
 
-// cancel has a user cancel a job until that is answered.
+// cancel simulates a user who cancels a job and retries until that is answered.
 func (sim *simulation) cancel(id string) {
 	sim.checker.CancelRequested(id)
 	if c := sim.servingController(); c != nil {
@@ -117,15 +119,15 @@
 	sim.after(2*time.Second, func() { sim.cancel(id) })
 }
 
-// cancelAt has a user cancel a job at a controller, and at another one if that gives no
-// answer.
+// cancelAt simulates a user who cancels a job at the given controller, and retries at any
+// controller if there is no answer.
 func (sim *simulation) cancelAt(c *simController, id string) {
 	sim.checker.CancelRequested(id)
-	again := func() { sim.cancel(id) }
+	retry := func() { sim.cancel(id) }
 	item := sim.kvStore.Get(sim.now, records.JobKey(id))
 	if item.ModRevision == 0 {
 		if sim.kvStore.Get(sim.now, records.EndedJobKey(id)).ModRevision == 0 {
-			sim.after(2*time.Second, again) // not accepted yet
+			sim.after(2*time.Second, retry) // not accepted yet
 		}
 		return
 	}
@@ -136,20 +138,21 @@
 		status := sim.commitForUser(wire.Txn{
 			If:   []wire.Compare{{Key: item.Key, ModRevision: item.ModRevision}},
 			Then: []wire.Op{{Set: item.Key, Value: record}},
-		}, again)
+		}, retry)
 		if status == 409 {
-			sim.after(time.Second, again)
+			sim.after(time.Second, retry)
 		}
 		if status == 0 || status == 409 {
-			return // the user comes again
+			return // the user retries
 		}
 	}
 	c.confirmCancellation(id)
 	sim.checker.StateConfirmed(sim.now, id, wire.JobCancelled)
 }
 
-// cancelNearCompletion cancels a job around the moment at which its last task completes: it
-// is done or cancelled, whichever comes first, and stays that.
+// cancelNearCompletion cancels a job up to 1.6 s after its last task has completed, while the
+// completion may not be recorded yet. The job becomes done or cancelled, whichever is recorded
+// first, and must keep that state.
 func (sim *simulation) cancelNearCompletion(j *wire.Job) {
 	for i := range j.Tasks {
 		if !sim.checker.IsCompleted(wire.TaskName(j.ID, i)) {
@@ -160,8 +163,8 @@
 	sim.after(time.Duration(sim.rng.IntN(1500))*time.Millisecond, func() { sim.cancel(j.ID) })
 }
 
-// runUsers has users submit and cancel jobs of all kinds up to the given time, and poll
-// them to the end.
+// runUsers simulates users who submit and cancel random jobs up to the given time, and poll all
+// jobs until the simulation ends.
 func (sim *simulation) runUsers(until time.Duration) {
 	submitted := 0
 	sim.every(2*time.Second, func() {
@@ -173,7 +176,8 @@
 	sim.every(time.Second, sim.pollAll)
 }
 
-// submitRandomJob submits a job of any kind. Services and some others are cancelled later.
+// submitRandomJob submits a job with random properties. All services and some other jobs are
+// cancelled later.
 func (sim *simulation) submitRandomJob(id string) {
 	j := &wire.Job{
 		ID: id, Class: "c", Team: []string{"red", "blue"}[sim.rng.IntN(2)],
--- a/internal/scheduler/statusprobe_test.go
+++ b/internal/scheduler/statusprobe_test.go
@@ -16,7 +16,7 @@
 	h := newHarness(t)
 	listed := func(from, to int) (list []wire.ListedMachine) {
 		for i := from; i < to; i++ {
-			list = append(list, wire.ListedMachine{Name: machineNumber(i), Type: "box", Zone: "a", Address: fmt.Sprintf("m%d:1", i), State: wire.MachineRunning})
+			list = append(list, wire.ListedMachine{Name: numberedMachineName(i), Type: "box", Zone: "a", Address: fmt.Sprintf("m%d:1", i), State: wire.MachineRunning})
 		}
 		return list
 	}
@@ -28,8 +28,8 @@
 		}
 		h.scheduler.Tick(h.clock())
 		h.settle()
-		if len(h.calls) > tuning.MinConcurrentStatusProbes {
-			t.Fatalf("%d status probes in flight", len(h.calls))
+		if len(h.pendingCalls) > tuning.MinConcurrentStatusProbes {
+			t.Fatalf("%d status probes in flight", len(h.pendingCalls))
 		}
 	}
 	h.scheduler.MachinesListed(h.clock(), listed(0, machines))
@@ -39,7 +39,7 @@
 	probed := map[string]int{}
 	for range 4 {
 		scan()
-		for _, call := range h.calls {
+		for _, call := range h.pendingCalls {
 			probed[call.Machine]++
 		}
 		h.answerAll(CallLost)
@@ -50,14 +50,14 @@
 
 	h.now += 16 * tuning.MinStatusProbeInterval
 	scan()
-	if len(h.calls) != tuning.MinConcurrentStatusProbes/2 {
-		t.Errorf("%d status probes of machines that do not answer", len(h.calls))
+	if len(h.pendingCalls) != tuning.MinConcurrentStatusProbes/2 {
+		t.Errorf("%d status probes of machines that do not answer", len(h.pendingCalls))
 	}
 	h.scheduler.MachinesListed(h.clock(), listed(machines, machines+1))
 	h.now += 2 * h.scheduler.settings.HeartbeatInterval
 	h.scheduler.MachinesListed(h.clock(), listed(machines, machines+1))
 	h.settle()
-	if last := h.calls[len(h.calls)-1].Machine; last != machineNumber(machines) {
+	if last := h.pendingCalls[len(h.pendingCalls)-1].Machine; last != numberedMachineName(machines) {
 		t.Errorf("the new machine was not probed; the last probe went to %s", last)
 	}
 }
@@ -69,10 +69,10 @@
 	f := newFleetHarness(t, machines)
 	f.cpuShare = share
 	f.startTerm(60)
-	f.statusProbes = 0
+	f.statusProbeCount = 0
 	f.settle()
-	if f.statusProbes > tuning.MinConcurrentStatusProbes {
-		t.Errorf("%d machines probed at once", f.statusProbes)
+	if f.statusProbeCount > tuning.MinConcurrentStatusProbes {
+		t.Errorf("%d machines probed at once", f.statusProbeCount)
 	}
 
 	rate := tuning.MaxStatusProbeRate * share
@@ -82,8 +82,8 @@
 		f.scheduler.Tick(f.clock())
 		f.now += tuning.TickInterval / 2
 		f.settle()
-		if maxProbes := tuning.MinConcurrentStatusProbes + (f.now-startedAt).Seconds()*rate + 1; float64(f.statusProbes) > maxProbes {
-			t.Fatalf("%d machines probed after %v, over %.0f", f.statusProbes, f.now-startedAt, maxProbes)
+		if maxProbes := tuning.MinConcurrentStatusProbes + (f.now-startedAt).Seconds()*rate + 1; float64(f.statusProbeCount) > maxProbes {
+			t.Fatalf("%d machines probed after %v, over %.0f", f.statusProbeCount, f.now-startedAt, maxProbes)
 		}
 	}
 	for _, m := range f.scheduler.cluster.machines {
@@ -105,7 +105,7 @@
 		t.Fatal("probed already, although there are more machines than status probes")
 	}
 	f.now += time.Second // the rate limit allows status probes again
-	callsBefore := f.directCalls
+	callsBefore := f.directCallCount
 
 	if _, ok := f.scheduler.Heartbeat(f.clock(), f.newHeartbeat(m.name)); !ok || m.directCalls.inFlight {
 		t.Errorf("answered %v, probed at once %v", ok, m.directCalls.inFlight)
@@ -113,7 +113,7 @@
 	f.now += tuning.StatusProbeHoldOff
 	f.scheduler.Settle(f.clock())
 	f.scheduler.dispatcher.probeStatus(m, len(f.scheduler.cluster.machines))
-	if !m.directCalls.inFlight || f.directCalls != callsBefore {
+	if !m.directCalls.inFlight || f.directCallCount != callsBefore {
 		t.Error("not probed although its heartbeat did not arrive")
 	}
 }
--- a/internal/scheduler/tick_test.go
+++ b/internal/scheduler/tick_test.go
@@ -28,7 +28,7 @@
 			h := newHarness(t)
 			h.scheduler.settings.HeartbeatInterval, h.scheduler.settings.WorkerLease = 10*time.Second, 2*time.Minute
 			for i := range tc.machines {
-				h.bringUp(machineNumber(i))
+				h.bringUp(numberedMachineName(i))
 			}
 
 			isolatedAt := h.now
