--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -88,7 +88,7 @@
 func (h *harness) settle() {
 	h.t.Helper()
 	for range 20 {
-		h.now += 4 * time.Millisecond // assignment batches are spaced
+		h.now += 4 * time.Millisecond // the persister writes batches at intervals, see nextBatchAt
 		h.scheduler.Settle(h.clock())
 		effects := h.scheduler.TakeEffects()
 		h.pendingCalls = append(h.pendingCalls, effects.DirectCalls...)
--- a/internal/scheduler/simulation_cloud_test.go
+++ b/internal/scheduler/simulation_cloud_test.go
@@ -97,7 +97,7 @@
 	for _, name := range sim.machineNames {
 		worker, lifecycle := sim.workers[name], sim.lifecycles[name]
 		if worker.Terminated && lifecycle.removedAt == 0 && lifecycle.diedAt == 0 {
-			lifecycle.diedAt = sim.now // noticed now
+			lifecycle.diedAt = sim.now // the cloud notices it now
 		}
 		if lifecycle.provisionedAt > max(at, 0) || lifecycle.removedAt > 0 && lifecycle.removedAt <= at {
 			continue
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -85,10 +85,10 @@
 	noSafeguard               safeguard = iota
 	keepaliveBoundByWatermark           // leaders renew leases only while they know all recent cancellations
 	peerCancellationLists               // controllers exchange the cancellations that they have confirmed
-	// keepaliveFromEnforcement limits keepalive from the time when cancellations are enforced,
-	// not from when they are known.
+	// keepaliveFromEnforcement counts keepalive from the time up to which cancellations are
+	// enforced, not from the time up to which they are known.
 	keepaliveFromEnforcement
-	// keepaliveFromWatermark limits keepalive from the leader's watermark, not from the time at
+	// keepaliveFromWatermark counts keepalive from the leader's watermark, not from the time at
 	// which a peer reads it.
 	keepaliveFromWatermark
 )
