--- a/internal/scheduler/machine_faults_test.go
+++ b/internal/scheduler/machine_faults_test.go
@@ -26,12 +26,12 @@
 			task := wire.TaskName(j.ID, i)
 			tasksOnMachine[name] = map[string]wire.TaskStatus{task: {Task: task, Attempt: 9, State: wire.TaskRunning}}
 		}
-		h := newHarnessWith(t, harnessConfig{live: live, records: storedRecords})
+		h := newHarnessWith(t, harnessConfig{liveJobs: live, records: storedRecords})
 		probesToLose := rng.IntN(3) // number of the first status probes of n-1 that get no answer
 		runFor := func(duration time.Duration) {
 			for end := h.now + duration; h.now < end; {
-				calls := h.calls
-				h.calls = nil
+				calls := h.pendingCalls
+				h.pendingCalls = nil
 				for _, c := range calls {
 					if c.Machine == "n-1" && probesToLose > 0 {
 						probesToLose--
@@ -117,9 +117,9 @@
 				"run-000003": {Record: &records.Job{Job: job("run-000003", 2), Done: done.EncodeChunk(0)}, ModRevision: 5},
 				"run-000004": {Record: &records.Job{Job: job("run-000004", 1)}, ModRevision: 5},
 			}
-			h := newHarnessWith(t, harnessConfig{live: live, records: []wire.KeyValue{machineRecordItem(t, "n-1", records.LegacyMachine{Type: "box", Zone: "a", Address: "n-1:1",
+			h := newHarnessWith(t, harnessConfig{liveJobs: live, records: []wire.KeyValue{machineRecordItem(t, "n-1", records.LegacyMachine{Type: "box", Zone: "a", Address: "n-1:1",
 				Tasks: map[string][]records.LegacyAssignment{"run-000002": {{Index: 1, Attempt: 8}}, "run-000004": {{Index: 0, Attempt: 9}}}})}})
-			h.calls = nil // n-1 sends no heartbeat, so the cancelled job stays live
+			h.pendingCalls = nil // n-1 sends no heartbeat, so the cancelled job stays live
 			stops := 0
 			countStops := func(commands []wire.Command) {
 				for _, command := range commands {
@@ -137,7 +137,7 @@
 			h.now += time.Second
 			h.scheduler.Tick(h.clock())
 			h.settle()
-			for _, call := range h.calls {
+			for _, call := range h.pendingCalls {
 				if call.Machine == "n-2" {
 					countStops(call.Body.Commands)
 				}
@@ -145,8 +145,8 @@
 			if (stops > 0) != c.stopped {
 				t.Errorf("%d stop commands were sent for the task", stops)
 			}
-			if id, _, _ := wire.ParseTaskName(c.task); !c.stopped && (h.recordedAttempts() != 1 || len(h.scheduler.cluster.jobs[id].active[0]) != 1) {
-				t.Errorf("the task is not counted or not recorded: %d recorded attempts", h.recordedAttempts())
+			if id, _, _ := wire.ParseTaskName(c.task); !c.stopped && (h.countRecordedAttempts() != 1 || len(h.scheduler.cluster.jobs[id].active[0]) != 1) {
+				t.Errorf("the task is not counted or not recorded: %d recorded attempts", h.countRecordedAttempts())
 			}
 			// A heartbeat that is no newer than the last one does not remove the machine's tasks.
 			staleHeartbeat := h.newHeartbeat("n-2", h.fencingToken("n-2"))
@@ -179,10 +179,10 @@
 	h.settle()
 	m := h.scheduler.cluster.machines["n-1"]
 	lastHeartbeatAt := m.connectivity.lastHeartbeatAt
-	if len(h.calls) == 0 {
+	if len(h.pendingCalls) == 0 {
 		t.Fatal("the machine is not probed although its heartbeats are overdue")
 	}
-	c := h.calls[0]
+	c := h.pendingCalls[0]
 	otherHeartbeat := h.newHeartbeat("n-2", c.Body.FencingToken)
 	otherHeartbeat.Address, otherHeartbeat.Sequence = m.address, 1000
 	h.scheduler.CallDone(h.clock(), c.ID, CallExecuted, otherHeartbeat)
@@ -233,7 +233,7 @@
 	if len(h.startCommands()) != 1 {
 		t.Fatalf("%d start commands, want 1", len(h.startCommands()))
 	}
-	startToken := h.calls[0].Body.FencingToken
+	startToken := h.pendingCalls[0].Body.FencingToken
 	h.scheduler.Cancelled(h.clock(), []string{"run-000001"})
 	h.settle()
 	if token := h.fencingToken("n-1"); token <= startToken {
