--- a/internal/api/delayed_writes_test.go
+++ b/internal/api/delayed_writes_test.go
@@ -116,7 +116,7 @@
 func delayHedgedSubmissionPastEnd(t *testing.T, c *cluster, user *historyChecker) {
 	t.Helper()
 	hedged := user
-	for k := 1; c.simulation.HeldTransactions() == 0; k++ {
+	for k := 1; c.simulation.HeldTransactionCount() == 0; k++ {
 		job := newJob(2500+k, 1)
 		c.simulation.UploadJob(job, time.Hour)
 		hedged = newHistoryChecker(c, job)
--- a/internal/api/history_checker_test.go
+++ b/internal/api/history_checker_test.go
@@ -110,7 +110,7 @@
 func (h *historyChecker) sendAbandoned(i int, kind userRequest, held int) {
 	h.cluster.tb.Helper()
 	go h.send(i, kind)
-	h.cluster.eventually("a held transaction", func() bool { return h.cluster.simulation.HeldTransactions() >= held })
+	h.cluster.eventually("a held transaction", func() bool { return h.cluster.simulation.HeldTransactionCount() >= held })
 }
 
 // final is the state in which the job ended, or "".
--- a/internal/api/reconcile_test.go
+++ b/internal/api/reconcile_test.go
@@ -69,7 +69,7 @@
 
 // injectDifferences makes machines differ from the records while the controllers are down,
 // and returns the orders that this requires.
-func (c *cluster) injectDifferences(seed uint64) (required simulator.OrderCounts) {
+func (c *cluster) injectDifferences(seed uint64) (required simulator.OperationCounts) {
 	random := rand.New(rand.NewPCG(seed, 5))
 	machines := c.simulation.MachineNames()
 	random.Shuffle(len(machines), func(a, b int) { machines[a], machines[b] = machines[b], machines[a] })
@@ -120,16 +120,16 @@
 
 func playColdRestart(t *testing.T, c *cluster, seed uint64) {
 	t.Helper()
-	c.simulation.TakeOrders()
+	c.simulation.TakeOperationCounts()
 	c.stopAllControllers()
-	var required simulator.OrderCounts
+	var required simulator.OperationCounts
 	if seed > 0 {
 		required = c.injectDifferences(seed)
 	}
 	c.startAllControllers()
 	status := c.waitUntilSettled()
 	c.waitUntilAllRunning()
-	if got := c.simulation.TakeOrders(); got != required {
+	if got := c.simulation.TakeOperationCounts(); got != required {
 		t.Errorf("ordered %+v, required %+v\n%+v", got, required, status)
 	}
 	if stops := status.Operations[reconcile.StopOperation.String()]; stops.Total != required.Stops || stops.Attributed != required.Stops {
--- a/internal/api/transactions_test.go
+++ b/internal/api/transactions_test.go
@@ -71,7 +71,7 @@
 
 func (c *cluster) waitUntilHeld(what string) {
 	c.tb.Helper()
-	c.eventually(what, func() bool { return c.simulation.HeldTransactions() > 0 })
+	c.eventually(what, func() bool { return c.simulation.HeldTransactionCount() > 0 })
 }
 
 // expectAllRejected commits what is held; all of it has to be rejected.
--- a/internal/restartsim/counts.go
+++ b/internal/restartsim/counts.go
@@ -9,12 +9,12 @@
 
 // counts are the orders and calls of a scheduler.
 type counts struct {
-	orders                                *simulator.OrderCounter
+	orders                                *simulator.OperationCounter
 	kvStoreCalls, cloudCalls, directCalls int
 	firstStartAt                          time.Duration // 0: none yet
 }
 
-func newCounts() counts { return counts{orders: simulator.NewOrderCounter()} }
+func newCounts() counts { return counts{orders: simulator.NewOperationCounter()} }
 
 func (c *counts) countCommands(now time.Duration, machine string, commands []wire.Command) {
 	c.orders.CountCommands(machine, commands)
--- a/internal/restartsim/restart.go
+++ b/internal/restartsim/restart.go
@@ -19,7 +19,7 @@
 
 // Result is the outcome of a plan. Times count from the restart; 0 means never.
 type Result struct {
-	Needed, Issued   simulator.OrderCounts
+	Needed, Issued   simulator.OperationCounts
 	KVStoreCalls     int
 	CloudCalls       int
 	DirectCalls      int
@@ -60,7 +60,7 @@
 
 	c.scheduler = nil
 	c.submitTasks(nextJob, backlog)
-	r := &restartRun{cluster: c, initialMachines: plan.Machines, needed: simulator.OrderCounts{Starts: backlog}}
+	r := &restartRun{cluster: c, initialMachines: plan.Machines, needed: simulator.OperationCounts{Starts: backlog}}
 	r.expectUsage(nextJob, backlog)
 	r.changeMachines(plan.Changed)
 	r.needed.Provisioned = machinesFor(filled+backlog) - (plan.Machines - r.terminatedMachines)
@@ -80,7 +80,7 @@
 	initialMachines    int
 	terminatedMachines int
 	expectedCPUs       map[string]float64 // by team, when all of its tasks run
-	needed             simulator.OrderCounts
+	needed             simulator.OperationCounts
 	restartedAt        time.Duration
 	result             Result
 }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -87,7 +87,7 @@
 			sim.partitionedUntil[sim.machineNames[sim.rng.IntN(len(sim.machineNames))]] = sim.now + 30*time.Second
 		})
 		for _, worker := range sim.workers {
-			worker.OutlastTest()
+			worker.PreventLeaseExpiry()
 		}
 		sim.run(150 * time.Second)
 		for _, violation := range sim.checker.Violations {
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -13,27 +13,29 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Bounds of the cloud's requests.
+// Limits on the number of machines in one request to the cloud.
 const (
-	maxProvisionCount  = 50
-	maxReleaseMachines = 100
+	maxProvisionCount = 50
+	maxReleaseCount   = 100
 )
 
-// cloud is what the simulated cloud remembers.
+// cloud is the state of the simulated cloud.
 type cloud struct {
-	machinesByRequest map[string][]string // so that a repeated request provisions nothing
-	provisionedAt     map[string]time.Duration
-	machineCount      int
+	// machinesByRequest maps the id of each provision request to the names of its machines, so
+	// that a repeated request provisions nothing.
+	machinesByRequest map[string][]string
+	provisionedAt     map[string]time.Duration // by machine name
+	lastMachineNumber int
 }
 
 func newCloud() cloud {
 	return cloud{machinesByRequest: map[string][]string{}, provisionedAt: map[string]time.Duration{}}
 }
 
-// nextMachineName names a new machine.
+// nextMachineName returns the name of a new machine.
 func (c *cloud) nextMachineName() string {
-	c.machineCount++
-	return fmt.Sprintf("n-%06d", c.machineCount)
+	c.lastMachineNumber++
+	return fmt.Sprintf("n-%06d", c.lastMachineNumber)
 }
 
 // cloudServer serves the cloud of a deployment.
@@ -43,7 +45,7 @@
 }
 
 // CloudHandler returns the HTTP handler of the cloud. The agents on the machines that it
-// provisions run until the context ends.
+// provisions stop when the context ends.
 func (d *Deployment) CloudHandler(ctx context.Context) http.Handler {
 	server := cloudServer{d, ctx}
 	mux := http.NewServeMux()
@@ -54,7 +56,8 @@
 	return mux
 }
 
-// whenAvailable runs a handler with the deployment locked, unless the cloud is down.
+// whenAvailable returns a handler that runs the given handler with the deployment locked, or
+// replies with 503 while the cloud is down.
 func (s cloudServer) whenAvailable(handler http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.deployment.mu.Lock()
@@ -77,7 +80,7 @@
 		writeError(w, http.StatusBadRequest, "malformed")
 		return
 	}
-	names := s.machinesOf(request)
+	names := s.machinesForRequest(request)
 	if len(names) == 0 {
 		writeError(w, http.StatusServiceUnavailable, "no capacity")
 		return
@@ -85,9 +88,9 @@
 	writeReply(w, http.StatusOK, wire.MachineNames{Machines: names})
 }
 
-// machinesOf provisions the machines of a request, or finds those of an earlier request
-// with the same id.
-func (s cloudServer) machinesOf(request wire.ProvisionRequest) []string {
+// machinesForRequest provisions the machines of a request and returns their names. If an earlier
+// request had the same id, it returns the machines of that request instead.
+func (s cloudServer) machinesForRequest(request wire.ProvisionRequest) []string {
 	d := s.deployment
 	if names, repeated := d.cloud.machinesByRequest[request.RequestID]; repeated {
 		return names
@@ -102,17 +105,17 @@
 		}
 	}
 	d.cloud.machinesByRequest[request.RequestID] = names
-	d.orders.CountProvisioned(len(names))
+	d.operations.CountProvisioned(len(names))
 	return names
 }
 
-// startMachine provisions a machine of a request and lets it boot.
+// startMachine provisions one machine of a request, starts its agent and returns its name.
 func (s cloudServer) startMachine(machineType wire.MachineType, request wire.ProvisionRequest) string {
 	d := s.deployment
 	var config net.ListenConfig
 	listener, err := config.Listen(s.ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
-		panic(err) // there is no loopback interface
+		panic(err) // the loopback interface is not available
 	}
 	name := d.cloud.nextMachineName()
 	worker := NewWorker(d.now()+d.config.BootTime, WorkerConfig{
@@ -127,13 +130,13 @@
 
 func (s cloudServer) release(w http.ResponseWriter, r *http.Request) {
 	var request wire.MachineNames
-	if readBody(r, &request) != nil || len(request.Machines) > maxReleaseMachines {
+	if readBody(r, &request) != nil || len(request.Machines) > maxReleaseCount {
 		writeError(w, http.StatusBadRequest, "malformed")
 		return
 	}
 	for _, name := range request.Machines {
 		if worker := s.deployment.workers[name]; worker != nil {
-			s.deployment.orders.CountRelease(name)
+			s.deployment.operations.CountRelease(name)
 			worker.Terminate()
 		}
 	}
@@ -149,12 +152,12 @@
 	writeReply(w, http.StatusOK, reply)
 }
 
-// machinesAfter lists the machines that run, by name, after a name.
-func (s cloudServer) machinesAfter(from string) []wire.ListedMachine {
+// machinesAfter lists the running machines whose names sort after the given one, ordered by name.
+func (s cloudServer) machinesAfter(after string) []wire.ListedMachine {
 	d := s.deployment
 	machines := []wire.ListedMachine{}
 	for name, worker := range d.workers {
-		if worker.Terminated || name <= from {
+		if worker.Terminated || name <= after {
 			continue
 		}
 		machines = append(machines, wire.ListedMachine{
--- a/internal/simulator/deployment.go
+++ b/internal/simulator/deployment.go
@@ -8,60 +8,60 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// What every simulated deployment has.
+// Settings of every simulated deployment.
 const (
-	maxTxnOps     = 12
-	maxLogEntries = 10000
-	cancelGrace   = time.Minute
+	maxTxnOps     = 12          // operations in one transaction of the key-value store
+	maxLogEntries = 10000       // changes that the key-value store keeps for watches
+	cancelGrace   = time.Minute // how long tasks of a cancelled job may stay on machines
 )
 
-// DeploymentConfig describes a deployment. The zero value has no machine types, teams or
+// DeploymentConfig configures a deployment. The zero value has no machine types, teams or
 // controllers.
 type DeploymentConfig struct {
 	MachineTypes      []wire.MachineType
-	QuotaLimits       map[string]float64 // CPUs, by team
-	Controllers       map[string]string  // addresses, by name
-	BootTime          time.Duration      // of a machine
-	HeartbeatInterval time.Duration      // of a worker agent
-	LeaseDuration     time.Duration      // of a worker agent
+	QuotaLimits       map[string]float64 // CPU limits by team
+	Controllers       map[string]string  // addresses by controller name
+	BootTime          time.Duration      // time from provisioning a machine to the start of its agent
+	HeartbeatInterval time.Duration      // time between two heartbeats of a worker agent
+	LeaseDuration     time.Duration      // duration of a worker's lease
 }
 
-// Deployment serves a key-value store, a cloud, and an agent on each machine that was
-// provisioned there, over HTTP and in real time.
+// Deployment serves a key-value store, a cloud, and an agent on each provisioned machine over
+// HTTP, in real time.
 type Deployment struct {
 	config    DeploymentConfig
 	startedAt time.Time
 
-	mu       sync.Mutex // guards all of the following
-	kvStore  *KVStore
-	checker  *RuleChecker
-	cloud    cloud
-	workers  map[string]*Worker
-	runTimes map[string]time.Duration // of a job's tasks, by job
-	faults   injectedFaults
-	orders   *OrderCounter
+	mu         sync.Mutex // guards the fields below
+	kvStore    *KVStore
+	checker    *RuleChecker
+	cloud      cloud
+	workers    map[string]*Worker
+	runTimes   map[string]time.Duration // run time of each task, by job id
+	faults     injectedFaults
+	operations *OperationCounter
 }
 
-// NewDeployment starts the clock of a deployment. It serves nothing before its handlers
-// are given to a server.
+// NewDeployment returns a deployment whose clock starts now. The caller serves its handlers, see
+// KVStoreHandler and CloudHandler.
 func NewDeployment(config DeploymentConfig) *Deployment {
 	return &Deployment{
-		config:    config,
-		startedAt: time.Now(),
-		kvStore:   NewKVStore(maxTxnOps, maxLogEntries),
-		checker:   NewRuleChecker(config.QuotaLimits, cancelGrace),
-		cloud:     newCloud(),
-		workers:   map[string]*Worker{},
-		runTimes:  map[string]time.Duration{},
-		faults:    injectedFaults{partitionedUntil: map[string]time.Duration{}},
-		orders:    NewOrderCounter(),
+		config:     config,
+		startedAt:  time.Now(),
+		kvStore:    NewKVStore(maxTxnOps, maxLogEntries),
+		checker:    NewRuleChecker(config.QuotaLimits, cancelGrace),
+		cloud:      newCloud(),
+		workers:    map[string]*Worker{},
+		runTimes:   map[string]time.Duration{},
+		faults:     injectedFaults{partitionedUntil: map[string]time.Duration{}},
+		operations: NewOperationCounter(),
 	}
 }
 
-// now is the time since the start, by which the simulated services go.
+// now returns the time since the deployment started, which is the clock of the simulated services.
 func (d *Deployment) now() time.Duration { return time.Since(d.startedAt) }
 
-// Violations lists the violations of the protocol's rules.
+// Violations returns the recorded violations of the protocol's rules.
 func (d *Deployment) Violations() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -75,8 +75,8 @@
 	return d.kvStore.Get(d.now(), key).ModRevision != 0
 }
 
-// UploadJob makes a job's description known to the workers, as its user does before
-// submitting it.
+// UploadJob makes a job and the run time of its tasks known to the workers. A user does this
+// before submitting the job.
 func (d *Deployment) UploadJob(job *wire.Job, runTime time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -84,13 +84,13 @@
 	d.runTimes[job.ID] = runTime
 }
 
-// runTimeOf is the run time of a task. The caller holds the lock.
+// runTimeOf returns the run time of a task. The caller holds d.mu.
 func (d *Deployment) runTimeOf(task string) time.Duration {
 	job, _, _ := wire.ParseTaskName(task)
 	return d.runTimes[job]
 }
 
-// MachineNames lists the machines that have not been terminated, in order.
+// MachineNames returns the sorted names of the machines that have not been terminated.
 func (d *Deployment) MachineNames() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -104,7 +104,7 @@
 	return names
 }
 
-// ActiveAttempts counts the attempts on a machine that have not exited.
+// ActiveAttempts returns the number of attempts on a machine that have not exited.
 func (d *Deployment) ActiveAttempts(machine string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -6,68 +6,70 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// TransactionFault is a fault that is injected into one transaction. The zero value
-// means none: the transaction is committed and answered.
+// TransactionFault is a fault that is injected into one transaction. With the zero value the
+// transaction is committed and answered without a fault.
 type TransactionFault struct {
-	Delay      time.Duration   // the request reaches the store this much later
-	DelayUntil <-chan struct{} // if not nil, the request reaches the store when this is closed
-	ReplyLost  bool            // the transaction is committed, and its reply is lost
-	Held       bool            // there is no reply, and CommitHeldTransactions commits it
+	Delay      time.Duration   // delay before the request reaches the store
+	DelayUntil <-chan struct{} // if not nil, the request reaches the store after this is closed
+	ReplyLost  bool            // commit the transaction, but send no reply
+	Held       bool            // send no reply, and commit only in CommitHeldTransactions
 }
 
 func (f TransactionFault) delayed() bool { return f.Delay > 0 || f.DelayUntil != nil }
 
-// wait blocks while the request is delayed.
-func (f TransactionFault) wait() {
+// waitForDelay blocks until the delay of the request has passed.
+func (f TransactionFault) waitForDelay() {
 	time.Sleep(f.Delay)
 	if f.DelayUntil != nil {
 		<-f.DelayUntil
 	}
 }
 
-// injectedFaults are the faults that a deployment suffers now.
+// injectedFaults holds the faults that are currently injected into a deployment.
 type injectedFaults struct {
 	kvStoreDown      bool
 	cloudDown        bool
 	transactionFault func(wire.Txn) TransactionFault
 	heldTransactions []wire.Txn
 	watchDelay       func() time.Duration
-	partitionedUntil map[string]time.Duration // by machine
+	partitionedUntil map[string]time.Duration // end of each machine's network partition, by machine name
 }
 
-// ofTransaction is the fault that a transaction meets.
-func (f *injectedFaults) ofTransaction(txn wire.Txn) TransactionFault {
+// chooseTransactionFault returns the fault to inject into a transaction. While the store is down
+// there is none, since the store refuses the transaction anyway.
+func (f *injectedFaults) chooseTransactionFault(txn wire.Txn) TransactionFault {
 	if f.transactionFault == nil || f.kvStoreDown {
 		return TransactionFault{}
 	}
 	return f.transactionFault(txn)
 }
 
-// InjectTransactionFaults lets fault choose the fault of each transaction from now on;
-// nil ends that. The values in a transaction are undecoded, as wire.Raw.
+// InjectTransactionFaults makes the store call fault for each transaction and inject the fault
+// that it returns; nil stops the injection. The transaction's values are passed to fault as
+// undecoded wire.Raw.
 func (d *Deployment) InjectTransactionFaults(fault func(wire.Txn) TransactionFault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.faults.transactionFault = fault
 }
 
-// DelayWatchReplies lets delay choose the time between the read and the reply of each
-// watch request; nil ends that.
+// DelayWatchReplies makes each watch request call delay and wait for the returned duration
+// between reading the changes and sending the reply; nil stops the delays.
 func (d *Deployment) DelayWatchReplies(delay func() time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.faults.watchDelay = delay
 }
 
-// HeldTransactions counts the transactions that are held.
-func (d *Deployment) HeldTransactions() int {
+// HeldTransactionCount returns the number of transactions that CommitHeldTransactions would commit.
+func (d *Deployment) HeldTransactionCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.faults.heldTransactions)
 }
 
-// CommitHeldTransactions commits the held transactions in the order of their arrival and
-// returns their statuses, which no client gets.
+// CommitHeldTransactions commits the held transactions in the order of their arrival and returns
+// their HTTP statuses. The clients receive no reply.
 func (d *Deployment) CommitHeldTransactions() []int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -80,7 +82,8 @@
 	return statuses
 }
 
-// StartKVStoreOutage makes the key-value store refuse every request.
+// StartKVStoreOutage makes the key-value store refuse every request. No lease expires until
+// EndKVStoreOutage.
 func (d *Deployment) StartKVStoreOutage() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -88,7 +91,7 @@
 	d.kvStore.StartOutage()
 }
 
-// EndKVStoreOutage makes the key-value store serve again.
+// EndKVStoreOutage makes the key-value store serve requests again and renews its leases.
 func (d *Deployment) EndKVStoreOutage() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -103,28 +106,30 @@
 	d.faults.cloudDown = true
 }
 
-// TerminateMachine ends a machine without an order. The cloud lists it no longer.
+// TerminateMachine terminates a machine without a release request, as if it had failed. The cloud
+// no longer lists it.
 func (d *Deployment) TerminateMachine(machine string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.workers[machine].Terminate()
 }
 
-// RestartMachine ends all tasks of a machine and begins a new incarnation of its agent.
+// RestartMachine ends all tasks on a machine and starts a new incarnation of its agent.
 func (d *Deployment) RestartMachine(machine string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.workers[machine].Restart(d.now())
 }
 
-// PartitionMachine cuts a machine off in both directions for a while.
+// PartitionMachine drops all messages to and from a machine for the given duration.
 func (d *Deployment) PartitionMachine(machine string, duration time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.faults.partitionedUntil[machine] = d.now() + duration
 }
 
-// StartTask starts a task on a machine, as a command of an earlier leader would.
+// StartTask starts a task on a machine with a direct command that carries the machine's current
+// fencing token, as if an earlier leader had sent it.
 func (d *Deployment) StartTask(machine, task string, attemptNumber uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/simulator/http.go
+++ b/internal/simulator/http.go
@@ -9,13 +9,13 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// maxRequestBytes bounds the bodies that the simulated services read.
+// maxRequestBytes is the number of bytes of a request body that the simulated services read.
 const maxRequestBytes = 1 << 20
 
 func writeReply(w http.ResponseWriter, status int, reply any) {
 	encoded, err := wire.Marshal(reply)
 	if err != nil {
-		panic(err) // message types always have a CBOR form
+		panic(err) // unreachable: every message type can be encoded as CBOR
 	}
 	w.Header().Set("Content-Type", wire.ContentType)
 	w.WriteHeader(status)
@@ -26,7 +26,7 @@
 	writeReply(w, status, wire.ErrorReply{Message: message})
 }
 
-// closeWithoutReply ends a handler so that the connection is closed without an answer.
+// closeWithoutReply aborts an HTTP handler and closes the connection without a reply.
 func closeWithoutReply() { panic(http.ErrAbortHandler) }
 
 func readBody(r *http.Request, message any) error {
@@ -37,7 +37,7 @@
 	return wire.Unmarshal(encoded, message)
 }
 
-// sleep waits for a duration. It returns false if the context ends first.
+// sleep waits for a duration and returns true, or returns false once the context ends.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/simulator/kv_store.go
+++ b/internal/simulator/kv_store.go
@@ -9,30 +9,29 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// comparesPerOp is how many compares a transaction may have for each operation that it
-// may have.
-const comparesPerOp = 4
+// maxComparesPerOp is the ratio of the maximum number of compares in a transaction to the maximum
+// number of its operations.
+const maxComparesPerOp = 4
 
 // KVStore simulates the key-value store.
 type KVStore struct {
-	Revision    uint64
-	Unavailable bool // every request is refused, and no lease expires
-	MaxTxnOps   int
-	// WriteRate limits puts and deletes a second, with a burst of one second's worth.
-	// 0 means no limit.
+	Revision    uint64 // of the last change
+	Unavailable bool   // whether there is an outage: callers refuse requests, and no lease expires
+	MaxTxnOps   int    // maximum number of operations in a transaction
+	// WriteRate is the maximum number of puts and deletes per second. The maximum burst is what
+	// the rate allows in one second. 0 means no limit.
 	WriteRate float64
 
-	writeBudget   float64       // puts and deletes that are accepted at writeBudgetAt
-	writeBudgetAt time.Duration // when writeBudget was computed
-	items         map[string]wire.KeyValue
-	leases        map[uint64]*lease
-	lastLeaseID   uint64
-	log           []wire.WatchEvent
-	maxLogEntries int
+	writeBudget          float64       // puts and deletes that WriteRate allows at writeBudgetUpdatedAt
+	writeBudgetUpdatedAt time.Duration // when writeBudget was last computed
+	items                map[string]wire.KeyValue
+	leases               map[uint64]*lease
+	lastLeaseID          uint64
+	log                  []wire.WatchEvent
+	maxLogEntries        int
 }
 
-// NewKVStore returns an empty store that keeps the last maxLogEntries changes for
-// watches.
+// NewKVStore returns an empty store that keeps the last maxLogEntries changes for watches.
 func NewKVStore(maxTxnOps, maxLogEntries int) *KVStore {
 	return &KVStore{
 		MaxTxnOps:     maxTxnOps,
@@ -42,10 +41,10 @@
 	}
 }
 
-// StartOutage makes the store refuse every request, and keeps leases from expiring.
+// StartOutage marks the store as unavailable. No lease expires before EndOutage.
 func (s *KVStore) StartOutage() { s.Unavailable = true }
 
-// EndOutage makes the store serve again, with every lease renewed.
+// EndOutage marks the store as available again and renews all leases.
 func (s *KVStore) EndOutage(now time.Duration) {
 	if s.Unavailable {
 		for _, l := range s.leases {
@@ -55,13 +54,13 @@
 	s.Unavailable = false
 }
 
-// Get reads a key. The ModRevision of a missing key is 0.
+// Get returns the value of a key. The ModRevision of a missing key is 0.
 func (s *KVStore) Get(now time.Duration, key string) wire.KeyValue {
 	s.ExpireLeases(now)
 	return s.items[key]
 }
 
-// Range reads at most limit keys with the prefix, in order, after the key from.
+// Range returns at most limit keys with the prefix that sort after the key from, in order.
 func (s *KVStore) Range(now time.Duration, prefix, from string, limit int) wire.RangeReply {
 	s.ExpireLeases(now)
 	var keys []string
@@ -81,13 +80,13 @@
 	return reply
 }
 
-// Commit runs a transaction and returns the HTTP status of the protocol with the reply.
+// Commit runs a transaction and returns the HTTP status and the reply that the protocol specifies.
 func (s *KVStore) Commit(now time.Duration, txn wire.Txn) (status int, reply wire.TxnReply) {
 	s.ExpireLeases(now)
-	if len(txn.Then) > s.MaxTxnOps || len(txn.If) > comparesPerOp*s.MaxTxnOps {
+	if len(txn.Then) > s.MaxTxnOps || len(txn.If) > maxComparesPerOp*s.MaxTxnOps {
 		return http.StatusBadRequest, wire.TxnReply{Error: "too many operations"}
 	}
-	if !s.spendWrites(now, len(txn.Then)) {
+	if !s.consumeWriteBudget(now, len(txn.Then)) {
 		return http.StatusTooManyRequests, wire.TxnReply{Error: "too many writes"}
 	}
 	if !s.leasesExist(txn.Then) {
@@ -97,22 +96,22 @@
 		return http.StatusConflict, wire.TxnReply{Revision: s.Revision, FailedKeys: failed}
 	}
 	if len(txn.Then) > 0 {
-		s.apply(txn.Then)
+		s.applyOps(txn.Then)
 	}
 	return http.StatusOK, wire.TxnReply{Revision: s.Revision}
 }
 
-// spendWrites takes operations from the write budget, or returns false if it does not
-// cover them. Operations of a transaction whose compares fail are spent as well.
-func (s *KVStore) spendWrites(now time.Duration, operations int) bool {
+// consumeWriteBudget subtracts a number of operations from the write budget, or returns false if
+// the budget is too small. The operations of a transaction whose compares fail count as well.
+func (s *KVStore) consumeWriteBudget(now time.Duration, operations int) bool {
 	if s.WriteRate <= 0 {
 		return true
 	}
-	s.writeBudget = min(s.WriteRate, s.writeBudget+s.WriteRate*(now-s.writeBudgetAt).Seconds())
-	if s.writeBudgetAt == 0 {
+	s.writeBudget = min(s.WriteRate, s.writeBudget+s.WriteRate*(now-s.writeBudgetUpdatedAt).Seconds())
+	if s.writeBudgetUpdatedAt == 0 {
 		s.writeBudget = s.WriteRate
 	}
-	s.writeBudgetAt = now
+	s.writeBudgetUpdatedAt = now
 	if float64(operations) > s.writeBudget {
 		return false
 	}
@@ -138,8 +137,8 @@
 	return failed
 }
 
-// apply carries out the operations of a transaction in one new revision.
-func (s *KVStore) apply(ops []wire.Op) {
+// applyOps applies the operations of a transaction under one new revision.
+func (s *KVStore) applyOps(ops []wire.Op) {
 	s.Revision++
 	for _, op := range ops {
 		if op.Delete != "" {
@@ -153,7 +152,7 @@
 func (s *KVStore) set(op wire.Op) {
 	value, err := wire.Marshal(op.Value)
 	if err != nil {
-		panic(err) // the caller is a test, and its value has no CBOR form
+		panic(err) // a test passed a value that cannot be encoded as CBOR
 	}
 	item := wire.KeyValue{Key: op.Set, Value: value, ModRevision: s.Revision}
 	if op.Lease != nil {
--- a/internal/simulator/kv_store_http.go
+++ b/internal/simulator/kv_store_http.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	watchPollInterval = 5 * time.Millisecond // how often a blocked watch looks for changes
-	minLeaseTTLMilli  = 100
+	watchPollInterval = 5 * time.Millisecond // how often a blocked watch checks for changes
+	minLeaseTTLMilli  = 100                  // shortest lease that is granted, in milliseconds
 )
 
 // kvStoreServer serves the key-value store of a deployment.
@@ -31,7 +31,8 @@
 	return mux
 }
 
-// whenAvailable runs a handler with the deployment locked, unless the store is down.
+// whenAvailable returns a handler that runs the given handler with the deployment locked, or
+// replies with 503 while the store is down.
 func (s kvStoreServer) whenAvailable(handler http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.deployment.mu.Lock()
@@ -63,16 +64,16 @@
 func (s kvStoreServer) commit(w http.ResponseWriter, r *http.Request) {
 	txn, err := readTxn(r)
 	if err != nil {
-		s.refuseMalformed(w, err)
+		s.rejectMalformed(w, err)
 		return
 	}
 	d := s.deployment
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	fault := d.faults.ofTransaction(txn)
+	fault := d.faults.chooseTransactionFault(txn)
 	if fault.delayed() {
 		d.mu.Unlock()
-		fault.wait()
+		fault.waitForDelay()
 		d.mu.Lock()
 	}
 	if d.faults.kvStoreDown {
@@ -90,15 +91,15 @@
 	writeReply(w, status, reply)
 }
 
-// refuseMalformed refuses a transaction that cannot be read: as malformed, or as any
-// other request while the store is down.
-func (s kvStoreServer) refuseMalformed(w http.ResponseWriter, err error) {
+// rejectMalformed replies to a transaction that cannot be decoded: with 400, or with 503 while the
+// store is down.
+func (s kvStoreServer) rejectMalformed(w http.ResponseWriter, err error) {
 	s.whenAvailable(func(w http.ResponseWriter, _ *http.Request) {
 		writeError(w, http.StatusBadRequest, err.Error())
 	})(w, nil)
 }
 
-// readTxn reads a transaction whose values stay undecoded, as wire.Raw.
+// readTxn decodes a transaction. Its values are left undecoded, as wire.Raw.
 func readTxn(r *http.Request) (wire.Txn, error) {
 	var received struct {
 		If   []wire.Compare `cbor:"if"`
@@ -144,14 +145,15 @@
 	writeReply(w, http.StatusOK, wire.LeaseReply{ID: id})
 }
 
-// leaseID is the lease that a request's path names, or 0, which no lease has.
+// leaseID returns the lease id in a request's path, or 0, which is never a lease id, if the path
+// has none.
 func leaseID(r *http.Request) uint64 {
 	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	return id
 }
 
-// watch answers when there are changes, or at the end of the time that the request may
-// block.
+// watch replies once there are changes, the log no longer has the requested revision, or the time
+// for which the request may block has passed.
 func (s kvStoreServer) watch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	from, _ := strconv.ParseUint(query.Get("from"), 10, 64)
@@ -159,7 +161,7 @@
 	deadline := time.Now().Add(time.Duration(blockMilli) * time.Millisecond)
 	for {
 		result := s.pollChanges(query.Get("starts"), from)
-		if result.final() || time.Now().After(deadline) {
+		if result.ready() || time.Now().After(deadline) {
 			result.reply(w)
 			return
 		}
@@ -171,12 +173,12 @@
 	}
 }
 
-// watchResult is what a watch sees of the store at one moment.
+// watchResult is the result of checking the store once for a watch request.
 type watchResult struct {
 	changes   wire.WatchReply
-	compacted bool // the log does not reach back far enough
-	down      bool
-	delay     time.Duration // injected, between the read and the reply
+	compacted bool          // the log no longer has all changes since the requested revision
+	down      bool          // the store is down
+	delay     time.Duration // injected delay between reading the changes and sending the reply
 }
 
 func (s kvStoreServer) pollChanges(prefix string, from uint64) watchResult {
@@ -191,8 +193,8 @@
 	return result
 }
 
-// final reports whether the watch need not wait any longer.
-func (r watchResult) final() bool {
+// ready reports whether the watch can be answered without waiting further.
+func (r watchResult) ready() bool {
 	return !r.down && (r.compacted || len(r.changes.Events) > 0)
 }
 
--- a/internal/simulator/kv_store_lease.go
+++ b/internal/simulator/kv_store_lease.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// lease is a store lease. Its keys are deleted when it expires.
+// lease is a lease of the key-value store. The keys attached to it are deleted when it expires.
 type lease struct {
 	ttl       time.Duration
 	expiresAt time.Duration
@@ -14,14 +14,14 @@
 
 func (l *lease) renew(now time.Duration) { l.expiresAt = now + l.ttl }
 
-// expiryDelay is how late the store notices that a lease has expired: up to 100 ms, and
-// never early. It differs from lease to lease and is the same in every run.
+// expiryDelay returns how long after its expiry a lease is revoked: 0 to 100 ms. It is computed
+// from the lease id, so that leases have different delays, and the same delays in every run.
 func expiryDelay(id uint64) time.Duration {
 	const multiplier, delays = 37, 101
 	return time.Duration(id*multiplier%delays) * time.Millisecond
 }
 
-// ExpireLeases revokes the leases that have expired.
+// ExpireLeases revokes the leases that have expired. It does nothing during an outage.
 func (s *KVStore) ExpireLeases(now time.Duration) {
 	if s.Unavailable {
 		return
@@ -45,7 +45,7 @@
 	return s.lastLeaseID
 }
 
-// RenewLease renews a lease. It returns false if there is no such lease any more.
+// RenewLease renews a lease. It returns false if the lease does not exist or has expired.
 func (s *KVStore) RenewLease(now time.Duration, id uint64) bool {
 	s.ExpireLeases(now)
 	l := s.leases[id]
@@ -56,10 +56,10 @@
 	return true
 }
 
-// RevokeLease ends a lease and deletes its keys in one revision.
+// RevokeLease ends a lease and deletes its keys under one new revision.
 func (s *KVStore) RevokeLease(id uint64) {
 	delete(s.leases, id)
-	keys := s.keysOfLease(id)
+	keys := s.keysWithLease(id)
 	if len(keys) == 0 {
 		return
 	}
@@ -69,7 +69,7 @@
 	}
 }
 
-func (s *KVStore) keysOfLease(id uint64) []string {
+func (s *KVStore) keysWithLease(id uint64) []string {
 	var keys []string
 	for key, item := range s.items {
 		if item.Lease == id && id != 0 {
--- a/internal/simulator/kv_store_watch.go
+++ b/internal/simulator/kv_store_watch.go
@@ -7,7 +7,7 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// appendLog adds a change to the log, whose oldest entries are dropped.
+// appendLog adds a change to the log. If the log is full, the oldest entry is dropped.
 func (s *KVStore) appendLog(event wire.WatchEvent) {
 	s.log = append(s.log, event)
 	if len(s.log) > s.maxLogEntries {
@@ -15,8 +15,8 @@
 	}
 }
 
-// Changes lists the changes of keys with the prefix after the revision from. ok is false
-// if the log does not reach back to it.
+// Changes returns the changes of keys with the prefix after the revision from. ok is false if the
+// log no longer has all changes since that revision.
 func (s *KVStore) Changes(now time.Duration, prefix string, from uint64) (reply wire.WatchReply, ok bool) {
 	s.ExpireLeases(now)
 	reply = wire.WatchReply{Revision: s.Revision, Events: []wire.WatchEvent{}}
@@ -24,15 +24,15 @@
 		return reply, false
 	}
 	for _, event := range s.log {
-		if event.ModRevision > from && concerns(event, prefix) {
+		if event.ModRevision > from && hasKeyPrefix(event, prefix) {
 			reply.Events = append(reply.Events, event)
 		}
 	}
 	return reply, true
 }
 
-// concerns reports whether an event sets or deletes a key with the prefix.
-func concerns(event wire.WatchEvent, prefix string) bool {
+// hasKeyPrefix reports whether an event sets or deletes a key with the prefix.
+func hasKeyPrefix(event wire.WatchEvent, prefix string) bool {
 	key := event.Set
 	if key == "" {
 		key = event.Delete
--- a/internal/simulator/orders.go
+++ b/internal/simulator/orders.go
@@ -2,39 +2,41 @@
 
 import "github.com/yarrowgap/yarrowgap/wire"
 
-// OrderCounts counts orders to machines and to the cloud.
-type OrderCounts struct {
+// OperationCounts holds the numbers of task starts, task stops, provisioned machines and machine
+// releases that were requested from workers and from the cloud.
+type OperationCounts struct {
 	Starts, Stops, Provisioned, Releases int
 }
 
-// OrderCounter counts the orders that machines and the cloud are given. A repeated start,
-// stop or release of the same attempt or machine counts once.
-type OrderCounter struct {
-	Counts OrderCounts
+// OperationCounter counts the operations that workers and the cloud are requested to execute.
+// A repeated start or stop of the same attempt on the same machine counts once, and so does a
+// repeated release of the same machine.
+type OperationCounter struct {
+	Counts OperationCounts
 
-	commands map[commandKey]bool // those that are counted
-	releases map[string]bool     // machines whose release is counted
+	countedCommands  map[commandKey]bool
+	releasedMachines map[string]bool // by machine name
 }
 
-// commandKey identifies a command among its repetitions.
+// commandKey identifies a command: a repetition of the command has the same key.
 type commandKey struct {
 	verb, machine, task string
 	attempt             uint64
 }
 
-// NewOrderCounter returns a counter that has counted nothing.
-func NewOrderCounter() *OrderCounter {
-	return &OrderCounter{commands: map[commandKey]bool{}, releases: map[string]bool{}}
+// NewOperationCounter returns a counter whose counts are 0.
+func NewOperationCounter() *OperationCounter {
+	return &OperationCounter{countedCommands: map[commandKey]bool{}, releasedMachines: map[string]bool{}}
 }
 
-// CountCommands counts the commands that a machine is given.
-func (c *OrderCounter) CountCommands(machine string, commands []wire.Command) {
+// CountCommands counts the start and stop commands that are sent to a machine.
+func (c *OperationCounter) CountCommands(machine string, commands []wire.Command) {
 	for _, command := range commands {
 		key := commandKey{command.Verb, machine, command.Task, command.Attempt}
-		if c.commands[key] {
+		if c.countedCommands[key] {
 			continue
 		}
-		c.commands[key] = true
+		c.countedCommands[key] = true
 		switch command.Verb {
 		case wire.VerbRun:
 			c.Counts.Starts++
@@ -44,23 +46,23 @@
 	}
 }
 
-// CountProvisioned counts machines that are provisioned.
-func (c *OrderCounter) CountProvisioned(machines int) { c.Counts.Provisioned += machines }
+// CountProvisioned adds a number of newly provisioned machines.
+func (c *OperationCounter) CountProvisioned(machines int) { c.Counts.Provisioned += machines }
 
-// CountRelease counts the release of a machine.
-func (c *OrderCounter) CountRelease(machine string) {
-	if !c.releases[machine] {
-		c.releases[machine] = true
+// CountRelease counts a request to release a machine.
+func (c *OperationCounter) CountRelease(machine string) {
+	if !c.releasedMachines[machine] {
+		c.releasedMachines[machine] = true
 		c.Counts.Releases++
 	}
 }
 
-// TakeOrders returns the orders of the deployment's machines and cloud since the last
-// call.
-func (d *Deployment) TakeOrders() OrderCounts {
+// TakeOperationCounts returns the operations that were requested from the deployment's machines
+// and cloud since the last call.
+func (d *Deployment) TakeOperationCounts() OperationCounts {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	counts := d.orders.Counts
-	d.orders.Counts = OrderCounts{}
+	counts := d.operations.Counts
+	d.operations.Counts = OperationCounts{}
 	return counts
 }
--- a/internal/simulator/orders_test.go
+++ b/internal/simulator/orders_test.go
@@ -6,10 +6,10 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-func TestRepeatedOrdersCountOnce(t *testing.T) {
-	counter := NewOrderCounter()
-	// Put together without a separator, the tasks and attempts of the first two would be
-	// the same text.
+func TestRepeatedOperationsCountOnce(t *testing.T) {
+	counter := NewOperationCounter()
+	// The task and attempt of the first two commands would form the same string if they were
+	// concatenated without a separator.
 	commands := []wire.Command{
 		{Verb: wire.VerbRun, Task: "run-000001/1", Attempt: 12},
 		{Verb: wire.VerbRun, Task: "run-000001/11", Attempt: 2},
@@ -24,7 +24,7 @@
 	counter.CountRelease("n-000002")
 	counter.CountProvisioned(2)
 	counter.CountProvisioned(1)
-	if want := (OrderCounts{Starts: 3, Stops: 1, Provisioned: 3, Releases: 2}); counter.Counts != want {
+	if want := (OperationCounts{Starts: 3, Stops: 1, Provisioned: 3, Releases: 2}); counter.Counts != want {
 		t.Errorf("counted %+v, want %+v", counter.Counts, want)
 	}
 }
--- a/internal/simulator/rule_checker.go
+++ b/internal/simulator/rule_checker.go
@@ -10,20 +10,20 @@
 // quotaTolerance absorbs rounding in sums of CPUs.
 const quotaTolerance = 1e-6
 
-// RuleChecker is told what users, workers and the cloud see, and records every violation
-// of the protocol's rules. Each violation is a line with its time and its rule.
+// RuleChecker records every violation of the protocol's rules. Its callers report to it what users
+// are told and what happens on machines. Each violation is a line with its time and its rule.
 type RuleChecker struct {
 	Violations     []string
-	Starts         int
-	RepeatedStarts int // starts of tasks that had completed, whose work was wasted
+	Starts         int // number of task starts
+	RepeatedStarts int // starts of tasks that had already completed, which is wasted work
 	LateStarts     []LateStart
 
-	quotaLimits  map[string]float64 // CPUs by team
+	quotaLimits  map[string]float64 // CPU limits by team
 	machineTypes []wire.MachineType
-	jobs         map[string]*wire.Job
-	recordedOnce map[string]bool // violations that are recorded once a job
+	jobs         map[string]*wire.Job // by id
+	recordedOnce map[string]bool      // keys of the violations in recordViolationOnce
 
-	faultsEnded   bool
+	faultsEnded   bool // whether fault injection has ended
 	faultsEndedAt time.Duration
 
 	placement    placementHistory
@@ -33,8 +33,8 @@
 	waiting      waitingHistory
 }
 
-// NewRuleChecker returns a checker for teams with the given CPU limits. cancelGrace is
-// how long the tasks of a cancelled job may stay on machines.
+// NewRuleChecker returns a checker for teams with the given CPU limits. cancelGrace is how long
+// the tasks of a job may stay on machines after its cancellation was confirmed.
 func NewRuleChecker(quotaLimits map[string]float64, cancelGrace time.Duration) *RuleChecker {
 	return &RuleChecker{
 		quotaLimits:  quotaLimits,
@@ -44,17 +44,17 @@
 		cancellation: newCancellationHistory(cancelGrace),
 		answers:      newAnswerHistory(),
 		polls:        newPollHistory(),
-		waiting:      waitingHistory{since: map[string]time.Duration{}},
+		waiting:      waitingHistory{fittingSince: map[string]time.Duration{}},
 	}
 }
 
-// SetMachineTypes sets the machine types that the cloud has.
+// SetMachineTypes sets the machine types that the cloud offers.
 func (c *RuleChecker) SetMachineTypes(types []wire.MachineType) { c.machineTypes = types }
 
-// AddJob adds a job that a user uploads, before it is submitted.
+// AddJob makes a job known to the checker. It is called before the job is submitted.
 func (c *RuleChecker) AddJob(job *wire.Job) { c.jobs[job.ID] = job }
 
-// JobOfTask is the job of a task, or nil if there is no such task.
+// JobOfTask returns the job of a task, or nil if there is no such task.
 func (c *RuleChecker) JobOfTask(task string) *wire.Job {
 	id, index, ok := wire.ParseTaskName(task)
 	job := c.jobs[id]
@@ -64,34 +64,35 @@
 	return job
 }
 
-// QuotaLimit is what a team may use at once, in CPUs.
+// QuotaLimit returns the number of CPUs that a team's tasks may use at the same time.
 func (c *RuleChecker) QuotaLimit(team string) float64 { return c.quotaLimits[team] }
 
-// FaultsEnded notes that no faults are injected any more: from now on jobs have to be
-// served.
+// FaultsEnded records that fault injection has ended. The limits on how long jobs may wait for
+// free capacity, and on how long queries about a job may fail regardless of other jobs, apply from
+// then on.
 func (c *RuleChecker) FaultsEnded(now time.Duration) {
 	if !c.faultsEnded {
 		c.faultsEnded, c.faultsEndedAt = true, now
 	}
 }
 
-// CheckAnythingRan checks at the end of a run that tasks were started.
+// CheckAnythingRan checks that at least one task was started. It is called at the end of a run.
 func (c *RuleChecker) CheckAnythingRan(now time.Duration) {
 	if c.Starts == 0 {
-		c.violation(now, RuleNothingRan, "no task was started")
+		c.recordViolation(now, RuleNothingRan, "no task was started")
 	}
 }
 
-// place is where a task may or may not run.
-type place struct {
+// machineKind holds the properties of a machine that a job can restrict.
+type machineKind struct {
 	machineType, zone string
 	spot              bool
 }
 
-// allowedFor reports whether a job's tasks may run at the place.
-func (p place) allowedFor(job *wire.Job) bool {
-	zoneAllowed := job.Zone == "" || job.Zone == p.zone
-	spotAllowed := !p.spot || job.Spot
-	typeAllowed := job.MachineTypes == nil || slices.Contains(job.MachineTypes, p.machineType)
+// allowedFor reports whether a job's tasks may run on machines of the kind.
+func (k machineKind) allowedFor(job *wire.Job) bool {
+	zoneAllowed := job.Zone == "" || job.Zone == k.zone
+	spotAllowed := !k.spot || job.Spot
+	typeAllowed := job.MachineTypes == nil || slices.Contains(job.MachineTypes, k.machineType)
 	return zoneAllowed && spotAllowed && typeAllowed
 }
--- a/internal/simulator/rule_checker_test.go
+++ b/internal/simulator/rule_checker_test.go
@@ -15,7 +15,7 @@
 	{Name: "gpu", CPUs: 8, GPUs: 4, MemoryGB: 32, FetchGBPerS: 1, Zones: []string{"a"}},
 }
 
-// ruleFixture is a checker with an accepted job of three tasks, and machines.
+// ruleFixture holds a checker that has an accepted job of three tasks, and machines to run them.
 type ruleFixture struct {
 	*RuleChecker
 	job                            *wire.Job
@@ -44,7 +44,7 @@
 	})
 }
 
-// submissionFields is a submission as its user sends it, with some fields changed.
+// submissionFields returns the encoded fields of a job's submission, with some of them changed.
 func submissionFields(j *wire.Job, change map[string]any) map[string]any {
 	fields := map[string]any{"uid": j.ID, "docket": j.Class, "crew": j.Team, "shape": j.Shape, "rank": j.Priority, "shifts": j.Tasks,
 		"cpus": j.CPUs, "gpus": j.GPUs, "memory_gb": j.MemoryGB, "kit": j.Image, "pull_gb": j.ImageGB, "breeds": nil, "pasture": nil,
@@ -55,7 +55,7 @@
 
 func (f *ruleFixture) task(i int) string { return wire.TaskName(f.job.ID, i) }
 
-// submitSecondJob submits another job and has it accepted.
+// submitSecondJob submits a changed copy of the fixture's job, which is accepted.
 func (f *ruleFixture) submitSecondJob(change func(j *wire.Job)) *wire.Job {
 	j := *f.job
 	j.ID = "run-000002"
@@ -65,7 +65,7 @@
 	return &j
 }
 
-// poll asks about jobs every five seconds; fails says which questions fail.
+// poll polls jobs every five seconds. fails reports whether the polls of a job fail.
 func (f *ruleFixture) poll(from, to time.Duration, fails func(id string) bool, ids ...string) {
 	for now := from; now <= to; now += 5 * time.Second {
 		for _, id := range ids {
@@ -78,13 +78,13 @@
 	}
 }
 
-func (f *ruleFixture) checkWaiting(to time.Duration, placed bool, free ...FreeCapacity) {
+func (f *ruleFixture) checkWaitingUntil(to time.Duration, placed bool, free ...FreeCapacity) {
 	for now := time.Duration(0); now <= to; now += 3 * time.Second {
 		f.CheckWaiting(now, free, func(string) bool { return placed })
 	}
 }
 
-// ruleCase is a run that violates a rule, and one next to it that the protocol allows.
+// ruleCase consists of a run that violates a rule, and a similar run that the protocol allows.
 type ruleCase struct {
 	rule      Rule
 	name      string
@@ -98,72 +98,74 @@
 			f := newRuleFixture()
 			c.violating(f)
 			if len(f.Violations) == 0 {
-				t.Error("the violation went unnoticed")
+				t.Error("the violation is not detected")
 			}
 			for _, violation := range f.Violations {
 				if !strings.Contains(violation, " "+string(c.rule)+":") {
-					t.Errorf("the violation is seen as %q", violation)
+					t.Errorf("the violation is recorded as %q", violation)
 				}
 			}
 			f = newRuleFixture()
 			c.allowed(f)
 			if len(f.Violations) > 0 {
-				t.Errorf("what is allowed is seen as %q", f.Violations)
+				t.Errorf("the allowed run has the violations %q", f.Violations)
 			}
 		})
 	}
 }
 
-// Starts after a confirmed cancellation are counted. Only those after the grace period are
-// violations: a start that was in flight may still be carried out.
+// Starts after a confirmed cancellation are counted. Only starts after the grace period are
+// violations, since a start command that was in flight may still be executed.
 func TestLateStartsAreCountedAndAllowedWithinTheGracePeriod(t *testing.T) {
 	f := newRuleFixture()
-	f.cancel()
-	f.TaskStarted(time.Second, f.task(0), f.machineA) // at the same moment
+	f.cancelJob()
+	f.TaskStarted(time.Second, f.task(0), f.machineA) // at the time of the confirmation
 	if len(f.LateStarts) > 0 {
-		t.Error("counted: ", f.LateStarts)
+		t.Error("a start at the time of the confirmation is counted as late: ", f.LateStarts)
 	}
 	f.TaskStarted(2*time.Second, f.task(1), f.machineA)
 	if len(f.LateStarts) != 1 || len(f.Violations) > 0 {
-		t.Errorf("counted %v, violations %q", f.LateStarts, f.Violations)
+		t.Errorf("late starts %v, violations %q; want one late start and no violation", f.LateStarts, f.Violations)
 	}
 }
 
-// cancel has the user cancel the job, which is confirmed at 1 s.
-func (f *ruleFixture) cancel() {
+// cancelJob requests the cancellation of the job, which is confirmed at 1 s.
+func (f *ruleFixture) cancelJob() {
 	f.CancelRequested(f.job.ID)
 	f.StateConfirmed(time.Second, f.job.ID, wire.JobCancelled)
 }
 
-// completeTasks completes some tasks and calls the job done.
-func (f *ruleFixture) completeTasks(tasks int) {
+// reportDone completes the first tasks of the job, and reports the job as done.
+func (f *ruleFixture) reportDone(tasks int) {
 	for i := range tasks {
 		f.TaskCompleted(f.task(i))
 	}
 	f.StateConfirmed(time.Second, f.job.ID, wire.JobDone)
 }
 
-// useQuota has the team use an amount of its limit, which is 8.
+// useQuota starts a task that uses a number of the team's 8 CPUs.
 func (f *ruleFixture) useQuota(cpus float64) {
 	j := f.submitSecondJob(func(j *wire.Job) { j.CPUs, j.Tasks = cpus, 1 })
 	f.TaskStarted(0, wire.TaskName(j.ID, 0), f.machineB)
 }
 
-// restartAfterPause pauses a machine past its lease, and starts its task elsewhere after it
-// has resumed.
+// restartAfterPause pauses a machine until after its lease has expired, resumes it, and then
+// starts its task on another machine.
 func (f *ruleFixture) restartAfterPause() {
-	f.pausedWorker().Advance(21 * time.Second)
+	f.newPausedWorker().Advance(21 * time.Second)
 	f.TaskStarted(22*time.Second, f.task(0), f.machineB)
 }
 
-// restartDuringPause does the same before the machine has resumed.
+// restartDuringPause pauses a machine until after its lease has expired, and starts its task on
+// another machine before the paused machine resumes.
 func (f *ruleFixture) restartDuringPause() {
-	f.pausedWorker()
+	f.newPausedWorker()
 	f.TaskStarted(22*time.Second, f.task(0), f.machineB)
 }
 
-// pausedWorker is a machine with a task that is paused past its lease.
-func (f *ruleFixture) pausedWorker() *Worker {
+// newPausedWorker returns a worker that runs a task and is paused until after its lease has
+// expired.
+func (f *ruleFixture) newPausedWorker() *Worker {
 	f.job.Shape = wire.ShapeService
 	worker := f.newWorker("n-000007", "a", fixtureMachineTypes[0], 12*time.Second)
 	start := wire.Command{Verb: wire.VerbRun, Task: f.task(0), Attempt: 1}
--- a/internal/simulator/rules_answers.go
+++ b/internal/simulator/rules_answers.go
@@ -7,44 +7,46 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// answerHistory is what users were told of their jobs.
+// answerHistory holds what users were told about their jobs. All maps are by job id.
 type answerHistory struct {
-	acceptedAt map[string]time.Duration // when the user was first told that the job is known
-	endedAt    map[string]time.Duration // when the user was first told how it ended
-	lastState  map[string]string        // the last state that the user was told; the first final one stays
+	acceptedAt map[string]time.Duration // when a user was first told that the job is known
+	endedAt    map[string]time.Duration // when a user was first told a final state of the job
+	// lastAnsweredState is the last state that a user was told, or the first final one.
+	lastAnsweredState map[string]string
 }
 
 func newAnswerHistory() answerHistory {
 	return answerHistory{
-		acceptedAt: map[string]time.Duration{},
-		endedAt:    map[string]time.Duration{},
-		lastState:  map[string]string{},
+		acceptedAt:        map[string]time.Duration{},
+		endedAt:           map[string]time.Duration{},
+		lastAnsweredState: map[string]string{},
 	}
 }
 
-// requiredFields are the fields of a submission that may be neither null nor missing.
+// requiredFields are the encoded names of the fields of a submission that must be present and not
+// null.
 var requiredFields = []string{
 	"uid", "docket", "crew", "shape", "rank", "shifts", "cpus", "gpus", "memory_gb",
 	"kit", "pull_gb", "together", "scatter", "loaners", "reckon_s", "tally_s", "stow_s",
 }
 
-// SubmissionAccepted notes that a submission was accepted (201 or 200); fields is what
-// was sent.
+// SubmissionAccepted records that a submission was accepted with 201 or 200, and checks that it was
+// acceptable. fields holds the submission's fields as they were sent.
 func (c *RuleChecker) SubmissionAccepted(now time.Duration, id string, fields map[string]any) {
 	for _, field := range requiredFields {
 		if fields[field] == nil {
-			c.violation(now, RuleAccepted, "%s lacks %s", id, field)
+			c.recordViolation(now, RuleAccepted, "submission of %s lacks the field %s", id, field)
 		}
 	}
 	if job := c.jobs[id]; job != nil && c.machineTypes != nil {
 		if reason := c.infeasibility(job); reason != feasible {
-			c.violation(now, RuleAccepted, "%s can never run: %s", id, reason)
+			c.recordViolation(now, RuleAccepted, "%s can never run: %s", id, reason)
 		}
 	}
 	c.StateConfirmed(now, id, wire.JobPending)
 }
 
-// infeasibility says why a job can never run.
+// infeasibility is the reason why a job can never run, or empty if it can.
 type infeasibility string
 
 const (
@@ -58,27 +60,27 @@
 	limit, known := c.quotaLimits[job.Team]
 	needed := job.CPUs
 	if job.Shape != wire.ShapeArray {
-		needed *= float64(job.Tasks) // all at once
+		needed *= float64(job.Tasks) // the tasks run at the same time
 	}
 	switch {
 	case !known:
 		return unknownTeam
 	case needed > limit+quotaTolerance:
 		return overQuotaLimit
-	case !c.anyTypeAllowed(job):
+	case !c.anyMachineTypeFits(job):
 		return noMatchingMachine
 	}
 	return feasible
 }
 
-// anyTypeAllowed reports whether a task of the job fits an ordinary machine of some type
-// in a zone that the job allows.
-func (c *RuleChecker) anyTypeAllowed(job *wire.Job) bool {
+// anyMachineTypeFits reports whether a task of the job fits an on-demand machine of some type in a
+// zone that the job allows.
+func (c *RuleChecker) anyMachineTypeFits(job *wire.Job) bool {
 	for i := range c.machineTypes {
 		machineType := &c.machineTypes[i]
 		for _, zone := range machineType.Zones {
-			ordinary := place{machineType: machineType.Name, zone: zone}
-			if machineType.Fits(job) && ordinary.allowedFor(job) {
+			onDemand := machineKind{machineType: machineType.Name, zone: zone}
+			if machineType.Fits(job) && onDemand.allowedFor(job) {
 				return true
 			}
 		}
@@ -86,33 +88,34 @@
 	return false
 }
 
-// SubmissionRefused notes that a submission was refused with a status.
+// SubmissionRefused records that a submission was refused with an HTTP status. The repeated
+// submission of a known job must not be refused with 400 or 422.
 func (c *RuleChecker) SubmissionRefused(now time.Duration, id string, status int) {
-	state, known := c.answers.lastState[id]
+	state, known := c.answers.lastAnsweredState[id]
 	if known && (status == http.StatusBadRequest || status == http.StatusUnprocessableEntity) {
-		c.violation(now, RuleForgotten, "a repeated submission of %s, which was %s, gets %d", id, state, status)
+		c.recordViolation(now, RuleForgotten, "a repeated submission of %s, which was %s, gets %d", id, state, status)
 	}
 }
 
-// StateConfirmed notes an answer to a question asked right now.
+// StateConfirmed records the answer to a query that was sent and answered at the time now.
 func (c *RuleChecker) StateConfirmed(now time.Duration, id, state string) {
 	c.QueryAnswered(now, now, id, state)
 }
 
-// QueryAnswered notes the answer to a question that was asked at a time; an empty state
-// says that there is no such job. Once any controller has told a user something, none may
-// answer a later question with something older; of questions that overlap, either answer
-// may come first.
+// QueryAnswered records and checks the answer to a query that was sent at the time askedAt. An
+// empty state means that the answer was that the job is unknown. Once a controller has told a user
+// the state of a job, no controller may answer a query that is sent afterwards with an older state.
+// The answers to overlapping queries may arrive in either order.
 func (c *RuleChecker) QueryAnswered(askedAt, now time.Duration, id, state string) {
 	acceptedAt, known := c.answers.acceptedAt[id]
 	switch {
 	case state == "":
-		if known && askedAt >= acceptedAt { // also an ended job stays known
-			c.violation(now, RuleForgotten, "%s was %s", id, c.answers.lastState[id])
+		if known && askedAt >= acceptedAt { // an ended job stays known as well
+			c.recordViolation(now, RuleForgotten, "%s is reported as unknown, and was %s", id, c.answers.lastAnsweredState[id])
 		}
 		return
 	case c.jobs[id] == nil:
-		c.violation(now, RuleInvented, "%s is %s", id, state)
+		c.recordViolation(now, RuleInvented, "%s is reported as %s, and nobody submitted it", id, state)
 		return
 	case !known:
 		c.answers.acceptedAt[id] = now
@@ -124,22 +127,22 @@
 	}
 }
 
-// checkConsistency checks an answer against earlier ones and against what the user asked
-// for.
+// checkConsistency checks that an answer contradicts neither an earlier final state nor what the
+// user requested.
 func (c *RuleChecker) checkConsistency(askedAt, now time.Duration, id, state string) {
-	lastState := c.answers.lastState[id]
+	lastState := c.answers.lastAnsweredState[id]
 	endedAt, ended := c.answers.endedAt[id]
 	if ended && state != lastState && (isFinal(state) || askedAt >= endedAt) {
-		c.violation(now, RuleWentBack, "%s was %s, is %s", id, lastState, state)
+		c.recordViolation(now, RuleWentBack, "%s was reported as %s, and now as %s", id, lastState, state)
 	}
 	if state == wire.JobCancelled && !c.cancellation.requested[id] {
-		c.violation(now, RuleWentBack, "%s is cancelled, and its user has not cancelled it", id)
+		c.recordViolation(now, RuleWentBack, "%s is reported as cancelled, and its user has not cancelled it", id)
 	}
 }
 
 func (c *RuleChecker) recordAnswer(now time.Duration, id, state string) {
 	if _, ended := c.answers.endedAt[id]; !ended {
-		c.answers.lastState[id] = state
+		c.answers.lastAnsweredState[id] = state
 		if isFinal(state) {
 			c.answers.endedAt[id] = now
 		}
@@ -150,8 +153,8 @@
 }
 
 func (c *RuleChecker) checkDone(now time.Duration, id string) {
-	if task, incomplete := c.firstIncomplete(c.jobs[id]); incomplete {
-		c.violation(now, RuleNotDone, "%s is called done before task %d is", id, task)
+	if task, incomplete := c.firstIncompleteTask(c.jobs[id]); incomplete {
+		c.recordViolation(now, RuleNotDone, "%s is reported as done before task %d has completed", id, task)
 	}
 }
 
--- a/internal/simulator/rules_placement.go
+++ b/internal/simulator/rules_placement.go
@@ -8,10 +8,10 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// placementHistory is where tasks are, and which have completed.
+// placementHistory holds which tasks are on which machines, and which tasks have completed.
 type placementHistory struct {
-	machinesByTask map[string]map[string]*Worker // by task and machine
-	tasksByJob     map[string]map[string]bool    // the tasks of a job that are on machines
+	machinesByTask map[string]map[string]*Worker // by task and machine name
+	tasksByJob     map[string]map[string]bool    // tasks on machines, by job id and task
 	cpusInUse      map[string]float64            // by team
 	completed      map[string]bool               // by task
 }
@@ -25,7 +25,7 @@
 	}
 }
 
-// add notes that a task of a job is on a machine.
+// add records that a task of a job is on a machine.
 func (h *placementHistory) add(job *wire.Job, task string, worker *Worker) {
 	if h.machinesByTask[task] == nil {
 		h.machinesByTask[task] = map[string]*Worker{}
@@ -40,7 +40,7 @@
 	h.tasksByJob[job.ID][task] = true
 }
 
-// remove notes that a task of a job is no longer on a machine.
+// remove records that a task of a job is no longer on a machine.
 func (h *placementHistory) remove(job *wire.Job, task, machine string) {
 	delete(h.machinesByTask[task], machine)
 	h.cpusInUse[job.Team] -= job.CPUs
@@ -50,13 +50,14 @@
 	}
 }
 
-// machinesOf lists the machines that have a task, in order.
-func (h *placementHistory) machinesOf(task string) []string {
+// machinesWithTask returns the sorted names of the machines that have a task.
+func (h *placementHistory) machinesWithTask(task string) []string {
 	return slices.Sorted(maps.Keys(h.machinesByTask[task]))
 }
 
-// othersOfJob counts the machines that have other tasks of a job, in a zone and elsewhere.
-func (h *placementHistory) othersOfJob(job *wire.Job, task, zone string) (inZone, elsewhere int) {
+// countOtherTasks counts the placements of a job's other tasks on machines in a zone and in other
+// zones.
+func (h *placementHistory) countOtherTasks(job *wire.Job, task, zone string) (inZone, elsewhere int) {
 	for other := range h.tasksByJob[job.ID] {
 		if other == task {
 			continue
@@ -72,7 +73,7 @@
 	return inZone, elsewhere
 }
 
-// TaskStarted notes that a task is on a machine from now on.
+// TaskStarted records that a task is on a machine from now on, and checks that it may be there.
 func (c *RuleChecker) TaskStarted(now time.Duration, task string, worker *Worker) {
 	c.Starts++
 	if c.placement.completed[task] {
@@ -80,53 +81,54 @@
 	}
 	job := c.JobOfTask(task)
 	c.checkRunsOnce(now, task, worker)
-	c.checkPlace(now, job, task, worker)
+	c.checkPlacement(now, job, task, worker)
 	c.checkStartAfterCancellation(now, job, task)
 	c.placement.add(job, task, worker)
 	c.checkQuota(now, job.Team)
 }
 
 func (c *RuleChecker) checkRunsOnce(now time.Duration, task string, worker *Worker) {
-	if machines := c.placement.machinesOf(task); len(machines) > 0 {
-		c.violation(now, RuleRanTwice, "%s starts on %s while on %v", task, worker.Name, machines)
+	if machines := c.placement.machinesWithTask(task); len(machines) > 0 {
+		c.recordViolation(now, RuleRanTwice, "%s starts on %s while on %v", task, worker.Name, machines)
 	}
 }
 
-func (c *RuleChecker) checkPlace(now time.Duration, job *wire.Job, task string, worker *Worker) {
-	at := place{worker.Type, worker.Zone, worker.Spot}
-	if !at.allowedFor(job) {
-		c.violation(now, RuleWrongPlace, "%s on %s", task, worker.Name)
+func (c *RuleChecker) checkPlacement(now time.Duration, job *wire.Job, task string, worker *Worker) {
+	kind := machineKind{worker.Type, worker.Zone, worker.Spot}
+	if !kind.allowedFor(job) {
+		c.recordViolation(now, RuleWrongPlace, "%s on %s, which its job does not allow", task, worker.Name)
 	}
-	othersInZone, elsewhere := c.placement.othersOfJob(job, task, worker.Zone)
+	othersInZone, elsewhere := c.placement.countOtherTasks(job, task, worker.Zone)
 	inZone := othersInZone + 1
 	if job.SameZone && elsewhere > 0 || inZone > job.MaxTasksPerZone() {
-		c.violation(now, RuleWrongPlace, "%s in zone %s, %d there, %d elsewhere", task, worker.Zone, inZone, elsewhere)
+		c.recordViolation(now, RuleWrongPlace, "%s in zone %s, with %d tasks of its job in this zone and %d in others", task, worker.Zone, inZone, elsewhere)
 	}
 }
 
 func (c *RuleChecker) checkQuota(now time.Duration, team string) {
 	if used := c.placement.cpusInUse[team]; used > c.quotaLimits[team]+quotaTolerance {
-		c.violation(now, RuleQuota, "team %s uses %v", team, used)
+		c.recordViolation(now, RuleQuota, "team %s uses %v CPUs", team, used)
 	}
 }
 
-// TaskRemoved notes that a task is no longer on a machine.
+// TaskRemoved records that a task is no longer on a machine.
 func (c *RuleChecker) TaskRemoved(task, machine string) {
 	if c.placement.machinesByTask[task][machine] != nil {
 		c.placement.remove(c.JobOfTask(task), task, machine)
 	}
 }
 
-// TaskCompleted notes that a task has completed.
+// TaskCompleted records that a task has completed.
 func (c *RuleChecker) TaskCompleted(task string) { c.placement.completed[task] = true }
 
 // IsCompleted reports whether a task has completed.
 func (c *RuleChecker) IsCompleted(task string) bool { return c.placement.completed[task] }
 
-// CPUsInUse is what a team's tasks use on all machines.
+// CPUsInUse returns the number of CPUs that a team's tasks use on all machines.
 func (c *RuleChecker) CPUsInUse(team string) float64 { return c.placement.cpusInUse[team] }
 
-// PlacedTasks counts the tasks of a job that are on machines, one for each machine.
+// PlacedTasks returns the number of a job's tasks on machines. A task that is on several machines
+// counts once for each of them.
 func (c *RuleChecker) PlacedTasks(job string) int {
 	count := 0
 	for task := range c.placement.tasksByJob[job] {
@@ -135,9 +137,9 @@
 	return count
 }
 
-// firstIncomplete is the index of the first task of a job that has not completed. ok is
-// false if all have.
-func (c *RuleChecker) firstIncomplete(job *wire.Job) (index int, ok bool) {
+// firstIncompleteTask returns the index of the first task of a job that has not completed. ok is
+// false if all tasks have completed.
+func (c *RuleChecker) firstIncompleteTask(job *wire.Job) (index int, ok bool) {
 	for index := range job.Tasks {
 		if !c.placement.completed[wire.TaskName(job.ID, index)] {
 			return index, true
--- a/internal/simulator/rules_placement_test.go
+++ b/internal/simulator/rules_placement_test.go
@@ -6,7 +6,7 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// Cases of the rules on where and how often tasks run.
+// placementRuleCases are the cases of the rules on where and how often tasks run.
 var placementRuleCases = []ruleCase{
 	{RuleRanTwice, "a task starts while it is on another machine",
 		func(f *ruleFixture) { f.TaskStarted(0, f.task(0), f.machineA); f.TaskStarted(1, f.task(0), f.machineB) },
@@ -15,7 +15,7 @@
 			f.TaskRemoved(f.task(0), f.machineA.Name)
 			f.TaskStarted(1, f.task(0), f.machineB)
 		}},
-	{RuleRanTwice, "a machine hangs past its lease and its task starts elsewhere",
+	{RuleRanTwice, "a machine is paused until after its lease has expired and its task starts elsewhere",
 		func(f *ruleFixture) { f.restartDuringPause() }, func(f *ruleFixture) { f.restartAfterPause() }},
 	{RuleQuota, "a team uses more than its limit",
 		func(f *ruleFixture) {
@@ -32,19 +32,19 @@
 			}
 			f.TaskStarted(1, wire.TaskName(j.ID, 0), f.machineB)
 		}},
-	{RuleWrongPlace, "another type than the job allows",
+	{RuleWrongPlace, "a machine type that the job does not allow",
 		func(f *ruleFixture) { f.job.MachineTypes = []string{"gpu"}; f.TaskStarted(0, f.task(0), f.machineA) },
 		func(f *ruleFixture) { f.job.MachineTypes = []string{"gpu"}; f.TaskStarted(0, f.task(0), f.gpuMachine) }},
-	{RuleWrongPlace, "another zone",
+	{RuleWrongPlace, "a zone that the job does not allow",
 		func(f *ruleFixture) { f.job.Zone = "a"; f.TaskStarted(0, f.task(0), f.machineB) },
 		func(f *ruleFixture) { f.job.Zone = "a"; f.TaskStarted(0, f.task(0), f.machineA) }},
-	{RuleWrongPlace, "a spot machine",
+	{RuleWrongPlace, "a spot machine for a job that does not allow one",
 		func(f *ruleFixture) { f.machineA.Spot = true; f.TaskStarted(0, f.task(0), f.machineA) },
 		func(f *ruleFixture) {
 			f.machineA.Spot, f.job.Spot = true, true
 			f.TaskStarted(0, f.task(0), f.machineA)
 		}},
-	{RuleWrongPlace, "tasks that belong together are apart",
+	{RuleWrongPlace, "tasks that must be in the same zone are in two",
 		func(f *ruleFixture) {
 			f.job.SameZone = true
 			f.TaskStarted(0, f.task(0), f.machineA)
--- a/internal/simulator/rules_polls.go
+++ b/internal/simulator/rules_polls.go
@@ -3,18 +3,19 @@
 import "time"
 
 const (
-	// pollWindow is how long all polls of a job may fail while most others are answered.
-	pollWindow = 90 * time.Second
-	// unansweredLimit is how long a job may stay without an answer when no faults are
-	// injected any more, however other jobs fare.
-	unansweredLimit = 75 * time.Second
+	// pollHistoryDuration is how long polls are kept. All polls of a job may fail for less than
+	// this time while most polls of other jobs are answered.
+	pollHistoryDuration = 90 * time.Second
+	// maxUnansweredTime limits how long all polls of a job may fail once fault injection has
+	// ended, whether or not polls of other jobs are answered.
+	maxUnansweredTime = 75 * time.Second
 )
 
-// pollHistory is which polls of jobs were answered.
+// pollHistory holds the outcomes of polls of jobs.
 type pollHistory struct {
-	recent         []poll                   // those of the last pollWindow
-	lastAnsweredAt map[string]time.Duration // by job
-	failingSince   map[string]time.Duration // by job: since when all polls fail
+	recent         []poll                   // polls of the last pollHistoryDuration, oldest first
+	lastAnsweredAt map[string]time.Duration // time of the last answered poll, by job id
+	failingSince   map[string]time.Duration // first failed poll after the last answered one, by job id
 }
 
 // poll is the outcome of one request for the state of a job.
@@ -30,13 +31,13 @@
 
 func (h *pollHistory) add(p poll) {
 	h.recent = append(h.recent, p)
-	for h.recent[0].finishedAt < p.finishedAt-pollWindow {
+	for h.recent[0].finishedAt < p.finishedAt-pollHistoryDuration {
 		h.recent = h.recent[1:]
 	}
 }
 
-// mostOthersAnswered reports whether more recent polls of other jobs were answered than
-// failed.
+// mostOthersAnswered reports whether more than half of the recent polls of other jobs were
+// answered.
 func (h *pollHistory) mostOthersAnswered(job string) bool {
 	answered, failed := 0, 0
 	for _, p := range h.recent {
@@ -51,14 +52,14 @@
 	return answered > failed
 }
 
-// PollAnswered notes that a poll of a job was answered, with 200 or 404.
+// PollAnswered records that a poll of a job was answered with 200 or 404.
 func (c *RuleChecker) PollAnswered(now time.Duration, job string) {
 	c.polls.add(poll{now, job, true})
 	c.polls.lastAnsweredAt[job] = now
 	delete(c.polls.failingSince, job)
 }
 
-// PollFailed notes that a poll of a job got no answer, or was refused.
+// PollFailed records that a poll of a job was refused or not answered.
 func (c *RuleChecker) PollFailed(now time.Duration, job string) {
 	c.polls.add(poll{now, job, false})
 	if acceptedAt, accepted := c.answers.acceptedAt[job]; accepted {
@@ -66,16 +67,16 @@
 	}
 }
 
-// checkUnanswered checks for how long an accepted job has not been answered about.
+// checkUnanswered checks for how long all polls of an accepted job have failed.
 func (c *RuleChecker) checkUnanswered(now time.Duration, job string, acceptedAt time.Duration) {
 	if _, failing := c.polls.failingSince[job]; !failing {
 		c.polls.failingSince[job] = now
 	}
-	if now-c.polls.failingSince[job] >= pollWindow && c.polls.mostOthersAnswered(job) {
-		c.violationOnce(now, RuleForgotten, job, "all polls of %s fail for 90 s while most others are answered", job)
+	if now-c.polls.failingSince[job] >= pollHistoryDuration && c.polls.mostOthersAnswered(job) {
+		c.recordViolationOnce(now, RuleForgotten, job, "all polls of %s fail for 90 s while most polls of other jobs are answered", job)
 	}
 	answerableSince := max(c.faultsEndedAt, acceptedAt, c.polls.lastAnsweredAt[job])
-	if c.faultsEnded && now-answerableSince >= unansweredLimit {
-		c.violationOnce(now, RuleForgotten, job, "no question about %s is answered for 75 s, and the faults have ended", job)
+	if c.faultsEnded && now-answerableSince >= maxUnansweredTime {
+		c.recordViolationOnce(now, RuleForgotten, job, "no question about %s is answered for 75 s, and the faults have ended", job)
 	}
 }
--- a/internal/simulator/submission.go
+++ b/internal/simulator/submission.go
@@ -2,8 +2,8 @@
 
 import "github.com/yarrowgap/yarrowgap/wire"
 
-// submission is a job as users submit it. Unlike wire.Job it has every field in its
-// encoding, also those without a value.
+// submission is the form in which users submit a job. Unlike wire.Job, its encoding contains every
+// field, including fields without a value.
 type submission struct {
 	ID                  string   `cbor:"uid"`
 	Class               string   `cbor:"docket"`
@@ -17,7 +17,7 @@
 	Image               string   `cbor:"kit"`
 	ImageGB             float64  `cbor:"pull_gb"`
 	MachineTypes        []string `cbor:"breeds"`
-	Zone                *string  `cbor:"pasture"` // none of the simulated users asks for one
+	Zone                *string  `cbor:"pasture"` // always nil: simulated users request no zone
 	SameZone            bool     `cbor:"together"`
 	SpreadZones         bool     `cbor:"scatter"`
 	Spot                bool     `cbor:"loaners"`
@@ -27,7 +27,7 @@
 	DeadlineS           *float64 `cbor:"due_s"`
 }
 
-// EncodeSubmission encodes a job as users submit it, without its zone.
+// EncodeSubmission encodes a job in the form in which users submit it. Its zone is left out.
 func EncodeSubmission(job *wire.Job) ([]byte, error) {
 	return wire.Marshal(submission{
 		ID: job.ID, Class: job.Class, Team: job.Team, Shape: job.Shape, Priority: job.Priority, Tasks: job.Tasks,
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -17,11 +17,11 @@
 	Spot          bool
 	LeaseDuration time.Duration
 	Checker       *RuleChecker
-	RunTime       func(task string) time.Duration // how long a task runs
-	TaskFails     func(task string) bool          // whether a task fails here; nil: none does
+	RunTime       func(task string) time.Duration // returns how long a task runs
+	TaskFails     func(task string) bool          // reports whether a task fails on this machine; nil: none
 }
 
-// Worker simulates the agent on one machine, and the tasks there.
+// Worker simulates one machine: its agent and its tasks.
 type Worker struct {
 	Name, Type, Zone, Address string
 	Spot                      bool
@@ -32,33 +32,33 @@
 
 	checker        *RuleChecker
 	leaseDuration  time.Duration
-	leaseRenewedAt time.Duration // when the last heartbeat with a reply was sent
-	advancedTo     time.Duration // the time up to which the tasks are simulated
-	interruptionAt time.Duration // when the cloud takes the machine away; 0: not announced
-	tasks          map[attempt]*taskStatus
+	leaseRenewedAt time.Duration // when the last answered heartbeat was sent
+	advancedUntil  time.Duration // time up to which the worker has been simulated
+	interruptionAt time.Duration // announced time at which the cloud reclaims the machine; 0: none
+	attempts       map[attemptID]*attemptStatus
 	images         imageCache
 	runTime        func(task string) time.Duration
 	taskFails      func(task string) bool
 }
 
-// attempt names one attempt of a task. A worker may list several of a task: those that
-// exited or were refused, and at most one that is active.
-type attempt struct {
+// attemptID identifies one attempt of a task. A worker may list several attempts of a task: any
+// number that exited or were refused, and at most one that is active.
+type attemptID struct {
 	task   string
 	number uint64
 }
 
-// taskState is the state of an attempt, as heartbeats have it.
-type taskState string
+// attemptState is the state of an attempt, in the encoding of heartbeats.
+type attemptState string
 
 const (
-	taskFetching      taskState = wire.TaskFetching
-	taskRunning       taskState = wire.TaskRunning
-	taskCheckpointing taskState = wire.TaskCheckpointing
-	taskExited        taskState = wire.TaskExited
+	attemptFetching      attemptState = wire.TaskFetching
+	attemptRunning       attemptState = wire.TaskRunning
+	attemptCheckpointing attemptState = wire.TaskCheckpointing
+	attemptExited        attemptState = wire.TaskExited
 )
 
-// exitCause says why an attempt exited, as heartbeats have it.
+// exitCause is the reason for which an attempt exited, in the encoding of heartbeats.
 type exitCause string
 
 const (
@@ -70,26 +70,26 @@
 	exitUnknown    exitCause = wire.CauseUnknown
 )
 
-// neverEnds is the end of a service's run.
+// neverEnds is the endsAt of a service's attempt, which runs until it is stopped.
 const neverEnds = time.Duration(1<<62 - 1)
 
-// taskStatus is what a worker knows of an attempt.
-type taskStatus struct {
-	state        taskState
+// attemptStatus is the state of an attempt on a worker.
+type attemptStatus struct {
+	state        attemptState
 	cause        exitCause
-	checkpointed bool
-	endsAt       time.Duration // end of the run or of the checkpoint
+	checkpointed bool          // whether the attempt has saved a checkpoint
+	endsAt       time.Duration // when the run, or the saving of the checkpoint, ends
 }
 
-// executing reports whether the attempt uses the machine's processors.
-func (t *taskStatus) executing() bool {
-	return t.state == taskRunning || t.state == taskCheckpointing
+// executing reports whether the attempt runs or saves a checkpoint.
+func (s *attemptStatus) executing() bool {
+	return s.state == attemptRunning || s.state == attemptCheckpointing
 }
 
 // active reports whether the attempt has not exited.
-func (t *taskStatus) active() bool { return t.state != taskExited }
+func (s *attemptStatus) active() bool { return s.state != attemptExited }
 
-// NewWorker returns a worker whose agent starts at a time.
+// NewWorker returns a worker whose agent starts at the time startsAt.
 func NewWorker(startsAt time.Duration, config WorkerConfig) *Worker {
 	taskFails := config.TaskFails
 	if taskFails == nil {
@@ -106,15 +106,16 @@
 		checker:        config.Checker,
 		leaseDuration:  config.LeaseDuration,
 		leaseRenewedAt: startsAt,
-		advancedTo:     startsAt,
-		tasks:          map[attempt]*taskStatus{},
+		advancedUntil:  startsAt,
+		attempts:       map[attemptID]*attemptStatus{},
 		images:         newImageCache(),
 		runTime:        config.RunTime,
 		taskFails:      taskFails,
 	}
 }
 
-// Advance simulates the worker up to a time and reports whether anything changed.
+// Advance simulates the worker up to the time now and reports whether the state of an attempt or
+// fetch changed. If the lease has expired, the worker starts a new incarnation instead.
 func (w *Worker) Advance(now time.Duration) (changed bool) {
 	if w.Terminated {
 		return false
@@ -124,124 +125,124 @@
 		return true
 	}
 	changed = w.advanceFetches(now)
-	for _, key := range w.sortedAttempts() {
-		if w.advanceTask(key, now) {
+	for _, id := range w.sortedAttempts() {
+		if w.advanceAttempt(id, now) {
 			changed = true
 		}
 	}
 	return changed
 }
 
-// expireLease ends all tasks and starts a new incarnation.
+// expireLease ends all attempts and starts a new incarnation.
 func (w *Worker) expireLease(now time.Duration) {
-	for key, task := range w.tasks {
-		if task.active() {
-			w.checker.TaskRemoved(key.task, w.Name)
+	for id, status := range w.attempts {
+		if status.active() {
+			w.checker.TaskRemoved(id.task, w.Name)
 		}
 	}
-	w.tasks = map[attempt]*taskStatus{}
+	w.attempts = map[attemptID]*attemptStatus{}
 	w.images.cancelFetches()
 	w.Incarnation++
-	w.leaseRenewedAt, w.advancedTo = now, now
+	w.leaseRenewedAt, w.advancedUntil = now, now
 }
 
-// advanceTask ends a run or a checkpoint whose time has passed.
-func (w *Worker) advanceTask(key attempt, now time.Duration) (changed bool) {
-	task := w.tasks[key]
-	if !task.executing() || task.endsAt > now {
+// advanceAttempt marks an attempt as exited if its run or the saving of its checkpoint has ended.
+func (w *Worker) advanceAttempt(id attemptID, now time.Duration) (changed bool) {
+	status := w.attempts[id]
+	if !status.executing() || status.endsAt > now {
 		return false
 	}
-	if task.state == taskRunning {
-		w.checker.TaskCompleted(key.task)
-		w.exit(key, task, exitDone)
+	if status.state == attemptRunning {
+		w.checker.TaskCompleted(id.task)
+		w.exit(id, status, exitDone)
 	} else {
-		task.checkpointed = true
-		w.exit(key, task, exitStopped)
+		status.checkpointed = true
+		w.exit(id, status, exitStopped)
 	}
 	return true
 }
 
-// Pause simulates a process pause up to a time: nothing is executed, and the lease is not
-// checked before the worker resumes. Its tasks therefore stay on the machine past the
-// end of the lease, until the first thing that the resumed worker does ends them.
+// Pause simulates a pause of the worker's processes until the time now: tasks make no progress,
+// and the lease is not checked. Tasks therefore stay on the machine after the lease has expired,
+// until the next call of Advance ends them.
 func (w *Worker) Pause(now time.Duration) {
-	for _, task := range w.tasks {
-		if task.executing() {
-			task.endsAt += now - w.advancedTo
+	for _, status := range w.attempts {
+		if status.executing() {
+			status.endsAt += now - w.advancedUntil
 		}
 	}
-	w.advancedTo = now
+	w.advancedUntil = now
 }
 
-// Restart ends all tasks and starts a new incarnation, as after a lease expiry.
+// Restart ends all attempts and starts a new incarnation, as when the lease expires.
 func (w *Worker) Restart(now time.Duration) {
 	w.leaseRenewedAt = now - w.leaseDuration - time.Second
 	w.Advance(now)
 }
 
-// Terminate ends the machine and everything on it.
+// Terminate terminates the machine and ends its attempts.
 func (w *Worker) Terminate() {
-	for key, task := range w.tasks {
-		if task.executing() {
-			w.checker.TaskRemoved(key.task, w.Name)
+	for id, status := range w.attempts {
+		if status.executing() {
+			w.checker.TaskRemoved(id.task, w.Name)
 		}
 	}
-	w.tasks, w.Terminated = map[attempt]*taskStatus{}, true
+	w.attempts, w.Terminated = map[attemptID]*attemptStatus{}, true
 }
 
-// OutlastTest makes the worker's lease outlast any test, against the protocol: only a
-// release then ends the tasks of an unreachable machine.
-func (w *Worker) OutlastTest() { w.leaseDuration = time.Hour }
+// PreventLeaseExpiry sets the lease duration to one hour, longer than any test, in violation of
+// the protocol. The tasks on an unreachable machine then only end when it is released.
+func (w *Worker) PreventLeaseExpiry() { w.leaseDuration = time.Hour }
 
-// AnnounceInterruption announces that the cloud takes the spot machine away at a time.
+// AnnounceInterruption announces that the cloud reclaims the spot machine at a time.
 func (w *Worker) AnnounceInterruption(at time.Duration) { w.interruptionAt = at }
 
-// InterruptionAnnounced reports whether the cloud is to take the machine away.
+// InterruptionAnnounced reports whether the cloud has announced that it reclaims the machine.
 func (w *Worker) InterruptionAnnounced() bool { return w.interruptionAt > 0 }
 
-// startTask starts an attempt whose image is cached.
-func (w *Worker) startTask(now time.Duration, key attempt) {
-	task, job := w.tasks[key], w.checker.JobOfTask(key.task)
-	w.checker.TaskStarted(now, key.task, w)
-	task.state = taskRunning
-	w.images.add(job.Image, job.ImageGB, w.MachineType.CacheGB, w.imagesInUse())
+// startAttempt starts an attempt whose image has been fetched.
+func (w *Worker) startAttempt(now time.Duration, id attemptID) {
+	status, job := w.attempts[id], w.checker.JobOfTask(id.task)
+	w.checker.TaskStarted(now, id.task, w)
+	status.state = attemptRunning
+	w.images.addImage(job.Image, job.ImageGB, w.MachineType.CacheGB, w.imagesInUse())
 	switch {
-	case w.checker.IsCompleted(key.task):
-		w.exit(key, task, exitDone)
-	case w.taskFails(key.task):
-		w.exit(key, task, exitError)
+	case w.checker.IsCompleted(id.task):
+		w.exit(id, status, exitDone)
+	case w.taskFails(id.task):
+		w.exit(id, status, exitError)
 	case job.Service():
-		task.endsAt = neverEnds
+		status.endsAt = neverEnds
 	default:
-		task.endsAt = now + w.runTime(key.task)
+		status.endsAt = now + w.runTime(id.task)
 	}
 }
 
-func (w *Worker) exit(key attempt, task *taskStatus, cause exitCause) {
-	if task.executing() {
-		w.checker.TaskRemoved(key.task, w.Name)
+func (w *Worker) exit(id attemptID, status *attemptStatus, cause exitCause) {
+	if status.executing() {
+		w.checker.TaskRemoved(id.task, w.Name)
 	}
-	task.state, task.cause = taskExited, cause
+	status.state, status.cause = attemptExited, cause
 }
 
-// sortedAttempts lists the attempts by task and number.
-func (w *Worker) sortedAttempts() []attempt {
-	attempts := make([]attempt, 0, len(w.tasks))
-	for key := range w.tasks {
-		attempts = append(attempts, key)
+// sortedAttempts returns the attempts, ordered by task and number.
+func (w *Worker) sortedAttempts() []attemptID {
+	attempts := make([]attemptID, 0, len(w.attempts))
+	for id := range w.attempts {
+		attempts = append(attempts, id)
 	}
-	slices.SortFunc(attempts, func(a, b attempt) int {
+	slices.SortFunc(attempts, func(a, b attemptID) int {
 		return cmp.Or(strings.Compare(a.task, b.task), cmp.Compare(a.number, b.number))
 	})
 	return attempts
 }
 
-// FreeCapacity is the capacity that no active attempt uses.
+// FreeCapacity returns the capacity that is not used by active attempts.
 func (w *Worker) FreeCapacity() FreeCapacity {
 	free := FreeCapacity{w.Type, w.Zone, w.Spot, w.MachineType.CPUs, w.MachineType.GPUs, w.MachineType.MemoryGB}
-	for key, task := range w.tasks {
-		if task.active() {
-			job := w.checker.JobOfTask(key.task)
+	for id, status := range w.attempts {
+		if status.active() {
+			job := w.checker.JobOfTask(id.task)
 			free.CPUs -= job.CPUs
 			free.GPUs -= job.GPUs
 			free.MemoryGB -= job.MemoryGB
@@ -250,29 +251,29 @@
 	return free
 }
 
-// HasJob reports whether an attempt of a job is active on the machine.
-func (w *Worker) HasJob(id string) bool {
-	for key, task := range w.tasks {
-		if job, _, _ := wire.ParseTaskName(key.task); job == id && task.active() {
+// HasJob reports whether a job has an active attempt on the machine.
+func (w *Worker) HasJob(jobID string) bool {
+	for id, status := range w.attempts {
+		if job, _, _ := wire.ParseTaskName(id.task); job == jobID && status.active() {
 			return true
 		}
 	}
 	return false
 }
 
-// EachAttempt calls visit with every attempt that the worker lists, by task and number.
+// EachAttempt calls visit for every attempt that the worker lists, ordered by task and number.
 func (w *Worker) EachAttempt(visit func(task string, attempt uint64, exited bool)) {
-	for _, key := range w.sortedAttempts() {
-		visit(key.task, key.number, !w.tasks[key].active())
+	for _, id := range w.sortedAttempts() {
+		visit(id.task, id.number, !w.attempts[id].active())
 	}
 }
 
-// ActiveAttempts maps the tasks that have an active attempt to its number.
+// ActiveAttempts returns the attempt number of each task that has an active attempt.
 func (w *Worker) ActiveAttempts() map[string]uint64 {
 	active := map[string]uint64{}
-	for key, task := range w.tasks {
-		if task.active() {
-			active[key.task] = key.number
+	for id, status := range w.attempts {
+		if status.active() {
+			active[id.task] = id.number
 		}
 	}
 	return active
--- a/internal/simulator/worker_agent.go
+++ b/internal/simulator/worker_agent.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	agentClientTimeout  = 4 * time.Second
-	agentRetryDelay     = time.Second // at most, before the next controller is tried
-	agentAdvanceStep    = 10 * time.Millisecond
+	agentClientTimeout  = 4 * time.Second       // for a heartbeat and its reply
+	agentRetryDelay     = time.Second           // maximum delay before the next controller is tried
+	agentAdvanceStep    = 10 * time.Millisecond // how often the worker's tasks are simulated
 	agentHeartbeatRoute = "/checkin"
 )
 
-// workerAgent serves a worker's interface over HTTP and sends its heartbeats.
+// workerAgent serves the HTTP interface of a worker and sends the worker's heartbeats.
 type workerAgent struct {
-	deployment  *Deployment
-	worker      *Worker
-	client      *http.Client
-	controllers []string // names, in order
-	current     int      // the controller that gets the next heartbeat
+	deployment        *Deployment
+	worker            *Worker
+	client            *http.Client
+	controllers       []string // sorted names
+	currentController int      // index in controllers of the one that receives the next heartbeat
 }
 
 func newWorkerAgent(deployment *Deployment, worker *Worker) *workerAgent {
@@ -37,7 +37,8 @@
 	return agent
 }
 
-// run boots the machine, and serves and sends until it is terminated or the context ends.
+// run waits for the machine to boot, then serves direct commands and sends heartbeats until the
+// machine is terminated or the context ends.
 func (a *workerAgent) run(ctx context.Context, listener net.Listener) {
 	if !sleep(ctx, a.deployment.config.BootTime) {
 		return
@@ -47,12 +48,12 @@
 	server := &http.Server{Handler: mux}
 	go func() { _ = server.Serve(listener) }()
 	defer server.Close()
-	for a.sendNext(ctx) {
+	for a.sendNextHeartbeat(ctx) {
 	}
 }
 
-// handleCommands takes a direct call, and does not answer while the machine is
-// partitioned.
+// handleCommands executes the commands of a direct call. It sends no reply if the machine is
+// terminated or partitioned.
 func (a *workerAgent) handleCommands(w http.ResponseWriter, r *http.Request) {
 	var commands wire.DirectCommands
 	if readBody(r, &commands) != nil {
@@ -73,17 +74,17 @@
 	if a.worker.Terminated || d.faults.partitionedUntil[a.worker.Name] > d.now() {
 		return 0, heartbeat, false
 	}
-	d.orders.CountCommands(a.worker.Name, commands.Commands)
+	d.operations.CountCommands(a.worker.Name, commands.Commands)
 	status, heartbeat = a.worker.HandleCommands(d.now(), commands)
 	return status, heartbeat, true
 }
 
-// pendingHeartbeat is a heartbeat that is to be sent.
+// pendingHeartbeat is the next heartbeat, with the conditions for sending it.
 type pendingHeartbeat struct {
 	heartbeat      wire.Heartbeat
 	sentAt         time.Duration
-	partitionedFor time.Duration // nothing can be sent before that has passed
-	terminated     bool
+	partitionedFor time.Duration // remaining time of the machine's network partition; 0 or less: none
+	terminated     bool          // whether the machine is terminated
 }
 
 func (a *workerAgent) prepareHeartbeat() pendingHeartbeat {
@@ -100,9 +101,9 @@
 	}
 }
 
-// sendNext sends a heartbeat and waits until the next is due. It returns false when
-// there is none.
-func (a *workerAgent) sendNext(ctx context.Context) bool {
+// sendNextHeartbeat sends a heartbeat and waits until the next one is due. It returns false if the
+// machine is terminated or the context has ended.
+func (a *workerAgent) sendNextHeartbeat(ctx context.Context) bool {
 	pending := a.prepareHeartbeat()
 	switch {
 	case pending.terminated || ctx.Err() != nil:
@@ -111,20 +112,20 @@
 		sleep(ctx, pending.partitionedFor)
 		return true
 	}
-	status, reply := a.post(ctx, pending.heartbeat)
+	status, reply := a.postHeartbeat(ctx, pending.heartbeat)
 	return a.awaitNextHeartbeat(ctx, a.handleReply(pending, status, reply))
 }
 
-// post sends a heartbeat to the current controller. The status is 0 without an answer.
-func (a *workerAgent) post(ctx context.Context, heartbeat wire.Heartbeat) (status int, reply []byte) {
+// postHeartbeat sends a heartbeat to the current controller. The status is 0 if no reply arrives.
+func (a *workerAgent) postHeartbeat(ctx context.Context, heartbeat wire.Heartbeat) (status int, reply []byte) {
 	encoded, err := wire.Marshal(heartbeat)
 	if err != nil {
-		panic(err) // message types always have a CBOR form
+		panic(err) // unreachable: every message type can be encoded as CBOR
 	}
-	address := a.deployment.config.Controllers[a.controllers[a.current]]
+	address := a.deployment.config.Controllers[a.controllers[a.currentController]]
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+agentHeartbeatRoute, bytes.NewReader(encoded))
 	if err != nil {
-		panic(err) // addresses of controllers make valid URLs
+		panic(err) // the address of a controller is not valid in a URL
 	}
 	request.Header.Set("Content-Type", wire.ContentType)
 	response, err := a.client.Do(request)
@@ -136,8 +137,8 @@
 	return response.StatusCode, reply
 }
 
-// handleReply takes the reply to a heartbeat, chooses the next controller, and returns
-// the time until the next heartbeat.
+// handleReply processes the reply to a heartbeat, chooses the controller that receives the next
+// heartbeat, and returns the time until that heartbeat.
 func (a *workerAgent) handleReply(pending pendingHeartbeat, status int, reply []byte) time.Duration {
 	interval := a.deployment.config.HeartbeatInterval
 	switch status {
@@ -149,7 +150,7 @@
 			return 0
 		}
 	}
-	a.current = (a.current + 1) % len(a.controllers)
+	a.currentController = (a.currentController + 1) % len(a.controllers)
 	return min(agentRetryDelay, interval)
 }
 
@@ -161,25 +162,25 @@
 	d := a.deployment
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.orders.CountCommands(a.worker.Name, reply.Commands)
+	d.operations.CountCommands(a.worker.Name, reply.Commands)
 	a.worker.HandleHeartbeatReply(d.now(), pending.sentAt, pending.heartbeat.Incarnation, reply)
 }
 
-// followRedirect makes the leader that a reply names the current controller. It returns
-// false if the reply names none, or the one that sent it.
+// followRedirect makes the leader that is named in a reply the current controller. It returns
+// false if the reply names no known controller, or the controller that sent the reply.
 func (a *workerAgent) followRedirect(encoded []byte) bool {
 	var redirect wire.Redirect
 	_ = wire.Unmarshal(encoded, &redirect)
 	leader := slices.Index(a.controllers, redirect.Leader)
-	if leader < 0 || leader == a.current {
+	if leader < 0 || leader == a.currentController {
 		return false
 	}
-	a.current = leader
+	a.currentController = leader
 	return true
 }
 
-// awaitNextHeartbeat waits for a delay, or less if a task changes its state. It returns
-// false when the context ends.
+// awaitNextHeartbeat waits for a delay, but no longer than until the state of a task changes. It
+// returns false once the context ends.
 func (a *workerAgent) awaitNextHeartbeat(ctx context.Context, delay time.Duration) bool {
 	deadline := time.Now().Add(delay)
 	for time.Now().Before(deadline) {
--- a/internal/simulator/worker_commands.go
+++ b/internal/simulator/worker_commands.go
@@ -16,21 +16,23 @@
 		Tasks: []wire.TaskStatus{},
 	}
 	if w.interruptionAt > 0 {
-		left := max(0, (w.interruptionAt - now).Seconds())
-		heartbeat.InterruptionInS = &left
+		secondsLeft := max(0, (w.interruptionAt - now).Seconds())
+		heartbeat.InterruptionInS = &secondsLeft
 	}
-	for _, key := range w.sortedAttempts() {
-		task := w.tasks[key]
+	for _, id := range w.sortedAttempts() {
+		status := w.attempts[id]
 		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{
-			Task: key.task, Attempt: key.number, State: string(task.state), Cause: string(task.cause),
-			Checkpointed: task.checkpointed,
+			Task: id.task, Attempt: id.number, State: string(status.state), Cause: string(status.cause),
+			Checkpointed: status.checkpointed,
 		})
 	}
 	return heartbeat
 }
 
-// HandleHeartbeatReply takes the reply to a heartbeat that an incarnation sent at a time.
-// It renews the lease as of then.
+// HandleHeartbeatReply processes the reply to a heartbeat that was sent by the given incarnation
+// at the time sentAt. It renews the lease from sentAt on and executes the reply's commands. A
+// reply to another incarnation, or with a lower fencing token than a previous one, is not
+// accepted, and neither is any reply to a terminated worker.
 func (w *Worker) HandleHeartbeatReply(now, sentAt time.Duration, incarnation uint64, reply wire.HeartbeatReply) (accepted bool) {
 	w.Advance(now)
 	if w.Terminated || incarnation != w.Incarnation || reply.FencingToken < w.FencingToken {
@@ -42,8 +44,8 @@
 	return true
 }
 
-// HandleCommands takes a direct call and returns the HTTP status of the protocol with a
-// heartbeat.
+// HandleCommands executes the commands of a direct call and returns the HTTP status that the
+// protocol specifies, and a heartbeat.
 func (w *Worker) HandleCommands(now time.Duration, call wire.DirectCommands) (status int, heartbeat wire.Heartbeat) {
 	w.Advance(now)
 	if call.FencingToken < w.FencingToken || call.Incarnation != w.Incarnation {
@@ -56,63 +58,65 @@
 
 func (w *Worker) execute(now time.Duration, commands []wire.Command) {
 	for _, command := range commands {
-		key := attempt{command.Task, command.Attempt}
-		task := w.tasks[key]
+		id := attemptID{command.Task, command.Attempt}
+		status := w.attempts[id]
 		switch command.Verb {
 		case wire.VerbRun:
-			if task == nil {
-				w.acceptStart(key)
+			if status == nil {
+				w.acceptStart(id)
 			}
 		case wire.VerbStop:
-			if task != nil && task.active() {
-				w.stop(now, key, task, command.GracePeriodS)
+			if status != nil && status.active() {
+				w.stop(now, id, status, command.GracePeriodS)
 			}
 		case wire.VerbForget:
-			if task != nil && !task.active() {
-				delete(w.tasks, key)
+			if status != nil && !status.active() {
+				delete(w.attempts, id)
 			}
 		}
 	}
 	w.Advance(now)
 }
 
-// stop ends an attempt: with a checkpoint, if the grace period leaves time for it. A
-// checkpoint in progress is only cut short by a stop without a grace period.
-func (w *Worker) stop(now time.Duration, key attempt, task *taskStatus, gracePeriodS *float64) {
-	job := w.checker.JobOfTask(key.task)
+// stop stops an attempt. A running task saves a checkpoint first if the job has checkpoints and
+// the grace period is long enough. A checkpoint that is being saved is aborted only by a stop
+// without a grace period.
+func (w *Worker) stop(now time.Duration, id attemptID, status *attemptStatus, gracePeriodS *float64) {
+	job := w.checker.JobOfTask(id.task)
 	immediate := gracePeriodS == nil || *gracePeriodS == 0
 	canCheckpoint := gracePeriodS != nil && job.CheckpointIntervalS > 0 && *gracePeriodS >= job.CheckpointSaveS
 	switch {
-	case task.state == taskRunning && canCheckpoint:
-		task.state = taskCheckpointing
-		task.endsAt = now + time.Duration(job.CheckpointSaveS*float64(time.Second))
-	case task.state != taskCheckpointing || immediate:
-		w.exit(key, task, exitStopped)
+	case status.state == attemptRunning && canCheckpoint:
+		status.state = attemptCheckpointing
+		status.endsAt = now + time.Duration(job.CheckpointSaveS*float64(time.Second))
+	case status.state != attemptCheckpointing || immediate:
+		w.exit(id, status, exitStopped)
 	}
 }
 
-// acceptStart takes a start that is new here. A refused one is listed as exited.
-func (w *Worker) acceptStart(key attempt) {
-	refusal := w.refusalOf(key)
+// acceptStart adds an attempt that the worker does not list yet. If the start is refused, the
+// attempt is listed as exited.
+func (w *Worker) acceptStart(id attemptID) {
+	refusal := w.refusalCause(id)
 	if refusal != "" {
-		w.tasks[key] = &taskStatus{state: taskExited, cause: refusal}
+		w.attempts[id] = &attemptStatus{state: attemptExited, cause: refusal}
 		return
 	}
-	w.tasks[key] = &taskStatus{state: taskFetching}
+	w.attempts[id] = &attemptStatus{state: attemptFetching}
 }
 
-// refusalOf is the cause for which a start is refused, or empty.
-func (w *Worker) refusalOf(key attempt) exitCause {
-	job := w.checker.JobOfTask(key.task)
+// refusalCause returns the cause for which the start of an attempt is refused, or "".
+func (w *Worker) refusalCause(id attemptID) exitCause {
+	job := w.checker.JobOfTask(id.task)
 	if job == nil {
 		return exitUnknown
 	}
 	cpus, gpus, memoryGB := job.CPUs, job.GPUs, job.MemoryGB
-	for other, task := range w.tasks {
-		if !task.active() {
+	for other, status := range w.attempts {
+		if !status.active() {
 			continue
 		}
-		if other.task == key.task {
+		if other.task == id.task {
 			return exitDuplicate
 		}
 		otherJob := w.checker.JobOfTask(other.task)
--- a/internal/simulator/worker_images.go
+++ b/internal/simulator/worker_images.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// imageCache is the image cache of a machine, and the fetches in progress.
+// imageCache holds the cached images of a machine and the fetches in progress.
 type imageCache struct {
-	recency     []string           // cached images, the most recently used last
-	sizesGB     map[string]float64 // of the cached images
-	remainingGB map[string]float64 // of the images that are being fetched
+	recency     []string           // names of the cached images, the most recently used last
+	sizesGB     map[string]float64 // size of each cached image
+	remainingGB map[string]float64 // what is left to transfer of each image that is being fetched
 }
 
 func newImageCache() imageCache {
@@ -18,7 +18,8 @@
 
 func (c *imageCache) cancelFetches() { c.remainingGB = map[string]float64{} }
 
-// beginFetch notes that an image is needed. A cached one needs no transfer.
+// beginFetch begins to fetch an image, unless it is already being fetched. The fetch of a cached
+// image completes without a transfer.
 func (c *imageCache) beginFetch(image string, sizeGB float64) {
 	if _, fetching := c.remainingGB[image]; fetching {
 		return
@@ -29,8 +30,8 @@
 	c.remainingGB[image] = sizeGB
 }
 
-// cancelUnwanted gives up the fetches that no attempt waits for.
-func (c *imageCache) cancelUnwanted(waiting map[string][]attempt) {
+// cancelUnneededFetches cancels the fetches of images for which no attempt waits.
+func (c *imageCache) cancelUnneededFetches(waiting map[string][]attemptID) {
 	for image := range c.remainingGB {
 		if waiting[image] == nil {
 			delete(c.remainingGB, image)
@@ -38,9 +39,9 @@
 	}
 }
 
-// nextComplete is the image among those being fetched that will be complete first, and
-// how many of them are still transferred.
-func (c *imageCache) nextComplete(images []string) (next string, transfers int) {
+// nextToComplete returns which of the images that are being fetched will be complete first, and
+// how many of them still have something to transfer.
+func (c *imageCache) nextToComplete(images []string) (next string, transfers int) {
 	next = images[0]
 	for _, image := range images {
 		if c.remainingGB[image] < c.remainingGB[next] {
@@ -53,14 +54,14 @@
 	return next, transfers
 }
 
-// transfer continues the fetch of images at a rate, which is that of each.
+// transfer continues the fetches of images for a duration, each at the rate gbPerSecond.
 func (c *imageCache) transfer(images []string, gbPerSecond float64, duration time.Duration) {
 	for _, image := range images {
 		c.remainingGB[image] = max(0, c.remainingGB[image]-gbPerSecond*duration.Seconds())
 	}
 }
 
-// timeToComplete is how long the fetch of an image takes at a rate.
+// timeToComplete returns how long the rest of an image's fetch takes at a rate.
 func (c *imageCache) timeToComplete(image string, gbPerSecond float64) time.Duration {
 	if c.remainingGB[image] <= 0 {
 		return 0
@@ -68,10 +69,9 @@
 	return time.Duration(c.remainingGB[image] / gbPerSecond * float64(time.Second))
 }
 
-// add caches an image as the most recently used, and evicts the least recently used
-// images that are not in use while the cache is over its capacity. A capacity of 0 means
-// no limit.
-func (c *imageCache) add(image string, sizeGB, capacityGB float64, inUse map[string]bool) {
+// addImage caches an image as the most recently used one. While the cache exceeds its capacity, it
+// evicts the least recently used images that are not in use. A capacity of 0 means no limit.
+func (c *imageCache) addImage(image string, sizeGB, capacityGB float64, inUse map[string]bool) {
 	c.recency = append(slices.DeleteFunc(c.recency, func(other string) bool { return other == image }), image)
 	c.sizesGB[image] = sizeGB
 	totalGB := 0.0
@@ -88,30 +88,30 @@
 	})
 }
 
-// imagesInUse are the images of running attempts.
+// imagesInUse returns the set of images of running attempts.
 func (w *Worker) imagesInUse() map[string]bool {
 	inUse := map[string]bool{}
-	for key, task := range w.tasks {
-		if task.state == taskRunning {
-			inUse[w.checker.JobOfTask(key.task).Image] = true
+	for id, status := range w.attempts {
+		if status.state == attemptRunning {
+			inUse[w.checker.JobOfTask(id.task).Image] = true
 		}
 	}
 	return inUse
 }
 
-// advanceFetches continues fetches up to a time and starts the attempts whose image is
-// complete. An image is fetched once for all attempts that wait for it, and images that
-// are fetched at the same time share the machine's rate.
+// advanceFetches continues the fetches up to the time now and starts the attempts whose image is
+// complete. An image is fetched once for all attempts that wait for it. Images that are fetched at
+// the same time share the fetch rate of the machine equally.
 func (w *Worker) advanceFetches(now time.Duration) (changed bool) {
-	at := w.advancedTo
-	w.advancedTo = max(at, now)
+	at := w.advancedUntil
+	w.advancedUntil = max(at, now)
 	for {
-		images, waiting := w.fetchingAttempts()
-		w.images.cancelUnwanted(waiting)
+		images, waiting := w.beginFetches()
+		w.images.cancelUnneededFetches(waiting)
 		if len(images) == 0 {
 			return changed
 		}
-		next, transfers := w.images.nextComplete(images)
+		next, transfers := w.images.nextToComplete(images)
 		rate := w.MachineType.FetchGBPerS / float64(max(1, transfers))
 		needed := w.images.timeToComplete(next, rate)
 		step := min(needed, max(0, now-at))
@@ -122,25 +122,25 @@
 		}
 		changed = true
 		delete(w.images.remainingGB, next)
-		for _, key := range waiting[next] {
-			w.startTask(at, key)
+		for _, id := range waiting[next] {
+			w.startAttempt(at, id)
 		}
 	}
 }
 
-// fetchingAttempts are the attempts that wait for each image, and these images in the
-// order of their first attempts. Images that are new among them begin to be fetched.
-func (w *Worker) fetchingAttempts() (images []string, waiting map[string][]attempt) {
-	waiting = map[string][]attempt{}
-	for _, key := range w.sortedAttempts() {
-		if w.tasks[key].state != taskFetching {
+// beginFetches begins to fetch the images of all attempts that wait for one, and returns these
+// images, ordered by their first attempts, and the waiting attempts of each image.
+func (w *Worker) beginFetches() (images []string, waiting map[string][]attemptID) {
+	waiting = map[string][]attemptID{}
+	for _, id := range w.sortedAttempts() {
+		if w.attempts[id].state != attemptFetching {
 			continue
 		}
-		job := w.checker.JobOfTask(key.task)
+		job := w.checker.JobOfTask(id.task)
 		if waiting[job.Image] == nil {
 			images = append(images, job.Image)
 		}
-		waiting[job.Image] = append(waiting[job.Image], key)
+		waiting[job.Image] = append(waiting[job.Image], id)
 		w.images.beginFetch(job.Image, job.ImageGB)
 	}
 	return images, waiting
