--- a/internal/simulator/kv_store_http.go
+++ b/internal/simulator/kv_store_http.go
@@ -152,8 +152,8 @@
 	return id
 }
 
-// watch replies once there are changes, the log no longer has the requested revision, or the time
-// for which the request may block has passed.
+// watch replies once there are changes, the log no longer has all changes since the requested
+// revision, or the time for which the request may block has passed.
 func (s kvStoreServer) watch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	from, _ := strconv.ParseUint(query.Get("from"), 10, 64)
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -18,7 +18,7 @@
 	LeaseDuration time.Duration
 	Checker       *RuleChecker
 	RunTime       func(task string) time.Duration // returns how long a task runs
-	TaskFails     func(task string) bool          // reports whether a task fails on this machine; nil: none
+	TaskFails     func(task string) bool          // reports whether a task fails here; nil: none does
 }
 
 // Worker simulates one machine: its agent and its tasks.
--- a/internal/simulator/worker_commands.go
+++ b/internal/simulator/worker_commands.go
@@ -44,8 +44,9 @@
 	return true
 }
 
-// HandleCommands executes the commands of a direct call and returns the HTTP status that the
-// protocol specifies, and a heartbeat.
+// HandleCommands executes the commands of a direct call, unless the call is for another incarnation
+// or has a lower fencing token than a previous message. It returns the HTTP status that the protocol
+// specifies, and a heartbeat.
 func (w *Worker) HandleCommands(now time.Duration, call wire.DirectCommands) (status int, heartbeat wire.Heartbeat) {
 	w.Advance(now)
 	if call.FencingToken < w.FencingToken || call.Incarnation != w.Incarnation {
