--- a/internal/api/history_checker_test.go
+++ b/internal/api/history_checker_test.go
@@ -114,7 +114,7 @@
 func (h *historyChecker) sendAbandoned(i int, kind requestKind, minHeld int) {
 	h.cluster.tb.Helper()
 	go h.send(i, kind)
-	h.cluster.eventually("a held transaction", func() bool { return h.cluster.simulation.HeldTransactions() >= minHeld })
+	h.cluster.eventually("a held transaction", func() bool { return h.cluster.simulation.HeldTransactionCount() >= minHeld })
 }
 
 // knownFinalState returns the final state that an answer has reported, or "".
--- a/internal/api/transactions_test.go
+++ b/internal/api/transactions_test.go
@@ -73,7 +73,7 @@
 
 func (c *cluster) waitUntilHeld(description string) {
 	c.tb.Helper()
-	c.eventually(description, func() bool { return c.simulation.HeldTransactions() > 0 })
+	c.eventually(description, func() bool { return c.simulation.HeldTransactionCount() > 0 })
 }
 
 // expectAllRejected commits the held transactions and checks that all of them are rejected.
--- a/internal/restartsim/counts.go
+++ b/internal/restartsim/counts.go
@@ -9,12 +9,12 @@
 
 // counts holds the numbers of operations and calls that a scheduler has issued.
 type counts struct {
-	operations                            *simulator.OrderCounter
+	operations                            *simulator.OperationCounter
 	kvStoreCalls, cloudCalls, directCalls int
 	firstStartAt                          time.Duration // when the first start was issued; 0: none yet
 }
 
-func newCounts() counts { return counts{operations: simulator.NewOrderCounter()} }
+func newCounts() counts { return counts{operations: simulator.NewOperationCounter()} }
 
 // countCommands counts commands to a machine, and records the time of the first start.
 func (c *counts) countCommands(now time.Duration, machine string, commands []wire.Command) {
--- a/internal/restartsim/restart.go
+++ b/internal/restartsim/restart.go
@@ -20,7 +20,7 @@
 // Result is the outcome of a simulated restart. Operations and calls are counted from the restart
 // on. Times are relative to the restart; 0 means never.
 type Result struct {
-	Needed, Issued     simulator.OrderCounts // numbers of operations
+	Needed, Issued     simulator.OperationCounts // numbers of operations
 	KVStoreCalls       int
 	CloudCalls         int
 	DirectCalls        int
@@ -63,7 +63,7 @@
 
 	c.scheduler = nil
 	c.submitTasks(nextJobNumber, backlogTasks)
-	r := &restartRun{cluster: c, initialMachines: plan.Machines, needed: simulator.OrderCounts{Starts: backlogTasks}}
+	r := &restartRun{cluster: c, initialMachines: plan.Machines, needed: simulator.OperationCounts{Starts: backlogTasks}}
 	r.setExpectedUsage(nextJobNumber, backlogTasks)
 	r.changeMachines(plan.ChangedShare)
 	r.needed.Provisioned = machinesNeeded(filledTasks+backlogTasks) - (plan.Machines - r.terminatedMachines)
@@ -83,7 +83,7 @@
 	initialMachines    int
 	terminatedMachines int
 	expectedCPUs       map[string]float64 // by team, when all tasks of the team run
-	needed             simulator.OrderCounts
+	needed             simulator.OperationCounts
 	restartedAt        time.Duration
 	result             Result
 }
