--- a/internal/scheduler/absence_proof_test.go
+++ b/internal/scheduler/absence_proof_test.go
@@ -9,8 +9,8 @@
 )
 
 // Each condition of provenAbsent alone prevents an unlisted attempt from being considered gone.
-// The conditions overlap, so a simulation without one of them may violate no invariant. Here
-// each case isolates a single condition.
+// The conditions overlap, so a simulation in which one of them is not checked may violate no
+// invariant. Each case here isolates a single condition.
 func TestEachConditionDefeatsProofOfAbsence(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 9))
 	for range 200 {
@@ -27,10 +27,10 @@
 			return &wire.Heartbeat{Incarnation: incarnation, Sequence: sequence + 1 + rng.Uint64N(5), FencingToken: term<<tuning.FencingBits | fencingCounter + rng.Uint64N(3)}
 		}
 		for _, c := range []struct {
-			name   string
-			change func(a *attempt, heartbeat *wire.Heartbeat)
-			via    exchangeInitiator
-			absent bool
+			name      string
+			change    func(a *attempt, heartbeat *wire.Heartbeat)
+			initiator exchangeInitiator
+			absent    bool
 		}{
 			{"all conditions for absence are met", func(*attempt, *wire.Heartbeat) {}, workerInitiated, true},
 			{"the heartbeat is under an earlier term's token", func(_ *attempt, heartbeat *wire.Heartbeat) {
@@ -45,8 +45,8 @@
 			}, workerInitiated, false},
 			{"a direct call that carries the start is in flight", func(a *attempt, _ *wire.Heartbeat) { a.start.callInFlight = true }, workerInitiated, false},
 			{"the heartbeat is the one whose reply carried the start", func(a *attempt, heartbeat *wire.Heartbeat) { heartbeat.Sequence = a.start.replySequence }, workerInitiated, false},
-			{"a reply to a direct call arrives before the reply that carried the start", func(*attempt, *wire.Heartbeat) {}, leaderInitiated, false},
-			{"a reply to a direct call, and the start was sent in a direct call", func(a *attempt, _ *wire.Heartbeat) { a.start.replySequence = 0 }, leaderInitiated, true},
+			{"a heartbeat in the reply to a direct call, and the start was sent in a heartbeat reply", func(*attempt, *wire.Heartbeat) {}, leaderInitiated, false},
+			{"a heartbeat in the reply to a direct call, and the start was sent in a direct call", func(a *attempt, _ *wire.Heartbeat) { a.start.replySequence = 0 }, leaderInitiated, true},
 			{"a later incarnation, with a call in flight", func(a *attempt, heartbeat *wire.Heartbeat) {
 				a.start.callInFlight = true
 				heartbeat.Incarnation += 1 + rng.Uint64N(3)
@@ -57,7 +57,7 @@
 		} {
 			a, heartbeat := newUnacknowledgedAttempt(), newHeartbeat()
 			c.change(a, heartbeat)
-			if got := d.provenAbsent(a, heartbeat, c.via); got != c.absent {
+			if got := d.provenAbsent(a, heartbeat, c.initiator); got != c.absent {
 				t.Fatalf("%s: proven absent: %v\n%+v\n%+v", c.name, got, a, heartbeat)
 			}
 		}
--- a/internal/scheduler/attempt.go
+++ b/internal/scheduler/attempt.go
@@ -25,9 +25,9 @@
 	machine *machine
 	number  uint64
 
-	state     string        // as last listed by its worker; empty: not listed yet
-	placedAt  time.Duration // when it was assigned to its machine, or first known in this term
-	runningAt time.Duration // when it was first seen running; 0: not yet
+	state     string        // state that the worker last listed; empty: not listed yet
+	placedAt  time.Duration // when the attempt was placed, or became known in this term
+	runningAt time.Duration // when the worker first listed it as running; 0: not yet
 
 	assignment     assignmentState
 	start          startState
@@ -38,22 +38,22 @@
 
 // assignmentState tracks the durable records that contain an attempt's assignment.
 type assignmentState struct {
-	durable bool               // a record contains it
-	queued  bool               // to be written with the next batch
-	batches []*assignmentBatch // batches that contain it
+	durable bool               // a stored batch contains the attempt
+	queued  bool               // the attempt waits for the next batch to be written
+	batches []*assignmentBatch // batches that contain the attempt
 }
 
 // startState tracks the latest start command of an attempt, with the conditions under which a
 // heartbeat proves that it was not executed. See provenAbsent.
 type startState struct {
-	sent          bool   // it was sent, or may have been sent by an earlier leader
+	sent          bool   // the start was sent, or may have been sent by an earlier leader
 	acknowledged  bool   // the worker has listed the attempt
-	incarnation   uint64 // incarnation of the worker to which it was sent; 0: unknown
-	replySequence uint64 // sequence of the heartbeat whose reply carried it; 0: none
+	incarnation   uint64 // incarnation of the worker to which the start was sent; 0: unknown
+	replySequence uint64 // sequence of the heartbeat whose reply carried the start; 0: none
 	// requiredFencingCounter is the lowest fencing counter that rules out a late execution: a
 	// worker that has only seen tokens with lower counters may still execute the start.
 	requiredFencingCounter uint64
-	callInFlight           bool          // a direct call that carries it is in flight
+	callInFlight           bool          // a direct call that carries the start is in flight
 	firstSentAt            time.Duration // when a start was first sent; 0: not in this term
 }
 
@@ -61,7 +61,7 @@
 type dispatchRetry struct {
 	dispatchCount int           // starts sent, without those that the worker refused
 	nextAt        time.Duration // when the next retry is due
-	abandoned     bool          // the deadline has passed; there are no more retries
+	abandoned     bool          // the dispatch deadline has passed; there are no more retries
 }
 
 // stopRequest tracks the stop of an attempt. A stop is never withdrawn. A stop without a
@@ -79,7 +79,7 @@
 	// deferredVerdict is the verdict on an unexpected attempt. It is not reported until a
 	// heartbeat under this term's fencing token lists the attempt, or the attempt ends.
 	deferredVerdict reconcile.Verdict
-	awaitsStopProof bool // a difference required its stop, which is not proven yet
+	awaitsStopProof bool // a difference requires the attempt's stop, which is not proven yet
 }
 
 // attached reports whether the attempt is among its machine's tasks.
@@ -100,8 +100,8 @@
 	a.machine.taskSummary = nil
 }
 
-// detach removes an attempt that is proven to be gone. Its assignment record stays while a
-// completed task is not yet durably done.
+// detach removes an attempt that is proven to be gone. If it completed its task, its
+// assignment record stays until the completion is durable.
 func (s *Scheduler) detach(a *attempt) {
 	if !a.attached() {
 		return
@@ -130,8 +130,8 @@
 	}
 }
 
-// requestStop sends a stop at the end of the current input. An attempt whose start was never
-// sent is detached instead.
+// requestStop makes a stop due, which is sent after the current input is handled. An attempt
+// whose start was never sent is detached instead.
 func (s *Scheduler) requestStop(a *attempt, request stopRequest, reason StopReason) {
 	if !a.stop.requested {
 		s.logDebug("task stop requested", "task", a.ref.String(), "machine", a.machine.name, "reason", reason)
@@ -152,7 +152,7 @@
 		a.start.requiredFencingCounter = a.machine.fencing.counter
 	}
 	//mutation:stop-is-sent-at-once
-	s.dispatcher.markDue(a.machine) // all stops of this input share one call
+	s.dispatcher.markDue(a.machine) // all stops that this input causes share one call
 }
 
 func sortAttempts(list []*attempt) {
--- a/internal/scheduler/attempt_outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -25,7 +25,7 @@
 	AtMilli int64  `cbor:"at_ms" json:"at_ms"` // Unix time in milliseconds
 }
 
-// handleExit handles the end of an attached attempt as its worker lists it.
+// handleExit handles the end of an attached attempt that its worker lists as ended.
 func (s *Scheduler) handleExit(a *attempt, status *wire.TaskStatus) {
 	a.start.acknowledged = true
 	s.reconciler.reportDeferredVerdict(a)
@@ -98,7 +98,7 @@
 }
 
 // stopGang stops all members of a gang after one has failed, since the others would wait for it
-// in vain. The gang is queued again as a whole.
+// forever. The gang is queued again as a whole.
 func (s *Scheduler) stopGang(j *job) {
 	for _, member := range j.sortedAttempts() {
 		s.stopNow(member, StopGangMemberEnded)
@@ -123,8 +123,8 @@
 
 // attributeFailure attributes a task error to a faulty machine or to an invalid job. A machine
 // on which several jobs fail is quarantined. A job that fails wherever it runs is likely
-// invalid: its failures count against no machine, and earlier ones are no longer held against
-// any.
+// invalid: its failures count against no machine, and its earlier failures are cleared from all
+// machines.
 func (c *clusterState) attributeFailure(m *machine, j *job) {
 	if j.likelyInvalid(c.now.Mono) {
 		c.clearJobFailures(j)
@@ -145,7 +145,7 @@
 	s.reconcileRecordedAttempt(a, reconcile.Absent)
 	switch {
 	case a.start.acknowledged:
-		// The worker's lease has expired, or the machine has lost the task otherwise.
+		// The worker's lease has expired, or the machine has lost the task for another reason.
 		s.logInfo("task lost with its worker's incarnation", "task", a.ref.String(), "attempt", a.number, "machine", a.machine.name)
 		s.detach(a)
 		s.handleFailedAttempt(a, causeLost)
@@ -182,11 +182,11 @@
 }
 
 // drainMachine stops those tasks on a spot machine that should restart elsewhere before the
-// cloud reclaims it. Tasks that can save a checkpoint in time are stopped with one. Other tasks
-// lose as much progress by a stop now as by the interruption, so they keep running if they may
-// complete in the time left or fit nowhere else. Shortly before the interruption all tasks are
-// stopped: an exit listed in a heartbeat lets a task start elsewhere at once, and without one it
-// has to wait for the machine's release.
+// cloud reclaims it. Tasks that can save a checkpoint in time are stopped after a checkpoint. A
+// stop now costs the other tasks as much progress as the interruption would, so they keep running
+// if they may complete in the time left or fit on no other machine. Shortly before the
+// interruption all tasks are stopped: a task whose exit is listed in a heartbeat can start
+// elsewhere at once, and otherwise it cannot start before the machine is released.
 func (s *Scheduler) drainMachine(m *machine) {
 	timeLeft := m.cloud.interruptionAt - s.now.Mono
 	for _, a := range m.sortedAttempts() {
@@ -216,14 +216,14 @@
 		return false
 	}
 	remainingS := j.taskDuration() - (c.now.Mono - a.runningAt).Seconds()
-	return remainingS <= timeLeft.Seconds() || !c.fitsSomewhereCached(j)
+	return remainingS <= timeLeft.Seconds() || !c.fitsOnAnyMachineCached(j)
 }
 
-// fitsSomewhereCached caches the result of fitsSomewhere for tuning.FreeCapacityCacheTTL, since
-// many tasks of a job are checked at the same time.
-func (c *clusterState) fitsSomewhereCached(j *job) bool {
+// fitsOnAnyMachineCached returns the result of fitsOnAnyMachine, cached for
+// tuning.FreeCapacityCacheTTL, since many tasks of a job are checked at the same time.
+func (c *clusterState) fitsOnAnyMachineCached(j *job) bool {
 	if j.capacityCheck.checkedAt == 0 || c.now.Mono-j.capacityCheck.checkedAt > tuning.FreeCapacityCacheTTL {
-		j.capacityCheck.checkedAt, j.capacityCheck.available = c.now.Mono, c.fitsSomewhere(j)
+		j.capacityCheck.checkedAt, j.capacityCheck.available = c.now.Mono, c.fitsOnAnyMachine(j)
 	}
 	return j.capacityCheck.available
 }
--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -92,18 +92,18 @@
 }
 
 // waitsForFetchSlot reports whether the job avoids machines that are fetching another image.
-// Concurrent fetches share the machine's bandwidth. In sequence, the first one ends sooner and
-// the last one no later. The wait of a job without a task on any machine is bounded by
-// tuning.MaxFetchSlotWait.
+// Concurrent fetches share the machine's bandwidth. If they run one after the other, the first
+// ends sooner and the last no later. The wait of a job without a task on any machine is bounded
+// by tuning.MaxFetchSlotWait.
 func (p *machinePicker) waitsForFetchSlot() bool {
 	since := p.job.waiting.fetchSlotWaitSince
 	//mutation:fetch-wait-bound
 	return p.job.activeCount > 0 || since == 0 || p.now-since < tuning.MaxFetchSlotWait
 }
 
-// best returns the candidate with the lowest cost, or nil if there is none. Costs only grow as
-// tasks are placed, so the top of the heap is the lowest if its cost has not changed since it
-// was computed.
+// best returns the machine with the lowest cost, or nil if there is no candidate. Costs only grow
+// as tasks are placed, so the top of the heap has the lowest cost if this cost has not changed
+// since it was computed.
 func (p *machinePicker) best() *machine {
 	for len(p.candidates) > 0 {
 		top := &p.candidates[0]
@@ -130,13 +130,14 @@
 	heap.Fix(&p.candidates, 0)
 }
 
-// fitsSomewhere reports whether one more task of the job could be placed on any machine.
-func (c *clusterState) fitsSomewhere(j *job) bool {
+// fitsOnAnyMachine reports whether one more task of the job could be placed on at least one
+// machine.
+func (c *clusterState) fitsOnAnyMachine(j *job) bool {
 	return c.newMachinePicker(j, c.machinesWithCapacity([]*job{j})).best() != nil
 }
 
-// reserve reserves the machine's free capacity for a job for tuning.PreemptionReservationTTL.
-// Until then, of the other jobs only production is placed there.
+// reserve reserves the machine's free capacity for job j for tuning.PreemptionReservationTTL.
+// During this time, only tasks of j and of production jobs are placed on the machine.
 func (m *machine) reserve(j *job, now time.Duration) {
 	m.reservation.jobID, m.reservation.until = j.id, now+tuning.PreemptionReservationTTL
 }
--- a/internal/scheduler/deadline.go
+++ b/internal/scheduler/deadline.go
@@ -16,15 +16,15 @@
 
 // Objective is a service-level objective for the completion time of the jobs of a class.
 type Objective struct {
-	DeadlineMultiples []float64 // factors of the owner's deadline, each for one deadline; below 1 counts as 1
+	DeadlineMultiples []float64 // multiples of the owner's deadline; below 1 counts as 1
 	WithinS           float64   // a deadline in seconds from the submission; 0: none
 }
 
-// deadlinesOf returns the job's deadlines in ascending order, in seconds from its submission. If
+// deadlinesFor returns the job's deadlines in ascending order, in seconds from its submission. If
 // the objective has neither DeadlineMultiples nor WithinS, the owner's deadline is the only one.
 // WithinS does not apply to services. A job that misses one deadline may still meet the next. The
 // result is empty for a job without a deadline.
-func (o Objective) deadlinesOf(j *wire.Job) []float64 {
+func (o Objective) deadlinesFor(j *wire.Job) []float64 {
 	var deadlines []float64
 	if j.DeadlineS != nil && len(o.DeadlineMultiples) == 0 && o.WithinS == 0 {
 		deadlines = append(deadlines, *j.DeadlineS)
@@ -51,7 +51,7 @@
 }
 
 // remainingCPUSeconds returns the expected work left in the job, in CPU seconds. A running task
-// counts with at least a tenth of the expected duration, even if it is overdue.
+// counts as at least a tenth of the expected duration, even if it is overdue.
 func (j *job) remainingCPUSeconds(now time.Duration) float64 {
 	duration := j.taskDuration()
 	seconds := float64(j.pendingTasks()) * duration
@@ -79,8 +79,8 @@
 	return len(j.plan.deadlines) > 0 && j.plan.firstFeasible >= len(j.plan.deadlines)
 }
 
-// hasTightDeadline reports whether a task of the job that was restarted now would miss the first
-// deadline that the job can still meet.
+// hasTightDeadline reports whether the job would miss the first deadline that it can still meet
+// if one of its tasks was restarted now.
 func (j *job) hasTightDeadline(now time.Duration) bool {
 	return len(j.plan.deadlines) > 0 && !j.missesAllDeadlines() &&
 		j.secondsToDeadline(now) < j.taskDuration()*tuning.DeadlineFeasibilityFactor
@@ -90,8 +90,8 @@
 //
 // It uses the Moore-Hodgson algorithm, which keeps as many jobs on time as possible: it adds
 // jobs in the order of their deadlines, and when one would be late, it gives up the deadline of
-// the largest job added so far. The single machine of the algorithm is first each team's quota
-// and then the whole cluster.
+// the largest job added so far. The algorithm plans for a single machine: first each team's
+// quota counts as that machine, and then the whole cluster.
 //
 // Planning proceeds in tiers. Jobs whose deadline was given up are planned with their next
 // deadline in the next tier, together with the jobs that kept theirs. A job that misses its
@@ -102,14 +102,14 @@
 	serviceCPUs map[string]float64 // CPUs of all tasks of the services, by team
 	totalCPUs   float64            // CPUs that jobs with deadlines can use
 	jobs        []plannedJob
-	tiers       int // largest number of deadlines of a job
+	tiers       int // number of tiers: the largest number of deadlines that any job has
 }
 
 // plannedJob is a job with deadlines in a plan.
 type plannedJob struct {
 	job         *job
 	work        float64 // remaining CPU seconds
-	secondsLeft float64 // until the deadline that the job is planned with
+	secondsLeft float64 // seconds until the deadline that the job is planned with
 	committed   bool    // an earlier tier kept the job's deadline, so it is not given up
 }
 
--- a/internal/scheduler/deadline_test.go
+++ b/internal/scheduler/deadline_test.go
@@ -53,7 +53,7 @@
 	// The job that misses its first deadline meets the next one, while all others stay on time.
 	h.scheduler.settings.Objectives = map[string]Objective{"": {DeadlineMultiples: []float64{1, 2}}}
 	for _, j := range h.scheduler.cluster.jobs {
-		j.plan.deadlines = h.scheduler.settings.Objectives[j.spec.Class].deadlinesOf(&j.spec)
+		j.plan.deadlines = h.scheduler.settings.Objectives[j.spec.Class].deadlinesFor(&j.spec)
 	}
 	h.scheduler.cluster.planDeadlines()
 	if j := h.scheduler.cluster.jobs["run-000001"]; j.plan.firstFeasible != 1 || j.missesAllDeadlines() {
--- a/internal/scheduler/directcall.go
+++ b/internal/scheduler/directcall.go
@@ -9,7 +9,7 @@
 // commandCall is a direct call that is in flight.
 type commandCall struct {
 	machine        *machine
-	fencingCounter uint64     // of the fencing token that the call was sent under
+	fencingCounter uint64     // counter of the fencing token under which the call was sent
 	starts         []*attempt // attempts whose starts the call carries
 	statusProbe    bool       // the call carries no commands
 }
@@ -48,9 +48,11 @@
 
 // Outcomes of a direct call; see worker.Outcome.
 const (
-	CallLost     CallResult = iota // no answer: the commands may have been executed, or may be later
-	CallExecuted                   // the commands were executed
-	CallRefused                    // no command was executed
+	// CallLost means that no answer arrived. The commands may have been executed, or may be
+	// executed later.
+	CallLost     CallResult = iota
+	CallExecuted            // the commands were executed
+	CallRefused             // no command was executed
 )
 
 // CallDone handles the outcome of a direct call, and the heartbeat in its reply if there is one.
@@ -96,7 +98,7 @@
 
 // handleLostCall handles a call without an answer, whose commands may have been executed or may
 // be executed later. Its starts count as possibly executed until a heartbeat under a higher
-// fencing token proves otherwise.
+// fencing token proves that the worker will not execute them.
 func (d *dispatcher) handleLostCall(call *commandCall) {
 	m := call.machine
 	if len(call.starts) > 0 && m.fencing.counter == call.fencingCounter {
@@ -125,7 +127,8 @@
 	m.directCalls.resendWhenDone = true
 }
 
-// undoDispatch reverts the retry state after a dispatch that is known not to have been executed.
+// undoDispatch removes a start that the worker did not execute from the dispatch count, and makes
+// the start due at once.
 func (r *dispatchRetry) undoDispatch(now time.Duration) {
 	r.nextAt = now
 	r.dispatchCount = max(0, r.dispatchCount-1)
--- a/internal/scheduler/golden_test.go
+++ b/internal/scheduler/golden_test.go
@@ -6,20 +6,20 @@
 	"github.com/yarrowgap/yarrowgap/internal/golden"
 )
 
-// TestOperatorAnswersMatchGoldenFiles checks the encodings of the leader's state that operators
-// are shown.
-func TestOperatorAnswersMatchGoldenFiles(t *testing.T) {
-	answers := map[string]any{
+// TestOperatorResponsesMatchGoldenFiles checks the JSON and CBOR encodings of the scheduler state
+// that the operator API returns.
+func TestOperatorResponsesMatchGoldenFiles(t *testing.T) {
+	responses := map[string]any{
 		"machine": &MachineView{},
 		"job":     &JobDetail{},
 		"attempt": &TaskView{},
 		"failure": &Failure{},
 	}
 	var all []any
-	for name, answer := range answers {
-		golden.CheckEncoding(t, name, golden.JSON, answer)
-		golden.CheckEncoding(t, name, golden.CBOR, answer)
-		all = append(all, answer)
+	for name, response := range responses {
+		golden.CheckEncoding(t, name, golden.JSON, response)
+		golden.CheckEncoding(t, name, golden.CBOR, response)
+		all = append(all, response)
 	}
 	golden.CheckCoverage(t, all...)
 }
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -21,16 +21,17 @@
 
 	recovered  bool // its record was live when the term started
 	placedOnce bool // one of its tasks has been placed in this term
-	archived   bool // it has ended: its live record is gone
+	archived   bool // it has ended: its live record was deleted
 	cancelled  bool
-	// cancellationWatermark is the cancellation watermark at the time of its cancellation: all
+	// cancellationWatermark is the cancellation watermark when the job was cancelled: all
 	// cancellations before the watermark were known then.
 	cancellationWatermark time.Duration
 
-	active          map[int][]*attempt // attached attempts by task index
-	activeCount     int                // tasks with attached attempts
-	runningCount    int                // attached attempts in state running
-	unsavedAttempts map[int]*attempt   // completed, with a done bit that is not durable yet, by index
+	active       map[int][]*attempt // attached attempts by task index
+	activeCount  int                // tasks with attached attempts
+	runningCount int                // attached attempts in state running
+	// unsavedAttempts holds completed attempts whose done bits are not durable yet, by task index.
+	unsavedAttempts map[int]*attempt
 
 	progress      jobProgress
 	write         jobWriteState
@@ -45,10 +46,10 @@
 
 // jobWriteState tracks the writes of a job's records to the key-value store.
 type jobWriteState struct {
-	dirtySince     time.Duration  // since when it has unwritten changes; 0: it has none
-	inFlight       bool           // a transaction with its records is in flight
-	blockedUntil   time.Duration  // no write until then, after a failed one
-	chunkRevisions map[int]uint64 // mod revisions of bitmap chunks outside the job record
+	dirtySince     time.Duration  // when the first unwritten change was made; 0: none
+	inFlight       bool           // a transaction with the job's records is in flight
+	blockedUntil   time.Duration  // earliest time of the next write after a failed write
+	chunkRevisions map[int]uint64 // mod revisions of bitmap chunks after the first, by chunk
 }
 
 // taskIndices hands out the indices of tasks to place.
@@ -59,10 +60,10 @@
 
 // retryState tracks a job's failed attempts and the backoff after them.
 type retryState struct {
-	consecutiveFailures int             // counts up to the reset by a successful or long run
+	consecutiveFailures int             // number of failures since the last successful or long run
 	longestFailedRun    time.Duration   // longest run of an attempt that ended with an error
-	failedMachines      map[string]bool // names of the machines on which it failed
-	notBefore           time.Duration   // no task is placed before then; 0: no backoff
+	failedMachines      map[string]bool // names of the machines on which the job's tasks failed
+	notBefore           time.Duration   // earliest time of the next placement; 0: no backoff
 }
 
 // maxBackoffDoublings keeps the shift in countFailure from overflowing. The maximum backoff is
@@ -80,29 +81,31 @@
 	r.notBefore = now + delay
 }
 
-// waitState records since when and why tasks of a job wait for placement.
+// waitState records why tasks of a job wait for placement, and for how long.
 type waitState struct {
-	since time.Duration // since when any task waits; 0: none waits
-	// fetchSlotWaitSince is since when every machine with capacity has been fetching a different
-	// image; 0: a machine without such a fetch is available.
+	since time.Duration // since when the job has had waiting tasks; 0: it has none
+	// fetchSlotWaitSince is when the job began to wait because every machine with capacity is
+	// fetching a different image; 0: the job does not wait for a fetch.
 	fetchSlotWaitSince time.Duration
-	preemptionTriedAt  time.Duration // when preemption was last tried for it; 0: never
+	preemptionTriedAt  time.Duration // when preemption was last tried for the job; 0: never
 	reason             WaitReason
 }
 
-// capacityCheck caches whether any machine had capacity for a task of the job, see
-// fitsSomewhereCached.
+// capacityCheck caches whether any machine had capacity for a task of the job. See
+// fitsOnAnyMachineCached.
 type capacityCheck struct {
-	checkedAt time.Duration // 0: never
+	checkedAt time.Duration // when the capacity was last checked; 0: never
 	available bool
 }
 
 // deadlinePlan holds a job's deadlines, and the first one that it can still meet according to
 // the last placement round.
 type deadlinePlan struct {
-	deadlines     []float64 // ascending, in seconds after the submission; see Objective.deadlinesOf
+	deadlines     []float64 // ascending, in seconds after the submission; see Objective.deadlinesFor
 	firstFeasible int       // index of the first deadline that can be met; len(deadlines): none
-	slackS        float64   // seconds until that deadline, or the last one if none; +Inf without deadlines
+	// slackS is the time until that deadline or, if none can be met, until the last deadline, in
+	// seconds; +Inf without deadlines.
+	slackS float64
 }
 
 // observedRuntimes sums the run times of the tasks that this term observed from start to
@@ -116,9 +119,9 @@
 // of the last placement round.
 type jobQueueStatus struct {
 	established     bool // a task has run for tuning.EstablishedAfter; never reset
-	starved         bool // waits for long without being established; see updateStarvation
+	starved         bool // not established after tuning.ArrayStarvationBound; see updateStarvation
 	prioritized     bool // starved, and its first tasks are placed ahead of other jobs
-	aged            bool // it misses all its deadlines and is older than tuning.AgedAfter
+	aged            bool // misses all its deadlines and is older than tuning.AgedAfter
 	withinGuarantee bool // its tasks fit its team's guaranteed quota
 }
 
@@ -136,7 +139,7 @@
 	}
 	// The record has the time of day of the submission; convert it to monotonic time.
 	j.createdAt = c.now.Mono - time.Duration(max(0, c.now.Wall-record.Job.CreatedAtMilli))*time.Millisecond
-	j.plan.deadlines = c.settings.Objectives[j.spec.Class].deadlinesOf(&j.spec)
+	j.plan.deadlines = c.settings.Objectives[j.spec.Class].deadlinesFor(&j.spec)
 	c.mergeDoneBits(j, 0, record.Done)
 	c.jobs[j.id] = j
 	return j
@@ -152,7 +155,7 @@
 	}
 }
 
-// restoreDoneBits merges a stored record of done bits outside the job record.
+// restoreDoneBits merges a stored bitmap chunk, which holds done bits outside the job record.
 func (s *Scheduler) restoreDoneBits(item wire.KeyValue) {
 	var record records.BitmapChunk
 	id, chunk, ok := wire.ParseTaskName(records.IDFromKey(records.BitmapPrefix, item.Key))
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -35,10 +35,10 @@
 	tasks           map[taskRef]*attempt
 	exited          map[taskRef]taskExit // ended attempts that the worker still lists
 	unexpectedStops []wire.Command       // queued stops of attempts that are not in tasks
-	used            resources            // sum over tasks
+	used            resources            // sum of the resources of tasks
 	images          imageCache
 	taskSummary     *taskSummary              // cache of summarize; nil after tasks or images have changed
-	batches         map[*assignmentBatch]bool // assignment batches that contain attempts on it
+	batches         map[*assignmentBatch]bool // assignment batches with attempts on the machine
 
 	cloud        cloudStatus
 	release      releaseState
@@ -58,17 +58,17 @@
 
 // cloudStatus is a machine's status as reported by the cloud.
 type cloudStatus struct {
-	provisionedAt          time.Duration // from the cloud list; until listed, when first known
-	provisionedInTerm      bool          // this leader requested it in this term
-	listedInTerm           bool          // the cloud has listed it in this term
-	consecutiveMissedLists int           // lists since the last one that contained it
-	failed                 bool          // the cloud reports that it has stopped
+	provisionedAt          time.Duration // as listed by the cloud; before that, when first known
+	provisionedInTerm      bool          // this leader requested the machine in this term
+	listedInTerm           bool          // the cloud has listed the machine in this term
+	consecutiveMissedLists int           // cloud lists since the last one with the machine
+	failed                 bool          // the cloud reports that the machine has stopped
 	interruptionAt         time.Duration // when the cloud reclaims the spot machine; 0: not announced
 }
 
 // releaseState is the state of a machine's requested release.
 type releaseState struct {
-	reason   ReleaseReason // of the last request, for the log
+	reason   ReleaseReason // reason of the last request, for the log
 	retryDue bool          // the release must be requested again
 }
 
@@ -76,13 +76,13 @@
 type quarantineState struct {
 	until             time.Duration   // end of the quarantine
 	startsPausedUntil time.Duration   // no starts until then, after the worker refused one
-	failedJobs        map[string]bool // IDs of unrelated jobs that failed on it
+	failedJobs        map[string]bool // IDs of unrelated jobs that failed on the machine
 }
 
 // reservation keeps a machine's free capacity for one job until it expires.
 type reservation struct {
-	jobID string // empty: none
-	until time.Duration
+	jobID string        // empty: none
+	until time.Duration // when the reservation expires
 }
 
 // heartbeatOrder identifies a machine's last heartbeat in the order of sending. Heartbeats that
@@ -102,7 +102,7 @@
 // directCallState is the state of the direct calls to a machine. At most one is in flight.
 type directCallState struct {
 	inFlight                 bool
-	resendWhenDone           bool          // more commands are due when the call in flight ends
+	resendWhenDone           bool          // more commands must be sent when the call in flight ends
 	probedAt                 time.Duration // when the last status probe was sent
 	consecutiveUnanswered    int           // unanswered calls since the last answered one
 	unansweredSinceHeartbeat int           // unanswered calls since the last heartbeat or answered call
@@ -154,8 +154,8 @@
 }
 
 // withUsed returns the cache after an image was used. If the image was not in the cache, the
-// least recently used images are evicted until the rest fits the capacity. A capacity of 0 is
-// unknown, and nothing is evicted.
+// least recently used images are evicted until the others fit the capacity. A capacity of 0
+// means that the capacity is unknown, and nothing is evicted.
 func (c imageCache) withUsed(image cachedImage, capacityGB float64) imageCache {
 	index := slices.IndexFunc(c, func(known cachedImage) bool { return known.name == image.name })
 	if index >= 0 {
@@ -191,7 +191,9 @@
 	hasUnknownTask               bool // the job of an attempt is not live, so its resources are unknown
 	services                     int  // number of service tasks
 	serviceCPUs, serviceMemoryGB float64
-	fetching                     map[string]float64 // GB by image, without tasks being stopped
+	// fetching holds the sizes of the images that the machine is fetching, in GB by image name.
+	// Fetches for tasks that are being stopped don't count.
+	fetching map[string]float64
 }
 
 // summarize returns the machine's taskSummary, which is recomputed after its tasks or images have
--- a/internal/scheduler/persist.go
+++ b/internal/scheduler/persist.go
@@ -17,15 +17,15 @@
 type persister struct {
 	*termContext
 
-	inFlight          map[uint64]*transactionContents // by commit id
-	batches           map[string]*assignmentBatch     // by key; those that are or may be stored
-	unrecorded        []*attempt                      // queued for the next batch
-	nextBatchAt       time.Duration                   // no batch is written before then
+	inFlight          map[uint64]*transactionContents // by Commit.ID
+	batches           map[string]*assignmentBatch     // stored or possibly stored batches, by key
+	unrecorded        []*attempt                      // attempts to write with the next batch
+	nextBatchAt       time.Duration                   // earliest time of the next batch
 	dirtyJobs         map[*job]bool                   // jobs with unsaved changes
 	unreadableRecords []string                        // keys of records that could not be decoded
 	obsoleteKeys      []string                        // keys to delete as the write budget allows
 	writeBudget       tokenBucket                     // one token per change
-	blockedUntil      time.Duration                   // no write before then, after a failed one
+	blockedUntil      time.Duration                   // earliest next write after a failed write
 }
 
 func newPersister(context *termContext) persister {
@@ -38,18 +38,18 @@
 	}
 }
 
-// queueDeletion queues keys for deletion that are no longer needed.
+// queueDeletion queues the deletion of keys that are no longer needed.
 func (p *persister) queueDeletion(keys ...string) { p.obsoleteKeys = append(p.obsoleteKeys, keys...) }
 
-// flush commits the writes that are due, in order of urgency: assignments of attempts that may
-// not start before they are recorded, then jobs that have ended, then progress and deletions.
+// flush commits the writes that are due, in order of urgency: first the assignments of attempts,
+// which may not start before they are recorded, then ended jobs, then progress and deletions.
 func (p *persister) flush() {
 	p.refillWriteBudget()
 	for len(p.inFlight) < maxTransactionsInFlight && p.now.Mono >= p.blockedUntil {
 		t := p.newTransaction()
 		// Batches come first. They are spaced in time, and one change records dozens of
-		// attempts, while the end of a job takes two. If ended jobs came first, many small ones
-		// would delay all starts.
+		// attempts, while the end of a job takes two changes. If ended jobs came first, many
+		// small jobs would delay all starts.
 		p.addAssignmentBatches(t)
 		p.addEndedJobs(t)
 		p.addJobProgress(t)
@@ -88,17 +88,18 @@
 
 // Outcomes of a transaction.
 const (
-	CommitUnknown  CommitResult = iota // executed, not executed, or to be executed later
-	CommitDone                         // executed at the reported revision
-	CommitConflict                     // not executed: the reported keys have unexpected revisions
-	CommitRefused                      // not executed: the key-value store refused it
+	// CommitUnknown means that the transaction may have been executed, or may be executed later.
+	CommitUnknown  CommitResult = iota
+	CommitDone                  // executed at the reported revision
+	CommitConflict              // not executed: the reported keys have unexpected revisions
+	CommitRefused               // not executed: the key-value store refused it
 )
 
 // commitOutcome is the outcome of a transaction with its details.
 type commitOutcome struct {
 	result          CommitResult
-	revision        uint64          // of the changes, if executed
-	conflictingKeys map[string]bool // whose revision is not the expected one
+	revision        uint64          // revision of the changes, if they were executed
+	conflictingKeys map[string]bool // keys whose revision is not the expected one
 }
 
 func newCommitOutcome(result CommitResult, revision uint64, failedKeys []string) commitOutcome {
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -14,7 +14,7 @@
 // Ranks of the highest and the lowest priority. The highest priority has rank 0.
 var (
 	productionRank = wire.PriorityOrder(wire.PriorityProduction)
-	idleRank       = wire.PriorityOrder(wire.PriorityIdle) // runs on capacity that no other job needs
+	idleRank       = wire.PriorityOrder(wire.PriorityIdle) // uses capacity that no other job needs
 )
 
 // isOpen reports whether tasks of the job may still be placed.
@@ -23,7 +23,7 @@
 // isProduction reports whether the job has the highest priority.
 func (j *job) isProduction() bool { return j.rank == productionRank }
 
-// schedulingQueue updates the standing and the deadline plans of all open jobs. It returns the
+// schedulingQueue updates the queue status and the deadline plans of all open jobs. It returns the
 // jobs with tasks to place in the order in which a placement round processes them; see
 // compareQueueOrder.
 func (c *clusterState) schedulingQueue(totalCPUs float64) []*job {
@@ -49,9 +49,9 @@
 	return waiting
 }
 
-// compareQueueOrder orders waiting jobs: production jobs first, then starved jobs that are owed
-// their first tasks, then aged jobs. The others follow by the first deadline that they can
-// meet, team guarantee, priority, time to the deadline, age and ID.
+// compareQueueOrder orders waiting jobs: production jobs first, then starved jobs whose first
+// tasks are prioritized, then aged jobs. The other jobs follow by the first deadline that
+// they can meet, team guarantee, priority, time to the deadline, age and ID.
 func compareQueueOrder(a, b *job) int {
 	if c := compareTrueFirst(a.isProduction(), b.isProduction()); c != 0 {
 		return c
@@ -87,7 +87,7 @@
 }
 
 // updateStarvation determines whether the job is starved. The first tasks of a starved job are
-// placed ahead of all jobs but production: deadline planning gives up the deadline of the
+// placed ahead of all jobs except production jobs: deadline planning gives up the deadline of the
 // largest job first, and under lasting overload it would do so in every round.
 func (j *job) updateStarvation(now time.Duration, totalCPUs float64) {
 	j.queueStatus.starved = !j.service && now-j.createdAt > tuning.ArrayStarvationBound && !j.isEstablished(now) && !j.likelyInvalid(now)
@@ -96,8 +96,8 @@
 }
 
 // updateUrgency sets whether the job is aged, and its slack, from the deadline plan. A job that
-// misses all its deadlines counts as aged some time after its submission and then gets a share
-// of the cluster, so that it still finishes.
+// misses all its deadlines counts as aged when tuning.AgedAfter has passed since its submission.
+// Aged jobs get a share of the cluster, so that they still finish.
 func (j *job) updateUrgency(now time.Duration) {
 	j.queueStatus.aged = !j.service && j.missesAllDeadlines() && now-j.createdAt > tuning.AgedAfter
 	j.plan.slackS = math.Inf(1) // jobs without a deadline follow those that have one
--- a/internal/scheduler/replica.go
+++ b/internal/scheduler/replica.go
@@ -20,13 +20,14 @@
 type Replica struct {
 	Loaded   bool
 	Revision uint64
-	Resets   int // number of full reads, each of which skips the changes since the last reply
+	Resets   int // number of full reads; each skips the changes since the last watch reply
 	Live     map[string]*LiveJob
-	ended    map[string]*list.Element // cached ended jobs; the elements of recency, by job id
-	recency  *list.List               // of endedEntry, most recently used first
+	ended    map[string]*list.Element // cached ended jobs: elements of recency, by job id
+	recency  *list.List               // list of endedEntry, most recently used first
 	absent   map[string]bool          // ids of jobs that don't exist
 }
 
+// endedEntry is a cached ended job.
 type endedEntry struct {
 	id     string
 	record records.EndedJob
@@ -42,7 +43,7 @@
 // decoded.
 func (r *Replica) Reset(items []wire.KeyValue, revision uint64) (undecodable []string) {
 	//mutation:reset-clears-absences
-	clear(r.absent) // a skipped change may have created such a job
+	clear(r.absent) // a job marked absent may have been created by a skipped change
 	r.Resets++
 	r.Live = make(map[string]*LiveJob, len(items))
 	for _, item := range items {
@@ -110,9 +111,9 @@
 
 // MarkAbsent caches that no job with the id exists. The caller must have found no ended job in
 // a read that it sent after the replica was brought up to date, and the replica must not have
-// been reset since: a reset skips changes, and the job may have been both created and ended by
-// them. The replica itself shows whether the job is live, and a later change that creates it
-// clears the mark.
+// been reset since: a reset skips changes, which may include both the creation and the end of
+// the job. The replica itself shows whether the job is live, and a later change that creates the
+// job clears the mark.
 func (r *Replica) MarkAbsent(id string) {
 	if len(r.absent) >= tuning.MaxCachedEndedJobs {
 		clear(r.absent)
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -11,7 +11,7 @@
 )
 
 // scaleOut requests machines for the unplaced tasks that do not fit on machines already being
-// provisioned or booting, and for the wanted headroom.
+// provisioned or booting, for the next service, and for the policy's headroom.
 func (a *autoscaler) scaleOut(cluster *clusterState, reconciler *reconcile.Reconciler, unplaced []unplacedTasks) {
 	if !a.mayScaleOut(cluster) {
 		return
@@ -39,14 +39,14 @@
 	autoscaler     *autoscaler
 	cluster        *clusterState
 	reconciler     *reconcile.Reconciler
-	incoming       []*capacitySlot // of pending and booting machines, then of requested ones
+	incoming       []*capacitySlot // capacity available soon, then that of requested machines
 	machinesByZone map[string]int
-	machineCount   int           // existing, pending and requested ones, without those being released
+	machineCount   int           // existing, pending and requested machines, except releasing ones
 	requests       map[offer]int // number of machines to request
 }
 
-// newScaleOutPlan starts a plan with the existing machines, those that are booting or pending,
-// and the capacity that they will bring.
+// newScaleOutPlan returns a plan that counts the existing and pending machines, and the incoming
+// capacity of booting, unconfirmed and pending machines.
 func (a *autoscaler) newScaleOutPlan(cluster *clusterState, reconciler *reconcile.Reconciler, unplaced []unplacedTasks) *scaleOutPlan {
 	plan := &scaleOutPlan{
 		autoscaler: a, cluster: cluster, reconciler: reconciler,
@@ -70,7 +70,7 @@
 	return plan
 }
 
-// addPending counts the machines of an unanswered provisioning request.
+// addPending adds the machines of an unanswered provisioning request to the plan.
 func (p *scaleOutPlan) addPending(request *pendingRequest) {
 	machineSpec := p.cluster.specOf(request.offer.machineType)
 	if machineSpec == nil {
@@ -137,7 +137,7 @@
 }
 
 // coverNextService requests a machine if the fleet lacks capacity for the next service (see
-// fleetHeadroom) and no incoming on-demand machine fits a task of it.
+// fleetHeadroom) and no incoming on-demand machine fits one of its tasks.
 func (p *scaleOutPlan) coverNextService() {
 	headroom := p.cluster.newFleetHeadroom()
 	if headroom.fitsNextService() {
@@ -169,8 +169,8 @@
 	}
 }
 
-// pendingCPUs sums the CPUs of the requested machines, both of this plan and of earlier
-// requests without an answer.
+// pendingCPUs sums the CPUs of the machines that this plan or an earlier, unanswered request asks
+// for.
 func (p *scaleOutPlan) pendingCPUs() float64 {
 	cpus := 0.0
 	for _, request := range p.autoscaler.pending {
@@ -184,8 +184,8 @@
 	return cpus
 }
 
-// sendRequests sends one request per offer, as far as the pace of cloud calls allows. The next
-// scale-out plans the rest anew.
+// sendRequests sends one request per offer, as far as the rate limit of cloud calls allows. The
+// next scale-out plans the remaining requests again.
 func (p *scaleOutPlan) sendRequests() {
 	for _, o := range slices.SortedFunc(maps.Keys(p.requests), offer.compare) {
 		if !p.reconciler.TakeCloudCall(p.autoscaler.now.Mono) {
@@ -299,7 +299,7 @@
 
 // provisionBackoff returns how long an offer is not requested again after a request that did
 // not bring all machines. After an unknown outcome, the cloud's list shows any provisioned
-// machines by then.
+// machines by the end of the backoff.
 func (a *autoscaler) provisionBackoff(result ProvisionResult, offerCount int) time.Duration {
 	if result == ProvisionRefused {
 		return 2 * tuning.CloudRetryDelay
@@ -308,8 +308,8 @@
 }
 
 // capacityBackoff returns how long an offer is not requested again after the cloud had too few
-// machines of it. It is as short as the cloud's rate limit allows if all offers are requested
-// again, since capacity returns within seconds after a wave of interruptions.
+// machines for it. The backoff is as short as the cloud's rate limit allows if all offers are
+// requested again, since capacity returns within seconds after a wave of interruptions.
 func (a *autoscaler) capacityBackoff(offerCount int) time.Duration {
 	if a.settings.CloudRate <= 0 {
 		return tuning.MaxCapacityBackoff
--- a/internal/scheduler/tick_test.go
+++ b/internal/scheduler/tick_test.go
@@ -10,7 +10,7 @@
 )
 
 // A leader that no longer receives heartbeats from any worker resigns long before the workers'
-// leases expire, if there are many machines. With few machines it waits for several heartbeat
+// leases expire if there are many machines. With few machines it waits for several heartbeat
 // intervals. A pause of the process is not counted as silence.
 func TestIsolatedLeaderResigns(t *testing.T) {
 	const observedFor = 2 * time.Minute // without a resignation in this time, the leader stays
@@ -46,8 +46,8 @@
 	}
 }
 
-// activityCounts counts the placement rounds, scans of all machines and scale-out plans of a
-// scheduler in two seconds.
+// activityCounts counts a scheduler's placement rounds, scans of all machines and scale-out
+// plans in two seconds.
 type activityCounts struct{ rounds, scans, scaleOuts int }
 
 // countActivity runs a scheduler with the given CPU share, in a fleet where tasks wait all the
@@ -61,7 +61,7 @@
 	}
 	for range 400 {
 		f.now += 5 * time.Millisecond
-		lastRoundAt, scannedAt, scaledOutAt := f.scheduler.placement.lastRoundAt, f.scheduler.monitor.lastScanAt, f.scheduler.autoscaler.lastScaleOutAt
+		lastRoundAt, lastScanAt, lastScaleOutAt := f.scheduler.placement.lastRoundAt, f.scheduler.monitor.lastScanAt, f.scheduler.autoscaler.lastScaleOutAt
 		f.refreshHeartbeats()
 		f.scheduler.placement.due = true
 		f.scheduler.Tick(f.clock())
@@ -69,10 +69,10 @@
 		if f.scheduler.placement.lastRoundAt != lastRoundAt {
 			counts.rounds++
 		}
-		if f.scheduler.monitor.lastScanAt != scannedAt {
+		if f.scheduler.monitor.lastScanAt != lastScanAt {
 			counts.scans++
 		}
-		if f.scheduler.autoscaler.lastScaleOutAt != scaledOutAt {
+		if f.scheduler.autoscaler.lastScaleOutAt != lastScaleOutAt {
 			counts.scaleOuts++
 		}
 	}
--- a/internal/scheduler/zone_partition.go
+++ b/internal/scheduler/zone_partition.go
@@ -132,7 +132,7 @@
 	if services > 0 {
 		return 2*movable >= float64(services)
 	}
-	return sampleJob != nil && s.cluster.fitsSomewhereCached(sampleJob)
+	return sampleJob != nil && s.cluster.fitsOnAnyMachineCached(sampleJob)
 }
 
 // movableShare returns the share of a job's tasks in a zone that its spread limit allows in the
