--- a/internal/controller/cancellations_test.go
+++ b/internal/controller/cancellations_test.go
@@ -171,8 +171,8 @@
 
 // A leader's process pauses, and another controller leads in the meantime. When the first leader
 // resumes, it reads all cancellations but does not know the tasks of the next leader, so it has not
-// enforced cancellations for those tasks. Its enforcement must not renew the leases of workers that
-// hold the next leader's fencing token, neither at that controller nor at its followers.
+// enforced cancellations for those tasks. Its enforcement time must not renew the leases of workers
+// that hold the next leader's fencing token, neither at that controller nor at its followers.
 func TestKeepaliveRequiresWatermarkOfCurrentLeader(t *testing.T) {
 	token := func(term uint64) uint64 { return term << tuning.FencingBits }
 	for _, leading := range []bool{true, false} {
@@ -194,9 +194,9 @@
 		}
 		c.update(func() { c.learnLeader("drover-2", 10) })
 		if s := heartbeat(10); s == 200 {
-			t.Errorf("leading %v: lease of a worker of the next leader renewed by the enforcement of the previous one", leading)
+			t.Errorf("leading %v: lease of a worker of the next leader renewed with the previous leader's enforcement time", leading)
 		}
-		c.cancellations.enforcedUntil = time.Now() // by the next leader
+		c.cancellations.enforcedUntil = time.Now() // the next leader has enforced all cancellations
 		if s := heartbeat(10); s != 200 {
 			t.Errorf("leading %v: heartbeat answered %d, although the worker's leader has enforced all cancellations", leading, s)
 		}
@@ -207,7 +207,7 @@
 // lease duration later. That must be within the time allowed for a cancellation that was confirmed
 // right after the watermark, with each clock drifting as much as the protocol allows.
 func TestKeepaliveBoundAllowsForClockDrift(t *testing.T) {
-	const drift = 0.0005 // of each clock, as a fraction
+	const drift = 0.0005 // maximum drift of each clock, as a fraction of the elapsed time
 	c := newTestController(t)
 	w := &c.cfg.Deployment.Workers
 	for _, s := range []struct{ cancel, lease float64 }{{32, 12}, {70, 45}, {40, 12}, {600, 45}, {13.5, 12}, {12, 32}} {
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -6,17 +6,18 @@
 	"github.com/yarrowgap/yarrowgap/internal/golden"
 )
 
-// TestOperatorAnswersMatchGoldenFiles covers the answers to operators' queries about the process.
-func TestOperatorAnswersMatchGoldenFiles(t *testing.T) {
-	answers := map[string]any{
+// TestOperatorResponsesMatchGoldenFiles covers the JSON that the operator API returns about the
+// controller process.
+func TestOperatorResponsesMatchGoldenFiles(t *testing.T) {
+	responses := map[string]any{
 		"leader":  &LeaderView{},
 		"latency": &LatencySummary{},
 		"metrics": &Metrics{},
 	}
 	var all []any
-	for name, answer := range answers {
-		golden.CheckEncoding(t, name, golden.JSON, answer)
-		all = append(all, answer)
+	for name, response := range responses {
+		golden.CheckEncoding(t, name, golden.JSON, response)
+		all = append(all, response)
 	}
 	golden.CheckCoverage(t, all...)
 }
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -13,39 +13,40 @@
 type membership struct {
 	peers  map[string]*peerState
 	leader leaderInfo
-	// storeUnservedFor returns for how long the key-value store has not served this controller;
-	// 0 if it served the last request. It needs no lock.
-	storeUnservedFor func() time.Duration
+	// storeUnavailableFor returns how long the key-value store has not served this controller; 0
+	// if it served the last request. It needs no lock.
+	storeUnavailableFor func() time.Duration
 }
 
 // peerState is what a controller knows about one peer. Guarded by Controller.mu, except for the
 // embedded settings, which do not change.
 type peerState struct {
 	config.Peer
-	lastContactAt  time.Time // when it last sent a ping, or was sent one that it answered
-	storeAvailable bool      // whether the store served the peer, at the last contact
+	// lastContactAt is when the peer last sent a ping, or was last sent a ping that it answered.
+	lastContactAt  time.Time
+	storeAvailable bool // the store served the peer at the last contact
 	// processStartedAt is when the peer's process started; zero if unknown.
 	processStartedAt time.Time
 	// notLeading is set when the peer names itself as the leader and reports that it does not
 	// lead: its process has been restarted, or it has not loaded the records yet.
 	notLeading          bool
-	connectionRefusedAt time.Time          // when it last refused a connection
-	declinedAt          time.Time          // when it last could not decide a forwarded request
+	connectionRefusedAt time.Time          // when the peer last refused a connection
+	declinedAt          time.Time          // when the peer last could not decide a forwarded request
 	runningTasks        map[string]int     // number of running tasks by job ID; only the leader sends it
-	confirmations       confirmationCursor // the peer's confirmed cancellations, as far as received
+	confirmations       confirmationCursor // which of the peer's confirmations were received
 }
 
 // leaderInfo is what a controller knows about the leader.
 type leaderInfo struct {
 	name string // empty: no leader is known
-	term uint64 // the highest known term; if name is empty, of an earlier leader
+	term uint64 // the highest known term; if name is empty, the term of an earlier leader
 	// leaseID is the ID of the leader's lease; 0 if it is unknown or has been claimed for
 	// revocation.
 	leaseID uint64
 }
 
-func newMembership(peers []config.Peer, storeUnservedFor func() time.Duration) membership {
-	m := membership{peers: make(map[string]*peerState, len(peers)), storeUnservedFor: storeUnservedFor}
+func newMembership(peers []config.Peer, storeUnavailableFor func() time.Duration) membership {
+	m := membership{peers: make(map[string]*peerState, len(peers)), storeUnavailableFor: storeUnavailableFor}
 	for _, p := range peers {
 		m.peers[p.Name] = &peerState{Peer: p}
 	}
@@ -54,12 +55,12 @@
 
 // storeAvailable reports whether the key-value store has served this controller within the last
 // IsolatedAfter. It needs no lock.
-func (m *membership) storeAvailable() bool { return m.storeUnservedFor() < tuning.IsolatedAfter }
+func (m *membership) storeAvailable() bool { return m.storeUnavailableFor() < tuning.IsolatedAfter }
 
 // isolated reports whether this controller and the peers that it can reach may be on the
 // minority side of a partition: the key-value store has served none of them for IsolatedAfter,
 // and they are at most half of all controllers. If they are more than half, an outage of the
-// store is more likely, in which the leader continues for as long as its lease and its
+// store is more likely. During an outage, the leader continues for as long as its lease and its
 // cancellation watermark allow.
 func (m *membership) isolated() bool {
 	if len(m.peers) == 0 || m.storeAvailable() {
@@ -94,7 +95,7 @@
 	// A refused connection shows that the zones are not partitioned: a filter between the
 	// controllers refuses the connection, or the leader has no free socket. As long as the
 	// key-value store serves this controller and names that leader, workers can reach it.
-	return time.Since(leader.connectionRefusedAt) < tuning.PeerUnreachableAfter && m.storeUnservedFor() == 0
+	return time.Since(leader.connectionRefusedAt) < tuning.PeerUnreachableAfter && m.storeUnavailableFor() == 0
 }
 
 // forwardTargets returns the peers that may be able to decide a forwarded request, the leader
--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -41,13 +41,13 @@
 		// TestCancellationWatermarkIsNeverAheadOfConfirmations.
 		{time.Minute, false, 2, false},
 	} {
-		c.membership.storeUnservedFor = func() time.Duration { return tc.unservedFor }
+		c.membership.storeUnavailableFor = func() time.Duration { return tc.unservedFor }
 		setPeers(tc.peersServed, tc.reachable)
 		if c.Healthy() == tc.isolated {
 			t.Errorf("%+v: healthy %v", tc, !tc.isolated)
 		}
 	}
-	c.membership.storeUnservedFor = func() time.Duration { return 0 }
+	c.membership.storeUnavailableFor = func() time.Duration { return 0 }
 	setPeers(false, 0)
 	if !c.Healthy() {
 		t.Error("unhealthy though the store serves it")
