--- a/internal/golden/encoding.go
+++ b/internal/golden/encoding.go
@@ -8,7 +8,7 @@
 
 // Encoding is an encoding of messages and records.
 type Encoding struct {
-	extension string // of golden files
+	extension string // file extension of golden files, with the dot
 	marshal   func(any) ([]byte, error)
 	unmarshal func([]byte, any) error
 }
--- a/internal/tuning/controller.go
+++ b/internal/tuning/controller.go
@@ -8,13 +8,13 @@
 	// it is done when its event arrives.
 	TickInterval = 200 * time.Millisecond
 	// ProcessPauseThreshold is the time between two ticks above which the process counts as
-	// paused. The ticks of a busy process are less late than that.
+	// paused. Ticks of a process that is merely busy are less late than that.
 	ProcessPauseThreshold = 1500 * time.Millisecond
 	// ScanIntervalPerMachine is multiplied by the number of machines to give the interval
 	// between scans of all machines. A scan costs about as much as a placement round that has
 	// nothing to place.
 	ScanIntervalPerMachine = 50 * time.Microsecond
-	// LoadLogInterval is the interval of the debug message on the cluster's load.
+	// LoadLogInterval is the interval of the debug message about the cluster's load.
 	LoadLogInterval = 10 * time.Second
 	// ReferenceCPUShare is the share of a core that the intervals of placement, scans and
 	// scale-out are intended for. With a smaller share they are longer in proportion.
@@ -33,7 +33,8 @@
 	MaxPeerResponseBytes = 8 << 20
 	// IsolatedAfter is how long a controller must be without the key-value store and most peers
 	// to count as isolated. It is longer than it takes to lose a lease and longer than most
-	// brief outages, because a load balancer delays the return of an isolated controller.
+	// brief outages, because a load balancer sends no requests to an isolated controller until
+	// some time after the isolation has ended.
 	IsolatedAfter = 4 * time.Second
 	// PeerWatchTimeout is how long a controller holds back its answer to a peer's watch; the
 	// peer notices the end of the process by the broken connection. PeerWatchRetryDelay is the
--- a/internal/tuning/placement.go
+++ b/internal/tuning/placement.go
@@ -10,32 +10,32 @@
 	// PlacementIntervalPerMachine is added to MinPlacementInterval for each machine, because a
 	// round goes over all machines.
 	PlacementIntervalPerMachine = 50 * time.Microsecond
-	// FreeCapacityCacheTTL is how long the result of a check whether there is free capacity for
-	// a task of a job is cached.
+	// FreeCapacityCacheTTL is how long the scheduler caches whether there is free capacity for a
+	// task of a job.
 	FreeCapacityCacheTTL = time.Second
 	// MaxTasksPerMachine is how many tasks a machine may list, including ended tasks that it
 	// has not been told to forget. At some hundred bytes a task, a heartbeat and its answer
 	// must stay under the protocol's 64 KiB.
 	MaxTasksPerMachine = 400
-	// ExpectedSpotLoss is the share of its run that a task is expected to lose on a spot
-	// machine, where price is not an objective. Interruptions are rare, but take half of the
-	// machines at once.
+	// ExpectedSpotLoss is the share of its run time that a task is expected to lose on a spot
+	// machine. It is used unless placement minimizes cost. Interruptions are rare, but
+	// take half of the machines at once.
 	ExpectedSpotLoss = 0.1
 )
 
 // Images.
 const (
 	// MaxFetchSlotWait is how long a job may wait while machines with free capacity fetch the
-	// images of other jobs. It is under the 90 s for which no job may wait while there is free
-	// capacity for it.
+	// images of other jobs. It is below 90 s, because no job may wait that long while there is
+	// free capacity for it.
 	MaxFetchSlotWait = 60 * time.Second
-	// MinFetchForPreemptionS is the minimum duration of an image's fetch, in seconds, for which
-	// work of lower rank is preempted on a machine that already has the image. The preempted
-	// work loses at most what it has run so far.
+	// MinFetchForPreemptionS is the duration of an image fetch, in seconds, from which tasks of
+	// lower priority are preempted on a machine that already has the image. A preempted task
+	// loses at most its progress so far.
 	MinFetchForPreemptionS = 0.5
 	// MaxWarmCapacityWait is how long a service waits for capacity on a machine that has its
-	// image before it takes any machine. Starts should take under a second; stops take
-	// milliseconds.
+	// image before it takes any machine. A start should take under a second, and the stop of a
+	// preempted task takes milliseconds.
 	MaxWarmCapacityWait = 2 * time.Second
 )
 
@@ -61,12 +61,14 @@
 	// beyond its team's guarantee.
 	StarvedJobShare = 0.02
 	// EstablishedAfter is how long a task must run for its job to count as established. For
-	// users, a start counts only if no command undoes it within 30 s.
+	// users, a start counts only if no command stops the task within 30 s.
 	EstablishedAfter = 35 * time.Second
 	// AgedAfter is the time after its submission from which a job that misses all its deadlines
-	// shares AgedShare of the cluster with other such jobs. Without it, the largest jobs would
-	// never end under lasting overload, because they are given up first. A standard
-	// day of load is over before this delay.
+	// shares AgedShare of the cluster with other such jobs. Without this share, the largest jobs
+	// would never end under lasting overload, because their deadlines are given up first. On days
+	// without lasting overload, no job waits as long as AgedAfter.
 	AgedAfter = 240 * time.Second
+	// AgedShare is the share of the cluster's CPUs that aged jobs together get ahead of other
+	// jobs.
 	AgedShare = 0.2
 )
