--- a/internal/tuning/dispatch.go
+++ b/internal/tuning/dispatch.go
@@ -70,7 +70,11 @@
 	ErrorBackoff    = 500 * time.Millisecond
 	MaxErrorBackoff = 60 * time.Second
 	// QuarantineJobThreshold is the number of different jobs that must fail on a machine before
-	// it counts as faulty. A faulty machine gets no work for QuarantineDuration.
+	// the machine counts as faulty and is quarantined. The quarantine ends at the latest
+	// QuarantineDuration after the last of these failures. A quarantined machine keeps its tasks.
+	// Its placement cost is raised, so that it gets another task only if no machine with a lower
+	// placement cost has capacity. No task is preempted there, and the machine is released once
+	// it has no tasks.
 	QuarantineJobThreshold = 2
 	QuarantineDuration     = 5 * time.Minute
 	// FaultyJobMachineThreshold is the number of machines on which a job without an established
