--- a/cmd/yarrowgap/check.go
+++ b/cmd/yarrowgap/check.go
@@ -13,8 +13,9 @@
 // configFlags holds the flags that name the settings files, for the commands serve and check.
 type configFlags struct {
 	Config string `required:"" placeholder:"FILE" help:"The platform's settings file (TOML)."`
-	// Scripts are evaluated in the order of their flags, and EnvScript last, so that it overrides
-	// the scripts on the command line in deploy/service.toml.
+	// Script lists the scripts on the command line, in the order of evaluation. EnvScript is
+	// evaluated last, so that it overrides them, in particular the script that the command line
+	// in deploy/service.toml names.
 	Script    []string `placeholder:"FILE" sep:"none" help:"The operators' own settings (Starlark); see docs/operations.md. May be repeated: later ones win, and the file that YARROWGAP_SCRIPT names over all."`
 	EnvScript string   `name:"env-script" hidden:"" env:"YARROWGAP_SCRIPT"`
 }
--- a/internal/api/reconcile_test.go
+++ b/internal/api/reconcile_test.go
@@ -69,7 +69,7 @@
 }
 
 // injectDifferences makes the state of machines differ from the records while the controllers are
-// down. It returns the orders to machines and the cloud that the differences require.
+// down. It returns how many operations on machines and in the cloud the differences require.
 func (c *cluster) injectDifferences(seed uint64) (required simulator.OperationCounts) {
 	random := rand.New(rand.NewPCG(seed, 5))
 	machines := c.simulation.MachineNames()
@@ -108,9 +108,10 @@
 	return required
 }
 
-// All controllers are restarted while fifty machines run tasks. The orders that machines and the
-// cloud receive until the reconciliation is settled must be exactly the required ones: none if
-// nothing changed during the restart, otherwise those that follow from randomly injected differences.
+// All controllers are restarted while fifty machines run tasks. The operations that machines and
+// the cloud are requested to execute until the reconciliation is settled must be exactly the
+// required ones: none if nothing changed during the restart, otherwise those that follow from
+// randomly injected differences.
 func TestCommandsAfterColdRestart(t *testing.T) {
 	c := startLoadedCluster(t)
 	for seed := range uint64(4) {
@@ -135,7 +136,7 @@
 	status := c.waitUntilSettled()
 	c.waitUntilAllRunning()
 	if got := c.simulation.TakeOperationCounts(); got != required {
-		t.Errorf("ordered %+v, required %+v\n%+v", got, required, status)
+		t.Errorf("requested operations %+v, required %+v\n%+v", got, required, status)
 	}
 	if stops := status.Operations[reconcile.StopOperation.String()]; stops.Total != required.Stops || stops.Attributed != required.Stops {
 		t.Errorf("stops counted by the leader: %+v, required %d", stops, required.Stops)
