--- a/deploy/recovery.star
+++ b/deploy/recovery.star
@@ -1,7 +1,9 @@
-# Switches on what docs/recovery.md describes: after all controllers were away, the first
-# one back squares the machines' reports with its records before it rents, stops or gives
-# back what may not be needed. docs/operations.md explains each setting.
+# Enables the reconciliation that docs/recovery.md describes: a new leader compares the
+# tasks that machines list in their heartbeats with its records. Meanwhile it holds back
+# provisioning, preemptions and releases that may turn out not to be needed. More of them are
+# held back after a restart of all controllers than after another change of leader.
+# docs/operations.md explains each setting.
 
-recovery = True      # False: machine by machine, as before; differences are still shown
-recovery_wait_s = 0  # how long machines may take to report; 0: from report_s and lease_s
-trace_file = ""      # a file, or "-" for standard output: spans of recoveries and rounds
+recovery = True      # False: no operation is held back; differences are still listed
+recovery_wait_s = 0  # maximum wait for heartbeats; 0: computed from report_s and lease_s
+trace_file = ""      # file for spans of reconciliations and placement rounds; "-": standard output
