--- a/internal/scheduler/assignmentrestore.go
+++ b/internal/scheduler/assignmentrestore.go
@@ -12,8 +12,8 @@
 )
 
 // restoreAssignments restores the attempts of a stored record. Each may be running, or may
-// still be started by a delayed command of an earlier leader, so it is kept until its worker
-// sends a heartbeat under this term's fencing token.
+// still be started by a delayed command of an earlier leader, so it is kept at least until its
+// worker sends a heartbeat under this term's fencing token or its machine is released.
 func (s *Scheduler) restoreAssignments(item wire.KeyValue) {
 	b := s.persister.trackBatch(item.Key)
 	var err error
@@ -99,7 +99,7 @@
 }
 
 // restoreAttempt adds an attempt that a record names, unless its task is done or the record of
-// a later attempt shows that it is gone.
+// a later attempt of the task on the same machine shows that it is gone.
 func (s *Scheduler) restoreAttempt(b *assignmentBatch, m *machine, ref taskRef, number uint64) {
 	j := s.cluster.jobs[ref.jobID]
 	if j != nil && (ref.index >= j.spec.Tasks || j.progress.done.Has(ref.index)) {
@@ -132,8 +132,8 @@
 	}
 }
 
-// addUnreadableRecord adds the record of a batch that cannot be decoded. It may have assigned
-// any task that no other record names. See resolveUnreadableRecords.
+// addUnreadableRecord adds the record of a batch that cannot be decoded. The record may contain an
+// attempt of any task that no other record names. See resolveUnreadableRecords.
 func (p *persister) addUnreadableRecord(b *assignmentBatch, err error) {
 	delete(p.batches, b.key)
 	p.unreadableRecords = append(p.unreadableRecords, b.key)
@@ -156,8 +156,9 @@
 }
 
 // resolveUnreadableRecords deletes the unreadable records once heartbeats have shown all
-// attempts that they may name: when the cloud's list is of this term, and every machine from
-// before the term has sent a heartbeat under this term's fencing token.
+// attempts that they may name: when the cloud's list has arrived so long after the start of the
+// term that it shows all machines from before the term, and each of these machines has sent a
+// heartbeat under this term's fencing token.
 func (s *Scheduler) resolveUnreadableRecords() {
 	if !s.persister.hasUnreadableRecords() || s.autoscaler.listReceivedAt-s.startedAt <= 3*s.settings.CloudListLag {
 		return
--- a/internal/scheduler/assignments.go
+++ b/internal/scheduler/assignments.go
@@ -13,8 +13,9 @@
 // assignmentBatch is a stored record of attempts and their machines. A batch is written once
 // and deleted when no attempt needs it. Its key is never reused, so a write that is executed
 // late can only bring back an old batch, which makes a later leader wait for a heartbeat, and a
-// late deletion never removes a record that is still needed. For that, an attempt stops needing
-// a batch only when it is gone, or when a later batch with it is known to be stored.
+// late deletion never removes a record that is still needed. To ensure this, an attempt needs a
+// batch until a later batch with the attempt is known to be stored, or until the attempt is gone
+// and, if it completed its task, the completion is durable.
 type assignmentBatch struct {
 	key              string
 	neededBy         map[*attempt]bool // attempts without a later record
@@ -86,7 +87,7 @@
 }
 
 // addAssignmentBatches writes the queued attempts, the highest priority first. Batches are
-// spaced in time so that attempts placed between two of them share the second.
+// spaced in time so that attempts placed between two batches share the later one.
 func (p *persister) addAssignmentBatches(t *transaction) {
 	if len(p.unrecorded) == 0 || p.now.Mono < p.nextBatchAt || !t.canAdd(1) {
 		return
@@ -118,10 +119,10 @@
 	return queue
 }
 
-// Ranks of attempts in the queue that come after those of all job priorities.
+// Ranks of attempts in the queue that follow the ranks of all job priorities.
 const (
-	adoptedRecordRank   = 8 // its start was sent, or its job is unknown
-	compactedRecordRank = 9 // already recorded; written again to free an old batch
+	adoptedRecordRank   = 8 // an attempt whose start was sent or whose job is not live
+	compactedRecordRank = 9 // an attempt that is written again so that an old batch can be deleted
 )
 
 func recordRank(a *attempt) int {
@@ -223,9 +224,9 @@
 	p.untrackBatch(b)
 }
 
-// compactBatches queues the attempts that still need old batches to be written again, about one
-// value's worth at a time. Otherwise ended attempts would fill up the store and what a new
-// leader has to read.
+// compactBatches queues another write of the attempts that still need old batches, up to
+// tuning.MaxCompactedAttempts or the attempts of one batch at a time. Otherwise the records of
+// ended attempts would fill up the store, and a new leader would have to read them.
 func (p *persister) compactBatches() {
 	if len(p.unrecorded) > 0 || p.writeBudget.tokens < p.settings.WriteRate*tuning.StoreWriteRateShare/2 {
 		return
@@ -277,7 +278,7 @@
 	}
 	cause := "write rate"
 	if p.now.Mono < p.blockedUntil+tuning.StoreRetryDelay {
-		cause = "key-value store refuses writes"
+		cause = "writes to the key-value store fail"
 	}
 	p.logInfo("starts wait for their assignment records", "cause", cause, "starts", len(p.unrecorded), "longest_s", delay.Seconds(), "changes_per_s", p.settings.WriteRate)
 }
--- a/internal/scheduler/autoscaler.go
+++ b/internal/scheduler/autoscaler.go
@@ -15,11 +15,11 @@
 //
 // A request is pending from when it is sent until its answer, or a notice that no answer will
 // come, arrives. An offer has at most one pending request and is not requested before its
-// backoff has passed (see available). Request ids are never reused.
+// backoff has passed (see available). Request IDs are never reused.
 type autoscaler struct {
 	*termContext
 
-	pending           map[string]*pendingRequest // by request id
+	pending           map[string]*pendingRequest // by request ID
 	unavailableUntil  map[offer]time.Duration    // end of the backoff
 	nextRequestNumber uint64
 	lastScaleOutAt    time.Duration // 0: not in this term
@@ -57,8 +57,8 @@
 	return false
 }
 
-// addRequest adds a pending request and returns its id. The id must be unique across terms,
-// which the term in it ensures, and within the term: the cloud treats a request with a known id
+// addRequest adds a pending request and returns its ID. The ID must be unique across terms,
+// which the term in it ensures, and within the term: the cloud treats a request with a known ID
 // as a repetition and provisions nothing.
 func (a *autoscaler) addRequest(o offer, count int) (requestID string) {
 	a.nextRequestNumber++
@@ -74,7 +74,7 @@
 	return request
 }
 
-// pendingRequests returns the pending requests, sorted by id.
+// pendingRequests returns the pending requests, sorted by ID.
 func (a *autoscaler) pendingRequests() []*pendingRequest {
 	requests := make([]*pendingRequest, 0, len(a.pending))
 	for _, name := range slices.Sorted(maps.Keys(a.pending)) {
@@ -83,8 +83,8 @@
 	return requests
 }
 
-// MachinesListed handles the cloud's machine list, which shows the machines as they were
-// Settings.CloudListLag ago.
+// MachinesListed handles the cloud's machine list, which may be out of date by up to
+// Settings.CloudListLag.
 func (s *Scheduler) MachinesListed(now Now, list []wire.ListedMachine) {
 	s.now = now
 	s.autoscaler.listReceived, s.autoscaler.listReceivedAt = true, now.Mono
--- a/internal/scheduler/batchencoder.go
+++ b/internal/scheduler/batchencoder.go
@@ -14,7 +14,8 @@
 	runFirstAttempt
 )
 
-// Upper bounds in bytes of the parts of a batch in JSON, without the names themselves.
+// Upper bounds in bytes of the parts of a batch in JSON, to which the protocol's size limits
+// refer, without the names themselves.
 const (
 	batchOverheadBytes = 160 // everything outside the lists
 	batchMachineBytes  = 60  // the fields of a machine
@@ -54,7 +55,8 @@
 }
 
 // extendLastRun adds the attempt to the last run of its machine if it is the next one in that
-// run. This takes no additional bytes.
+// run. The upper bound of the batch's size stays the same, since batchRunBytes covers any length
+// of a run.
 func (e *batchEncoder) extendLastRun(a *attempt) bool {
 	index, known := e.machineIndex[a.machine]
 	if !known {
--- a/internal/scheduler/cancellations.go
+++ b/internal/scheduler/cancellations.go
@@ -34,9 +34,10 @@
 	}
 }
 
-// DropPendingCancellationsBefore drops the pending cancellations that were known before the
-// read was requested whose result the next JobsChanged or JobsReset brings. Otherwise the
-// cancellations that peers list after their jobs have ended would pile up over a long term.
+// DropPendingCancellationsBefore drops the pending cancellations that were known before a read or
+// watch was requested. Otherwise the cancellations that peers list after their jobs have ended
+// would accumulate over a long term. The caller must pass the changes that the result brings to
+// JobsChanged or JobsReset next.
 func (s *Scheduler) DropPendingCancellationsBefore(readRequestedAt time.Duration) {
 	for id, since := range s.cancellations.pending {
 		if since < readRequestedAt {
@@ -45,8 +46,9 @@
 	}
 }
 
-// AdvanceCancellationWatermark sets the time up to which all cancellations are known. It must
-// be called before any cancellation that may be later is handled.
+// AdvanceCancellationWatermark sets the time up to which all cancellations are known, unless it is
+// before the current watermark. It must be called before newly learned cancellations are handled,
+// since those may be later than the watermark.
 func (s *Scheduler) AdvanceCancellationWatermark(watermark time.Duration) {
 	s.cancellations.watermark = max(s.cancellations.watermark, watermark)
 }
--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -101,9 +101,10 @@
 	return p.job.activeCount > 0 || since == 0 || p.now-since < tuning.MaxFetchSlotWait
 }
 
-// best returns the machine with the lowest cost, or nil if there is no candidate. Costs only grow
-// as tasks are placed, so the top of the heap has the lowest cost if this cost has not changed
-// since it was computed.
+// best returns the machine with the lowest cost, or nil if there is no candidate. After a task was
+// placed, recordAssignment updates the cost of its machine, and the costs of the other machines
+// can only grow. So the top of the heap has the lowest cost if this cost has not grown since it
+// was computed.
 func (p *machinePicker) best() *machine {
 	for len(p.candidates) > 0 {
 		top := &p.candidates[0]
--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -54,7 +54,7 @@
 	return m.used.plus(j.taskResources()).within(totalResources(m.machineSpec))
 }
 
-// heartbeatTimeout returns the time since its last heartbeat after which a machine gets no new
+// heartbeatTimeout returns how long a machine may be without a heartbeat before it gets no new
 // tasks.
 func (c *termContext) heartbeatTimeout() time.Duration {
 	return missedHeartbeatLimit * c.settings.HeartbeatInterval
@@ -62,7 +62,7 @@
 
 // schedulable reports whether tasks may be placed on the machine at all. A machine that left a
 // direct call unanswered is excluded until a reply, or a heartbeat with the current fencing token,
-// shows that messages reach it again. Otherwise tasks placed there would be delayed as well.
+// shows that messages reach it again. Otherwise the starts of new tasks might not reach it either.
 func (c *clusterState) schedulable(m *machine) bool {
 	if m.directCalls.consecutiveUnanswered > 0 && m.fencing.highestSeenToken < c.fencingToken(m) {
 		return false
--- a/internal/scheduler/capacity_slot.go
+++ b/internal/scheduler/capacity_slot.go
@@ -7,7 +7,8 @@
 )
 
 // capacitySlot is free capacity that tasks are expected to get without another request: that of
-// a machine that is booting, was requested, or has yet to confirm its tasks in this term.
+// a machine that is booting, was requested, or has yet to confirm its tasks in this term, or the
+// sum over several such machines of one offer.
 type capacitySlot struct {
 	machineType, zone    string
 	spot                 bool
@@ -48,8 +49,8 @@
 	return s.cpus+epsilon >= minimum.cpus && s.memoryGB+epsilon >= minimum.memoryGB
 }
 
-// resourceMinimum is the smallest demand of any task of some jobs, for each resource that all
-// machines have. None of the tasks fits a slot with less.
+// resourceMinimum holds the smallest CPU demand and the smallest memory demand of a set of tasks.
+// None of the tasks fits in a slot with less free CPUs or memory.
 type resourceMinimum struct{ cpus, memoryGB float64 }
 
 // minimumOf returns the smallest demands of the unplaced tasks.
--- a/internal/scheduler/completed_assignments.go
+++ b/internal/scheduler/completed_assignments.go
@@ -1,11 +1,12 @@
 package scheduler
 
 // A completed attempt stays in its assignment batches until its task is durably done. If neither
-// were recorded, the next leader would treat the task as waiting, and start it again before the
-// machine that ran it has sent a heartbeat.
+// the attempt nor its completion were recorded, the next leader would treat the task as waiting,
+// and start it again before the machine that ran it has sent a heartbeat.
 
 // keepAssignmentUntilSaved keeps a completed attempt in its batches until its task is durably
-// done. It does nothing if the attempt needs no record or its task is already durably done.
+// done. It does nothing if the attempt is in no batch, its job is a service or not live, its task
+// is already durably done, or another completed attempt of the task is already kept.
 func (a *attempt) keepAssignmentUntilSaved() {
 	j, index := a.job, a.ref.index
 	if j == nil || j.service || j.archived || len(a.assignment.batches) == 0 || index >= j.spec.Tasks || j.progress.saved.Has(index) {
--- a/internal/scheduler/deadline.go
+++ b/internal/scheduler/deadline.go
@@ -95,7 +95,8 @@
 //
 // Planning proceeds in tiers. Jobs whose deadline was given up are planned with their next
 // deadline in the next tier, together with the jobs that kept theirs. A job that misses its
-// last deadline gets the capacity that the other jobs leave.
+// last deadline gets the capacity that the other jobs leave, and a share of the cluster once it
+// is aged (see updateUrgency).
 type deadlinePlanner struct {
 	now         time.Duration
 	teams       map[string]TeamQuota
@@ -126,7 +127,8 @@
 	}
 }
 
-// addJobs adds the jobs that have deadlines and sums up the CPUs of services by team.
+// addJobs resets the plans of all jobs. It adds the open jobs that have deadlines, except services
+// and likely invalid jobs, and sums up the CPUs of services by team.
 func (p *deadlinePlanner) addJobs(jobs map[string]*job) {
 	for _, j := range jobs {
 		j.plan.firstFeasible = 0
@@ -179,7 +181,8 @@
 }
 
 // keepMostOnTime gives up the current deadlines of jobs until the other jobs can be on time with
-// the given number of CPUs. It returns those other jobs.
+// the given number of CPUs. It returns those other jobs. Committed jobs are always among them,
+// even if they would be late.
 func keepMostOnTime(jobs []*plannedJob, cpus float64) []*plannedJob {
 	slices.SortFunc(jobs, func(a, b *plannedJob) int {
 		return cmp.Or(cmp.Compare(a.secondsLeft, b.secondsLeft), strings.Compare(a.job.id, b.job.id))
@@ -229,9 +232,9 @@
 	return largest
 }
 
-// arrayCapacity returns how many CPUs array jobs with tasks of the same size as those of j can
-// use. It counts the machines that have capacity now or soon, less what services use there. A
-// machine that runs a service may have no capacity for a large task.
+// arrayCapacity returns how many CPUs jobs other than services can use, if their tasks have the
+// same size as those of j. It counts the machines that have capacity now or soon, less what
+// services use there. A machine that runs a service may have no capacity for a large task.
 func (c *clusterState) arrayCapacity(j *job) float64 {
 	sum := 0.0
 	for _, m := range c.machines {
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -10,8 +10,8 @@
 )
 
 // placeGang assigns all n waiting members of a gang or none, and reports whether it assigned
-// them. For a gang that must be in a single zone, it tries each zone, since the best machine for
-// the first member may be in a zone without capacity for the others.
+// them. For a gang that must be in a single zone and has no attempts yet, it tries each zone, since
+// the best machine for the first member may be in a zone without capacity for the others.
 func (r *placementRound) placeGang(j *job, n int) bool {
 	//mutation:gang-zone-choice
 	if !j.spec.SameZone || j.activeCount > 0 {
@@ -25,7 +25,8 @@
 	return false
 }
 
-// anyZone is the argument of placeGangInZone for a gang that is not restricted to one zone.
+// anyZone is the argument of placeGangInZone that adds no restriction to the zone rules of the
+// gang.
 const anyZone = ""
 
 // zonesWithCapacity returns the zones of the round's machines, sorted by name.
@@ -75,7 +76,10 @@
 	for _, a := range attempts {
 		r.scheduler.detach(a)
 	}
-	r.scheduler.placement.due = false // detach makes a round due, but nothing has changed
+	// detach makes a round due, although undoing the assignments gives a new round nothing to do.
+	// If a preemption in this round has also made a round due, that is lost: the next round then
+	// waits for another event or for requestOverdueRound.
+	r.scheduler.placement.due = false
 }
 
 // zoneCapacity holds the number of tasks that fit in each zone.
@@ -93,10 +97,10 @@
 }
 
 // reserveForGang reserves machines for the n waiting members of a starved gang, so that no new
-// tasks except production are placed there until the whole gang fits. Without reservations,
-// smaller tasks would take all capacity as it becomes free. If the gang would not fit even after
-// the tasks that gangSlots ignores have ended, no machine is reserved, since reservations would
-// only leave capacity idle.
+// tasks of other jobs except production are placed there until the reservations expire. Later
+// rounds may renew them until the whole gang fits. Without reservations, smaller tasks would take
+// all capacity as it becomes free. If the gang would not fit even after the tasks that gangSlots
+// ignores have ended, no machine is reserved, since reservations would only leave capacity idle.
 func (r *placementRound) reserveForGang(j *job, n int) {
 	var machines []*machine
 	capacity := zoneCapacity{}
@@ -151,9 +155,10 @@
 }
 
 // maxTasksAfterPreemption returns how many of n waiting tasks of the job would fit on the existing
-// machines if only production tasks remained there. No quota is reserved and nothing is preempted
-// for tasks that need machines yet to be provisioned. Until the job has waited for
-// tuning.ReservationTTL, the result is n, since machines may be about to come up.
+// machines if only production tasks and the job's own tasks remained there. For a gang, the result
+// is n or 0. No quota is reserved and nothing is preempted for tasks that need machines yet to be
+// provisioned. Until the job has waited for tuning.ReservationTTL, the result is n, since machines
+// may be about to come up.
 func (r *placementRound) maxTasksAfterPreemption(j *job, n int) int {
 	//mutation:reservation-wait-bound
 	if r.now.Mono-j.waiting.since < tuning.ReservationTTL {
@@ -171,7 +176,9 @@
 		}
 		capacity[m.zone] = min(n, capacity[m.zone]+slots)
 		if capacity.maxTasksOf(j, attemptsByZone) >= n {
-			return n // usually after a few machines; hundreds of jobs may need this in each round
+			// Most searches end here after a few machines. This keeps rounds short, in which
+			// hundreds of jobs may need a search.
+			return n
 		}
 	}
 	if j.spec.Gang() {
--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// fleetHeadroom counts the headroom that the fleet needs: the spare CPUs of the operators'
-// policy, and free capacity for the next service to start without waiting. That service is
-// assumed to have as many tasks as the largest live service and its zone limit. Its tasks go to
+// fleetHeadroom compares the fleet's headroom with what it needs: the spare CPUs of the operators'
+// policy, and free capacity for the next service to start without waiting. The next service is
+// assumed to have the size and the constraints of the largest live service. Its tasks go to
 // on-demand machines, beside other tasks of the same or a higher priority; tasks of lower
 // priority can be preempted. Without this headroom, a fleet scaled in to what its services need
 // would make the next service wait for a machine to boot.
@@ -68,7 +68,7 @@
 }
 
 // serviceTaskCapacity returns how many tasks of the service fit on the machine beside its tasks
-// of the same or a higher priority.
+// of the same or a higher priority. It ignores GPUs.
 func (m *machine) serviceTaskCapacity(service *job) int {
 	cpus, memoryGB := m.machineSpec.CPUs, m.machineSpec.MemoryGB
 	for _, a := range m.tasks {
--- a/internal/scheduler/offer.go
+++ b/internal/scheduler/offer.go
@@ -17,21 +17,22 @@
 
 // Weights of offerCost.
 const (
-	// maxTasksPerMachine limits the tasks of a job that are counted for one machine.
-	maxTasksPerMachine = 1000
-	// zoneBalanceCost is the cost per machine in the offer's zone where cost is minimized. It
-	// only decides between offers of the same price.
+	// maxOfferTasks limits the tasks of a job that are counted as the capacity of one
+	// machine.
+	maxOfferTasks = 1000
+	// zoneBalanceCost is the cost per machine in the offer's zone where cost is minimized. It is
+	// small, so that it decides only between offers of about the same price.
 	zoneBalanceCost = 1e-4
 	// zoneMachineCost is the cost per machine in the offer's zone where service comes before
 	// cost.
 	zoneMachineCost = 0.01
-	// spotCost is the cost of a spot machine, which can be interrupted, where service comes
+	// spotOfferCost is the cost of a spot machine, which can be interrupted, where service comes
 	// before cost.
-	spotCost = 1
-	// taskCapacityDiscount is subtracted for each task that fits on one machine, up to
-	// maxCountedTasks, where service comes before cost.
+	spotOfferCost = 1
+	// taskCapacityDiscount is subtracted for each task that fits on one machine (for headroom,
+	// for each of its CPUs), up to maxDiscountedTasks, where service comes before cost.
 	taskCapacityDiscount = 0.001
-	maxCountedTasks      = 50
+	maxDiscountedTasks   = 50
 )
 
 // compare orders offers by machine type, zone, and on-demand before spot.
@@ -82,8 +83,8 @@
 	return machineSpec.Fits(&j.spec) && j.matchesOffer(o) && j.allowsZone(attemptsByZone, o.zone)
 }
 
-// tasksPerMachine returns how many tasks of the job fit on an empty machine of the type,
-// between 1 and maxTasksPerMachine.
+// tasksPerMachine returns how many tasks of the job fit on an empty machine of the type by CPUs
+// and memory, between 1 and maxOfferTasks.
 func tasksPerMachine(machineSpec *wire.MachineType, job *job) float64 {
 	tasks := math.Inf(1)
 	if job.spec.CPUs > 0 {
@@ -92,7 +93,7 @@
 	if job.spec.MemoryGB > 0 {
 		tasks = min(tasks, math.Floor(machineSpec.MemoryGB/job.spec.MemoryGB+epsilon))
 	}
-	return max(1, min(tasks, maxTasksPerMachine))
+	return max(1, min(tasks, maxOfferTasks))
 }
 
 // offerCost returns the cost of an offer; the offer with the lowest cost is the best. The
@@ -110,7 +111,7 @@
 	}
 	cost := float64(machinesInZone) * zoneMachineCost
 	if o.spot {
-		cost += spotCost
+		cost += spotOfferCost
 	}
-	return cost - taskCapacityDiscount*min(capacity, maxCountedTasks)
+	return cost - taskCapacityDiscount*min(capacity, maxDiscountedTasks)
 }
--- a/internal/scheduler/persist.go
+++ b/internal/scheduler/persist.go
@@ -73,7 +73,8 @@
 	p.effects.Commits = append(p.effects.Commits, Commit{ID: p.nextEffectID, Txn: t.request})
 }
 
-// addDeletions deletes batches that are no longer needed and the bitmap chunks of ended jobs.
+// addDeletions deletes batches that are no longer needed, unreadable records once their attempts
+// are known, and the bitmap chunks of ended jobs.
 func (p *persister) addDeletions(t *transaction) {
 	for len(p.obsoleteKeys) > 0 && t.canAdd(1) {
 		key := p.obsoleteKeys[0]
@@ -112,7 +113,7 @@
 	return outcome
 }
 
-// CommitEnded handles the outcome of the transaction with the given id.
+// CommitEnded handles the outcome of the transaction with the given ID.
 func (s *Scheduler) CommitEnded(now Now, id uint64, result CommitResult, revision uint64, failedKeys []string) {
 	s.now = now
 	contents := s.persister.removeInFlight(id)
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -38,7 +38,8 @@
 //
 // It applies each decision immediately, because later decisions depend on it: an assignment
 // uses capacity and quota, and preempting an attempt whose start was never sent frees both.
-// It changes the cluster only through assign, undoAssignments, preempt and machine.reserve.
+// It changes attempts and reservations only through assign, undoAssignments, preempt and
+// machine.reserve.
 type placementRound struct {
 	*termContext
 	cluster    *clusterState
@@ -48,7 +49,7 @@
 	scheduler  *Scheduler // stops and detaches attempts
 
 	totalCPUs float64    // CPUs of the cluster
-	machines  []*machine // machines with capacity for the smallest waiting task
+	machines  []*machine // machines that may have capacity for a task of the queue
 
 	// State of the limits on what one round does.
 	agedShareCPUs      float64 // CPUs that aged jobs may still take ahead of other jobs
@@ -57,7 +58,7 @@
 	idlePreemptable    bool    // attempts of idle-priority jobs are on machines
 
 	quotaReservations quotaReservations
-	claimedCPUs       map[*machine]float64 // CPUs that are being freed on a machine and are promised to a job
+	claimedCPUs       map[*machine]float64 // CPUs that are being freed on a machine and are claimed for jobs
 
 	// unconfirmedCapacity is the largest free capacity, by offer, on machines whose tasks are
 	// not confirmed by a heartbeat in this term. It is computed on first use. See
@@ -222,8 +223,9 @@
 	j := d.job
 	placed := r.assignTasks(d)
 	r.logPlacement(j, placed)
-	// Quota is reserved only for tasks that could run on existing machines. Otherwise the
-	// team's other jobs would wait despite free capacity until this job gets a machine.
+	// After a short wait (see maxTasksAfterPreemption), quota is reserved only for tasks that
+	// could run on existing machines. Otherwise the team's other jobs would wait despite free
+	// capacity until this job gets a machine.
 	r.quotaReservations.set(j, max(0, d.maxAfterPreemption-placed))
 	withoutMachine := d.limit - placed
 	//mutation:aged-share-is-no-bound
@@ -313,8 +315,8 @@
 	if r.now.Mono-j.waiting.since > tuning.MaxWarmCapacityWait {
 		return false
 	}
-	// Only machines that cost less than m are considered, since the picker would not choose any
-	// other: every round would preempt attempts there without placing the task.
+	// Only machines that cost less than m are considered. The picker would not choose a machine
+	// that costs more, so every round would preempt attempts there without placing the task.
 	return r.preemptOnWarmMachine(j, picker.cost(m))
 }
 
--- a/internal/scheduler/placement_cost.go
+++ b/internal/scheduler/placement_cost.go
@@ -18,7 +18,7 @@
 	firstServiceCost = 1.0 // a service on a machine without services, when minimizing cost
 	serviceSpotCost  = 5.0 // a service on a spot machine
 
-	spotDiscount = 0.5 // subtracted for other jobs on a spot machine, when minimizing cost
+	spotDiscount = 0.5 // subtracted for a job other than a service on a spot machine, when minimizing cost
 
 	freeCPUsCost           = 0.05 // times the fraction of CPUs that stays free; breaks ties
 	minimizingFreeCPUsCost = 0.5  // replaces freeCPUsCost when minimizing cost
@@ -65,7 +65,7 @@
 	return j.spec.ImageGB / max(m.machineSpec.FetchGBPerS, minFetchGBPerS)
 }
 
-// fetchCost returns how long a task of the job would wait for its image on the machine, in
+// fetchCost estimates how long a task of the job would wait for its image on the machine, in
 // seconds.
 func fetchCost(j *job, m *machine) float64 {
 	if j.spec.ImageGB <= 0 || m.hasImage(j.spec.Image) {
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -90,9 +90,10 @@
 func (a *attempt) startUnacknowledged() bool { return a.start.sent && !a.start.acknowledged }
 
 // mayPreempt reports whether the attempt may be preempted for the job. The attempt must have a
-// lower priority, or, for a job within its team's guarantee, must belong to what another team
-// uses beyond that team's guarantee. Attempts with an unacknowledged start, attempts that are
-// being stopped and, except for a production job, attempts of starved jobs are excluded.
+// lower priority, or, for a job within its team's guarantee, must belong to a job of another team
+// that is not production, is beyond that team's guarantee and passes exceedsGuarantee. Attempts
+// with an unacknowledged start, attempts that are being stopped and, except for a production job,
+// attempts of starved jobs are excluded.
 func (c *clusterState) mayPreempt(j *job, a *attempt) bool {
 	victim := a.job
 	if victim == nil || victim == j || a.stop.requested || a.startUnacknowledged() {
@@ -110,8 +111,8 @@
 	return c.exceedsGuarantee(victim)
 }
 
-// exceedsGuarantee reports whether the job's team would still use at least its guarantee after
-// losing one of the job's tasks.
+// exceedsGuarantee reports whether, after losing one of the job's tasks, the job's team would still
+// use at least its guaranteed CPUs or, if the job uses GPUs, at least its guaranteed GPUs.
 func (c *clusterState) exceedsGuarantee(j *job) bool {
 	guarantee, usage := c.settings.Teams[j.spec.Team], c.usageOf(j.spec.Team)
 	return usage.CPUs-j.spec.CPUs >= guarantee.CPUs-epsilon ||
@@ -165,10 +166,10 @@
 }
 
 // preemptionScope returns which attempts may be preempted for the job. For production, that is
-// always everything that mayPreempt allows. For other jobs, idle-priority attempts may be preempted
-// at once. Other attempts may be preempted only for jobs within their team's guarantee, after half of
-// the guaranteed start time: capacity may become free by then, and a preempted attempt loses its
-// progress.
+// always everything that mayPreempt allows. For other jobs above idle priority, idle-priority
+// attempts may be preempted at once. Everything that mayPreempt allows may be preempted for jobs
+// within their team's guarantee, but only after half of the guaranteed start time: capacity may
+// become free by then, and a preempted attempt loses its progress unless it saves a checkpoint.
 func (r *placementRound) preemptionScope(j *job) preemptionScope {
 	if j.isProduction() || j.queueStatus.withinGuarantee && r.now.Mono-j.createdAt >= r.settings.GuaranteedStartWithin/2 {
 		return preemptAllowed
@@ -227,7 +228,8 @@
 }
 
 // collectOptions claims capacity that is already being freed and returns the machines where
-// preemption would free more. It returns nil as soon as the claimed capacity suffices.
+// preemption would free more. It stops once the claimed capacity suffices, since no option is
+// needed then.
 func (p *preemptionSearch) collectOptions() []preemptionOption {
 	var options []preemptionOption
 	for _, m := range p.round.cluster.sortedMachines() {
@@ -245,7 +247,7 @@
 		if len(victims) == 0 {
 			continue
 		}
-		if option, ok := p.cheapestOption(projected, victims); ok {
+		if option, ok := p.chooseVictims(projected, victims); ok {
 			options = append(options, option)
 		}
 	}
@@ -253,6 +255,8 @@
 }
 
 // eligible reports whether a task of the job could be placed on the machine if it were empty.
+// Quarantined machines are excluded and, with a finite maxCost, so are machines that do not have
+// the job's image or cost too much.
 func (p *preemptionSearch) eligible(m *machine) bool {
 	if m.machineSpec == nil || !m.machineSpec.Fits(&p.job.spec) {
 		return false
@@ -265,7 +269,7 @@
 
 // usageAndVictims returns the projected usage of the machine and the attempts that may be preempted
 // there. Capacity that was claimed earlier in the round counts as used. Only its CPUs are known;
-// its memory is estimated by this job's ratio of memory to CPUs.
+// its memory is estimated by this job's ratio of memory to CPUs, and its GPUs are ignored.
 func (p *preemptionSearch) usageAndVictims(m *machine) (*projectedUsage, []*attempt) {
 	claimed := p.round.claimedCPUs[m]
 	projected := &projectedUsage{m, m.used.plus(resources{
@@ -286,9 +290,9 @@
 // claimSlot claims capacity for one task of the job on the machine.
 func (p *preemptionSearch) claimSlot(m *machine) {
 	p.round.claimedCPUs[m] += p.job.spec.CPUs
-	// A valid reservation for another job is kept, except against production. If two jobs
-	// replaced each other's reservations, each would find the machine reserved for the other
-	// when the capacity becomes free.
+	// A valid reservation for another job is kept; only a production job replaces it. If two
+	// jobs replaced each other's reservations, each would find the machine reserved for the
+	// other when the capacity becomes free.
 	//mutation:reservation-is-kept
 	if m.reservation.jobID == p.job.id || m.reservation.until <= p.round.now.Mono || p.job.isProduction() {
 		m.reserve(p.job, p.round.now.Mono)
@@ -297,9 +301,9 @@
 	p.found++
 }
 
-// cheapestOption chooses the attempts to preempt for one task of the job, in the order of
+// chooseVictims chooses the attempts to preempt for one task of the job, in the order of
 // compareVictims. It reports whether preempting them frees enough capacity.
-func (p *preemptionSearch) cheapestOption(projected *projectedUsage, victims []*attempt) (preemptionOption, bool) {
+func (p *preemptionSearch) chooseVictims(projected *projectedUsage, victims []*attempt) (preemptionOption, bool) {
 	slices.SortFunc(victims, p.compareVictims)
 	option := preemptionOption{machine: projected.machine, cost: p.fetchCost(projected.machine)}
 	count := 0
@@ -324,10 +328,10 @@
 	return weight * p.job.spec.ImageGB / max(m.machineSpec.FetchGBPerS, minFetchGBPerS)
 }
 
-// compareVictims orders attempts for preemption: attempts of starved jobs come last. The others are
-// ordered by priority, lowest first, then by the number of deadlines that their jobs miss, most
-// first. Attempts of jobs without a tight deadline come next, then those that were placed last,
-// which lose the least progress.
+// compareVictims orders attempts for preemption: attempts of starved jobs come last. Otherwise, the
+// order is by priority, lowest first, then by the number of deadlines that their jobs miss, most
+// first. Of equals, attempts of jobs without a tight deadline come first, then those that were
+// placed last, which lose the least progress.
 func (p *preemptionSearch) compareVictims(a, b *attempt) int {
 	if c := compareTrueFirst(b.belongsToStarvedJob(), a.belongsToStarvedJob()); c != 0 {
 		return c
@@ -342,7 +346,8 @@
 }
 
 // stopCost returns the cost of preempting the attempt, in CPU seconds: the work that is lost, and
-// a surcharge if the job would then miss a deadline.
+// a surcharge if the job would then miss a deadline. The work counts half if the job misses all
+// its deadlines anyway.
 func (p *preemptionSearch) stopCost(a *attempt) float64 {
 	lost := (p.round.now.Mono - a.placedAt).Seconds() * max(1, a.job.spec.CPUs)
 	switch {
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -123,19 +123,19 @@
 }
 
 // An option has no more victims than one task needs, chosen in the order of compareVictims.
-func TestCheapestOptionStopsNoMoreThanNeeded(t *testing.T) {
+func TestChooseVictimsStopsNoMoreThanNeeded(t *testing.T) {
 	m := &machine{name: "n-1", images: []cachedImage{{"img", 1}}, machineSpec: &wire.MachineType{CPUs: 8, MemoryGB: 8}, used: resources{cpus: 8}}
 	var victims []*attempt
 	for i, rank := range []int{normalRank, idleRank, normalRank, idleRank} {
 		victims = append(victims, &attempt{machine: m, number: uint64(i), job: &job{rank: rank, spec: wire.Job{CPUs: 2}}})
 	}
 	search := &preemptionSearch{round: &placementRound{termContext: &termContext{}}, job: &job{spec: wire.Job{CPUs: 3, Image: "img"}}}
-	option, ok := search.cheapestOption(&projectedUsage{m, m.used}, slices.Clone(victims))
+	option, ok := search.chooseVictims(&projectedUsage{m, m.used}, slices.Clone(victims))
 	if want := []*attempt{victims[3], victims[1]}; !ok || !slices.Equal(option.victims, want) {
 		t.Errorf("%v, %d victims", ok, len(option.victims))
 	}
 	search.job.spec.CPUs = 9
-	if _, ok := search.cheapestOption(&projectedUsage{m, m.used}, slices.Clone(victims)); ok {
+	if _, ok := search.chooseVictims(&projectedUsage{m, m.used}, slices.Clone(victims)); ok {
 		t.Error("an option was found for a task that is larger than the machine")
 	}
 }
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -23,9 +23,10 @@
 // isProduction reports whether the job has the highest priority.
 func (j *job) isProduction() bool { return j.rank == productionRank }
 
-// schedulingQueue updates the queue status and the deadline plans of all open jobs. It returns the
-// jobs with tasks to place in the order in which a placement round processes them; see
-// compareQueueOrder.
+// schedulingQueue returns the jobs with tasks to place, except jobs in a retry backoff, in the
+// order in which a placement round processes them; see compareQueueOrder. It updates the queue
+// status and the deadline plans of all open jobs, but jobQueueStatus.aged and deadlinePlan.slackS
+// only for the returned jobs.
 func (c *clusterState) schedulingQueue(totalCPUs float64) []*job {
 	var waiting []*job
 	for _, j := range c.jobs {
@@ -50,8 +51,9 @@
 }
 
 // compareQueueOrder orders waiting jobs: production jobs first, then starved jobs whose first
-// tasks are prioritized, then aged jobs. The other jobs follow by the first deadline that
-// they can meet, team guarantee, priority, time to the deadline, age and ID.
+// tasks are prioritized, then aged jobs, then the others. Within each of these groups, the order
+// is by the first deadline that a job can meet, team guarantee, priority, time to the deadline,
+// age (oldest first) and ID.
 func compareQueueOrder(a, b *job) int {
 	if c := compareTrueFirst(a.isProduction(), b.isProduction()); c != 0 {
 		return c
@@ -62,8 +64,9 @@
 	if c := compareTrueFirst(a.queueStatus.aged, b.queueStatus.aged); c != 0 {
 		return c
 	}
-	// A job that can still be on time precedes a job that is already late, even if the late job
-	// is within its team's guarantee: it has also missed the guaranteed start time.
+	// A job that can still meet its deadline precedes a job that is expected to miss it, even if
+	// the late job is within its team's guarantee: usually, the late job has also missed the
+	// guaranteed start time.
 	if c := cmp.Compare(a.deadlineClass(), b.deadlineClass()); c != 0 {
 		return c
 	}
@@ -86,18 +89,19 @@
 	return 1
 }
 
-// updateStarvation determines whether the job is starved. The first tasks of a starved job are
-// placed ahead of all jobs except production jobs: deadline planning gives up the deadline of the
-// largest job first, and under lasting overload it would do so in every round.
+// updateStarvation determines whether the job is starved: not a service, older than
+// tuning.ArrayStarvationBound, and neither established nor likely invalid. The first tasks of a
+// starved job are placed ahead of all jobs except production jobs: deadline planning gives up the
+// deadline of the largest job first, and under lasting overload it would do so in every round.
 func (j *job) updateStarvation(now time.Duration, totalCPUs float64) {
 	j.queueStatus.starved = !j.service && now-j.createdAt > tuning.ArrayStarvationBound && !j.isEstablished(now) && !j.likelyInvalid(now)
 	//mutation:starved-jobs-first
 	j.queueStatus.prioritized = j.queueStatus.starved && j.starvedTaskAllowance(totalCPUs) > 0
 }
 
-// updateUrgency sets whether the job is aged, and its slack, from the deadline plan. A job that
-// misses all its deadlines counts as aged when tuning.AgedAfter has passed since its submission.
-// Aged jobs get a share of the cluster, so that they still finish.
+// updateUrgency sets whether the job is aged, and its slack, from the deadline plan. A job other
+// than a service that misses all its deadlines counts as aged when tuning.AgedAfter has passed
+// since its submission. Aged jobs get a share of the cluster, so that they still finish.
 func (j *job) updateUrgency(now time.Duration) {
 	j.queueStatus.aged = !j.service && j.missesAllDeadlines() && now-j.createdAt > tuning.AgedAfter
 	j.plan.slackS = math.Inf(1) // jobs without a deadline follow those that have one
@@ -168,7 +172,8 @@
 
 // starvedTaskAllowance returns how many more tasks the job gets ahead of other jobs while it is
 // starved. The allowance is a fraction of the job's tasks; for a job beyond its team's
-// guarantee, it is also bounded by a fraction of the cluster's CPUs.
+// guarantee, it is also bounded by a fraction of the cluster's CPUs. It is at least one task, and
+// tasks with an attempt count against it.
 func (j *job) starvedTaskAllowance(totalCPUs float64) int {
 	allowance := max(1, j.spec.Tasks/tuning.StarvedArrayDivisor)
 	if !j.queueStatus.withinGuarantee && j.spec.CPUs > 0 {
@@ -177,8 +182,8 @@
 	return max(0, allowance-j.activeCount)
 }
 
-// belongsToStarvedJob reports whether the attempt's job is starved. Only production preempts
-// such attempts, until the job is established.
+// belongsToStarvedJob reports whether the attempt's job is starved. Only production jobs
+// preempt such attempts, until the job is established.
 func (a *attempt) belongsToStarvedJob() bool { return a.job != nil && a.job.queueStatus.starved }
 
 // deadlineClass returns a sort key, lowest first: the index of the first deadline that the job
--- a/internal/scheduler/replica.go
+++ b/internal/scheduler/replica.go
@@ -22,9 +22,9 @@
 	Revision uint64
 	Resets   int // number of full reads; each skips the changes since the last watch reply
 	Live     map[string]*LiveJob
-	ended    map[string]*list.Element // cached ended jobs: elements of recency, by job id
+	ended    map[string]*list.Element // cached ended jobs: elements of recency, by job ID
 	recency  *list.List               // list of endedEntry, most recently used first
-	absent   map[string]bool          // ids of jobs that don't exist
+	absent   map[string]bool          // IDs of jobs that don't exist
 }
 
 // endedEntry is a cached ended job.
@@ -65,8 +65,8 @@
 }
 
 // Apply applies the events of a watch reply. It skips events up to Revision: they were already
-// applied from a later reply that arrived first. It returns the changed live jobs, and the keys
-// of records that cannot be decoded.
+// covered by a full read, or applied from a later reply that arrived first. It returns the
+// changed live jobs, and the keys of records that cannot be decoded.
 func (r *Replica) Apply(reply wire.WatchReply) (changed []JobChange, undecodable []string) {
 	for _, event := range reply.Events {
 		//mutation:change-order
@@ -109,7 +109,7 @@
 	return JobChange{record.Job.ID, live}, nil
 }
 
-// MarkAbsent caches that no job with the id exists. The caller must have found no ended job in
+// MarkAbsent caches that no job with the ID exists. The caller must have found no ended job in
 // a read that it sent after the replica was brought up to date, and the replica must not have
 // been reset since: a reset skips changes, which may include both the creation and the end of
 // the job. The replica itself shows whether the job is live, and a later change that creates the
@@ -123,7 +123,7 @@
 	}
 }
 
-// Absent reports whether it is cached that no job with the id exists, as of Revision.
+// Absent reports whether it is cached that no job with the ID exists, as of Revision.
 func (r *Replica) Absent(id string) bool { return r.absent[id] }
 
 // CacheEnded caches how a job ended. The least recently used entry is dropped when the cache is
--- a/internal/scheduler/scalein.go
+++ b/internal/scheduler/scalein.go
@@ -7,8 +7,8 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// scaleIn releases machines that have failed, are unreachable, took too long to boot or are
-// idle, and retries releases whose outcome is unknown.
+// scaleIn releases machines that have failed, are unreachable or quarantined, took too long to
+// boot or are idle, and retries releases whose outcome is unknown.
 func (s *Scheduler) scaleIn() {
 	if !s.autoscaler.mayScaleIn(s.reconciler.Reconciler) {
 		return
@@ -189,7 +189,7 @@
 
 // Outcomes of a release.
 const (
-	ReleaseUnknown ReleaseResult = iota // executed, not executed, or to be executed later
+	ReleaseUnknown ReleaseResult = iota // may have been executed, or may be executed later
 	ReleaseDone                         // the machines are gone, and so are all their tasks
 	ReleaseRefused                      // not executed
 )
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -10,8 +10,8 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// scaleOut requests machines for the unplaced tasks that do not fit on machines already being
-// provisioned or booting, for the next service, and for the policy's headroom.
+// scaleOut requests machines for the unplaced tasks that do not fit in the incoming capacity (see
+// newScaleOutPlan), for the next service, and for the policy's headroom.
 func (a *autoscaler) scaleOut(cluster *clusterState, reconciler *reconcile.Reconciler, unplaced []unplacedTasks) {
 	if !a.mayScaleOut(cluster) {
 		return
@@ -121,7 +121,7 @@
 }
 
 // requestMachinesFor requests machines for a number of tasks of the job, until all of them have
-// capacity or another machine would hold none of them.
+// capacity, no machine can be requested, or the last requested machine holds none of them.
 func (p *scaleOutPlan) requestMachinesFor(job *job, tasks int) {
 	for tasks > 0 {
 		slot := p.requestMachine(job)
@@ -204,10 +204,11 @@
 }
 
 // delayedBoots returns the machines that take longer to boot than usual. Replacements for them
-// are requested at once; the machines themselves are released when their boot times out. If
-// there are more delayed machines than machines of the same age that have booted, boots are
-// slow everywhere. Replacements would be just as late and scaling out would not end, so no
-// machine counts as delayed then.
+// are requested at once; the machines themselves are released when their boot times out. Machines
+// that were provisioned more than four times the usual boot time ago don't count. If there are
+// more delayed machines than machines of the same age that have booted, boots are slow everywhere.
+// Replacements would be just as late and scaling out would not end, so no machine counts as
+// delayed then.
 func (c *clusterState) delayedBoots() map[*machine]bool {
 	delayed, booted := map[*machine]bool{}, 0
 	for _, m := range c.machines {
@@ -266,9 +267,9 @@
 	s.placement.due = true
 }
 
-// completeRequest removes a request that was answered. If it did not bring all machines, its
-// offer is not requested again until a backoff has passed. It returns nil if the request is not
-// pending.
+// completeRequest removes a request that was answered. If fewer machines were provisioned than
+// requested, its offer is not requested again until a backoff has passed. It returns nil if the
+// request is not pending.
 func (a *autoscaler) completeRequest(requestID string, result ProvisionResult, machineCount, offerCount int) *pendingRequest {
 	request := a.removeRequest(requestID)
 	if request == nil {
@@ -297,9 +298,9 @@
 	}
 }
 
-// provisionBackoff returns how long an offer is not requested again after a request that did
-// not bring all machines. After an unknown outcome, the cloud's list shows any provisioned
-// machines by the end of the backoff.
+// provisionBackoff returns how long an offer is not requested again after a request for which
+// fewer machines were provisioned than requested. After an unknown outcome, the backoff gives the
+// cloud's list time to show any provisioned machines.
 func (a *autoscaler) provisionBackoff(result ProvisionResult, offerCount int) time.Duration {
 	if result == ProvisionRefused {
 		return 2 * tuning.CloudRetryDelay
--- a/internal/scheduler/transaction.go
+++ b/internal/scheduler/transaction.go
@@ -13,7 +13,7 @@
 	request    wire.Txn
 	contents   transactionContents
 	valueBytes int     // estimated size of the values
-	maxOps     int     // the key-value store's limit on changes
+	maxOps     int     // the key-value store's limit on changes per transaction
 	budget     float64 // changes that the write budget allows now
 }
 
