--- a/internal/scheduler/assignments.go
+++ b/internal/scheduler/assignments.go
@@ -278,7 +278,7 @@
 	}
 	cause := "write rate"
 	if p.now.Mono < p.blockedUntil+tuning.StoreRetryDelay {
-		cause = "writes to the key-value store fail"
+		cause = "key-value store refuses writes"
 	}
 	p.logInfo("starts wait for their assignment records", "cause", cause, "starts", len(p.unrecorded), "longest_s", delay.Seconds(), "changes_per_s", p.settings.WriteRate)
 }
