--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -21,7 +21,7 @@
 	return admission{
 		requestBacklog:      func() time.Duration { return 0 },
 		submissionSlots:     make(chan struct{}, tuning.MaxSubmissionsInFlight),
-		queryAndCancelSlots: make(chan struct{}, tuning.MaxDecisionsInFlight),
+		queryAndCancelSlots: make(chan struct{}, tuning.MaxQueriesAndCancelsInFlight),
 	}
 }
 
@@ -34,7 +34,7 @@
 // admitQueryOrCancel reserves a slot for a query or a cancellation until release is called. ok is
 // false if the request must be refused.
 func (a *admission) admitQueryOrCancel() (release func(), ok bool) {
-	return a.admit(a.queryAndCancelSlots, tuning.MaxDecisionTickLag)
+	return a.admit(a.queryAndCancelSlots, tuning.MaxQueryAndCancelTickLag)
 }
 
 // admit reserves one of the slots, unless all are taken or the process lags by more than maxLag.
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -23,7 +23,7 @@
 	}{
 		{0, http.StatusBadRequest, http.StatusOK},
 		{tuning.MaxSubmissionTickLag + 1, http.StatusServiceUnavailable, http.StatusOK},
-		{tuning.MaxDecisionTickLag + 1, http.StatusServiceUnavailable, http.StatusServiceUnavailable},
+		{tuning.MaxQueryAndCancelTickLag + 1, http.StatusServiceUnavailable, http.StatusServiceUnavailable},
 	} {
 		c.admission.tickLag.Store(int64(tc.lag))
 		if a := c.Submit(context.Background(), []byte{0xa0}, FromUser); a.Status != tc.submit {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -88,7 +88,7 @@
 func New(cfg *config.Settings, schedulingPolicy policy.Settings, log *slog.Logger) *Controller {
 	c := &Controller{
 		cfg: cfg, policy: schedulingPolicy, log: log, bootID: rand.Uint64() >> 1, startedAt: time.Now(),
-		store:           kvstore.New(cfg.Endpoints.Store, cfg.Deployment.Store.RPS*tuning.StoreReadRateShare),
+		store:           kvstore.New(cfg.Endpoints.Store, cfg.Deployment.Store.RPS*tuning.StoreRequestRateShare),
 		cloud:           cloud.New(cfg.Endpoints.Cloud),
 		workers:         worker.New(),
 		peerClient:      peer.New(),
--- a/internal/tuning/autoscale.go
+++ b/internal/tuning/autoscale.go
@@ -17,10 +17,10 @@
 	// call.
 	MaxProvisionBatch = 50
 	MaxReleaseBatch   = 100
-	// HeadroomShare is the free capacity that is kept ready where price is not an objective,
-	// as a share of the capacity in use.
+	// HeadroomShare is the free capacity that is kept ready in a deployment that is not
+	// cost-sensitive (see CostSensitive in package config), as a share of the capacity in use.
 	HeadroomShare = 0.5
-	// CostSensitiveHeadroomShare is the same share where price is an objective.
+	// CostSensitiveHeadroomShare is the same share in a cost-sensitive deployment.
 	CostSensitiveHeadroomShare = 0.0
 	// LooseStartShare is the share of starts in time below which an objective on starts counts
 	// as loose. No headroom is kept for loose objectives.
@@ -32,16 +32,17 @@
 
 // Scale-in.
 const (
-	// CostSensitiveIdleTimeout is how long an on-demand machine may be idle where scale-out
-	// saves cost. The timeout of a spot machine is longer, by the ratio of the prices. It is
+	// CostSensitiveIdleTimeout is how long an on-demand machine may be idle in a cost-sensitive
+	// deployment. The timeout of a spot machine is longer, by the ratio of the prices. It is
 	// about the duration of a boot, which is paid for too. A shorter timeout trades missed
 	// deadlines for a lower price one for one (docs/limits.md).
 	CostSensitiveIdleTimeout = 30 * time.Second
-	// IdleTimeout is how long a machine may be idle where price is not an objective.
+	// IdleTimeout is how long a machine may be idle in a deployment that is not cost-sensitive.
 	IdleTimeout = 20 * time.Minute
 	// BootTimeoutFactor is the multiple of its usual boot time after which a booting machine is
 	// released. MinBootTimeout is the minimum boot timeout, because some machines take several
-	// times as long as usual.
+	// times as long as usual. It is also the usual boot time that is assumed for a machine whose
+	// type is not known.
 	BootTimeoutFactor = 3.0
 	MinBootTimeout    = 60 * time.Second
 	// LateBootPercent is the percentage of its usual boot time after which a booting machine
--- a/internal/tuning/cloud.go
+++ b/internal/tuning/cloud.go
@@ -6,11 +6,13 @@
 const (
 	// CloudTimeout bounds one call.
 	CloudTimeout = 6 * time.Second
-	// CloudRetryDelay is the pause after a refused call, doubled up to MaxCloudRetryDelay.
+	// CloudRetryDelay is the base of the pause after a failed call. Each further failed read of
+	// machines or machine types doubles the pause, up to MaxCloudRetryDelay.
 	CloudRetryDelay    = 1 * time.Second
 	MaxCloudRetryDelay = 8 * time.Second
-	// MachineListInterval is the interval between reads of the full machine list. The list is
-	// the first sign that a machine was taken without an interruption notice.
+	// MachineListInterval is the minimum interval between reads of the full machine list, which
+	// is longer where MachineListRateShare does not allow so many reads. The list is the first
+	// sign that a machine was taken without an interruption notice.
 	MachineListInterval = 2 * time.Second
 	// MachineListRateShare is the largest share of the cloud's request rate that reads of the
 	// machine list take.
--- a/internal/tuning/controller.go
+++ b/internal/tuning/controller.go
@@ -50,8 +50,8 @@
 
 // Users' requests.
 const (
-	// SubmissionTimeout is how long a write of a submission to the key-value store is tried
-	// before the submission is refused. Users give up after 5 s.
+	// SubmissionTimeout is how long the write of a submission or a cancellation to the key-value
+	// store is tried. Users give up on a submission after 5 s.
 	SubmissionTimeout = 2500 * time.Millisecond
 	// HedgeDelay is how long a submission waits for the key-value store before a peer is asked
 	// as well. Most of the store's answers take under 10 ms, and users expect an answer within
@@ -66,14 +66,15 @@
 	MaxAnswerAge = 500 * time.Millisecond
 	// RetryAfterS is the delay after which refused users are asked to retry, in seconds.
 	RetryAfterS = 1
-	// MaxDecisionsInFlight and MaxSubmissionsInFlight bound the users' requests that are handled
-	// concurrently. Cancellations and queries have priority over submissions.
-	MaxDecisionsInFlight   = 200
-	MaxSubmissionsInFlight = 60
-	// MaxSubmissionTickLag and MaxDecisionTickLag are how late a tick may be before submissions,
-	// and before queries and cancellations, are refused. Users wait 5 s for a submission and
-	// 2 s for a query. Workers wait 4 s, but their tasks depend on the answer, so heartbeats are
-	// never refused for a late tick.
-	MaxSubmissionTickLag = 400 * time.Millisecond
-	MaxDecisionTickLag   = 1200 * time.Millisecond
+	// MaxQueriesAndCancelsInFlight and MaxSubmissionsInFlight bound the users' requests that are
+	// handled concurrently. Queries and cancellations have priority over submissions.
+	MaxQueriesAndCancelsInFlight = 200
+	MaxSubmissionsInFlight       = 60
+	// MaxSubmissionTickLag and MaxQueryAndCancelTickLag are how late a tick may be, or how long
+	// requests may wait before they are read, before submissions, and before queries and
+	// cancellations, are refused. Users wait 5 s for a submission and 2 s for a query. Workers
+	// wait 4 s, but their tasks depend on the answer, so heartbeats are never refused for a late
+	// tick.
+	MaxSubmissionTickLag     = 400 * time.Millisecond
+	MaxQueryAndCancelTickLag = 1200 * time.Millisecond
 )
--- a/internal/tuning/dispatch.go
+++ b/internal/tuning/dispatch.go
@@ -22,8 +22,9 @@
 	MaxDispatchRetryInterval = 15 * time.Second
 	// StopResendInterval is the pause between repeated stops of the same task.
 	StopResendInterval = 2 * time.Second
-	// RefusedStartBackoff is how long a machine gets no starts after it refused one as full:
-	// its state differs from the leader's record of it until its next heartbeat.
+	// RefusedStartBackoff is how long a machine gets no starts after it refused one because it was
+	// full or already had an attempt of the task: its state differs from the leader's record of it
+	// until its next heartbeat.
 	RefusedStartBackoff = 2 * time.Second
 	// StartUnreceivedAfter is the time after a start from which a heartbeat that does not list
 	// the started task shows that the start did not arrive, if a dispatch retry is due as well.
@@ -40,8 +41,8 @@
 
 // Status probes: direct calls that ask a machine for its heartbeat.
 const (
-	// MinStatusProbeInterval is the minimum time between two status probes of a machine that
-	// does not answer.
+	// MinStatusProbeInterval is the minimum time between two status probes of a machine. It
+	// doubles with each unanswered call, up to a limit.
 	MinStatusProbeInterval = 2 * time.Second
 	// MaxStatusProbeRate is the maximum rate of status probes, in probes a second for a whole
 	// core, where the process has less than ReferenceCPUShare of a core. A probe costs about
@@ -49,9 +50,9 @@
 	// together may take a fifth of the process's share. Probing two thousand machines at once
 	// keeps 7% of a core busy for twelve seconds, in which the leader's own lease expires.
 	MaxStatusProbeRate = 500.0
-	// StatusProbeHoldOff is how long a worker is not probed after an answer to its heartbeat,
-	// where the rate of probes is bounded. A fencing token that is new to the worker makes it
-	// send another heartbeat within half a second.
+	// StatusProbeHoldOff is how long a worker is not probed after an answer to its heartbeat that
+	// had a fencing token new to the worker, where the rate of probes is bounded. Such a token
+	// makes the worker send another heartbeat within half a second.
 	StatusProbeHoldOff = 1500 * time.Millisecond
 	// MinConcurrentStatusProbes is the number of machines that are probed at once in a small
 	// fleet. It is bounded because each probe costs a connection and a new leader has hundreds
--- a/internal/tuning/kvstore.go
+++ b/internal/tuning/kvstore.go
@@ -8,11 +8,11 @@
 	StoreTimeout = 1200 * time.Millisecond
 	// StoreRetryDelay is the pause after a refusal or a lost answer.
 	StoreRetryDelay = 250 * time.Millisecond
-	// StoreReadRateShare is the largest share of the deployment's request rate that one
-	// controller takes. StoreWriteRateShare is the largest share of the write rate that the
-	// leader takes. The rest is for submissions at the other controllers.
-	StoreReadRateShare  = 0.5
-	StoreWriteRateShare = 0.8
+	// StoreRequestRateShare is the largest share of the deployment's request rate that one
+	// controller takes on average. StoreWriteRateShare is the largest share of the write rate
+	// that the leader takes. The rest is for submissions at the other controllers.
+	StoreRequestRateShare = 0.5
+	StoreWriteRateShare   = 0.8
 	// StorePageSize is the page size of a full read, in items. The store itself bounds a page
 	// at 512 KiB.
 	StorePageSize = 500
--- a/internal/tuning/leadership.go
+++ b/internal/tuning/leadership.go
@@ -14,12 +14,12 @@
 	// With a much longer lease, the failure of a leader would delay starts for longer than a
 	// restart takes.
 	MaxLeaderLeaseTTL = 6 * time.Second
-	// WorkerLeaseDivisor also bounds the leader's lease, to the workers' lease divided by it. If
-	// two leaders fail shortly after each other, workers get no answer for two leader leases
-	// and two elections, and their tasks must survive that.
+	// WorkerLeaseDivisor also bounds such a longer lease, to the workers' lease divided by it, but
+	// to no less than LeaderLeaseTTL. If two leaders fail shortly after each other, workers get no
+	// answer for two leader leases and two elections, and their tasks must survive that.
 	WorkerLeaseDivisor = 4
-	// LeaseRenewInterval is the renewal interval: a third of the TTL, so that one lost
-	// renewal and one late renewal do not cost the leadership.
+	// LeaseRenewInterval is the renewal interval: about a third of LeaderLeaseTTL, so that one
+	// lost renewal and one late renewal do not cost the leadership.
 	LeaseRenewInterval = 800 * time.Millisecond
 	// CampaignInterval is the pause between campaigns for leadership, before jitter.
 	CampaignInterval = 300 * time.Millisecond
--- a/internal/tuning/machines.go
+++ b/internal/tuning/machines.go
@@ -9,9 +9,10 @@
 	// controller.
 	WorkerHeartbeatTimeout = 4 * time.Second
 	WorkerRetryDelay       = 1 * time.Second
-	// HeartbeatGrace is how much later than the protocol allows a heartbeat may arrive before
-	// the machine is probed. UnansweredProbeThreshold is the number of consecutive unanswered
-	// status probes after which the machine is released before its lease expires.
+	// HeartbeatGrace is how much later than the protocol allows a heartbeat may arrive before the
+	// machine is probed. UnansweredProbeThreshold is the number of consecutive unanswered direct
+	// calls since the last heartbeat after which a machine with tasks is released before its lease
+	// expires.
 	HeartbeatGrace           = 500 * time.Millisecond
 	UnansweredProbeThreshold = 2
 	// EarlyReleaseMargin is how long before the certain expiry of its lease a machine without
@@ -28,9 +29,10 @@
 	// FirstHeartbeatGrace is how long a new leader waits for the heartbeat of a machine that,
 	// by its age, should already be up.
 	FirstHeartbeatGrace = 20 * time.Second
-	// KeepaliveMargin shortens the time for which a follower keeps the workers of a partitioned
-	// zone alive (see KeepaliveBound in package controller), to allow for clock drift and
-	// timers that fire late. Cancellations that were not yet enforced when the partition began
-	// need no margin, because the time counts from before them.
+	// KeepaliveMargin shortens the time for which a controller renews workers' leases without
+	// learning of new cancellations (see KeepaliveBound in package controller), such as a follower
+	// in a partitioned zone, to allow for clock drift and timers that fire late. Cancellations that
+	// were not yet enforced when the partition began need no margin, because the time counts from
+	// before them.
 	KeepaliveMargin = 1 * time.Second
 )
--- a/internal/tuning/placement.go
+++ b/internal/tuning/placement.go
@@ -25,16 +25,16 @@
 
 // Images.
 const (
-	// MaxFetchSlotWait is how long a job may wait while machines with free capacity fetch the
-	// images of other jobs. It is below 90 s, because no job may wait that long while there is
-	// free capacity for it.
+	// MaxFetchSlotWait is how long a job with no task on any machine may wait while machines with
+	// free capacity fetch the images of other jobs. It is below 90 s, because no job may wait that
+	// long while there is free capacity for it.
 	MaxFetchSlotWait = 60 * time.Second
 	// MinFetchForPreemptionS is the duration of an image fetch, in seconds, from which tasks of
-	// lower priority are preempted on a machine that already has the image. A preempted task
-	// loses at most its progress so far.
+	// lower priority are preempted for a production service on a machine that already has its
+	// image. A preempted task loses at most its progress so far.
 	MinFetchForPreemptionS = 0.5
-	// MaxWarmCapacityWait is how long a service waits for capacity on a machine that has its
-	// image before it takes any machine. A start should take under a second, and the stop of a
+	// MaxWarmCapacityWait is how long a production service waits for capacity on a machine that has
+	// its image before it takes any machine. A start should take under a second, and the stop of a
 	// preempted task takes milliseconds.
 	MaxWarmCapacityWait = 2 * time.Second
 )
--- a/internal/tuning/records.go
+++ b/internal/tuning/records.go
@@ -30,17 +30,17 @@
 	// these writes leave for starts.
 	ProgressWriteShare = 0.25
 	StartWriteReserve  = 0.25
-	// DoneFlushDelay is how long the completed tasks of an unfinished job may wait to share one
-	// write. A crash meanwhile loses nothing: workers list completed tasks until they are told
-	// to forget them.
+	// DoneFlushDelay is how long the completed tasks of an unfinished job wait to share one write.
+	// They wait longer if ProgressWriteShare does not allow the writes of all such jobs. A crash
+	// meanwhile loses nothing: workers list completed tasks until they are told to forget them.
 	DoneFlushDelay = 1200 * time.Millisecond
 )
 
 // Compaction of batches.
 const (
-	// BatchCompactionThreshold is the number of batches above which the assignments of old
-	// batches that are still needed are written again. MaxCompactedAttempts bounds how many are
-	// queued for that at a time.
+	// BatchCompactionThreshold is the number of batches above which the assignments of old batches
+	// that are still needed are written again, if they are at most a quarter of a batch.
+	// MaxCompactedAttempts bounds how many are queued for that at a time.
 	BatchCompactionThreshold = 32
 	MaxCompactedAttempts     = 100
 	// BatchRewriteAge is the minimum age of a batch before it is written again without the
