--- a/cmd/restartbench/scenario.go
+++ b/cmd/restartbench/scenario.go
@@ -35,9 +35,10 @@
 	return scenarios
 }
 
-// plan returns the plan of one simulated restart. Seeds are numbered from 0.
-func (s scenario) plan(v variant, seed int) restartsim.Plan {
-	return restartsim.Plan{Machines: s.machines, ChangedShare: s.changedShare, Seed: uint64(seed + 1), Recovery: v.recovery}
+// plan returns the plan of the simulated restart whose result is at seedIndex in v.results. The
+// seed of the plan is 1 above the index.
+func (s scenario) plan(v variant, seedIndex int) restartsim.Plan {
+	return restartsim.Plan{Machines: s.machines, ChangedShare: s.changedShare, Seed: uint64(seedIndex + 1), Recovery: v.recovery}
 }
 
 // runAll simulates all scenarios and stores their results. It runs up to concurrency simulations
--- a/cmd/restartbench/table.go
+++ b/cmd/restartbench/table.go
@@ -6,8 +6,8 @@
 	"text/tabwriter"
 )
 
-// writeTable writes a Markdown table with the mean of each metric over all seeds, and the range in
-// parentheses if the values differ.
+// writeTable writes a table with columns separated by |, like the rows of a Markdown table. It holds
+// the mean of each metric over all seeds, and the range in parentheses if the values differ.
 func writeTable(w io.Writer, scenarios []scenario) error {
 	table := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
 	fmt.Fprint(table, "| machines, changed\t| recovery\t|")
--- a/internal/restartsim/machine_changes.go
+++ b/internal/restartsim/machine_changes.go
@@ -20,8 +20,9 @@
 	changeCount
 )
 
-// Range of the delay from the restart until an unreachable machine can be reached again. It ends
-// before the expiry of the lease that the machine's agent acquired before the outage.
+// Range of the delay from the restart until an unreachable machine can be reached again. The delay
+// ends before the expiry of the lease that the machine's agent acquired before the outage, except
+// for a delay near the maximum if the agent's next heartbeat was due when the outage began.
 const (
 	minReconnectDelay = 8 * time.Second
 	maxReconnectDelay = 16 * time.Second
--- a/internal/restartsim/restart.go
+++ b/internal/restartsim/restart.go
@@ -35,7 +35,7 @@
 
 // Durations of the parts of a simulation.
 const (
-	fillTime            = 40 * time.Second // for the tasks to start before the outage
+	fillTime            = 40 * time.Second // time for the tasks to start before the outage
 	outageTime          = 8 * time.Second  // much shorter than the workers' lease
 	observationTime     = 90 * time.Second // from the restart to the end of the simulation
 	observationInterval = 100 * time.Millisecond
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -152,7 +152,8 @@
 	writeReply(w, http.StatusOK, reply)
 }
 
-// machinesAfter lists the running machines whose names sort after the given one, ordered by name.
+// machinesAfter lists the machines whose names sort after the given one, ordered by name. It leaves
+// out terminated machines. Booting machines are listed as running.
 func (s cloudServer) machinesAfter(after string) []wire.ListedMachine {
 	d := s.deployment
 	machines := []wire.ListedMachine{}
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -44,9 +44,9 @@
 	return f.transactionFault(txn)
 }
 
-// InjectTransactionFaults makes the store call fault for each transaction and inject the fault
-// that it returns; nil stops the injection. The transaction's values are passed to fault as
-// undecoded wire.Raw.
+// InjectTransactionFaults makes the store call fault for each transaction, except during an outage,
+// and inject the fault that it returns; nil stops the injection. The transaction's values are
+// passed to fault as undecoded wire.Raw.
 func (d *Deployment) InjectTransactionFaults(fault func(wire.Txn) TransactionFault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -82,8 +82,8 @@
 	return statuses
 }
 
-// StartKVStoreOutage makes the key-value store refuse every request. No lease expires until
-// EndKVStoreOutage.
+// StartKVStoreOutage makes the key-value store refuse every request; a watch is refused after the
+// time for which it may block. No lease expires until EndKVStoreOutage.
 func (d *Deployment) StartKVStoreOutage() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -121,7 +121,9 @@
 	d.workers[machine].Restart(d.now())
 }
 
-// PartitionMachine drops all messages to and from a machine for the given duration.
+// PartitionMachine simulates a network partition of a machine: for the given duration, its agent
+// sends no heartbeats and answers no direct calls. The reply to a heartbeat that was sent before
+// still arrives.
 func (d *Deployment) PartitionMachine(machine string, duration time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/simulator/kv_store.go
+++ b/internal/simulator/kv_store.go
@@ -15,7 +15,7 @@
 
 // KVStore simulates the key-value store.
 type KVStore struct {
-	Revision    uint64 // of the last change
+	Revision    uint64 // revision of the last change
 	Unavailable bool   // whether there is an outage: callers refuse requests, and no lease expires
 	MaxTxnOps   int    // maximum number of operations in a transaction
 	// WriteRate is the maximum number of puts and deletes per second. The maximum burst is what
--- a/internal/simulator/kv_store_http.go
+++ b/internal/simulator/kv_store_http.go
@@ -153,7 +153,8 @@
 }
 
 // watch replies once there are changes, the log no longer has all changes since the requested
-// revision, or the time for which the request may block has passed.
+// revision, or the time for which the request may block has passed. While the store is down, it
+// replies only after that time, with 503.
 func (s kvStoreServer) watch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	from, _ := strconv.ParseUint(query.Get("from"), 10, 64)
--- a/internal/simulator/kv_store_lease.go
+++ b/internal/simulator/kv_store_lease.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// lease is a lease of the key-value store. The keys attached to it are deleted when it expires.
+// lease is a lease of the key-value store. The keys attached to a lease are deleted when the lease
+// is revoked.
 type lease struct {
 	ttl       time.Duration
 	expiresAt time.Duration
@@ -45,7 +46,8 @@
 	return s.lastLeaseID
 }
 
-// RenewLease renews a lease. It returns false if the lease does not exist or has expired.
+// RenewLease renews a lease. It returns false if the lease does not exist, or if ExpireLeases has
+// revoked it after its expiry.
 func (s *KVStore) RenewLease(now time.Duration, id uint64) bool {
 	s.ExpireLeases(now)
 	l := s.leases[id]
--- a/internal/simulator/kv_store_watch.go
+++ b/internal/simulator/kv_store_watch.go
@@ -16,7 +16,8 @@
 }
 
 // Changes returns the changes of keys with the prefix after the revision from. ok is false if the
-// log no longer has all changes since that revision.
+// log may no longer have all changes since that revision. It stays true if the log has dropped only
+// a part of the changes of revision from+1.
 func (s *KVStore) Changes(now time.Duration, prefix string, from uint64) (reply wire.WatchReply, ok bool) {
 	s.ExpireLeases(now)
 	reply = wire.WatchReply{Revision: s.Revision, Events: []wire.WatchEvent{}}
--- a/internal/simulator/rules_answers.go
+++ b/internal/simulator/rules_answers.go
@@ -103,9 +103,11 @@
 }
 
 // QueryAnswered records and checks the answer to a query that was sent at the time askedAt. An
-// empty state means that the answer was that the job is unknown. Once a controller has told a user
-// the state of a job, no controller may answer a query that is sent afterwards with an older state.
-// The answers to overlapping queries may arrive in either order.
+// empty state means that the answer was that the job is unknown. Once a user has been told that a
+// job is known, no query that is sent afterwards may be answered that the job is unknown. Once a
+// user has been told a final state, no query that is sent afterwards may be answered with another
+// state, and no overlapping query with another final state: the answers to overlapping queries may
+// arrive in either order. Changes between states that are not final are not checked.
 func (c *RuleChecker) QueryAnswered(askedAt, now time.Duration, id, state string) {
 	acceptedAt, known := c.answers.acceptedAt[id]
 	switch {
--- a/internal/simulator/rules_cancellation.go
+++ b/internal/simulator/rules_cancellation.go
@@ -24,7 +24,8 @@
 // its tasks are gone within the grace period `cancel_s`, including tasks whose start command was
 // in flight at the confirmation. Such a command may therefore still be executed, and
 // RuleRanCancelled allows it; only sending a start command later violates the protocol. RuleChecker
-// counts all starts after the confirmation, as operators do.
+// does not see when a command was sent, so it lists every start within the grace period,
+// as operators count them.
 type LateStart struct {
 	Task              string
 	AfterConfirmation time.Duration // time from the confirmation to the start
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -32,7 +32,7 @@
 
 	checker        *RuleChecker
 	leaseDuration  time.Duration
-	leaseRenewedAt time.Duration // when the last answered heartbeat was sent
+	leaseRenewedAt time.Duration // when the incarnation began or its last accepted heartbeat was sent
 	advancedUntil  time.Duration // time up to which the worker has been simulated
 	interruptionAt time.Duration // announced time at which the cloud reclaims the machine; 0: none
 	attempts       map[attemptID]*attemptStatus
--- a/internal/simulator/worker_agent.go
+++ b/internal/simulator/worker_agent.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	agentClientTimeout  = 4 * time.Second       // for a heartbeat and its reply
+	agentClientTimeout  = 4 * time.Second       // time limit for a heartbeat and its reply
 	agentRetryDelay     = time.Second           // maximum delay before the next controller is tried
 	agentAdvanceStep    = 10 * time.Millisecond // how often the worker's tasks are simulated
 	agentHeartbeatRoute = "/checkin"
