--- a/cmd/yarrowgap/main.go
+++ b/cmd/yarrowgap/main.go
@@ -21,7 +21,7 @@
 // Exit codes.
 const (
 	exitFailed = 1 // the command failed
-	exitUsage  = 2 // the command line, the settings file or a script is invalid
+	exitUsage  = 2 // invalid command line, settings file, script, LOG_LEVEL or trace file
 )
 
 // cli defines the subcommands.
@@ -40,7 +40,7 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// usageError marks errors in the command line, the settings or a script.
+// usageError marks errors that end the process with exitUsage.
 type usageError struct{ error }
 
 // Unwrap returns the wrapped error.
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -56,8 +56,8 @@
 	return router
 }
 
-// NonBlocking reports whether a request's handler answers without waiting for another
-// service or process.
+// NonBlocking reports whether a request is a heartbeat or a health check. Once the request is read,
+// their handlers answer without waiting for another service or process.
 func NonBlocking(r *http.Request) bool {
 	return r.URL.Path == heartbeatPath || r.URL.Path == healthPath
 }
--- a/internal/config/capacity.go
+++ b/internal/config/capacity.go
@@ -39,8 +39,8 @@
 // Capacity is the number of machines that a leader can serve within each of the platform's
 // limits; 0 means that the platform sets no limit.
 type Capacity struct {
-	ByConnections int // within the socket and memory limits, see MaxConnections
-	ByCPU         int // within the CPU limit
+	ByConnections int // machines within the socket and memory limits, see MaxConnections
+	ByCPU         int // machines within the CPU limit
 }
 
 // Capacity estimates how many machines this controller can serve as the leader.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -112,7 +112,8 @@
 	return settings, nil
 }
 
-// Parse decodes and validates settings. Its errors name the field.
+// Parse decodes and validates settings. Its errors name the invalid fields or, if the settings
+// cannot be decoded, the position and the key.
 func Parse(raw []byte) (*Settings, error) {
 	settings := &Settings{}
 	if err := toml.Unmarshal(raw, settings); err != nil {
--- a/internal/config/objectives.go
+++ b/internal/config/objectives.go
@@ -17,8 +17,8 @@
 // CostSensitive reports whether scale-out should save cost: if price or useful work is an
 // objective, or if the objectives on starts are loose. The settings may state only objectives
 // on starting and finishing, so loose ones are taken as the sign of a cost-sensitive
-// deployment: if work within a guarantee may wait for many seconds, or a tenth of it may be
-// late, no free capacity has to be kept ready. Where there is no objective on the starts of
+// deployment: if work within a guarantee may wait for many seconds, or more than a tenth of it
+// may be late, no free capacity has to be kept ready. Where there is no objective on the starts of
 // work within a guarantee, the objectives on the starts of job classes decide.
 func (s *Settings) CostSensitive() bool {
 	total, loose := map[string]int{}, map[string]int{}
--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -14,7 +14,7 @@
 }
 
 type event struct {
-	at       time.Duration // since the start of the simulation
+	at       time.Duration // time since the start of the simulation
 	sequence int           // position in insertion order
 	run      func()
 }
--- a/internal/httpserver/conn.go
+++ b/internal/httpserver/conn.go
@@ -21,8 +21,8 @@
 	netConn        net.Conn
 	limitedReader  io.LimitedReader // limits how much is read for the current request
 	reader         *bufio.Reader
-	idle           atomic.Bool // waiting for a request
-	hasUnreadInput bool        // part of the last request was not read
+	idle           atomic.Bool // whether the connection waits for a request
+	hasUnreadInput bool        // whether a part of the last request was not read
 }
 
 func newConn(server *Server, netConn net.Conn) *conn {
@@ -150,8 +150,8 @@
 	return request, err
 }
 
-// reject sends an error response to a malformed or oversized request header. It sends nothing
-// after the end of the input, a timeout or a reset, since the client no longer expects a response.
+// reject sends an error response to a malformed, truncated or oversized request header. It sends
+// nothing after a timeout or a network error, since the client no longer expects a response.
 func (c *conn) reject(err error) {
 	var netError net.Error
 	status := http.StatusBadRequest
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -82,8 +82,8 @@
 		case err != nil:
 			return err
 		}
-		// Waits until a slot is free, so that no connections are accepted while all slots are in
-		// use.
+		// Waits until a slot is free, so that no further connections are accepted while all slots
+		// are in use.
 		slot := s.acquireSlot()
 		slot.release()
 		c := newConn(s, netConn)
--- a/internal/kvstore/health.go
+++ b/internal/kvstore/health.go
@@ -6,9 +6,9 @@
 )
 
 // healthTracker records when the last request that the store served was sent, and when the last
-// request that it did not serve was sent. It uses the times of the requests, not those of the
-// responses, because a process that was paused reads outdated responses when it resumes. It is
-// safe for concurrent use.
+// request that it did not serve was sent. Every usable response counts as served, except one with
+// status 503. It uses the times of the requests, not those of the responses, because a process that
+// was paused reads outdated responses when it resumes. It is safe for concurrent use.
 type healthTracker struct {
 	createdAt   time.Time
 	lastSuccess atomic.Int64 // when it was sent, in nanoseconds since createdAt; 0 for none
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,6 +1,6 @@
-// Package policy reads the operators' settings from a Starlark script. The script is
-// evaluated once, at startup, with a bounded number of steps and without access to files or
-// the network. Its global variables are the settings.
+// Package policy reads the operators' settings from Starlark scripts. Each script is evaluated
+// once, at startup, with a bounded number of steps and without access to files or the network.
+// Its global variables are the settings, except functions and names that start with _.
 package policy
 
 import (
--- a/internal/policy/script.go
+++ b/internal/policy/script.go
@@ -24,6 +24,8 @@
 }
 
 // Eval evaluates a script, starting from the defaults. Its errors name the file and the line.
+// There are two exceptions: the error for an error_backoff_max_s below error_backoff_s names only
+// the file, and an error in a setting that no plain assignment sets has no position.
 func Eval(name, source string, defaults Settings) (Settings, error) {
 	settings := defaults
 	globals, positions, err := execute(name, source)
@@ -61,7 +63,9 @@
 	return globals, assignmentPositions(file), err
 }
 
-// assignmentPositions returns the position of the last assignment to each name.
+// assignmentPositions returns the position of the last plain assignment to each name, including
+// assignments to local variables of functions. Names that only a tuple assignment or a for loop
+// sets have no position.
 func assignmentPositions(file *syntax.File) map[string]syntax.Position {
 	positions := map[string]syntax.Position{}
 	visit := func(node syntax.Node) bool {
--- a/internal/tracing/rotate.go
+++ b/internal/tracing/rotate.go
@@ -15,7 +15,7 @@
 	path     string
 	maxBytes int64
 	file     *os.File
-	size     int64 // of file, in bytes
+	size     int64 // size of file, in bytes
 }
 
 // openRotating opens a file for appending.
