--- a/cmd/yarrowgap/queries.go
+++ b/cmd/yarrowgap/queries.go
@@ -46,7 +46,7 @@
 		fmt.Fprintf(w, "\nTASK\tMACHINE\tSTATE\tRETRIES\n")
 	}
 	for _, attempt := range job.Attempts {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\n", attempt.Task, attempt.Machine, attempt.State, attempt.DispatchRetries)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\n", attempt.Task, attempt.Machine, attempt.State, attempt.DispatchCount)
 	}
 }
 
--- a/internal/scheduler/absence_proof.go
+++ b/internal/scheduler/absence_proof.go
@@ -7,7 +7,8 @@
 // provenAbsent reports whether a heartbeat that does not list an attempt proves that the attempt
 // is not on the machine and cannot be started there by a command that was sent earlier. An
 // attempt whose start was sent, and whose end the worker has not reported, is removed from the
-// scheduler's state only on this proof or together with its machine.
+// scheduler's state only on this proof, together with its machine, or because the worker, which
+// has listed the attempt before, now lists another attempt of the same task.
 func (d *dispatcher) provenAbsent(a *attempt, heartbeat *wire.Heartbeat, initiator exchangeInitiator) bool {
 	start := &a.start
 	// A worker that has only seen lower fencing tokens does not refuse the start.
--- a/internal/scheduler/assignmentrestore.go
+++ b/internal/scheduler/assignmentrestore.go
@@ -86,7 +86,7 @@
 		m.phase, m.upAt = machineUp, s.now.Mono
 		// The machine sent heartbeats in an earlier term, so the cloud has it, but the list may
 		// lag behind. It may be missing from a few more lists before it counts as gone.
-		m.cloud.listedInTerm, m.cloud.consecutiveMissedLists = true, -tuning.MissingListThreshold
+		m.cloud.expectedInLists, m.cloud.consecutiveMissedLists = true, -tuning.MissingListThreshold
 		s.reconciler.ExpectMachine(recorded.name)
 	}
 	for _, name := range recorded.images {
--- a/internal/scheduler/attempt.go
+++ b/internal/scheduler/attempt.go
@@ -21,7 +21,7 @@
 // attempt is one attempt at running a task, on one machine.
 type attempt struct {
 	ref     taskRef
-	job     *job // nil if the job is not live
+	job     *job // nil if the job was not known as live when the attempt was added
 	machine *machine
 	number  uint64
 
--- a/internal/scheduler/attempt_outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -153,9 +153,10 @@
 		s.detach(a)
 		s.handleFailedAttempt(a, wire.CauseStopped)
 	case a.start.firstSentAt == 0:
-		s.detach(a) // recorded by an earlier leader, and never started
+		s.detach(a) // recorded by an earlier leader; it has ended or was never started
 	default:
-		// The start was not executed. It is sent again, now or when its retry is due.
+		// The start was not executed and cannot be any more. It is sent again, now or when its
+		// retry is due.
 		a.start.replySequence = 0
 		if a.retry.nextAt <= s.now.Mono {
 			s.dispatcher.sendDue(a.machine)
@@ -182,11 +183,12 @@
 }
 
 // drainMachine stops those tasks on a spot machine that should restart elsewhere before the
-// cloud reclaims it. Tasks that can save a checkpoint in time are stopped after a checkpoint. A
-// stop now costs the other tasks as much progress as the interruption would, so they keep running
-// if they may complete in the time left or fit on no other machine. Shortly before the
-// interruption all tasks are stopped: a task whose exit is listed in a heartbeat can start
-// elsewhere at once, and otherwise it cannot start before the machine is released.
+// cloud reclaims it. Tasks that can save a checkpoint in time are stopped after a checkpoint.
+// Other tasks are stopped at once if they belong to a service or do not run yet. A stop now costs
+// the remaining tasks as much progress as the interruption would, so they keep running if they may
+// complete in the time left or fit on no other machine. Shortly before the interruption all tasks
+// are stopped: a task whose exit is listed in a heartbeat can start elsewhere at once, and
+// otherwise it cannot start before the machine is released.
 func (s *Scheduler) drainMachine(m *machine) {
 	timeLeft := m.cloud.interruptionAt - s.now.Mono
 	for _, a := range m.sortedAttempts() {
--- a/internal/scheduler/autoscaler.go
+++ b/internal/scheduler/autoscaler.go
@@ -106,7 +106,7 @@
 	if m == nil {
 		m = s.adoptListedMachine(listed)
 	}
-	m.cloud.consecutiveMissedLists, m.cloud.listedInTerm = 0, true
+	m.cloud.consecutiveMissedLists, m.cloud.expectedInLists = 0, true
 	if m.address == "" {
 		m.address = listed.Address
 	}
--- a/internal/scheduler/directcall.go
+++ b/internal/scheduler/directcall.go
@@ -112,7 +112,8 @@
 }
 
 // handleRefusedCall handles a call whose commands were not executed because the worker has seen
-// a higher fencing token or has another incarnation. All of the commands are due again.
+// a higher fencing token or has another incarnation. Its starts and all stops of tracked attempts
+// are due again. The stop of an untracked attempt is queued again when the worker next lists it.
 func (d *dispatcher) handleRefusedCall(call *commandCall, seenToken uint64) {
 	m := call.machine
 	for _, a := range call.starts {
@@ -153,7 +154,7 @@
 }
 
 // sendDeferredCommands sends the commands that became due while a call to the machine was in
-// flight.
+// flight, and those of a refused call. An unconfirmed machine to which nothing is sent is probed.
 func (d *dispatcher) sendDeferredCommands(m *machine, fleetSize int) {
 	m.directCalls.resendWhenDone = false
 	d.sendDue(m)
--- a/internal/scheduler/dispatch.go
+++ b/internal/scheduler/dispatch.go
@@ -14,8 +14,9 @@
 // dispatcher sends commands to the workers. It owns the direct calls in flight, the set of
 // machines with commands due, the status probes, and the attempt numbers, none of which is ever
 // used twice. A machine has at most one call in flight; commands that become due meanwhile are
-// sent when the call ends. A start is sent only after its assignment is durable and the worker
-// has forgotten earlier attempts of the task.
+// sent when the call is answered. If no answer arrives, they are sent in the reply to the
+// machine's next heartbeat or with the next call, whichever comes first. A start is sent only after
+// its assignment is durable and the worker has forgotten earlier attempts of the task.
 type dispatcher struct {
 	*termContext
 
@@ -103,7 +104,7 @@
 }
 
 // sendDue sends a machine its due commands in a direct call. If another call to the machine is
-// in flight, they are sent after that call has ended.
+// in flight, they are sent once that call is answered.
 func (d *dispatcher) sendDue(m *machine) {
 	if m.phase != machineUp || m.address == "" {
 		return
--- a/internal/scheduler/dispatchretry.go
+++ b/internal/scheduler/dispatchretry.go
@@ -26,8 +26,9 @@
 	a.retry.dispatchCount++
 }
 
-// recordDispatchRetry records that a start is sent again. If heartbeats arrive while the start
-// is still not acknowledged, nothing that this leader sends reaches the machine.
+// recordDispatchRetry records that a start is sent again. A heartbeat that arrives more than
+// tuning.StartUnreceivedAfter after the first dispatch and does not acknowledge the start is taken
+// as evidence that nothing this leader sends reaches the machine.
 func (d *dispatcher) recordDispatchRetry(a *attempt) {
 	if a.machine.connectivity.lastHeartbeatAt > a.start.firstSentAt+tuning.StartUnreceivedAfter {
 		//mutation:unacknowledged-start-marks-unreachable
@@ -37,9 +38,9 @@
 	d.logInfo("retrying unacknowledged start", "task", a.ref.String(), "attempt", a.number, "machine", a.machine.name, "retry", a.retry.dispatchCount)
 }
 
-// dispatchDeadline returns when the attempt's dispatch is abandoned: when the budget since its
-// job's creation is used up, but not before tuning.MinDispatchBudget has passed since the first
-// dispatch.
+// dispatchDeadline returns the time from which scanMachine abandons the attempt's dispatch when a
+// retry is due: when the budget since its job's creation is used up, but not before
+// tuning.MinDispatchBudget has passed since the first dispatch.
 func (d *dispatcher) dispatchDeadline(a *attempt) time.Duration {
 	budget := d.settings.Policy.DefaultDispatchBudget
 	if deadlineS := a.job.spec.DeadlineS; deadlineS != nil {
--- a/internal/scheduler/fencing.go
+++ b/internal/scheduler/fencing.go
@@ -32,8 +32,8 @@
 	f.sentStartsDirectly = false
 }
 
-// newAttempt creates an attempt with a number that was never used. Numbers begin with the term,
-// so the number is higher than those of all earlier terms.
+// newAttempt creates an attempt with a number that was never used. The high bits hold the term, so
+// the number is higher than those of all earlier terms.
 func (d *dispatcher) newAttempt(j *job, index int, m *machine) *attempt {
 	d.lastAttemptNumber++
 	return &attempt{
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -23,8 +23,9 @@
 	placedOnce bool // one of its tasks has been placed in this term
 	archived   bool // it has ended: its live record was deleted
 	cancelled  bool
-	// cancellationWatermark is the cancellation watermark when the job was cancelled: all
-	// cancellations before the watermark were known then.
+	// cancellationWatermark is the cancellation watermark when this leader learned of the job's
+	// cancellation: all cancellations before the watermark were known then. It is 0 if the job was
+	// already cancelled when it was added.
 	cancellationWatermark time.Duration
 
 	active       map[int][]*attempt // attached attempts by task index
@@ -185,7 +186,9 @@
 	}
 }
 
-// pendingTasks returns the number of tasks that are not done and have no attempt.
+// pendingTasks returns the number of tasks that are not done and have no attempt, or 0 if the job
+// is cancelled or archived. A done task with an attempt that is still being stopped is subtracted
+// twice, so until the attempt is gone the result is too low and may be negative.
 func (j *job) pendingTasks() int {
 	if j.cancelled || j.archived {
 		return 0
--- a/internal/scheduler/load_log.go
+++ b/internal/scheduler/load_log.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// logLoad logs the cluster's utilization, how many tasks wait for each reason, and the lag of
-// the cancellations that are not fully enforced yet.
+// logLoad logs the cluster's utilization, how many tasks wait for capacity, for quota and without
+// a determined reason, and the lag of the cancellations that are not fully enforced yet.
 func (c *clusterState) logLoad(cancellationLag time.Duration) {
 	for _, name := range slices.Sorted(maps.Keys(c.usage)) {
 		if usage := c.usage[name]; usage.CPUs > 0 {
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -11,9 +11,11 @@
 type machinePhase int
 
 const (
-	machineBooting   machinePhase = iota // provisioned; its worker has sent no heartbeat yet
-	machineUp                            // its worker has sent a heartbeat
-	machineReleasing                     // its release was requested; it gets no new tasks
+	machineBooting machinePhase = iota // provisioned; its worker is not known to have started yet
+	// machineUp means that the worker has sent a heartbeat, the cloud lists the machine as running,
+	// or an assignment record names the machine.
+	machineUp
+	machineReleasing // its release was requested; it gets no new tasks
 )
 
 func (p machinePhase) String() string {
@@ -29,7 +31,7 @@
 	phase        machinePhase
 	firstKnownAt time.Duration // when the machine first became known in this term
 	upAt         time.Duration // when it entered machineUp in this term
-	idleSince    time.Duration // when it last became empty
+	idleSince    time.Duration // when it came up, was added or last became empty
 	confirmed    bool          // a heartbeat has confirmed its tasks in this term
 
 	tasks           map[taskRef]*attempt
@@ -58,17 +60,23 @@
 
 // cloudStatus is a machine's status as reported by the cloud.
 type cloudStatus struct {
-	provisionedAt          time.Duration // as listed by the cloud; before that, when first known
-	provisionedInTerm      bool          // this leader requested the machine in this term
-	listedInTerm           bool          // the cloud has listed the machine in this term
-	consecutiveMissedLists int           // cloud lists since the last one with the machine
-	failed                 bool          // the cloud reports that the machine has stopped
+	// provisionedAt is computed from the age in the cloud's list if the list is where the machine
+	// first appeared. Otherwise it is the time at which the machine became known in this term.
+	provisionedAt     time.Duration
+	provisionedInTerm bool // this leader requested the machine in this term
+	// expectedInLists means that the machine is expected in the cloud's lists: the cloud has listed it
+	// in this term, or it was restored from a record.
+	expectedInLists bool
+	// consecutiveMissedLists is the number of cloud lists since the last one with the machine. For
+	// a restored machine it starts below 0, which allows for lists that are out of date.
+	consecutiveMissedLists int
+	failed                 bool          // the cloud has listed the machine as failed
 	interruptionAt         time.Duration // when the cloud reclaims the spot machine; 0: not announced
 }
 
 // releaseState is the state of a machine's requested release.
 type releaseState struct {
-	reason   ReleaseReason // reason of the last request, for the log
+	reason   ReleaseReason // reason of the last request; empty: the release was never requested
 	retryDue bool          // the release must be requested again
 }
 
@@ -102,18 +110,21 @@
 // directCallState is the state of the direct calls to a machine. At most one is in flight.
 type directCallState struct {
 	inFlight                 bool
-	resendWhenDone           bool          // more commands must be sent when the call in flight ends
-	probedAt                 time.Duration // when the last status probe was sent
+	resendWhenDone           bool          // more commands are to follow once the call is answered
+	probedAt                 time.Duration // when the last status probe was sent; 0: no need to wait
 	consecutiveUnanswered    int           // unanswered calls since the last answered one
 	unansweredSinceHeartbeat int           // unanswered calls since the last heartbeat or answered call
 }
 
 // connectivity records when a machine and this leader last reached each other.
 type connectivity struct {
-	lastHeartbeatAt    time.Duration // last heartbeat, or last reply to a direct call
+	// lastHeartbeatAt is the time of the last heartbeat or reply to a direct call. Until there is
+	// one, it is when the machine became known in this term or came up.
+	lastHeartbeatAt    time.Duration
 	heartbeatRepliedAt time.Duration // when the leader last replied to a heartbeat
 	// unreachableSince is when the leader detected that its replies and calls do not reach the
-	// machine although the machine's heartbeats arrive; 0: reachable. See watchReplyDelivery.
+	// machine although the machine's heartbeats arrive; 0: reachable. See watchReplyDelivery and
+	// recordDispatchRetry.
 	unreachableSince time.Duration
 }
 
@@ -188,11 +199,11 @@
 
 // taskSummary holds the totals over a machine's tasks that placement needs.
 type taskSummary struct {
-	hasUnknownTask               bool // the job of an attempt is not live, so its resources are unknown
+	hasUnknownTask               bool // an attempt's job is unknown, and so are its resources
 	services                     int  // number of service tasks
 	serviceCPUs, serviceMemoryGB float64
-	// fetching holds the sizes of the images that the machine is fetching, in GB by image name.
-	// Fetches for tasks that are being stopped don't count.
+	// fetching holds the sizes of the images that the machine is fetching or will fetch for its
+	// tasks, in GB by image name. Fetches for tasks that are being stopped don't count.
 	fetching map[string]float64
 }
 
--- a/internal/scheduler/machinescan.go
+++ b/internal/scheduler/machinescan.go
@@ -8,8 +8,8 @@
 	"github.com/yarrowgap/yarrowgap/wire"
 )
 
-// scanMachines visits every machine. It begins with the first machine that the last scan could
-// not probe because of the limit on status probes.
+// scanMachines visits every machine. It begins with the first machine whose status probe was
+// postponed since the last scan began because of the limits on probes.
 func (s *Scheduler) scanMachines() {
 	list := s.cluster.sortedMachines()
 	first, _ := slices.BinarySearchFunc(list, s.dispatcher.probes.takeFirstPostponed(), func(m *machine, name string) int { return strings.Compare(m.name, name) })
@@ -19,9 +19,10 @@
 	}
 }
 
-// scanMachine sends the commands that are due for a machine, abandons dispatches whose
-// acknowledgement deadline has passed, and probes the machine's status if its heartbeat is
-// overdue, its tasks are unconfirmed, or commands may not have reached it.
+// scanMachine drains a machine whose spot interruption is announced, sends the starts and stops
+// that must be repeated, and abandons dispatches whose deadline has passed. It probes the
+// machine's status if its heartbeat is overdue, its tasks are unconfirmed, or commands may not
+// have reached it.
 func (s *Scheduler) scanMachine(m *machine) {
 	if m.phase != machineUp {
 		return
--- a/internal/scheduler/monitor.go
+++ b/internal/scheduler/monitor.go
@@ -11,13 +11,13 @@
 // machines.
 //
 // Heartbeats that a pause of this process delays do not count as missed: see timeSinceSeen. The
-// isolated time grows from tick to tick, so that the first heartbeat resets it.
+// isolated time grows from tick to tick, and the first tick after a heartbeat resets it.
 type heartbeatMonitor struct {
 	*termContext
 
 	lastHeartbeatAt   time.Duration            // from any machine
 	zoneLastSeenAt    map[string]time.Duration // by zone, before this term: see ZoneLastSeen
-	zonePartitionedAt map[string]time.Duration // by zone, when most heartbeats were last overdue
+	zonePartitionedAt map[string]time.Duration // by zone, when most machines' heartbeats were last overdue
 	isolatedFor       time.Duration            // time over which ticks have found no new heartbeat
 	lastTickAt        time.Duration
 	lastScanAt        time.Duration // when a tick last scanned all machines
--- a/internal/scheduler/reconciliation.go
+++ b/internal/scheduler/reconciliation.go
@@ -30,7 +30,7 @@
 // ControllerSurvived records that a controller was running when the last leader's term ended.
 func (s *Scheduler) ControllerSurvived() { s.reconciler.ControllerSurvived() }
 
-// flushEvents moves the reconciler's events into the effects.
+// flushEvents moves the reconciler's events into the effects, and logs each phase that it entered.
 func (r *termReconciler) flushEvents() {
 	events := r.TakeEvents()
 	if len(events) == 0 {
@@ -46,7 +46,8 @@
 	}
 }
 
-// evidenceFor returns the evidence on an attempt from before this term.
+// evidenceFor returns the evidence on an attempt that was restored from the records, or that a
+// worker lists although this leader does not track it.
 func (r *termReconciler) evidenceFor(a *attempt, observation reconcile.Observation) reconcile.Evidence {
 	evidence := reconcile.Evidence{Observation: observation, Recorded: a.reconciliation.class == reconcile.MissingUnproven}
 	j := a.job
@@ -58,7 +59,7 @@
 	//mutation:recovered-attempt-of-done-task
 	evidence.TaskIsDone = j.progress.done.Has(a.ref.index)
 	//mutation:recovered-attempt-duplicate
-	evidence.HasPreferredDuplicate = a.hasConflictingAttempt(evidence)
+	evidence.HasPreferredDuplicate = a.hasPreferredDuplicate(evidence)
 	if !evidence.Recorded && observation == reconcile.Active {
 		//mutation:unrecorded-attempt-placement
 		evidence.MachineAllowed = j.allowsAdoptionOn(a.machine)
@@ -68,10 +69,10 @@
 	return evidence
 }
 
-// hasConflictingAttempt reports whether another attempt of the task takes precedence. Of two
+// hasPreferredDuplicate reports whether another attempt of the task takes precedence. Of two
 // recorded attempts, the first that a heartbeat lists is kept. An unrecorded attempt gives way
 // to any other attempt, whatever is known about the latter.
-func (a *attempt) hasConflictingAttempt(evidence reconcile.Evidence) bool {
+func (a *attempt) hasPreferredDuplicate(evidence reconcile.Evidence) bool {
 	if evidence.Recorded && evidence.Observation == reconcile.Active {
 		return a.hasListedDuplicate()
 	}
@@ -137,8 +138,8 @@
 
 // confirmListedAttempt reconciles an attempt that a heartbeat lists as active. Only a heartbeat
 // under this term's fencing token is proof for the reconciliation: a duplicate of an earlier one
-// may list attempts that are long gone. Outside the reconciliation, the attempt counts from its
-// first listing.
+// may list attempts that are long gone. For everything else, such as placement and quotas, the
+// attempt counts from its first listing.
 func (s *Scheduler) confirmListedAttempt(a *attempt) {
 	if !a.machine.heartbeats.underCurrentTerm {
 		return
@@ -214,9 +215,9 @@
 	}
 }
 
-// classifyUnknownExit handles an exit that a worker lists of an attempt that is not attached. An
-// attempt that is neither recorded nor needed is no difference: its worker only has to forget
-// it.
+// classifyUnknownExit handles the listed exit of an attempt that is not attached. If the
+// attempt is from an earlier term and has completed a task that still had to run, that is a
+// difference. Otherwise the worker only has to forget the attempt.
 func (r *termReconciler) classifyUnknownExit(m *machine, ref taskRef, status *wire.TaskStatus) {
 	if status.Cause != wire.CauseDone || !r.fromEarlierTerm(status.Attempt) {
 		return
--- a/internal/scheduler/scalein.go
+++ b/internal/scheduler/scalein.go
@@ -137,7 +137,7 @@
 		// release proves earlier that they are gone.
 		return ReleaseProbesUnanswered
 	}
-	if m.cloud.listedInTerm && m.cloud.consecutiveMissedLists >= tuning.MissingListThreshold && heartbeatAge > h.settings.HeartbeatInterval*2 {
+	if m.cloud.expectedInLists && m.cloud.consecutiveMissedLists >= tuning.MissingListThreshold && heartbeatAge > h.settings.HeartbeatInterval*2 {
 		// A machine is listed until it is gone, but lists may be out of date. Only the answer
 		// to the release is proof.
 		return ReleaseNotListed
--- a/internal/scheduler/statusprobe.go
+++ b/internal/scheduler/statusprobe.go
@@ -14,7 +14,7 @@
 type statusProbeLimiter struct {
 	inFlight int
 	budget   tokenBucket // rate limit; used only if isCPULimited
-	// firstPostponed is the first machine whose probe was postponed since the last scan; empty
+	// firstPostponed is the first machine whose probe was postponed since the last scan began; empty
 	// if there is none. The next scan begins with it, so that every machine gets its turn.
 	firstPostponed string
 }
--- a/internal/scheduler/tasklist.go
+++ b/internal/scheduler/tasklist.go
@@ -60,8 +60,9 @@
 }
 
 // handleUnexpectedAttempt handles an attempt that its worker lists and that this leader does not
-// track there. The attempt is adopted if no other attempt of the task takes precedence and its
-// job may run there. Otherwise it is stopped, and uses capacity of the machine until it is gone.
+// track there. The attempt is adopted if its task still has to run, no other attempt of the task
+// takes precedence, and the job's constraints and quota allow the machine. Otherwise it is
+// stopped. It uses capacity of the machine until it is gone, unless the tracked attempt is kept.
 func (s *Scheduler) handleUnexpectedAttempt(m *machine, ref taskRef, status *wire.TaskStatus) {
 	if tracked := m.tasks[ref]; tracked != nil {
 		if tracked.start.sent && !tracked.start.acknowledged {
--- a/internal/scheduler/unconfirmed_capacity.go
+++ b/internal/scheduler/unconfirmed_capacity.go
@@ -54,7 +54,7 @@
 }
 
 // mayFitUnconfirmed reports whether a task of the job may fit on a machine that is not confirmed
-// yet. Until it is confirmed, nothing is preempted for the task.
+// yet. If so, nothing is preempted for the task until the machine is confirmed.
 func (r *placementRound) mayFitUnconfirmed(j *job) bool {
 	if !r.reconciler.AwaitsCapacity() {
 		return false
--- a/internal/scheduler/views.go
+++ b/internal/scheduler/views.go
@@ -108,15 +108,15 @@
 
 // TaskView describes an attempt to operators.
 type TaskView struct {
-	Task            string `cbor:"task" json:"task"`
-	Attempt         uint64 `cbor:"attempt" json:"attempt"`
-	Machine         string `cbor:"machine" json:"machine"`
-	State           string `cbor:"state" json:"state"`
-	DispatchRetries int    `cbor:"probes" json:"probes"`
+	Task          string `cbor:"task" json:"task"`
+	Attempt       uint64 `cbor:"attempt" json:"attempt"`
+	Machine       string `cbor:"machine" json:"machine"`
+	State         string `cbor:"state" json:"state"`
+	DispatchCount int    `cbor:"probes" json:"probes"`
 }
 
 func (a *attempt) view() TaskView {
-	return TaskView{Task: a.ref.String(), Attempt: a.number, Machine: a.machine.name, State: a.displayState(), DispatchRetries: a.retry.dispatchCount}
+	return TaskView{Task: a.ref.String(), Attempt: a.number, Machine: a.machine.name, State: a.displayState(), DispatchCount: a.retry.dispatchCount}
 }
 
 // displayState returns the attempt's state as shown to operators.
@@ -225,8 +225,8 @@
 	return v.reconciler.Status(now.Mono)
 }
 
-// ReconciliationDifferences lists the differences of a class that reconciliation has found, or
-// those of all classes for reconcile.None.
+// ReconciliationDifferences lists at most limit differences of a class that reconciliation has
+// found, after the first skip ones. For reconcile.None it lists those of all classes.
 func (v View) ReconciliationDifferences(class reconcile.Class, skip, limit int) []reconcile.DifferenceView {
 	return v.reconciler.Differences(class, skip, limit)
 }
--- a/internal/scheduler/wait_reason.go
+++ b/internal/scheduler/wait_reason.go
@@ -1,17 +1,22 @@
 package scheduler
 
-// WaitReason is the reason why tasks of a job wait, as of the last placement round.
+// WaitReason is the reason why tasks of a job wait, as of the last placement round that included
+// the job.
 type WaitReason int
 
 // Reasons for tasks to wait.
 const (
-	NotWaiting           WaitReason = iota
-	WaitForRecords                  // an unreadable assignment record may contain its tasks
-	WaitForHeartbeats               // unconfirmed machines may run tasks of it that have no record
-	WaitFailedEverywhere            // it is likely invalid: only one task at a time is placed
-	WaitForGangStop                 // tasks of its gang are being stopped
-	WaitForQuota                    // its team is at its quota limit
-	WaitForCapacity                 // no machine has enough free capacity for one of its tasks
+	NotWaiting           WaitReason = iota // no task waits, or no round has found a reason yet
+	WaitForRecords                         // an unreadable record may contain the job's assignments
+	WaitForHeartbeats                      // unconfirmed machines may run unrecorded attempts of the job
+	WaitFailedEverywhere                   // the job is likely invalid: its tasks run one at a time
+	WaitForGangStop                        // tasks of the gang are being stopped
+	// WaitForQuota means that the team's quota limit allows no more tasks, or that the job is
+	// starved and the tasks that it may place ahead of other jobs are used up.
+	WaitForQuota
+	// WaitForCapacity means that a round found no machine for one of the tasks: usually none has
+	// enough free capacity, or the task waits for a machine that has its image.
+	WaitForCapacity
 )
 
 // String returns the text that users and operators see; empty if no task waits.
--- a/internal/scheduler/zone_partition.go
+++ b/internal/scheduler/zone_partition.go
@@ -6,8 +6,8 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// ZoneLastSeen tells a new leader when its process last reached a peer in a zone before this
-// term.
+// ZoneLastSeen records when this process last had contact with a controller in a zone before this
+// term. For several calls with the same zone, the latest time counts.
 func (s *Scheduler) ZoneLastSeen(zone string, seenAt time.Duration) {
 	s.monitor.zoneLastSeenAt[zone] = max(seenAt, s.monitor.zoneLastSeenAt[zone])
 }
