--- a/internal/scheduler/attempt_outcomes.go
+++ b/internal/scheduler/attempt_outcomes.go
@@ -85,7 +85,7 @@
 	case wire.CauseUnknown:
 		s.placement.backOff(j)
 	case wire.CauseNoCapacity, wire.CauseDuplicate:
-		a.machine.quarantine.startsPausedUntil = s.now.Mono + tuning.RefusedStartBackoff
+		a.machine.quarantine.placementPausedUntil = s.now.Mono + tuning.RefusedStartBackoff
 	}
 }
 
--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -70,7 +70,7 @@
 	if m.phase != machineUp || !m.confirmed || m.machineSpec == nil || m.cloud.failed || m.cloud.interruptionAt != 0 {
 		return false
 	}
-	return m.connectivity.unreachableSince == 0 && m.quarantine.startsPausedUntil <= c.now.Mono &&
+	return m.connectivity.unreachableSince == 0 && m.quarantine.placementPausedUntil <= c.now.Mono &&
 		c.now.Mono-m.connectivity.lastHeartbeatAt < c.heartbeatTimeout()
 }
 
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -80,14 +80,19 @@
 	retryDue bool          // the release must be requested again
 }
 
-// quarantineState keeps tasks away from a machine on which tasks fail or are refused.
+// quarantineState limits the use of a machine on which tasks fail or are refused. A quarantined
+// machine has a higher placement cost, gets no tasks by preemption, and is released once it is
+// empty.
 type quarantineState struct {
-	until             time.Duration   // end of the quarantine
-	startsPausedUntil time.Duration   // no starts until then, after the worker refused one
-	failedJobs        map[string]bool // IDs of unrelated jobs that failed on the machine
+	until time.Duration // end of the quarantine
+	// placementPausedUntil is the time before which no tasks are placed on the machine, since its
+	// worker has refused a start.
+	placementPausedUntil time.Duration
+	failedJobs           map[string]bool // IDs of unrelated jobs that failed on the machine
 }
 
-// reservation keeps a machine's free capacity for one job until it expires.
+// reservation keeps a machine's free capacity for one job until it expires. Production jobs ignore
+// the reservations of other jobs.
 type reservation struct {
 	jobID string        // empty: none
 	until time.Duration // when the reservation expires
@@ -97,14 +102,14 @@
 // were sent before it and arrive later are ignored.
 type heartbeatOrder struct {
 	incarnation, sequence uint64
-	underCurrentTerm      bool // the last heartbeat was sent under this term's fencing token
+	underCurrentTerm      bool // the last heartbeat had a fencing token of this term
 }
 
 // fencingState tracks the fencing tokens that are used with a machine.
 type fencingState struct {
 	counter            uint64 // low bits of the fencing token in use with the machine
-	sentStartsDirectly bool   // a direct call has sent starts under the current counter
-	highestSeenToken   uint64 // the highest token in any of the machine's heartbeats
+	sentStartsDirectly bool   // a direct call has sent starts since the counter was last raised
+	highestSeenToken   uint64 // the highest token in the heartbeats applied in this term
 }
 
 // directCallState is the state of the direct calls to a machine. At most one is in flight.
