--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -8,12 +8,12 @@
 	"github.com/yarrowgap/yarrowgap/internal/tuning"
 )
 
-// cancellations tracks which cancellations this controller confirmed to users, and up to when the
-// leader has enforced all of them. Guarded by Controller.mu.
+// cancellations tracks which cancellations this controller confirmed to users, and up to which time
+// the leader has enforced the confirmed cancellations of all controllers. Guarded by Controller.mu.
 type cancellations struct {
 	confirmed confirmationLog
-	// enforcedUntil is a time before which every confirmed cancellation has been enforced by
-	// the leader of the known term. Zero means that no such time is known.
+	// enforcedUntil is the time up to which the leader of the known term has enforced all
+	// confirmed cancellations. Zero means that no such time is known.
 	enforcedUntil time.Time
 }
 
@@ -24,13 +24,13 @@
 }
 
 // confirmationLog lists the jobs whose cancellation a controller confirmed to users, each job
-// once. The answers to the leader's pings carry the entries, so that a leader that cannot reach
-// the key-value store learns of these cancellations. It may then renew workers' leases during an
+// once. The answers to pings carry the entries, so that a leader that cannot reach the key-value
+// store learns of these cancellations. It may then renew workers' leases during an
 // outage that is longer than the time within which a cancellation must be enforced. Entries are
 // numbered from 1; only the latest tuning.MaxListedConfirmations are kept.
 type confirmationLog struct {
 	droppedCount uint64              // number of oldest entries that are no longer kept
-	ids          []string            // job ids, the oldest entry first
+	ids          []string            // job IDs, the oldest entry first
 	idSet        map[string]struct{} // the elements of ids
 }
 
@@ -134,8 +134,9 @@
 
 // mayRenewWorkerLeases reports whether the leader may renew its workers' leases. A cancellation
 // right after the cancellation watermark may be unknown to the leader, so it stops renewing early
-// enough for the leases to expire within the time allowed for a cancellation. This also holds
-// after a process pause and while another controller leads. Called with the lock held.
+// enough for the leases to expire within the time allowed for a cancellation. The leases also
+// expire in time if this process was paused or another controller has been elected since. Called
+// with the lock held.
 func (c *Controller) mayRenewWorkerLeases() bool {
 	return time.Since(c.cancellationWatermark()) < c.KeepaliveBound()
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -12,21 +12,23 @@
 //   - cancellations: which cancellations were confirmed to users, and which are enforced
 //   - machineTypes and metrics
 //
-// Methods of these parts are called with the lock held and access no state of other parts.
-// Methods of Controller that need the lock held say so. Each input is applied by update, which
-// takes the lock and then also carries out the scheduler's decisions.
+// Methods of these parts are called with the lock held, unless their comments say that they need
+// no lock, and access no state of other parts. Methods of Controller that need the lock held say
+// so. Each input that the scheduler must act on, results of I/O included, is applied by update,
+// which takes the lock and then also carries out the scheduler's decisions.
 //
-// Blocking work is done without the lock, by types that change the state through update or
-// take the lock briefly to read it: election and leaderTerm (leadership), leaderWatch and
-// pinger (peers), jobSync (the replica), machineTypeSource, executor (the scheduler's calls),
-// and userRequest, submission and jobReader (users' requests). The results of I/O are applied
-// as inputs. replicaRefresher and admission have their own synchronization.
+// Blocking work is done without the lock, by types that change the state through update, or
+// take the lock briefly for reads and for changes that need no action of the scheduler:
+// election and leaderTerm (leadership), leaderWatch and pinger (peers), jobSync (the replica),
+// machineTypeSource, executor (the scheduler's calls), and userRequest, submission and jobReader
+// (users' requests). replicaRefresher and admission have their own synchronization.
 //
 // # Goroutines
 //
 // Run starts the loops of the process, and leaderTerm.serve starts the loops of a term; each
-// waits for its loops to end. A goroutine for a single call (an effect, a forwarded request, a
-// read that callers share) ends with that call, which has a timeout.
+// waits for its loops to end. A goroutine for a single call (an effect, a commit, a forwarded
+// request) ends with that call, which has a timeout. The goroutine that makes the reads of
+// replicaRefresher ends when no caller waits for another read.
 package controller
 
 import (
@@ -49,7 +51,7 @@
 )
 
 // Controller is one controller process. The fields above mu do not change once Run has begun.
-// The fields below metrics have their own synchronization.
+// The fields below metrics are not guarded by mu.
 //
 // Controller has an exported method for each kind of input (a user's request, a heartbeat, a
 // ping, a forwarded request, an operator's query), and the methods that access several parts of
@@ -209,7 +211,8 @@
 	case sched == nil:
 	case c.membership.isolated():
 		// A newer leader could not notify this controller, and the workers would keep sending
-		// their heartbeats here. After the step-down their leases are renewed as a follower does it.
+		// their heartbeats here. After the step-down, this controller renews their leases as a
+		// follower, within KeepaliveBound.
 		c.stepDown(sched, stepDownIsolated)
 	case !c.mayRenewWorkerLeases():
 		c.stepDown(sched, stepDownWatermarkTooOld)
--- a/internal/controller/executor.go
+++ b/internal/controller/executor.go
@@ -159,7 +159,7 @@
 	return scheduler.ReleaseUnknown
 }
 
-// notCarriedOut reports whether the cloud said that it has not carried out the request.
+// notCarriedOut reports whether err shows that the cloud has not carried out the request.
 func notCarriedOut(err error) bool {
 	return errors.Is(err, cloud.ErrUnavailable) || errors.Is(err, cloud.ErrRateLimited) || errors.Is(err, cloud.ErrRejected)
 }
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -41,11 +41,11 @@
 }
 
 // followerHeartbeat answers a heartbeat at a controller that does not lead. It redirects the
-// worker to the leader. If the leader is unreachable, it renews the worker's lease with the
-// fencing token that the worker already has and sends no commands: no task starts or stops, and
-// the tasks in a partitioned zone keep running. The time for that is limited by KeepaliveBound, so
-// that the tasks of a job that is cancelled in the meantime end in time. Called with the lock
-// held.
+// worker to the leader. If the leader is unreachable and the worker's fencing token is of the latest
+// known term, it renews the worker's lease with that token and sends no commands: no task starts or
+// stops, and the tasks in a partitioned zone keep running. KeepaliveBound limits for how long it
+// does so, so that the tasks of a job that is cancelled in the meantime end in time. Called with
+// the lock held.
 func (c *Controller) followerHeartbeat(heartbeat *wire.Heartbeat) HeartbeatAnswer {
 	leader := c.membership.leader
 	redirect := HeartbeatAnswer{Status: http.StatusMisdirectedRequest, Redirect: wire.Redirect{Leader: leader.name}}
--- a/internal/controller/leader_watch.go
+++ b/internal/controller/leader_watch.go
@@ -13,11 +13,11 @@
 // leaderWatch detects when the leader's process ends and then revokes the leader's lease, so that
 // an election need not wait for the lease to expire. It acts only on three signs together: the
 // connection of a request that the leader leaves unanswered breaks, the leader refuses two new
-// connections in a row, and another peer answers. If no other peer answers, a filter between the
-// controllers may be refusing the connections, and the lease is left to expire. The three signs
-// can still be misleading. This causes a needless election, at most one per
-// MinLeaderRevocationInterval, but does not affect safety, which depends on fencing tokens and
-// compare-and-swap and not on the duration of the lease.
+// connections in a row, and another peer, if there is one, answers. If no other peer answers, a
+// filter between the controllers may be refusing the connections, and the lease is left to expire.
+// The three signs can still be misleading. Each controller then causes a needless election at most
+// once per MinLeaderRevocationInterval. Safety is not affected, since it depends on fencing tokens
+// and compare-and-swap and not on the duration of the lease.
 //
 // leaderWatch runs in one goroutine, without the lock.
 type leaderWatch struct {
@@ -69,7 +69,7 @@
 
 // claimRevocation reports whether the lease of the given leader should still be revoked: no later
 // term is known and this controller does not lead. In that case it clears the known lease ID, so
-// that the lease is revoked once a term.
+// that the lease is not revoked again unless followLeader restores the ID.
 func (w *leaderWatch) claimRevocation(leader leaderInfo) bool {
 	c := w.controller
 	c.mu.Lock()
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -12,9 +12,10 @@
 type leadership struct {
 	// scheduler is nil unless this controller leads.
 	scheduler *scheduler.Scheduler
-	// leaseID is the ID of the lease in the key-value store that the leader's key is attached to.
+	// leaseID is the ID of the lease in the key-value store under which this controller last led.
 	leaseID uint64
-	// leaseHeldUntil is when that lease expires unless it is renewed.
+	// leaseHeldUntil is a time before which that lease does not expire: its TTL after the last
+	// successful request to grant or renew it was sent.
 	leaseHeldUntil time.Time
 	// lost is leaderTerm.lost of the current term. endTerm closes it.
 	lost chan struct{}
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -19,7 +19,7 @@
 	batches        []wire.KeyValue
 	legacyMachines []wire.KeyValue
 	jobs           []wire.KeyValue
-	revision       uint64    // store revision at which jobs was read
+	revision       uint64    // store revision at which the read of jobs began
 	readAt         time.Time // when the reads began
 }
 
@@ -27,7 +27,7 @@
 // machine that earlier versions wrote.
 func (r *storedRecords) assignments() []wire.KeyValue { return append(r.batches, r.legacyMachines...) }
 
-// loadScheduler reads all records, retrying until the read succeeds, and installs the term's
+// loadScheduler reads the records, retrying until the read succeeds, and installs the term's
 // scheduler. It returns nil if the leadership is lost or ctx ends first.
 func (t *leaderTerm) loadScheduler(ctx context.Context) *scheduler.Scheduler {
 	c := t.controller
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// readRecords reads all records. The four kinds of records are read concurrently.
+// readRecords reads the four kinds of records that a new leader needs, concurrently.
 func readRecords(ctx context.Context, store *kvstore.Client) (*storedRecords, error) {
 	stored := &storedRecords{readAt: time.Now()}
 	var errs [4]error
@@ -90,8 +90,8 @@
 		// Cancellations that peers listed while this controller did not lead were not kept.
 		p.confirmations.reset()
 	}
-	// Peers list only their own confirmations, and the watch may deliver a cancellation that
-	// this controller confirmed after the records were read only much later.
+	// A cancellation that this controller confirmed after the records were read may arrive
+	// through the watch much later, and peers list only their own confirmations.
 	//mutation:recovery-applies-own-cancellations
 	sched.Cancelled(c.now(), c.cancellations.confirmed.ids)
 	sched.ObserveAckLatency = func(latency time.Duration) { recordLatency(c.metrics.startToAck, latency) }
--- a/internal/controller/machine_list.go
+++ b/internal/controller/machine_list.go
@@ -28,7 +28,7 @@
 }
 
 // machineListInterval returns the interval between reads of the machine list. It grows with the
-// list, which takes one call a page, so that most of the cloud's request rate is left to
+// list, which takes one call per page, so that most of the cloud's request rate is left to
 // provisioning and releases.
 func machineListInterval(cfg *config.Settings, machines int) time.Duration {
 	pages := float64(1 + machines/tuning.MachineListPageSize)
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -31,7 +31,7 @@
 	// lead: its process has been restarted, or it has not loaded the records yet.
 	notLeading          bool
 	connectionRefusedAt time.Time          // when the peer last refused a connection
-	declinedAt          time.Time          // when the peer last could not decide a forwarded request
+	declinedAt          time.Time          // when the peer last failed to serve a forwarded request
 	runningTasks        map[string]int     // number of running tasks by job ID; only the leader sends it
 	confirmations       confirmationCursor // which of the peer's confirmations were received
 }
@@ -93,13 +93,14 @@
 		return true
 	}
 	// A refused connection shows that the zones are not partitioned: a filter between the
-	// controllers refuses the connection, or the leader has no free socket. As long as the
-	// key-value store serves this controller and names that leader, workers can reach it.
+	// controllers refuses the connection, or the leader has no free socket. While the
+	// key-value store serves this controller, it would report a change of leader, so workers are
+	// expected to reach this leader.
 	return time.Since(leader.connectionRefusedAt) < tuning.PeerUnreachableAfter && m.storeUnavailableFor() == 0
 }
 
-// forwardTargets returns the peers that may be able to decide a forwarded request, the leader
-// first: those with recent contact that have not declined a request within DeclinedPeerBackoff.
+// forwardTargets returns the peers that may be able to serve a forwarded request, the leader
+// first: those with recent contact that have not failed to serve one within DeclinedPeerBackoff.
 func (m *membership) forwardTargets() []*peerState {
 	var targets []*peerState
 	for _, p := range m.peers {
--- a/internal/controller/queries.go
+++ b/internal/controller/queries.go
@@ -117,7 +117,7 @@
 }
 
 // readEndedRecord reads the record of a job that is not live from the key-value store. The replica
-// remembers the result, so that repeated queries for an id need no further read. The read has low
+// remembers the result, so that repeated queries for an ID need no further read. The read has low
 // priority: queries for many jobs that nobody submitted must not use up the request rate that
 // queries for existing jobs need. resetCount is how often the replica had been reset before the
 // read.
@@ -161,8 +161,10 @@
 	return wire.JobView{ID: id, State: record.State, Done: record.Done}
 }
 
-// liveView describes a live job for a user's request. If the job is cancelled, it first records
-// the cancellation as confirmed. Called with the lock held.
+// liveView describes a live job for a user's request. Done counts only the tasks in the first chunk
+// of the done bitmap, which is part of the job's record. If the job is cancelled, liveView records
+// the cancellation as confirmed, since the answer confirms it to the user. Called with the lock
+// held.
 func (c *Controller) liveView(id string, live *scheduler.LiveJob) wire.JobView {
 	view := wire.JobView{ID: id, State: wire.JobPending}
 	done := records.NewBitmap(live.Record.Job.Tasks)
--- a/internal/controller/refresher.go
+++ b/internal/controller/refresher.go
@@ -13,7 +13,7 @@
 	minInterval func() time.Duration // the least time between two reads
 
 	mu      sync.Mutex
-	next    *refreshCall // the read that new callers join, not sent yet; nil: no caller waits for one
+	next    *refreshCall // the read that new callers join, not sent yet; nil if no caller has joined
 	serving bool         // whether a goroutine runs serve
 }
 
--- a/internal/controller/replication.go
+++ b/internal/controller/replication.go
@@ -27,9 +27,9 @@
 
 // jobSync keeps the replica up to date. Its methods are called without the lock.
 //
-// There are three readers of changes: run, at intervals; queries, which share reads through the
-// refresher; and, at the leader, watch. Answers may arrive out of order: the replica ignores
-// changes that it already has.
+// There are three readers of changes: run, at intervals, and users' requests share reads through
+// the refresher; at the leader, watch reads changes as they are made. Answers may arrive out of
+// order: the replica ignores changes that it already has.
 type jobSync struct {
 	controller *Controller
 	refresher  replicaRefresher
@@ -73,8 +73,8 @@
 }
 
 // run reads changes periodically until ctx ends. A follower reads them before the store discards
-// them; the leader more often, since its right to renew workers' leases counts from the last
-// read.
+// them. The leader reads them more often, since each read advances the cancellation watermark,
+// which limits how long the leader may renew workers' leases.
 func (s *jobSync) run(ctx context.Context) {
 	for interval := tuning.FollowerSyncInterval; sleep(ctx, jitter(interval)); {
 		_, _ = s.refresher.refresh(ctx) // after a failure, the next round or a query reads again
--- a/internal/controller/submit.go
+++ b/internal/controller/submit.go
@@ -70,7 +70,7 @@
 const base64BitsPerByte = 6
 
 // refuseMalformed refuses a submission that cannot be parsed, unless its job exists. id is empty
-// if the job's id cannot be parsed either.
+// if the job's ID cannot be parsed either.
 func (r userRequest) refuseMalformed(ctx context.Context, id string, cause error) Answer {
 	refusal := errorAnswer(http.StatusBadRequest, cause.Error())
 	if id != "" {
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -85,8 +85,9 @@
 	})
 }
 
-// renewLease renews the lease periodically until it is lost or ctx ends. Renewals that the store
-// does not serve are no proof that the lease is lost: in an outage it keeps its full TTL.
+// renewLease renews the lease periodically until the lease is lost or ctx ends. A renewal that the
+// store does not serve does not prove that the lease is lost: in an outage of the store, the lease
+// keeps its full TTL.
 func (t *leaderTerm) renewLease(ctx context.Context) {
 	for sleep(ctx, tuning.LeaseRenewInterval) {
 		if t.isLost() {
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -45,8 +45,8 @@
 	return read(c.leadership.scheduler.View(), c.now()), true
 }
 
-// MachinesView lists up to limit machines by name, those after the given name. It returns false if
-// this controller does not lead.
+// MachinesView lists up to limit machines in the order of their names, starting after the given
+// name. It returns false if this controller does not lead.
 func (c *Controller) MachinesView(after string, limit int) ([]scheduler.MachineView, bool) {
 	return queryScheduler(c, func(view scheduler.View, now scheduler.Now) []scheduler.MachineView {
 		return view.Machines(now, after, limit)
@@ -70,8 +70,8 @@
 	return &scheduler.JobDetail{ID: id, State: view.State, Done: view.Done, Running: view.Running, Attempts: []scheduler.TaskView{}}, true, nil
 }
 
-// WaitingView lists up to limit jobs with waiting tasks by id, those after the given id, with the
-// reason for the wait. It returns false if this controller does not lead.
+// WaitingView lists up to limit jobs with waiting tasks, and the reason for the wait, in the order
+// of their IDs, starting after the given ID. It returns false if this controller does not lead.
 func (c *Controller) WaitingView(after string, limit int) ([]scheduler.JobDetail, bool) {
 	return queryScheduler(c, func(view scheduler.View, now scheduler.Now) []scheduler.JobDetail {
 		return view.Waiting(now, after, limit)
@@ -88,10 +88,11 @@
 
 // ErrNoRecovery means that there is no recovery to describe, because this controller has not known
 // any leader since its process started.
-var ErrNoRecovery = errors.New("there has been no recovery yet: nobody has led since this node began")
+var ErrNoRecovery = errors.New("no recovery yet: no leader has been known since this node started")
 
 // RecoveryView describes the restart reconciliation of the current term. ok is false if this
-// controller does not lead; err is ErrNoRecovery if no leader is known since the process started.
+// controller neither leads nor loads the records of a new term; err is ErrNoRecovery if also no
+// leader has been known since the process started.
 func (c *Controller) RecoveryView() (status reconcile.Status, ok bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -150,8 +150,8 @@
 	return reply, nil
 }
 
-// EncodeBytes converts bytes to Latin-1 text, one rune per byte, since messages hold no binary
-// data.
+// EncodeBytes converts bytes to text with one rune, U+0000 to U+00FF, per byte, since a text field
+// of a message must be valid UTF-8.
 func EncodeBytes(b []byte) string {
 	runes := make([]rune, len(b))
 	for i, c := range b {
--- a/internal/reconcile/classify.go
+++ b/internal/reconcile/classify.go
@@ -17,17 +17,19 @@
 	Confirmed
 	// Failed means that the attempt is recorded, and has ended without completing its task.
 	Failed
-	// FinishedUnrecorded means that the attempt has completed its task, and the task is not
-	// recorded as done.
+	// FinishedUnrecorded means that the attempt has completed its task, the job is live, and
+	// the task is not recorded as done.
 	FinishedUnrecorded
 	// Unrecorded means that a worker lists the attempt, and no record names it.
 	Unrecorded
 	// Superseded means that a worker lists the attempt, and another attempt of its task is
 	// kept instead.
 	Superseded
-	// Obsolete means that the attempt is recorded or listed, but its task need not run any
-	// more: the job has ended or been cancelled, or the task is recorded as done. An attempt
-	// without a record that has ended without completing its task is Obsolete, too.
+	// Obsolete means that the attempt is active or has completed its task, but the task need
+	// not run any more: the job has ended or been cancelled, or the task is recorded as done.
+	// A recorded attempt that no heartbeat has reported on is Obsolete if its job has ended or
+	// been cancelled. An attempt without a record that has ended without completing its task is
+	// Obsolete, too.
 	Obsolete
 
 	classCount
@@ -60,7 +62,7 @@
 // Action is what the leader does about an attempt.
 type Action uint8
 
-// Actions. Only Replace and Stop cause operations on machines.
+// Actions. Only Replace and Stop cause commands that start or stop tasks.
 const (
 	// Keep leaves the attempt as it is.
 	Keep Action = iota
--- a/internal/reconcile/operations.go
+++ b/internal/reconcile/operations.go
@@ -116,8 +116,8 @@
 	return false
 }
 
-// recordDifference adds a difference to the list for operators and registers the operations that
-// it will cause.
+// recordDifference registers the operations that a difference will cause, unless the difference is
+// late, and adds it to the list for operators, unless the list is full.
 func (r *Reconciler) recordDifference(d Difference) {
 	if !d.Late {
 		r.operations.expect(d)
@@ -140,6 +140,7 @@
 		// Releasing a machine proves that the attempts on it are gone.
 		attributed = m != nil && m.unproven > 0
 	case ForgetOperation:
+		// A forget command counts as attributed on every machine from before the term.
 		attributed = m != nil
 	}
 	count := &r.operations.counts[o.Kind]
--- a/internal/reconcile/status.go
+++ b/internal/reconcile/status.go
@@ -13,12 +13,14 @@
 
 // Status describes a reconciliation to operators.
 type Status struct {
-	Phase               string                    `json:"phase"`
-	Enabled             bool                      `json:"enabled"`
-	Cold                bool                      `json:"cold"`
-	AgeS                float64                   `json:"age_s"`
-	History             []PhaseTime               `json:"history"`
-	WaitsUntilS         float64                   `json:"waits_until_s"` // latest end of the phase after the reconciliation's start; 0: none
+	Phase   string      `json:"phase"`
+	Enabled bool        `json:"enabled"`
+	Cold    bool        `json:"cold"`
+	AgeS    float64     `json:"age_s"`
+	History []PhaseTime `json:"history"`
+	// WaitsUntilS is the latest end of the current phase, in seconds after the start of the
+	// reconciliation; 0 if it has settled.
+	WaitsUntilS         float64                   `json:"waits_until_s"`
 	Machines            int                       `json:"machines"`
 	Unconfirmed         int                       `json:"unheard"`
 	Unproven            int                       `json:"unproven"`
--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -32,8 +32,8 @@
 // LegacyMachineKey returns the key of a machine in the layout before batches.
 func LegacyMachineKey(name string) string { return LegacyMachinePrefix + name }
 
-// BatchKey returns the key of a batch: the term of the leader that wrote it and its number within
-// the term.
+// BatchKey returns the key of a batch, which consists of the term of the leader that wrote the batch
+// and the batch's number within the term.
 func BatchKey(term, number uint64) string { return fmt.Sprintf("%s%d-%d", BatchPrefix, term, number) }
 
 // BitmapKey returns the key of a chunk of a job's done bitmap. The first chunk has no key: it is
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -28,9 +28,9 @@
 	var err error
 	decMode, err = cbor.DecOptions{
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
-		MaxNestedLevels:   16,     // the most deeply nested message has 4 levels
+		MaxNestedLevels:   16,     // a page of batches from the key-value store has 8 levels
 		MaxArrayElements:  131072, // far more than a heartbeat or a list holds
-		MaxMapPairs:       4096,   // the largest message has fewer than 30 fields
+		MaxMapPairs:       4096,   // messages have fewer than 30 fields; also limits maps by job ID
 		FieldNameMatching: cbor.FieldNameMatchingCaseSensitive,
 		UTF8:              cbor.UTF8RejectInvalid,
 		TagsMd:            cbor.TagsForbidden,
--- a/wire/job.go
+++ b/wire/job.go
@@ -33,7 +33,7 @@
 
 // Job is a validated submission. It is also the immutable part of a job's stored record.
 // A nil MachineTypes allows every machine type. An empty, non-nil list allows none, so that
-// the job is never placed. CPUs, GPUs and MemoryGB are the resources of one task.
+// the submission is refused. CPUs, GPUs and MemoryGB are the resources of one task.
 type Job struct {
 	ID                  string   `cbor:"uid" json:"uid"`
 	Class               string   `cbor:"docket" json:"docket"`
@@ -55,7 +55,7 @@
 	CheckpointIntervalS float64  `cbor:"tally_s" json:"tally_s"`                     // 0: the tasks write no checkpoints
 	CheckpointSaveS     float64  `cbor:"stow_s" json:"stow_s"`                       // time to write a checkpoint
 	DeadlineS           *float64 `cbor:"due_s,omitempty" json:"due_s,omitempty"`     // from the submission; nil: no deadline
-	CreatedAtMilli      int64    `cbor:"made_ms,omitempty" json:"made_ms,omitempty"` // Unix time of acceptance; not part of a submission
+	CreatedAtMilli      int64    `cbor:"made_ms,omitempty" json:"made_ms,omitempty"` // Unix time of the submission, set by the controller
 }
 
 // Service reports whether the job's tasks run until the job is cancelled.
--- a/wire/submission.go
+++ b/wire/submission.go
@@ -5,7 +5,7 @@
 // Limits on the fields of a submission.
 const (
 	maxNameBytes    = 200 // in a class, team, image, type or zone name
-	maxAmount       = 1e9 // bounds sums of amounts, so that they stay exact
+	maxAmount       = 1e9 // bounds sums of amounts, so that sums of whole numbers stay exact
 	maxMachineTypes = 64
 )
 
@@ -44,7 +44,7 @@
 }
 
 // ParseJob decodes and validates a submission. If fields are invalid, it returns a FieldError
-// for the first of them. A malformed submission is answered with status 400.
+// for the first of them. A malformed submission is answered with status 400, unless its job exists.
 func ParseJob(body []byte) (*Job, error) {
 	var received submission
 	if err := Unmarshal(body, &received); err != nil {
