--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -88,7 +88,7 @@
 
 // ErrNoRecovery means that there is no recovery to describe, because this controller has not known
 // any leader since its process started.
-var ErrNoRecovery = errors.New("no recovery yet: no leader has been known since this node started")
+var ErrNoRecovery = errors.New("there has been no recovery yet: nobody has led since this node began")
 
 // RecoveryView describes the restart reconciliation of the current term. ok is false if this
 // controller neither leads nor loads the records of a new term; err is ErrNoRecovery if also no
